--- a/crates/net/src/counters.rs
+++ b/crates/net/src/counters.rs
@@ -103,20 +103,20 @@
 impl CloseReason {
     /// Whether nobody was there any more.
     #[must_use]
-    pub fn is_clients(self) -> bool {
+    pub fn is_client_disconnect(self) -> bool {
         matches!(self, Self::ClientLeft | Self::Broken)
     }
 }
 
 /// What is shown on request and at the end: the counters, and what others count beside them.
 #[derive(Default)]
-pub struct Shown {
+pub struct StatusLog {
     /// The counters.
     pub counters: Rc<Counters>,
     beside: RefCell<Vec<Rc<dyn fmt::Display>>>,
 }
 
-impl Shown {
+impl StatusLog {
     /// Has this shown as well.
     pub fn add(&self, what: Rc<dyn fmt::Display>) {
         self.beside.borrow_mut().push(what);
--- a/crates/net/src/discovery.rs
+++ b/crates/net/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use super::buffer::{ReadBuffer, write_all};
 use super::http::{self, HttpError};
-use super::objects::{Objects, TextError, Whole};
+use super::objects::{ObjectSplitter, SplitError, StreamItem};
 use crate::config::{ServerList, duration, span_of};
 use crate::counters::Counters;
 use crate::flag::Flag;
@@ -62,7 +62,7 @@
     #[error("not a list: {0}")]
     Json(#[from] serde_json::Error),
     #[error("{0}")]
-    Text(#[from] TextError),
+    Text(#[from] SplitError),
 }
 
 /// What follows the platform's list.
@@ -204,7 +204,7 @@
     buffer.consume(head.size);
     answered.set(true);
     end = Instant::now() + SILENCE;
-    let mut lists = Objects::default();
+    let mut lists = ObjectSplitter::default();
     loop {
         while !buffer.data().is_empty() {
             let (body, size) = if head.chunked {
@@ -216,12 +216,12 @@
             } else {
                 (buffer.data(), buffer.data().len())
             };
-            lists.add(body);
+            lists.push_bytes(body);
             buffer.consume(size);
-            while let Some(part) = lists.cut()? {
+            while let Some(part) = lists.next_item()? {
                 node.heard.raise();
                 end = Instant::now() + SILENCE;
-                if let Whole::Object(text) = part {
+                if let StreamItem::Object(text) = part {
                     node.take(serde_json::from_slice(&text)?, false);
                 }
             }
--- a/crates/net/src/frontend.rs
+++ b/crates/net/src/frontend.rs
@@ -12,7 +12,7 @@
 use crate::counters::{CloseReason, Counters};
 use crate::doubts::Doubts;
 use crate::driver::Driver;
-use crate::life::Life;
+use crate::lifecycle::Lifecycle;
 use crate::mutants::{self, Mutant};
 use crate::tenants::Tenants;
 use async_executor::LocalExecutor;
@@ -103,7 +103,7 @@
     /// What is counted.
     pub(crate) counters: Rc<Counters>,
     /// How far the pooler's life has come.
-    pub(crate) life: Rc<Life>,
+    pub(crate) life: Rc<Lifecycle>,
     /// The seats of the connections.
     pub(crate) seats: Rc<Seats>,
     /// The classes.
@@ -127,11 +127,11 @@
             Some(listener.accept().await.map(|(stream, _)| (stream, room)))
         };
         let deaf = async {
-            door.life.deaf.on().await;
+            door.life.accept_paused.on().await;
             None
         };
         match or(accepted, deaf).await {
-            None if kept => door.life.deaf.off().await,
+            None if kept => door.life.accept_paused.off().await,
             None => return,
             Some(Ok((stream, room))) => {
                 // It may have been waited for long since all seats were taken.
@@ -409,7 +409,7 @@
             Ok(Read::End(CloseReason::Slow))
         };
         let ending = async {
-            let ends = if between { &door.life.closing } else { &door.life.ending };
+            let ends = if between { &door.life.closing_idle } else { &door.life.terminating };
             ends.raised().await;
             Ok(Read::End(CloseReason::ProcessEnds))
         };
@@ -459,7 +459,7 @@
             Err(ClientError::Slow) => CloseReason::Slow,
         };
         self.door.counters.closed(closes);
-        let facts = CloseFacts { client_left: closes.is_clients(), ..self.close_facts() };
+        let facts = CloseFacts { client_left: closes.is_client_disconnect(), ..self.close_facts() };
         if !facts.may_close() {
             let unanswered = facts.requests_unanswered;
             self.door.driver.check(|now, invariants| invariants.connection_closed(now, unanswered));
@@ -614,7 +614,7 @@
     /// Whether the client goes over to a newer process with the next answer: not while it has sent more already.
     fn parts(&self) -> bool {
         let nothing = |error: io::Error| error.kind() == io::ErrorKind::WouldBlock;
-        self.door.life.parting.is_on()
+        self.door.life.handing_over_clients.is_on()
             && self.buffer.data().is_empty()
             && self.stream.get_ref().peek(&mut [0]).is_err_and(nothing)
     }
@@ -645,7 +645,7 @@
         let enough = async {
             Timer::after(PARTING).await;
         };
-        let work = or(rest, or(enough, self.door.life.ending.raised()));
+        let work = or(rest, or(enough, self.door.life.terminating.raised()));
         self.seat.yielding(Rank::Parting, Instant::now(), work).await;
     }
 }
@@ -653,7 +653,7 @@
 /// A client with a request. What it sends ahead is kept, within bounds. One that has closed its side has left, as the
 /// protocol has it: that it still reads can't be seen.
 struct Asking<'a> {
-    life: &'a Life,
+    life: &'a Lifecycle,
     stream: &'a Async<TcpStream>,
     driver: &'a Driver,
     /// What it sends ahead, and when that came. Not borrowed across a wait.
@@ -685,7 +685,7 @@
         if self.has_left() {
             return Some(Cut::ClientLeft);
         }
-        self.life.ending.is_up().then_some(Cut::ProcessEnds)
+        self.life.terminating.is_up().then_some(Cut::ProcessEnds)
     }
 
     async fn end(&self) -> Cut {
@@ -702,7 +702,7 @@
                 self.stream.readable().await.is_err().then_some(Cut::ClientLeft)
             };
             let ending = async {
-                self.life.ending.raised().await;
+                self.life.terminating.raised().await;
                 None
             };
             if let Some(cut) = or(more, ending).await {
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -15,11 +15,11 @@
 pub mod frontend;
 pub mod http;
 pub mod leases;
-pub mod life;
+pub mod lifecycle;
 pub mod members;
 pub mod mutants;
 pub mod objects;
-pub mod operation;
+pub mod operator_api;
 pub mod peers;
 pub mod pg;
 pub mod probes;
@@ -36,14 +36,14 @@
 use crate::config::Config;
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use counters::Shown;
+use counters::StatusLog;
 use discovery::{Follower, Source};
 use doubts::Doubts;
 use driver::{Driver, InvariantsShown};
 use flag::Flag;
 use futures_lite::future::or;
 use leases::{Leases, Wanted};
-use life::Life;
+use lifecycle::Lifecycle;
 use linnetdeal_core::backoff::Backoff;
 use linnetdeal_core::guard::StartFacts;
 use linnetdeal_core::{Checks, Router};
@@ -57,7 +57,7 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
-use succession::Shared;
+use succession::SharedState;
 use tenants::Tenants;
 use upstream::Pool;
 use work::{WorkWanted, Works};
@@ -78,8 +78,8 @@
 /// A pooler that listens, with nothing served yet. Further sources of members are put beside it before it runs.
 pub struct Pooler {
     executor: Rc<LocalExecutor<'static>>,
-    life: Rc<Life>,
-    shown: Rc<Shown>,
+    life: Rc<Lifecycle>,
+    shown: Rc<StatusLog>,
     feed: Feed,
     driver: Rc<Driver>,
     name: String,
@@ -100,7 +100,7 @@
         work: Option<WorkWanted>,
         signals: Signals,
     ) -> Result<Self, RunError> {
-        let (shown, life) = (Rc::new(Shown::default()), Rc::new(Life::default()));
+        let (shown, life) = (Rc::new(StatusLog::default()), Rc::new(Lifecycle::default()));
         let counters = shown.counters.clone();
         let members = Rc::new(Members::default());
         let executor = Rc::new(LocalExecutor::new());
@@ -141,7 +141,7 @@
         let doubts = Rc::new(Doubts::default());
         let folder = std::env::var_os("TMPDIR").filter(|_| config.operator.is_some()).map(PathBuf::from);
         let shared = folder.and_then(|folder| {
-            let opened = Shared::open(&folder);
+            let opened = SharedState::open(&folder);
             let failed = |error: &std::io::Error| {
                 tracing::warn!(
                     "nothing is shared with other processes of this pooler, {}: {error}",
@@ -218,7 +218,7 @@
         };
 
         // Who was out by hand stays out, whatever the list says; it must be known before it.
-        let changes = shared.as_ref().map(|shared| shared.look());
+        let changes = shared.as_ref().map(|shared| shared.poll_disabled());
         match changes {
             Some(Ok((changes, strange))) => {
                 feed.by_word(&changes);
@@ -251,7 +251,7 @@
         executor.spawn(async move { b.run_upkeep().await }).detach();
         executor.spawn(async move { c.run_alarms().await }).detach();
         if let Some(shared) = shared.clone() {
-            if let Err(error) = shared.claim() {
+            if let Err(error) = shared.register_as_newest() {
                 tracing::warn!("an older process of this pooler won't know of this one: {error}");
             }
             let feed = feed.clone();
@@ -287,14 +287,14 @@
             executor.spawn(works.clone().run()).detach();
         }
         if let Some(address) = config.operator {
-            let calls = operation::listen(address).map_err(|error| RunError::Listen(address, error))?;
+            let calls = operator_api::listen(address).map_err(|error| RunError::Listen(address, error))?;
             let (executor, life, feed) = (executor.clone(), life.clone(), feed.clone());
             let (shared, open, leases) = (shared.clone(), open.clone(), leases.clone());
             let executor_of = executor.clone();
             let works = works.clone();
-            let desk = operation::Desk { executor: executor_of, life, feed, shared, open, leases, works };
+            let desk = operator_api::Desk { executor: executor_of, life, feed, shared, open, leases, works };
             let desk = Rc::new(desk);
-            executor.spawn(operation::run(desk, calls)).detach();
+            executor.spawn(operator_api::run(desk, calls)).detach();
         }
         if let Some(addresses) = config.peers {
             let (driver, life, replaced) = (driver.clone(), life.clone(), handed.is_some());
@@ -305,7 +305,7 @@
             let left = async move {
                 life.draining.raised().await;
                 if let Some(leases) = &own {
-                    leases.leave(taken.is_some_and(|shared| shared.place_taken())).await;
+                    leases.leave(taken.is_some_and(|shared| shared.is_superseded())).await;
                 }
                 if !replaced {
                     std::future::pending::<()>().await;
@@ -342,7 +342,7 @@
 
     /// How far its life has come.
     #[must_use]
-    pub fn life(&self) -> Rc<Life> {
+    pub fn life(&self) -> Rc<Lifecycle> {
         self.life.clone()
     }
 
@@ -360,7 +360,7 @@
     pub fn run(self, last: impl Future<Output = ()>) {
         tracing::info!("{} listening on {}", self.name, self.listening);
         async_io::block_on(self.executor.run(async {
-            self.life.ended.raised().await;
+            self.life.terminated.raised().await;
             last.await;
         }));
         self.driver.check(|now, invariants| invariants.process_ended(now));
--- a/crates/net/src/life.rs
+++ b/crates/net/src/lifecycle.rs
@@ -6,21 +6,21 @@
 
 /// The stages of a pooler's end.
 #[derive(Debug, Default)]
-pub struct Life {
+pub struct Lifecycle {
     /// It has been told to end: it serves on, but wants nothing new for longer than that.
     pub draining: Flag,
     /// While a newer process takes the clients: each answer ends its connection.
-    pub parting: Switch,
+    pub handing_over_clients: Switch,
     /// Idle clients are closed.
-    pub closing: Flag,
+    pub closing_idle: Flag,
     /// Nobody is accepted any more.
-    pub deaf: Switch,
+    pub accept_paused: Switch,
     /// What is open gets its answer now.
-    pub ending: Flag,
+    pub terminating: Flag,
     /// All is done.
-    pub ended: Flag,
+    pub terminated: Flag,
     /// The people on call have emptied it, and not ended that.
-    pub by_hand: Cell<bool>,
+    pub drained_by_operator: Cell<bool>,
     /// Emptied by hand or by a plan; unlike the rest this ends when it is resumed.
     pub drained: Switch,
 }
--- a/crates/net/src/operation.rs
+++ b/crates/net/src/operator_api.rs
@@ -3,9 +3,9 @@
 
 use crate::flag::Flag;
 use crate::leases::Leases;
-use crate::life::Life;
+use crate::lifecycle::Lifecycle;
 use crate::members::Feed;
-use crate::succession::{LONGEST_ID, Shared};
+use crate::succession::{LONGEST_ID, SharedState};
 use crate::work::Works;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -37,10 +37,10 @@
 /// What calls act on.
 pub(crate) struct Desk {
     pub(crate) executor: Rc<LocalExecutor<'static>>,
-    pub(crate) life: Rc<Life>,
+    pub(crate) life: Rc<Lifecycle>,
     pub(crate) feed: Feed,
     /// Where it stands who is out by hand, for the process that takes this one's place, and from it.
-    pub(crate) shared: Option<Rc<Shared>>,
+    pub(crate) shared: Option<Rc<SharedState>>,
     /// The list was heard of, or enough time has passed: clients are taken.
     pub(crate) open: Rc<Flag>,
     /// The tasks of the whole fleet, where there are any.
@@ -143,7 +143,7 @@
             ["servers", id, what] => self.server(id, what == "disable"),
             _ => {
                 let on = rest == "drain";
-                self.life.by_hand.set(on);
+                self.life.drained_by_operator.set(on);
                 self.life.drained.turn(on);
                 tracing::info!("{} by hand", if on { "drained" } else { "resumed" });
                 no(StatusCode::OK, if on { "draining" } else { "taking clients" })
@@ -211,7 +211,8 @@
         }
         let banned = self.feed.banned();
         tracing::info!("server {id} {} by hand, {} out", if out { "out" } else { "back" }, banned.len());
-        if let Some(Err(error)) = self.shared.as_ref().map(|shared| shared.put(&MemberId(Arc::from(id)), out))
+        if let Some(Err(error)) =
+            self.shared.as_ref().map(|shared| shared.set_disabled(&MemberId(Arc::from(id)), out))
         {
             tracing::warn!("other processes of this pooler don't learn of it: {error}");
         }
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -2,13 +2,13 @@
 
 use crate::classes::Classes;
 use crate::config::{Config, duration, span_of};
-use crate::counters::{Counters, Shown};
+use crate::counters::{Counters, StatusLog};
 use crate::discovery::Source;
 use crate::driver::Driver;
-use crate::life::Life;
+use crate::lifecycle::Lifecycle;
 use crate::mutants::{self, Mutant};
 use crate::seats::Seats;
-use crate::succession::Shared;
+use crate::succession::SharedState;
 use crate::tenants::Tenants;
 use crate::upstream::Pool;
 use async_executor::LocalExecutor;
@@ -34,17 +34,17 @@
     /// What carries the tasks.
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     /// How far the pooler's life has come.
-    pub(crate) life: Rc<Life>,
+    pub(crate) life: Rc<Lifecycle>,
     /// The clients' seats: who is still there.
     pub(crate) seats: Rc<Seats>,
     /// What is counted.
-    pub(crate) shown: Rc<Shown>,
+    pub(crate) shown: Rc<StatusLog>,
     /// Where the platform's list is followed.
     pub(crate) source: Rc<Source>,
     /// Where the configuration was read, and is read again.
     pub(crate) config_file: PathBuf,
     /// What is shared with a process that takes this one's place.
-    pub(crate) shared: Option<Rc<Shared>>,
+    pub(crate) shared: Option<Rc<SharedState>>,
     /// The classes, by the present settings.
     pub(crate) classes: Rc<Classes>,
     /// The tenants, by the present settings.
@@ -164,7 +164,7 @@
 async fn drain(handler: &Handler) {
     let started = Instant::now();
     let life = &handler.life;
-    let taken = handler.shared.as_ref().is_some_and(|shared| shared.place_taken());
+    let taken = handler.shared.as_ref().is_some_and(|shared| shared.is_superseded());
     let plan = Leaving::plan(span_of(handler.classes.longest_deadline()), taken);
     life.draining.raise();
     let clients = handler.seats.taken();
@@ -175,8 +175,8 @@
     if taken && leave_place(handler, &plan, started).await {
         let life = &handler.life;
         tracing::warn!("the newer process is gone: clients are taken again");
-        life.parting.turn(false);
-        life.deaf.turn(false);
+        life.handing_over_clients.turn(false);
+        life.accept_paused.turn(false);
         // As one that has no newer one, except that it has no more time than before.
         let alone = Leaving::plan(span_of(handler.classes.longest_deadline()), false);
         stages(handler, &alone, started).await;
@@ -188,10 +188,10 @@
 /// Leaves the clients to the newer process until they are gone; true if that died meanwhile.
 async fn leave_place(handler: &Handler, plan: &Leaving, started: Instant) -> bool {
     let life = &handler.life;
-    life.parting.turn(true);
-    life.deaf.turn(true);
+    life.handing_over_clients.turn(true);
+    life.accept_paused.turn(true);
     while started.elapsed() < duration(plan.closing) {
-        if handler.shared.as_ref().is_some_and(|shared| shared.newer_died()) {
+        if handler.shared.as_ref().is_some_and(|shared| shared.successor_is_dead()) {
             return true;
         }
         Timer::after(LOOK).await;
@@ -202,7 +202,7 @@
 /// The steps that are still to be taken, in their order.
 async fn stages(handler: &Handler, plan: &Leaving, started: Instant) {
     let life = &handler.life;
-    let mut steps = vec![(plan.closing, None), (plan.deaf, Some(&life.deaf))];
+    let mut steps = vec![(plan.closing, None), (plan.deaf, Some(&life.accept_paused))];
     steps.sort_by_key(|(at, _)| *at);
     for (at, switch) in steps {
         if let Some(wait) = duration(at).checked_sub(started.elapsed()) {
@@ -210,11 +210,11 @@
         }
         match switch {
             Some(switch) => switch.turn(true),
-            None => life.closing.raise(),
+            None => life.closing_idle.raise(),
         }
     }
     let mut until = duration(plan.ending);
-    for stage in [&life.ending, &life.ended] {
+    for stage in [&life.terminating, &life.terminated] {
         while handler.seats.taken() > 0 && started.elapsed() < until {
             Timer::after(LOOK).await;
         }
--- a/crates/net/src/succession.rs
+++ b/crates/net/src/succession.rs
@@ -34,7 +34,7 @@
 
 /// What is shared, as this process sees it.
 #[derive(Debug)]
-pub struct Shared {
+pub struct SharedState {
     folder: PathBuf,
     own: String,
     bans: RefCell<Bans>,
@@ -44,7 +44,7 @@
     alive: RefCell<Option<File>>,
 }
 
-impl Shared {
+impl SharedState {
     /// Opens the part of `folder` that holds it.
     ///
     /// # Errors
@@ -63,7 +63,7 @@
     /// # Errors
     ///
     /// When it can't be written.
-    pub fn claim(&self) -> io::Result<()> {
+    pub fn register_as_newest(&self) -> io::Result<()> {
         // What processes before left behind goes; a lock that is held is a living one's.
         for entry in std::fs::read_dir(&self.folder)?.take(MOST_FILES).flatten() {
             let of = entry.file_name();
@@ -89,9 +89,10 @@
 
     /// Whether a newer process has said so since, and lives. What can't be read says nothing.
     #[must_use]
-    pub fn place_taken(&self) -> bool {
+    pub fn is_superseded(&self) -> bool {
         let newest = std::fs::read(self.folder.join(NEWEST));
-        newest.is_ok_and(|newest| !newest.is_empty() && newest != self.own.as_bytes()) && !self.newer_died()
+        newest.is_ok_and(|newest| !newest.is_empty() && newest != self.own.as_bytes())
+            && !self.successor_is_dead()
     }
 
     fn alive_file(&self, of: &str) -> PathBuf {
@@ -101,7 +102,7 @@
     /// Whether the process that has taken this one's place is dead. One that hangs is not: nothing tells that from one that
     /// is slow.
     #[must_use]
-    pub fn newer_died(&self) -> bool {
+    pub fn successor_is_dead(&self) -> bool {
         let Ok(newest) = std::fs::read_to_string(self.folder.join(NEWEST)) else { return false };
         if newest.is_empty() || newest == self.own {
             return false;
@@ -127,7 +128,7 @@
 
     /// Whether another process of this pooler lives.
     #[must_use]
-    pub fn lives_beside(&self) -> bool {
+    pub fn has_other_process(&self) -> bool {
         self.alive.borrow().is_some() && !self.is_alone()
     }
 
@@ -137,7 +138,7 @@
     /// # Errors
     ///
     /// When the file system refuses.
-    pub fn put_work(&self, age: (u64, u32), bytes: &[u8]) -> io::Result<()> {
+    pub fn write_work(&self, age: (u64, u32), bytes: &[u8]) -> io::Result<()> {
         let path = self.folder.join(format!("{WORK}.{:016x}.{:08x}", age.0, age.1));
         std::fs::write(&path, bytes)?;
         // What is older says nothing more, whichever process wrote it.
@@ -157,7 +158,7 @@
     /// The newest that some process of this pooler has written down of that, if it has changed since this was asked. What is
     /// half written is not to be read yet, by whoever reads it.
     #[must_use]
-    pub fn look_work(&self) -> Option<Vec<u8>> {
+    pub fn read_work(&self) -> Option<Vec<u8>> {
         let modified = std::fs::metadata(&self.folder).ok()?.modified().ok()?;
         if self.seen_work.get() == Some(modified) && modified.elapsed().is_ok_and(|age| age > SETTLED) {
             return None;
@@ -171,7 +172,7 @@
     /// # Errors
     ///
     /// When the file system refuses; the call holds in this process all the same.
-    pub fn put(&self, member: &MemberId, out: bool) -> io::Result<()> {
+    pub fn set_disabled(&self, member: &MemberId, out: bool) -> io::Result<()> {
         let digits: String = member.0.bytes().map(|byte| format!("{byte:02x}")).collect();
         let file = self.folder.join(OUT).join(digits);
         if out {
@@ -191,7 +192,7 @@
     /// # Errors
     ///
     /// When the folder can't be read, or holds more than this program puts there; who is out stays out.
-    pub fn look(&self) -> io::Result<(Changes, usize)> {
+    pub fn poll_disabled(&self) -> io::Result<(Changes, usize)> {
         let folder = self.folder.join(OUT);
         let modified = std::fs::metadata(&folder)?.modified()?;
         let old = modified.elapsed().is_ok_and(|age| age > SETTLED);
@@ -218,7 +219,7 @@
     pub async fn follow(&self, mut take: impl FnMut(Changes)) {
         loop {
             Timer::after(LOOK).await;
-            if let Ok((changes, _)) = self.look() {
+            if let Ok((changes, _)) = self.poll_disabled() {
                 take(changes);
             }
         }
--- a/crates/net/src/work.rs
+++ b/crates/net/src/work.rs
@@ -5,10 +5,10 @@
 use crate::config::duration;
 use crate::driver::Driver;
 use crate::leases::Leases;
-use crate::life::Life;
+use crate::lifecycle::Lifecycle;
 use crate::members::{Feed, Members};
 use crate::seats::Seats;
-use crate::succession::Shared;
+use crate::succession::SharedState;
 use crate::upstream::Pool;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -208,9 +208,9 @@
     pub(crate) members: Rc<Members>,
     pub(crate) driver: Rc<Driver>,
     pub(crate) pool: Rc<Pool>,
-    pub(crate) life: Rc<Life>,
+    pub(crate) life: Rc<Lifecycle>,
     pub(crate) seats: Rc<Seats>,
-    pub(crate) shared: Option<Rc<Shared>>,
+    pub(crate) shared: Option<Rc<SharedState>>,
     pub(crate) executor: Rc<LocalExecutor<'static>>,
 }
 
@@ -306,13 +306,13 @@
     /// What another process of this pooler knows to be out, where there is one.
     fn look_beside(&self, now: Time) {
         let Some(shared) = &self.parts.shared else { return };
-        let Some((plan, record)) = shared.look_work().and_then(|bytes| read_beside(&bytes)) else { return };
+        let Some((plan, record)) = shared.read_work().and_then(|bytes| read_beside(&bytes)) else { return };
         let mut work = self.work.borrow_mut();
         if let Some(plan) = plan {
             work.adopt(now, plan, &record);
         }
         // It lives, and says of nothing that it is clear as long as this one does. A dead one's word may be old.
-        if !work.has_started() && shared.lives_beside() {
+        if !work.has_started() && shared.has_other_process() {
             work.start_by_other();
         }
     }
@@ -327,7 +327,7 @@
             Some((plan, record)) => write_beside(Some(plan), record),
             None => write_beside(None, &Record::default()),
         };
-        match shared.put_work((work.age().0.0, work.age().1), &bytes) {
+        match shared.write_work((work.age().0.0, work.age().1), &bytes) {
             Ok(()) => self.written.set(Some(work.age())),
             Err(error) => tracing::debug!("work: other processes of this pooler don't learn of it: {error}"),
         }
@@ -377,7 +377,7 @@
                 if away != self.emptied.replace(away) {
                     tracing::info!("work: this pooler's machine is {}", if away { "out" } else { "back" });
                     // What was emptied by hand stays so.
-                    self.parts.life.drained.turn(away || self.parts.life.by_hand.get());
+                    self.parts.life.drained.turn(away || self.parts.life.drained_by_operator.get());
                     self.parts.leases.abstain(away, &self.wanted.tasks);
                 }
             }
--- a/crates/net/tests/parsers.rs
+++ b/crates/net/tests/parsers.rs
@@ -95,15 +95,15 @@
 fn two_processes_share_who_is_out_by_hand_and_which_is_the_newest() {
     use linnetdeal_core::MemberId;
     use linnetdeal_core::succession::Changes;
-    use linnetdeal_net::succession::Shared;
+    use linnetdeal_net::succession::SharedState;
     let folder = std::env::temp_dir().join(format!("linnetdeal-shared-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let ids = ["s-1", "s \"2\"\n/..", "\u{1f426}"].map(|id| MemberId(id.into()));
-    let (older, newer) = (Shared::open(&folder).unwrap(), Shared::open(&folder).unwrap());
-    older.claim().unwrap();
-    assert!(!older.place_taken());
-    ids.iter().for_each(|id| older.put(id, true).unwrap());
-    let mut changes = newer.look().unwrap().0;
+    let (older, newer) = (SharedState::open(&folder).unwrap(), SharedState::open(&folder).unwrap());
+    older.register_as_newest().unwrap();
+    assert!(!older.is_superseded());
+    ids.iter().for_each(|id| older.set_disabled(id, true).unwrap());
+    let mut changes = newer.poll_disabled().unwrap().0;
     changes.out.sort();
     assert_eq!(
         changes,
@@ -117,49 +117,55 @@
         }
     );
     // What either ends, both end; what one calls twice, changes nothing.
-    newer.put(&ids[0], false).unwrap();
-    newer.put(&ids[0], false).unwrap();
-    assert_eq!(older.look().unwrap().0, Changes { out: vec![], back: vec![ids[0].clone()] });
-    assert_eq!(newer.look().unwrap().0, Changes::default(), "the own call is no news");
-    newer.claim().unwrap();
-    assert!(older.place_taken() && !newer.place_taken());
+    newer.set_disabled(&ids[0], false).unwrap();
+    newer.set_disabled(&ids[0], false).unwrap();
+    assert_eq!(older.poll_disabled().unwrap().0, Changes { out: vec![], back: vec![ids[0].clone()] });
+    assert_eq!(newer.poll_disabled().unwrap().0, Changes::default(), "the own call is no news");
+    newer.register_as_newest().unwrap();
+    assert!(older.is_superseded() && !newer.is_superseded());
     // Files of nobody's are counted and passed over; a folder that is gone brings nobody back.
     for strange in ["zz", "7", "ff", "s-1"] {
         std::fs::write(folder.join("linnetdeal.out").join(strange), "x").unwrap();
     }
-    assert_eq!(older.look().unwrap(), (Changes::default(), 4));
+    assert_eq!(older.poll_disabled().unwrap(), (Changes::default(), 4));
     // More than can be bans are not all held, and bring nobody back either.
     (0..10_200)
         .for_each(|at| std::fs::write(folder.join("linnetdeal.out").join(format!("z{at}")), "").unwrap());
-    assert!(older.look().is_err());
+    assert!(older.poll_disabled().is_err());
     std::fs::remove_dir_all(&folder).unwrap();
-    assert!(older.look().is_err() && older.put(&ids[0], true).is_err() && !older.place_taken());
+    assert!(
+        older.poll_disabled().is_err()
+            && older.set_disabled(&ids[0], true).is_err()
+            && !older.is_superseded()
+    );
 }
 
 #[test]
 fn processes_of_one_place_see_each_other_live_and_keep_no_more_than_the_newest_record() {
-    use linnetdeal_net::succession::Shared;
+    use linnetdeal_net::succession::SharedState;
     let folder = std::env::temp_dir().join(format!("linnetdeal-alive-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    let older = Shared::open(&folder).unwrap();
+    let older = SharedState::open(&folder).unwrap();
     assert!(!older.is_alone(), "nothing is said to be clear without an own lock");
-    older.claim().unwrap();
-    assert!(older.is_alone() && !older.lives_beside());
-    older.put_work((7, 1), b"one").unwrap();
-    let newer = Shared::open(&folder).unwrap();
-    newer.claim().unwrap();
-    assert!(!older.is_alone() && newer.lives_beside() && older.place_taken() && !older.newer_died());
-    assert_eq!(newer.look_work().as_deref(), Some(&b"one"[..]));
-    newer.put_work((7, 2), b"two").unwrap();
-    older.put_work((6, 9), b"old").unwrap();
-    assert_eq!(older.look_work().as_deref(), Some(&b"two"[..]), "the newest counts, whoever wrote last");
+    older.register_as_newest().unwrap();
+    assert!(older.is_alone() && !older.has_other_process());
+    older.write_work((7, 1), b"one").unwrap();
+    let newer = SharedState::open(&folder).unwrap();
+    newer.register_as_newest().unwrap();
+    assert!(
+        !older.is_alone() && newer.has_other_process() && older.is_superseded() && !older.successor_is_dead()
+    );
+    assert_eq!(newer.read_work().as_deref(), Some(&b"one"[..]));
+    newer.write_work((7, 2), b"two").unwrap();
+    older.write_work((6, 9), b"old").unwrap();
+    assert_eq!(older.read_work().as_deref(), Some(&b"two"[..]), "the newest counts, whoever wrote last");
     // Whoever ends, however it ends, leaves the place; and what many have left behind goes.
     drop(newer);
-    assert!(older.newer_died() && older.is_alone() && !older.place_taken());
+    assert!(older.successor_is_dead() && older.is_alone() && !older.is_superseded());
     for start in 0..20 {
-        let next = Shared::open(&folder).unwrap();
-        next.claim().unwrap();
-        next.put_work((8, start), b"next").unwrap();
+        let next = SharedState::open(&folder).unwrap();
+        next.register_as_newest().unwrap();
+        next.write_work((8, start), b"next").unwrap();
     }
     let files = std::fs::read_dir(&folder).unwrap().flatten();
     let names: Vec<String> = files.map(|file| file.file_name().to_string_lossy().into_owned()).collect();
--- a/crates/net/tests/streams.rs
+++ b/crates/net/tests/streams.rs
@@ -3,16 +3,16 @@
 use async_io::Async;
 use futures_lite::future::{block_on, poll_once};
 use linnetdeal_net::buffer::write_counted;
-use linnetdeal_net::objects::{LONGEST, Objects, TextError, Whole};
+use linnetdeal_net::objects::{MAX_OBJECT_BYTES, ObjectSplitter, SplitError, StreamItem};
 use std::cell::Cell;
 use std::io::Read;
 use std::net::{TcpListener, TcpStream};
 
-fn cut(pieces: &[&[u8]]) -> Result<Vec<Whole>, TextError> {
-    let (mut objects, mut all) = (Objects::default(), Vec::new());
+fn cut(pieces: &[&[u8]]) -> Result<Vec<StreamItem>, SplitError> {
+    let (mut objects, mut all) = (ObjectSplitter::default(), Vec::new());
     for piece in pieces {
-        objects.add(piece);
-        while let Some(whole) = objects.cut()? {
+        objects.push_bytes(piece);
+        while let Some(whole) = objects.next_item()? {
             all.push(whole);
         }
     }
@@ -25,14 +25,14 @@
         "{\r\n  \"generation\": 43,\n\n  \"instances\": [ {\"instanceId\": \"a}\\\"{[\\\\\"}, [] ]\n}";
     let (second, third) = ("{\"generation\":44,\"x\":\"\u{e9}]\"}", "{}");
     let text = format!("\r\n{first}{second} \t{third}\n");
-    let object = |text: &str| Whole::Object(text.as_bytes().to_vec());
+    let object = |text: &str| StreamItem::Object(text.as_bytes().to_vec());
     let whole = cut(&[text.as_bytes()]).unwrap();
-    let objects: Vec<_> = whole.iter().filter(|of| **of != Whole::Line).collect();
+    let objects: Vec<_> = whole.iter().filter(|of| **of != StreamItem::LineEnd).collect();
     // White space in front of an object comes with it; its reader passes over it.
     assert_eq!(objects, [&object(first), &object(second), &object(&format!(" \t{third}"))]);
     assert_eq!(
         (whole.first(), whole.last()),
-        (Some(&Whole::Line), Some(&Whole::Line)),
+        (Some(&StreamItem::LineEnd), Some(&StreamItem::LineEnd)),
         "only ends of lines outside"
     );
     for at in 0..text.len() {
@@ -45,11 +45,15 @@
 
 #[test]
 fn what_is_no_object_is_an_error_and_nothing_grows_without_end() {
-    assert_eq!(cut(&[b"{}\nnoise\n"]), Err(TextError::Between('n')));
-    assert_eq!(cut(&[b"}"]), Err(TextError::Between('}')));
-    assert_eq!(cut(&[b"[]"]), Err(TextError::Between('[')));
-    assert_eq!(cut(&[b"{\"generation\":1,\"inst\n{}\n"]), Err(TextError::Quoted), "cut off within a text");
-    assert_eq!(cut(&[b"{", &vec![b' '; LONGEST]]), Err(TextError::Endless));
+    assert_eq!(cut(&[b"{}\nnoise\n"]), Err(SplitError::UnexpectedCharacter('n')));
+    assert_eq!(cut(&[b"}"]), Err(SplitError::UnexpectedCharacter('}')));
+    assert_eq!(cut(&[b"[]"]), Err(SplitError::UnexpectedCharacter('[')));
+    assert_eq!(
+        cut(&[b"{\"generation\":1,\"inst\n{}\n"]),
+        Err(SplitError::LineEndInString),
+        "cut off within a text"
+    );
+    assert_eq!(cut(&[b"{", &vec![b' '; MAX_OBJECT_BYTES]]), Err(SplitError::TooLong));
 }
 
 #[test]
