--- a/crates/coordination/src/lease/claimant.rs
+++ b/crates/coordination/src/lease/claimant.rs
@@ -1,6 +1,6 @@
 //! One pooler's side of one task: it asks, claims, holds and renews. When it does so is its owner's matter.
 
-use super::{Answer, Council, Rules, Token, Who};
+use super::{Answer, LeaseRules, PoolerInstance, Token, VoterSet};
 use linnetdeal_core::{Span, Time};
 use std::collections::BTreeSet;
 use std::marker::PhantomData;
@@ -36,7 +36,7 @@
     /// It wants nothing, or waits.
     #[default]
     Idle,
-    /// It asks who has the task.
+    /// It asks instance has the task.
     Asking {
         /// The answers.
         round: Round,
@@ -73,13 +73,13 @@
     /// Somebody else has it, or will.
     Busy,
     /// This claim can't succeed any more: what was granted is to be taken back.
-    Beaten(Token),
+    Rejected(Token),
 }
 
 /// A claimant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Claimant<R> {
-    who: Who,
+    instance: PoolerInstance,
     /// How long a grant may be used.
     held: Span,
     /// The latest token that was claimed with.
@@ -88,17 +88,23 @@
     rules: PhantomData<R>,
 }
 
-impl<R: Rules> Claimant<R> {
+impl<R: LeaseRules> Claimant<R> {
     /// A claimant for grants of `term`, where clocks run wrong by up to `drift` parts in a thousand.
     #[must_use]
-    pub fn new(who: Who, term: Span, drift: u16) -> Self {
-        Self { who, held: R::held(term, drift), last: Token(0), stage: Stage::Idle, rules: PhantomData }
+    pub fn new(instance: PoolerInstance, term: Span, drift: u16) -> Self {
+        Self {
+            instance,
+            held: R::usable_term(term, drift),
+            last: Token(0),
+            stage: Stage::Idle,
+            rules: PhantomData,
+        }
     }
 
     /// Who claims.
     #[must_use]
-    pub fn who(&self) -> Who {
-        self.who
+    pub fn instance(&self) -> PoolerInstance {
+        self.instance
     }
 
     /// How far it has come.
@@ -148,11 +154,11 @@
     }
 
     /// A voter has answered the round of this number.
-    pub fn answer(&mut self, now: Time, council: &Council, voter: u16, number: u32, answer: Answer) -> Step {
+    pub fn answer(&mut self, now: Time, council: &VoterSet, voter: u16, number: u32, answer: Answer) -> Step {
         let held = self.held;
         match &mut self.stage {
             Stage::Asking { round, floor } if round.number == number => {
-                round.note(voter, answer.yes);
+                round.note(voter, answer.granted);
                 *floor = (*floor).max(answer.floor);
                 if council.decides::<R>(&round.yes) {
                     return Step::Claim(*floor);
@@ -163,21 +169,21 @@
                 }
             }
             Stage::Claiming { round, token } if round.number == number => {
-                round.note(voter, answer.yes);
+                round.note(voter, answer.granted);
                 let token = *token;
                 if council.decides::<R>(&round.yes) {
-                    let until = if R::FROM_SENDING { round.sent } else { now } + held;
+                    let until = if R::TERM_FROM_SEND { round.sent } else { now } + held;
                     // Answers that come after the term grant nothing any more.
                     if now >= until {
                         self.stage = Stage::Idle;
-                        return Step::Beaten(token);
+                        return Step::Rejected(token);
                     }
                     self.stage = Stage::Held { token, until, renewal: None };
                     return Step::Held(token);
                 }
                 if !council.may_decide_without::<R>(&round.no) {
                     self.stage = Stage::Idle;
-                    return Step::Beaten(token);
+                    return Step::Rejected(token);
                 }
             }
             Stage::Held { token, until, renewal }
@@ -185,9 +191,9 @@
             {
                 let token = *token;
                 let Some(round) = renewal else { return Step::Wait };
-                round.note(voter, answer.yes);
+                round.note(voter, answer.granted);
                 if council.decides::<R>(&round.yes) {
-                    *until = (*until).max(if R::FROM_SENDING { round.sent } else { now } + held);
+                    *until = (*until).max(if R::TERM_FROM_SEND { round.sent } else { now } + held);
                     *renewal = None;
                     // After the term it is nobody's, and may be another's by now.
                     return if now < *until { Step::Held(token) } else { Step::Wait };
--- a/crates/coordination/src/lease/message.rs
+++ b/crates/coordination/src/lease/message.rs
@@ -3,7 +3,7 @@
 //! Header: magic, form, site (4), version of the operator's file's leases (4), sender (2), its life (8), number (8). Behind the
 //! body stand 16 bytes of HMAC-SHA-256 over all before them. Numbers are big-endian.
 
-use super::{Answer, Holder, TaskId, Token, Who};
+use super::{Answer, Holder, PoolerInstance, TaskId, Token};
 use crate::work;
 use hmac::{Hmac, Mac};
 use linnetdeal_core::Span;
@@ -58,28 +58,28 @@
 
 /// Why a datagram is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum DatagramError {
     /// It is cut, too long or not of this form.
     #[error("malformed")]
     Malformed,
     /// Of another installation, or with unlike terms or drift.
     #[error("of another site")]
-    Site,
+    SiteMismatch,
     /// By another version of the voters.
     #[error("of version {0}")]
-    Version(u32),
+    VersionMismatch(u32),
     /// Altered, or from somebody without the key.
     #[error("not authentic")]
-    Code,
+    BadSignature,
     /// Its sender is not the one who it says.
     #[error("from a stranger")]
-    Stranger,
+    SenderMismatch,
     /// It was heard before, or is too old to tell.
     #[error("replayed")]
     Replayed,
     /// Its sender has been answered more often than it may be.
     #[error("too many")]
-    Flood,
+    RateLimited,
 }
 
 /// What one pooler tells another.
@@ -149,7 +149,7 @@
         positions: Vec<Position>,
     },
     /// Of machines out for work.
-    Work(work::Note),
+    Work(work::Message),
     /// You are to have the task that I have just released.
     Offer {
         /// The task.
@@ -189,7 +189,7 @@
     /// The version of the voters.
     pub version: u32,
     /// Who sent it.
-    pub sender: Who,
+    pub sender: PoolerInstance,
     /// Its number among the sender's.
     pub number: u64,
     /// What it says.
@@ -201,12 +201,16 @@
 }
 
 fn put_holder(out: &mut Vec<u8>, holder: Option<Holder>) {
-    let none = Holder { who: Who { number: NOBODY, life: 0 }, token: Token(0), left: Span(0) };
+    let none = Holder {
+        instance: PoolerInstance { number: NOBODY, incarnation: 0 },
+        token: Token(0),
+        remaining: Span(0),
+    };
     let holder = holder.unwrap_or(none);
-    out.extend(holder.who.number.to_be_bytes());
-    out.extend(holder.who.life.to_be_bytes());
+    out.extend(holder.instance.number.to_be_bytes());
+    out.extend(holder.instance.incarnation.to_be_bytes());
     out.extend(holder.token.0.to_be_bytes());
-    out.extend(ms(holder.left).to_be_bytes());
+    out.extend(ms(holder.remaining).to_be_bytes());
 }
 
 /// Writes a letter, no longer than [`LONGEST`].
@@ -216,7 +220,7 @@
     out.extend(letter.site.to_be_bytes());
     out.extend(letter.version.to_be_bytes());
     out.extend(letter.sender.number.to_be_bytes());
-    out.extend(letter.sender.life.to_be_bytes());
+    out.extend(letter.sender.incarnation.to_be_bytes());
     out.extend(letter.number.to_be_bytes());
     match &letter.body {
         Body::Ask { task, round, known } => {
@@ -237,7 +241,7 @@
             out.extend(task.0.to_be_bytes());
             out.extend(round.to_be_bytes());
             out.extend(life.to_be_bytes());
-            out.push(u8::from(answer.yes));
+            out.push(u8::from(answer.granted));
             out.extend(answer.floor.0.to_be_bytes());
             put_holder(&mut out, answer.holder);
         }
@@ -296,17 +300,17 @@
 /// # Errors
 ///
 /// When anything about it is wrong; nothing of it counts then.
-pub fn open(bytes: &[u8], keys: &[Key]) -> Result<Letter, Refused> {
+pub fn open(bytes: &[u8], keys: &[Key]) -> Result<Letter, DatagramError> {
     if bytes.len() < HEADER + CODE || bytes.len() > LONGEST || bytes[..2] != [MAGIC, FORM] {
-        return Err(Refused::Malformed);
+        return Err(DatagramError::Malformed);
     }
     let (text, code) = bytes.split_at(bytes.len() - CODE);
     if !keys.iter().any(|key| key.mac(text).verify_truncated_left(code).is_ok()) {
-        return Err(Refused::Code);
+        return Err(DatagramError::BadSignature);
     }
     let mut read = Reader(&text[2..]);
-    let letter = read.letter().ok_or(Refused::Malformed)?;
-    if read.0.is_empty() { Ok(letter) } else { Err(Refused::Malformed) }
+    let letter = read.letter().ok_or(DatagramError::Malformed)?;
+    if read.0.is_empty() { Ok(letter) } else { Err(DatagramError::Malformed) }
 }
 
 /// Bytes that are read from the front; `None` where there are too few, or they mean nothing.
@@ -352,14 +356,14 @@
     }
 
     fn holder(&mut self) -> Option<Option<Holder>> {
-        let who = Who { number: self.short()?, life: self.long()? };
-        let holder = Holder { who, token: self.token()?, left: self.span()? };
-        Some((who.number != NOBODY).then_some(holder))
+        let instance = PoolerInstance { number: self.short()?, incarnation: self.long()? };
+        let holder = Holder { instance, token: self.token()?, remaining: self.span()? };
+        Some((instance.number != NOBODY).then_some(holder))
     }
 
     fn letter(&mut self) -> Option<Letter> {
         let (site, version) = (self.word()?, self.word()?);
-        let sender = Who { number: self.short()?, life: self.long()? };
+        let sender = PoolerInstance { number: self.short()?, incarnation: self.long()? };
         Some(Letter { site, version, sender, number: self.long()?, body: self.body()? })
     }
 
@@ -374,8 +378,8 @@
             },
             3 => {
                 let (task, round, life) = (self.task()?, self.word()?, self.long()?);
-                let (yes, floor, holder) = (self.flag()?, self.token()?, self.holder()?);
-                Body::Answer { task, round, life, answer: Answer { yes, floor, holder } }
+                let (granted, floor, holder) = (self.flag()?, self.token()?, self.holder()?);
+                Body::Answer { task, round, life, answer: Answer { granted, floor, holder } }
             }
             4 => {
                 let (task, token, number, term) = (self.task()?, self.token()?, self.short()?, self.span()?);
--- a/crates/coordination/src/lease/mod.rs
+++ b/crates/coordination/src/lease/mod.rs
@@ -3,17 +3,17 @@
 //! safety stands in `docs/design/leases.md`.
 
 mod claimant;
-mod council;
 mod message;
 mod node;
 mod voter;
+mod voter_set;
 
 pub use claimant::{Claimant, Round, Stage, Step};
-pub use council::Council;
 pub(crate) use message::Reader;
-pub use message::{Body, Key, LONGEST, Letter, MAGIC, Position, Refused, Seen, open, seal, sign};
-pub use node::{LeaseSetup, Node, Note, TaskSetup, TaskView};
+pub use message::{Body, DatagramError, Key, LONGEST, Letter, MAGIC, Position, Seen, open, seal, sign};
+pub use node::{LeaseEvent, LeaseSetup, Node, TaskSetup, TaskView};
 pub use voter::{Answer, Holder, MOST_TASKS, Voter};
+pub use voter_set::VoterSet;
 
 use linnetdeal_core::Span;
 use std::fmt::Debug;
@@ -38,22 +38,22 @@
 /// One life of one pooler: the place of its name among all, and a number drawn at its start, so that neither a restart nor
 /// a second process of the same name is taken for the one that was granted something.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Who {
+pub struct PoolerInstance {
     /// Its number among the poolers.
     pub number: u16,
     /// Drawn at its start.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// What safety rests on, each part by name, so that the lab can take one away and show that its checks find that.
-/// [`Sound`] is what serves.
-pub trait Rules: Clone + Copy + Debug + Default + PartialEq + Eq + Hash + 'static {
+/// [`FullLeaseRules`] is what serves.
+pub trait LeaseRules: Clone + Copy + Debug + Default + PartialEq + Eq + Hash + 'static {
     /// A voter without memory says nothing for the longest term.
-    const SILENT: bool = true;
+    const SILENT_AFTER_START: bool = true;
     /// The holder counts its term from before the claim was sent.
-    const FROM_SENDING: bool = true;
+    const TERM_FROM_SEND: bool = true;
     /// A voter grants only tokens above all that it knows of.
-    const ABOVE_FLOOR: bool = true;
+    const TOKENS_ABOVE_FLOOR: bool = true;
     /// A running grant to somebody else is respected.
     const EXCLUSIVE: bool = true;
 
@@ -65,7 +65,7 @@
 
     /// How long a holder may act on a term, where clocks run wrong by up to `drift` parts in a thousand.
     #[must_use]
-    fn held(term: Span, drift: u16) -> Span {
+    fn usable_term(term: Span, drift: u16) -> Span {
         let drift = i64::from(drift.min(999));
         Span(term.0 / (1_000 + drift) * (1_000 - drift))
     }
@@ -73,6 +73,6 @@
 
 /// All parts in place.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Sound;
+pub struct FullLeaseRules;
 
-impl Rules for Sound {}
+impl LeaseRules for FullLeaseRules {}
--- a/crates/coordination/src/lease/node.rs
+++ b/crates/coordination/src/lease/node.rs
@@ -1,8 +1,11 @@
 //! All of one pooler: its vote if it has one, its claims, what it watches, and the letters for these. Datagrams and times
 //! come in, datagrams and the time of the next call go out.
 
-use super::message::{Body, Key, Letter, Position, Refused, Seen, open, seal};
-use super::{Answer, Claimant, Council, Holder, MOST_TASKS, Rules, Stage, Step, TaskId, Token, Voter, Who};
+use super::message::{Body, DatagramError, Key, Letter, Position, Seen, open, seal};
+use super::{
+    Answer, Claimant, Holder, LeaseRules, MOST_TASKS, PoolerInstance, Stage, Step, TaskId, Token, Voter,
+    VoterSet,
+};
 use crate::work;
 use linnetdeal_core::peers::To;
 use linnetdeal_core::{Span, Time};
@@ -38,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseSetup {
     /// This life of this pooler.
-    pub me: Who,
+    pub me: PoolerInstance,
     /// For what is drawn by chance.
     pub seed: u64,
     /// The installation.
@@ -52,13 +55,13 @@
     /// Clocks run wrong by up to so many parts in a thousand.
     pub drift: u16,
     /// No term is longer; a voter without memory is silent for so long.
-    pub longest: Span,
+    pub max_term: Span,
     /// The first signs, all are believed.
     pub keys: Vec<Key>,
     /// What there is to do.
     pub tasks: Vec<TaskSetup>,
     /// The wall clock, in ms since 1970; where it is wrong, see the design note.
-    pub wall: u64,
+    pub wall_ms: u64,
 }
 
 /// A task as one pooler sees it.
@@ -76,7 +79,7 @@
 
 /// Something for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Note {
+pub enum LeaseEvent {
     /// The task is this pooler's.
     Gained(TaskId, Token),
     /// It is no longer.
@@ -84,13 +87,13 @@
     /// It was given away.
     Released(TaskId, Token),
     /// The pooler of this number goes by another version of the voters.
-    Version(u16, u32),
+    VersionMismatch(u16, u32),
     /// The pooler of this number is of another site.
-    Site(u16),
+    SiteMismatch(u16),
     /// A datagram from the address of this pooler was altered or has no key of ours.
-    Code(u16),
+    BadSignature(u16),
     /// Two processes answer for the voter of this number; neither counts.
-    Twins(u16),
+    DuplicateVoter(u16),
 }
 
 struct Task<R> {
@@ -110,8 +113,8 @@
     offered: Time,
 }
 
-impl<R: Rules> Task<R> {
-    fn new((now, me, drift): (Time, Who, u16), rng: &mut ChaCha8Rng, of: TaskSetup) -> Self {
+impl<R: LeaseRules> Task<R> {
+    fn new((now, me, drift): (Time, PoolerInstance, u16), rng: &mut ChaCha8Rng, of: TaskSetup) -> Self {
         Self {
             claimant: Claimant::new(me, of.term, drift),
             due: now + Span(part(rng, of.term.0 / 2)),
@@ -145,15 +148,17 @@
 impl Ear {
     /// Whether this letter is new. Of a life that was forgotten, and of a receiver that has forgotten all, a replay is taken
     /// for new: then floors and running grants turn it away, or it costs a term.
-    fn is_new(&mut self, now: Time, sender: Who, number: u64) -> bool {
-        if !self.lives.iter().any(|life| life.life == sender.life) {
+    fn is_new(&mut self, now: Time, sender: PoolerInstance, number: u64) -> bool {
+        if !self.lives.iter().any(|life| life.life == sender.incarnation) {
             if self.lives.len() == MOST_LIVES {
                 self.lives.pop_front();
             }
-            self.lives.push_back(Life { life: sender.life, newest: number, seen: 1, last: now });
+            self.lives.push_back(Life { life: sender.incarnation, newest: number, seen: 1, last: now });
             return true;
         }
-        let Some(life) = self.lives.iter_mut().find(|life| life.life == sender.life) else { return false };
+        let Some(life) = self.lives.iter_mut().find(|life| life.life == sender.incarnation) else {
+            return false;
+        };
         if number > life.newest {
             life.last = now;
             let ahead = number - life.newest;
@@ -185,13 +190,13 @@
 
 /// One pooler.
 pub struct Node<R> {
-    me: Who,
+    me: PoolerInstance,
     site: u32,
     version: u32,
     longest: Span,
     shortest: Span,
     keys: Vec<Key>,
-    council: Council,
+    council: VoterSet,
     voters: BTreeSet<u16>,
     voter: Option<Voter<R>>,
     tasks: BTreeMap<TaskId, Task<R>>,
@@ -211,34 +216,34 @@
     /// What holders have told of members.
     positions: Vec<Position>,
     /// What others have said of machines out for work.
-    work: Vec<(Who, work::Note)>,
+    work: Vec<(PoolerInstance, work::Message)>,
     /// All was given up: nothing is taken any more.
     leaving: bool,
     drift: u16,
     out: Vec<(To, Vec<u8>)>,
-    notes: Vec<Note>,
-    noted: BTreeSet<Note>,
+    notes: Vec<LeaseEvent>,
+    noted: BTreeSet<LeaseEvent>,
 }
 
-impl<R: Rules> Node<R> {
+impl<R: LeaseRules> Node<R> {
     /// A pooler that has just started.
     #[must_use]
     pub fn new(now: Time, setup: LeaseSetup) -> Self {
-        let mut rng = ChaCha8Rng::seed_from_u64(setup.seed ^ setup.me.life);
-        let council = Council::new(setup.voters, setup.previous);
+        let mut rng = ChaCha8Rng::seed_from_u64(setup.seed ^ setup.me.incarnation);
+        let council = VoterSet::new(setup.voters, setup.previous);
         let voters = council.asked();
-        let shortest = setup.tasks.iter().map(|task| task.term).min().unwrap_or(setup.longest);
-        let site = format!("{}\0{}\0{}", setup.site, setup.longest.0, setup.drift);
+        let shortest = setup.tasks.iter().map(|task| task.term).min().unwrap_or(setup.max_term);
+        let site = format!("{}\0{}\0{}", setup.site, setup.max_term.0, setup.drift);
         let of = (now, setup.me, setup.drift);
         let tasks =
             setup.tasks.into_iter().map(|task| (TaskId::of(&task.name), Task::new(of, &mut rng, task)));
         let tasks = tasks.collect();
         Self {
-            voter: voters.contains(&setup.me.number).then(|| Voter::new(now, setup.longest, setup.wall)),
+            voter: voters.contains(&setup.me.number).then(|| Voter::new(now, setup.max_term, setup.wall_ms)),
             me: setup.me,
             site: TaskId::of(&site).0,
             version: setup.version,
-            longest: setup.longest,
+            longest: setup.max_term,
             shortest,
             keys: setup.keys,
             council,
@@ -264,8 +269,8 @@
     }
 
     /// The poolers' address is this process's from now on, and was another's until now, perhaps. `wall` is as in
-    /// [`LeaseSetup::wall`].
-    pub fn opened(&mut self, now: Time, wall: u64) {
+    /// [`LeaseSetup::wall_ms`].
+    pub fn socket_opened(&mut self, now: Time, wall: u64) {
         if let Some(voter) = &mut self.voter {
             voter.hush(now, self.longest, wall);
         }
@@ -281,12 +286,12 @@
     }
 
     /// The datagrams to be sent, each with whom it is for.
-    pub fn take_letters(&mut self) -> Vec<(To, Vec<u8>)> {
+    pub fn take_datagrams(&mut self) -> Vec<(To, Vec<u8>)> {
         std::mem::take(&mut self.out)
     }
 
     /// What is to be logged.
-    pub fn take_notes(&mut self) -> Vec<Note> {
+    pub fn take_events(&mut self) -> Vec<LeaseEvent> {
         std::mem::take(&mut self.notes)
     }
 
@@ -311,7 +316,7 @@
     }
 
     /// Tells all other poolers what members said, as long as the task is this pooler's.
-    pub fn tell(&mut self, now: Time, task: TaskId, positions: &[Position]) {
+    pub fn publish_positions(&mut self, now: Time, task: TaskId, positions: &[Position]) {
         if self.holds(now, task).is_none() {
             return;
         }
@@ -327,12 +332,12 @@
     }
 
     /// What others have said of machines out for work since.
-    pub fn take_work(&mut self) -> Vec<(Who, work::Note)> {
+    pub fn take_work_messages(&mut self) -> Vec<(PoolerInstance, work::Message)> {
         std::mem::take(&mut self.work)
     }
 
     /// Says something of machines out for work.
-    pub fn say(&mut self, to: To, note: work::Note) {
+    pub fn send_work(&mut self, to: To, note: work::Message) {
         self.put(to, Body::Work(note));
     }
 
@@ -360,7 +365,7 @@
         // Others first.
         known.due = now + known.term;
         let term = known.term;
-        self.note(Note::Released(task, held));
+        self.note(LeaseEvent::Released(task, held));
         self.tell_voters(&Body::Release { task, token: held, heir: heir.map(|heir| (heir, term)) });
         if let Some(heir) = heir.filter(|heir| *heir != self.me.number) {
             self.post(heir, Body::Offer { task, token: held });
@@ -387,11 +392,11 @@
     }
 
     /// Somebody knows of this token, such as a gate that turned an older one away.
-    pub fn hear(&mut self, now: Time, task: TaskId, token: Token) {
+    pub fn observe_token(&mut self, now: Time, task: TaskId, token: Token) {
         if let Some(known) = self.tasks.get_mut(&task) {
             known.highest = known.highest.max(token);
             if let Some(voter) = &mut self.voter {
-                voter.hear(now, task, token);
+                voter.observe_token(now, task, token);
             }
         }
     }
@@ -404,9 +409,9 @@
                 Stage::Held { token, until, .. } if now < *until => Some((*token, *until - now)),
                 _ => None,
             };
-            let known = task.known.filter(|(holder, at)| *at + holder.left > now);
-            let told = known.map(|(holder, at)| Holder { left: at + holder.left - now, ..holder });
-            let own_hold = own.map(|(token, left)| Holder { who: self.me, token, left });
+            let known = task.known.filter(|(holder, at)| *at + holder.remaining > now);
+            let told = known.map(|(holder, at)| Holder { remaining: at + holder.remaining - now, ..holder });
+            let own_hold = own.map(|(token, left)| Holder { instance: self.me, token, remaining: left });
             TaskView { name: task.name.clone(), holder: own_hold.or(told), own, highest: task.highest }
         };
         self.tasks.values().map(view).collect()
@@ -414,7 +419,7 @@
 
     /// The voters, and how long ago each was heard.
     #[must_use]
-    pub fn heard(&self, now: Time) -> Vec<(u16, Option<Span>)> {
+    pub fn last_heard(&self, now: Time) -> Vec<(u16, Option<Span>)> {
         let ago = |voter: &u16| match self.ears.get(voter) {
             _ if *voter == self.me.number => Some(Span(0)),
             ear => ear.map(|ear| now - ear.last),
@@ -433,7 +438,7 @@
     /// # Errors
     ///
     /// When it is refused; nothing of it counts then.
-    pub fn take(&mut self, now: Time, from: u16, bytes: &[u8]) -> Result<(), Refused> {
+    pub fn receive(&mut self, now: Time, from: u16, bytes: &[u8]) -> Result<(), DatagramError> {
         let ear = self.ears.entry(from).or_insert_with(|| Ear {
             lives: VecDeque::new(),
             allowance: MOST_LETTERS,
@@ -441,37 +446,37 @@
             last: Time(i64::MIN / 4),
         });
         if !ear.may(now) {
-            return Err(Refused::Flood);
+            return Err(DatagramError::RateLimited);
         }
         let letter = match open(bytes, &self.keys) {
             Ok(letter) => letter,
             Err(refused) => {
-                if refused == Refused::Code {
-                    self.note_once(Note::Code(from));
+                if refused == DatagramError::BadSignature {
+                    self.note_once(LeaseEvent::BadSignature(from));
                 }
                 return Err(refused);
             }
         };
         if letter.sender.number != from {
-            return Err(Refused::Stranger);
+            return Err(DatagramError::SenderMismatch);
         }
         if letter.site != self.site {
-            self.note_once(Note::Site(from));
-            return Err(Refused::Site);
+            self.note_once(LeaseEvent::SiteMismatch(from));
+            return Err(DatagramError::SiteMismatch);
         }
         if letter.version != self.version {
-            self.note_once(Note::Version(from, letter.version));
-            return Err(Refused::Version(letter.version));
+            self.note_once(LeaseEvent::VersionMismatch(from, letter.version));
+            return Err(DatagramError::VersionMismatch(letter.version));
         }
         if !ear.is_new(now, letter.sender, letter.number) {
-            return Err(Refused::Replayed);
+            return Err(DatagramError::Replayed);
         }
         ear.last = now;
         // Two voters of one number share no memory. A restart is silent for longer than this, so that it is no twin.
         let since = Span(self.longest.0 / 4 * 3);
-        let twins = ear.lives.iter().any(|of| of.life != letter.sender.life && now - of.last < since);
+        let twins = ear.lives.iter().any(|of| of.life != letter.sender.incarnation && now - of.last < since);
         if twins && matches!(letter.body, Body::Answer { .. }) {
-            self.note_once(Note::Twins(from));
+            self.note_once(LeaseEvent::DuplicateVoter(from));
             return Ok(());
         }
         self.read(now, letter.sender, letter.body);
@@ -502,7 +507,7 @@
                 if task.claimant.renew(now, round).is_none() {
                     task.claimant.stop();
                     task.due = now + Span(part(&mut self.rng, task.term.0 / 4));
-                    self.note(Note::Lost(id, token));
+                    self.note(LeaseEvent::Lost(id, token));
                     // Voters may have renewed it without a word of theirs coming back.
                     self.tell_voters(&Body::Release { task: id, token, heir: None });
                     return;
@@ -524,7 +529,7 @@
             Stage::Asking { .. } | Stage::Claiming { .. } => self.back_off(now, id),
             Stage::Idle if task.offered > now => self.ask(now, id),
             Stage::Idle => {
-                let free = task.known.map(|(holder, at)| at + holder.left).filter(|free| *free > now);
+                let free = task.known.map(|(holder, at)| at + holder.remaining).filter(|free| *free > now);
                 match free {
                     Some(free) if task.offered <= now => {
                         task.due = free + Span(part(&mut self.rng, task.term.0 / 2));
@@ -599,13 +604,13 @@
         }
     }
 
-    fn read(&mut self, now: Time, sender: Who, body: Body) {
+    fn read(&mut self, now: Time, sender: PoolerInstance, body: Body) {
         match body {
             Body::Ask { task, round, known } => {
                 let Some(voter) = &mut self.voter else { return };
-                voter.hear(now, task, known);
+                voter.observe_token(now, task, known);
                 if let Some(answer) = voter.ask(now, task, sender) {
-                    self.post(sender.number, Body::Answer { task, round, life: sender.life, answer });
+                    self.post(sender.number, Body::Answer { task, round, life: sender.incarnation, answer });
                 }
             }
             Body::Claim { task, round, token, term } => {
@@ -615,7 +620,7 @@
                     return;
                 }
                 if let Some(answer) = voter.claim(now, task, sender, token, term, round) {
-                    self.post(sender.number, Body::Answer { task, round, life: sender.life, answer });
+                    self.post(sender.number, Body::Answer { task, round, life: sender.incarnation, answer });
                 }
             }
             Body::Release { task, token, heir } => {
@@ -625,7 +630,7 @@
                 }
             }
             // What was granted to an earlier life of this pooler, or to another process of its name, is not this one's.
-            Body::Answer { life, .. } if life != self.me.life => {}
+            Body::Answer { life, .. } if life != self.me.incarnation => {}
             Body::Answer { task, round, answer, .. } => {
                 self.answered(now, sender.number, task, round, answer)
             }
@@ -651,7 +656,7 @@
             // Who is about to end would leave it alone for a term.
             Body::Offer { .. } if self.leaving => {}
             Body::Offer { task, token } => {
-                self.hear(now, task, token);
+                self.observe_token(now, task, token);
                 let Some(known) = self.tasks.get_mut(&task) else { return };
                 known.offered = now + Span(known.term.0 / 2);
                 known.pause = Span(known.term.0 / 32);
@@ -685,11 +690,11 @@
                 task.pause = Span(task.term.0 / 8);
                 if had.is_none() {
                     task.due = now + Span(task.term.0 / 4);
-                    self.note(Note::Gained(id, token));
+                    self.note(LeaseEvent::Gained(id, token));
                 }
             }
             Step::Busy => self.back_off(now, id),
-            Step::Beaten(token) => {
+            Step::Rejected(token) => {
                 self.tell_voters(&Body::Release { task: id, token, heir: None });
                 self.back_off(now, id);
             }
@@ -707,15 +712,15 @@
             if after.is_some_and(|after| *id <= after) || last.is_some_and(|last| *id > last) {
                 continue;
             }
-            let mine = Who { number: self.me.number, life: 0 };
+            let mine = PoolerInstance { number: self.me.number, incarnation: 0 };
             match tasks.iter().find(|(told, _)| told == id) {
                 // It is kept for this pooler.
-                Some((_, holder)) if holder.who == mine => free.push(*id),
+                Some((_, holder)) if holder.instance == mine => free.push(*id),
                 Some((_, holder)) => {
                     task.highest = task.highest.max(holder.token);
                     task.known = Some((*holder, now));
                     if *task.claimant.stage() == Stage::Idle {
-                        task.due = now + holder.left + Span(part(&mut self.rng, task.term.0 / 2));
+                        task.due = now + holder.remaining + Span(part(&mut self.rng, task.term.0 / 2));
                     }
                 }
                 None => {
@@ -772,13 +777,13 @@
         }
     }
 
-    fn note(&mut self, note: Note) {
+    fn note(&mut self, note: LeaseEvent) {
         if self.notes.len() < MOST_NOTES {
             self.notes.push(note);
         }
     }
 
-    fn note_once(&mut self, note: Note) {
+    fn note_once(&mut self, note: LeaseEvent) {
         if self.noted.len() < MOST_NOTES && self.noted.insert(note) {
             self.note(note);
         }
--- a/crates/coordination/src/lease/voter.rs
+++ b/crates/coordination/src/lease/voter.rs
@@ -1,6 +1,6 @@
 //! What one voter remembers, and how it votes.
 
-use super::{Rules, TaskId, Token, Who};
+use super::{LeaseRules, PoolerInstance, TaskId, Token};
 use linnetdeal_core::{Span, Time};
 use std::collections::BTreeMap;
 use std::marker::PhantomData;
@@ -15,18 +15,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
     /// Who; with no life where the task is kept for an heir of this number.
-    pub who: Who,
+    pub instance: PoolerInstance,
     /// Its token.
     pub token: Token,
     /// How long it may be its for, from now.
-    pub left: Span,
+    pub remaining: Span,
 }
 
 /// How a voter answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Answer {
     /// The claim was granted, or could be if it were made.
-    pub yes: bool,
+    pub granted: bool,
     /// The highest token that the voter knows of for the task.
     pub floor: Token,
     /// Who else has the task.
@@ -45,8 +45,8 @@
 }
 
 impl Grant {
-    fn is_of(&self, who: Who) -> bool {
-        self.number == who.number && self.life.is_none_or(|life| life == who.life)
+    fn is_of(&self, instance: PoolerInstance) -> bool {
+        self.number == instance.number && self.life.is_none_or(|life| life == instance.incarnation)
     }
 }
 
@@ -67,7 +67,7 @@
     rules: PhantomData<R>,
 }
 
-impl<R: Rules> Voter<R> {
+impl<R: LeaseRules> Voter<R> {
     /// A voter that has just started with empty memory. It may have granted something a moment ago, for the longest term
     /// that there is. Its floor is what its `wall` clock, in ms since 1970, will show when it votes again: the clock alone would
     /// be no higher than a token that was granted within the same millisecond.
@@ -82,7 +82,7 @@
     /// From now on it is heard as the voter of its number. Whoever was until now, as the process whose place it takes, has
     /// granted what this one knows nothing of, so that its silence counts from here.
     pub fn hush(&mut self, now: Time, longest: Span, wall: u64) {
-        self.silent_until = if R::SILENT { now + longest } else { now };
+        self.silent_until = if R::SILENT_AFTER_START { now + longest } else { now };
         let floor = Token(wall.saturating_add(u64::try_from(longest.0 / 1_000).unwrap_or(0)));
         self.floor = self.floor.max(floor);
         self.tasks.values_mut().for_each(|task| task.token = task.token.max(floor));
@@ -95,7 +95,7 @@
     }
 
     /// Somebody knows of this token.
-    pub fn hear(&mut self, now: Time, task: TaskId, token: Token) {
+    pub fn observe_token(&mut self, now: Time, task: TaskId, token: Token) {
         if token <= self.floor_of(task) {
             return;
         }
@@ -105,10 +105,10 @@
         }
     }
 
-    /// Whether `who` could have the task now. Nothing while the voter is silent.
+    /// Whether `instance` could have the task now. Nothing while the voter is silent.
     #[must_use]
-    pub fn ask(&self, now: Time, task: TaskId, who: Who) -> Option<Answer> {
-        (!self.is_silent(now)).then(|| self.answer(now, task, who))
+    pub fn ask(&self, now: Time, task: TaskId, instance: PoolerInstance) -> Option<Answer> {
+        (!self.is_silent(now)).then(|| self.answer(now, task, instance))
     }
 
     /// Grants the task for `term` from now, or says why not. Nothing while the voter is silent.
@@ -116,7 +116,7 @@
         &mut self,
         now: Time,
         task: TaskId,
-        who: Who,
+        instance: PoolerInstance,
         token: Token,
         term: Span,
         claim: u32,
@@ -125,36 +125,52 @@
             return None;
         }
         let floor = self.floor_of(task);
-        let answer = self.answer(now, task, who);
-        let no = Answer { yes: false, ..answer };
+        let answer = self.answer(now, task, instance);
+        let no = Answer { granted: false, ..answer };
         let running = self.tasks.get(&task).and_then(|known| known.grant.as_ref());
         let own = running.filter(|grant| {
-            grant.until > now && grant.life == Some(who.life) && grant.is_of(who) && grant.token == token
+            grant.until > now
+                && grant.life == Some(instance.incarnation)
+                && grant.is_of(instance)
+                && grant.token == token
         });
-        // What runs is renewed whatever the floor is by now: who was beaten raises it, and must not end what beat him.
+        // What runs is renewed whatever the floor is by now: instance was beaten raises it, and must not end what beat him.
         let renewed = own.is_some();
         // A claim that comes again, or after a later one, is granted already, and for no longer than it was.
         if own.is_some_and(|grant| claim.wrapping_sub(grant.claim) as i32 <= 0) {
-            return Some(Answer { yes: true, ..answer });
+            return Some(Answer { granted: true, ..answer });
         }
-        if R::EXCLUSIVE && !answer.yes || R::ABOVE_FLOOR && !renewed && token <= floor {
+        if R::EXCLUSIVE && !answer.granted || R::TOKENS_ABOVE_FLOOR && !renewed && token <= floor {
             return Some(no);
         }
         let Some(known) = self.remember(now, task) else { return Some(no) };
         known.token = known.token.max(token);
-        known.grant =
-            Some(Grant { number: who.number, life: Some(who.life), token, until: now + term, claim });
-        Some(Answer { yes: true, floor: token.max(floor), holder: None })
+        known.grant = Some(Grant {
+            number: instance.number,
+            life: Some(instance.incarnation),
+            token,
+            until: now + term,
+            claim,
+        });
+        Some(Answer { granted: true, floor: token.max(floor), holder: None })
     }
 
-    /// Takes back what `who` was granted with this token; it is then kept for an heir for a while, if one is named. True
+    /// Takes back what `instance` was granted with this token; it is then kept for an heir for a while, if one is named. True
     /// of a silent voter as well, since it only takes away.
-    pub fn release(&mut self, now: Time, task: TaskId, who: Who, token: Token, heir: Option<(u16, Span)>) {
+    pub fn release(
+        &mut self,
+        now: Time,
+        task: TaskId,
+        instance: PoolerInstance,
+        token: Token,
+        heir: Option<(u16, Span)>,
+    ) {
         let granted = self.tasks.get(&task).and_then(|known| known.grant.as_ref());
-        let its = granted
-            .is_some_and(|grant| grant.life == Some(who.life) && grant.is_of(who) && grant.token == token);
+        let its = granted.is_some_and(|grant| {
+            grant.life == Some(instance.incarnation) && grant.is_of(instance) && grant.token == token
+        });
         // A claim with this token that is still on its way comes to nothing.
-        self.hear(now, task, token);
+        self.observe_token(now, task, token);
         if let (true, Some(known)) = (its, self.tasks.get_mut(&task)) {
             known.grant = heir.map(|(number, term)| Grant {
                 number,
@@ -175,15 +191,15 @@
 
     fn holder(now: Time, known: &Task) -> Option<Holder> {
         let grant = known.grant.as_ref().filter(|grant| grant.until > now)?;
-        let who = Who { number: grant.number, life: grant.life.unwrap_or(0) };
-        Some(Holder { who, token: grant.token, left: grant.until - now })
+        let instance = PoolerInstance { number: grant.number, incarnation: grant.life.unwrap_or(0) };
+        Some(Holder { instance, token: grant.token, remaining: grant.until - now })
     }
 
-    fn answer(&self, now: Time, task: TaskId, who: Who) -> Answer {
+    fn answer(&self, now: Time, task: TaskId, instance: PoolerInstance) -> Answer {
         let known = self.tasks.get(&task);
-        let other = known.filter(|known| known.grant.as_ref().is_some_and(|grant| !grant.is_of(who)));
+        let other = known.filter(|known| known.grant.as_ref().is_some_and(|grant| !grant.is_of(instance)));
         let holder = other.and_then(|known| Self::holder(now, known));
-        Answer { yes: holder.is_none(), floor: self.floor_of(task), holder }
+        Answer { granted: holder.is_none(), floor: self.floor_of(task), holder }
     }
 
     fn floor_of(&self, task: TaskId) -> Token {
--- a/crates/coordination/src/work/desk.rs
+++ b/crates/coordination/src/work/desk.rs
@@ -2,10 +2,10 @@
 
 use super::order::{Facts, Limits, Next, Why, next, possible};
 use super::record::{
-    Kind, Load, MOST_MACHINES, Mode, Note, PART, Places, Plan, PlanId, Record, Said, State, Verb, Word,
+    Kind, Load, MOST_MACHINES, Message, Mode, PART, Places, Plan, PlanId, Record, Said, State, Verb, Word,
 };
 use super::register::{Keeping, Store, Writer};
-use crate::lease::{Council, Sound, Token, Who};
+use crate::lease::{FullLeaseRules, PoolerInstance, Token, VoterSet};
 use linnetdeal_core::peers::To;
 use linnetdeal_core::{Span, Time};
 use rand_chacha::ChaCha8Rng;
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkSetup {
     /// This life of this pooler.
-    pub me: Who,
+    pub me: PoolerInstance,
     /// For what is drawn by chance.
     pub seed: u64,
     /// How many poolers the platform names.
@@ -181,7 +181,7 @@
 /// One pooler.
 pub struct Work<K> {
     setup: WorkSetup,
-    council: Council,
+    council: VoterSet,
     voters: BTreeSet<u16>,
     store: Option<Store<K>>,
     lead: Option<Lead<K>>,
@@ -212,8 +212,8 @@
     last_word: Option<Word>,
     /// The place of the load that the next word begins with.
     next_load: usize,
-    out: Vec<(To, Note)>,
-    own: VecDeque<Note>,
+    out: Vec<(To, Message)>,
+    own: VecDeque<Message>,
     rng: ChaCha8Rng,
 }
 
@@ -221,8 +221,8 @@
     /// A pooler that has just started.
     #[must_use]
     pub fn new(now: Time, setup: WorkSetup) -> Self {
-        let mut rng = ChaCha8Rng::seed_from_u64(setup.seed ^ setup.me.life ^ 0x776f_726b);
-        let council = Council::new(setup.voters.clone(), setup.previous.clone());
+        let mut rng = ChaCha8Rng::seed_from_u64(setup.seed ^ setup.me.incarnation ^ 0x776f_726b);
+        let council = VoterSet::new(setup.voters.clone(), setup.previous.clone());
         let voters = council.asked();
         let store = voters.contains(&setup.me.number).then(|| Store::new(setup.me.number, rng.next_u32()));
         Self {
@@ -263,7 +263,7 @@
     }
 
     /// Letters to be sent.
-    pub fn take_letters(&mut self) -> Vec<(To, Note)> {
+    pub fn take_letters(&mut self) -> Vec<(To, Message)> {
         std::mem::take(&mut self.out)
     }
 
@@ -487,7 +487,7 @@
     }
 
     /// Something of the pooler of this number, by its present life.
-    pub fn hear(&mut self, now: Time, from: Who, note: Note) {
+    pub fn hear(&mut self, now: Time, from: PoolerInstance, note: Message) {
         self.read(now, from, note);
         self.settle(now);
     }
@@ -521,7 +521,7 @@
         }
         if !self.started {
             self.start = (round, BTreeMap::new());
-            let note = Note::Read { round, promise: Token(0), own: 0 };
+            let note = Message::Read { round, promise: Token(0), own: 0 };
             // A blank voter's own question is the same, and its answers count for both.
             let blank = self.store.as_ref().is_some_and(Store::is_blank);
             for voter in self.voters.clone() {
@@ -537,7 +537,7 @@
         let id = self.heard.plan;
         if id != PlanId::NONE && !self.plans.contains_key(&id) {
             let at = self.partial.get(&id).map_or(0, Parts::lacks);
-            self.post(self.heard_from, Note::Wants { plan: id, at: at as u16 });
+            self.post(self.heard_from, Message::Wants { plan: id, at: at as u16 });
         }
     }
 
@@ -589,7 +589,7 @@
                 if now - lead.sent >= half {
                     lead.sent = now;
                     for voter in ask {
-                        self.post(voter, Note::Wants { plan: record.plan, at: at as u16 });
+                        self.post(voter, Message::Wants { plan: record.plan, at: at as u16 });
                     }
                 }
                 return;
@@ -602,7 +602,7 @@
                 let calls = std::mem::take(&mut lead.calls);
                 lead.told.clear();
                 for (to, call, said) in calls {
-                    self.post(to, Note::Reply { call, said });
+                    self.post(to, Message::Reply { call, said });
                 }
                 self.act_on(now, self.setup.me.number, &settled);
             }
@@ -695,7 +695,7 @@
             }
         }
         for number in to {
-            self.post(number, Note::Tell { record: record.clone() });
+            self.post(number, Message::Tell { record: record.clone() });
         }
     }
 
@@ -705,7 +705,7 @@
         for (number, call) in &mut self.calls {
             if call.said.is_none() && now - call.sent >= half {
                 call.sent = now;
-                notes.push(Note::Call { call: *number, verb: call.verb, plan: call.plan, at: call.at });
+                notes.push(Message::Call { call: *number, verb: call.verb, plan: call.plan, at: call.at });
             }
         }
         for note in notes {
@@ -752,60 +752,60 @@
         let loads = own.loads.iter().cycle().skip(first).take(own.loads.len().min(Word::MOST_LOADS));
         let word = Word { loads: loads.copied().collect(), ..word };
         self.next_load = first + Word::MOST_LOADS;
-        self.post(self.speaks_to(own.holder), Note::Word(word));
+        self.post(self.speaks_to(own.holder), Message::Word(word));
     }
 
-    fn read(&mut self, now: Time, from: Who, note: Note) {
+    fn read(&mut self, now: Time, from: PoolerInstance, note: Message) {
         match note {
-            Note::Read { round, promise, own } => {
+            Message::Read { round, promise, own } => {
                 let Some(store) = &mut self.store else { return };
                 let answer = store.read(from.number, round, promise, own);
                 self.post(from.number, answer);
             }
-            Note::Seen { round, own, blank, promised, record } => {
+            Message::Seen { round, own, blank, promised, record } => {
                 self.seen(now, from.number, (round, own, blank), promised, record);
             }
-            Note::Write { numbers, record } => {
+            Message::Write { numbers, record } => {
                 let whole = record.plan == PlanId::NONE || self.plans.contains_key(&record.plan);
                 let Some(store) = &mut self.store else { return };
                 if !whole {
                     let at = self.partial.get(&record.plan).map_or(0, Parts::lacks);
-                    self.post(from.number, Note::Wants { plan: record.plan, at: at as u16 });
+                    self.post(from.number, Message::Wants { plan: record.plan, at: at as u16 });
                     return;
                 }
                 let answer = store.write(&self.voters, &numbers, &record);
                 self.post(from.number, answer);
             }
-            Note::Stored { token, version, own, refused, promised } => {
+            Message::Stored { token, version, own, refused, promised } => {
                 let Some(lead) = &mut self.lead else { return };
                 lead.writer.stored(&self.council, from.number, (token, version), own, refused, promised);
             }
-            Note::Tell { record } => {
+            Message::Tell { record } => {
                 self.act_on(now, from.number, &record);
                 if record.age() == self.heard.age() {
                     self.told_by = Some(from.number);
                 }
                 self.copy(now, from.number, &record);
             }
-            Note::Word(word) => self.word(now, from, word),
-            Note::Wants { plan, at } => {
+            Message::Word(word) => self.word(now, from, word),
+            Message::Wants { plan, at } => {
                 let Some(known) = self.plans.get(&plan).cloned() else { return };
                 let count = known.machines.len() as u16;
                 let parts = known.machines.chunks(PART).enumerate().skip(usize::from(at) / PART);
                 for (part, machines) in parts.take(PARTS_AT_ONCE) {
                     let (kind, nonce, at) = (known.kind, known.nonce, (part * PART) as u16);
                     let machines = machines.to_vec();
-                    self.post(from.number, Note::Part { plan, kind, nonce, count, at, machines });
+                    self.post(from.number, Message::Part { plan, kind, nonce, count, at, machines });
                 }
             }
-            Note::Part { plan, kind, nonce, count, at, machines } => {
+            Message::Part { plan, kind, nonce, count, at, machines } => {
                 if usize::from(count) <= MOST_MACHINES {
                     let parts = Parts { kind, nonce, machines: vec![None; count.into()] };
                     self.part(from.number, plan, parts, at, &machines);
                 }
             }
-            Note::Call { call, verb, plan, at } => self.called(now, from.number, call, verb, plan, at),
-            Note::Reply { call, said } => {
+            Message::Call { call, verb, plan, at } => self.called(now, from.number, call, verb, plan, at),
+            Message::Reply { call, said } => {
                 if let Some(call) = self.calls.get_mut(&call).filter(|_| said != Said::NotHolder) {
                     call.said.get_or_insert(said);
                 }
@@ -829,7 +829,7 @@
             let voted: BTreeSet<u16> =
                 self.start.1.iter().filter(|(_, (blank, _))| !blank).map(|(of, _)| *of).collect();
             let own_known = self.store.as_ref().is_none_or(|store| !store.is_blank());
-            if self.council.decides::<Sound>(&voted) && own_known {
+            if self.council.decides::<FullLeaseRules>(&voted) && own_known {
                 let newest = self.start.1.iter().max_by_key(|(_, (_, record))| record.age());
                 let newest = newest.map(|(of, (_, record))| (*of, record.clone()));
                 self.started = true;
@@ -847,11 +847,11 @@
         }
     }
 
-    fn word(&mut self, now: Time, from: Who, mut word: Word) {
+    fn word(&mut self, now: Time, from: PoolerInstance, mut word: Word) {
         let loads = std::mem::take(&mut word.loads);
         let stale = Span(self.setup.every.0 * STALE);
         let lives = self.words.entry(from.number).or_default();
-        match lives.iter_mut().find(|heard| heard.life == from.life) {
+        match lives.iter_mut().find(|heard| heard.life == from.incarnation) {
             // Of one life the later record counts: letters may overtake each other.
             Some(heard) => {
                 heard.take_loads(now, &loads);
@@ -864,7 +864,7 @@
                 if lives.len() == MOST_LIVES {
                     lives.remove(0);
                 }
-                let mut heard = Heard { life: from.life, loads: BTreeMap::new(), word, at: now };
+                let mut heard = Heard { life: from.incarnation, loads: BTreeMap::new(), word, at: now };
                 heard.take_loads(now, &loads);
                 lives.push(heard);
             }
@@ -899,7 +899,7 @@
             && known.lacks() % (PART * PARTS_AT_ONCE) == 0
         {
             let at = known.lacks() as u16;
-            self.post(from, Note::Wants { plan, at });
+            self.post(from, Message::Wants { plan, at });
         }
     }
 
@@ -924,7 +924,7 @@
         }
         // All voters have lost their memory, and this pooler has not: what it knows to be out stays out, and is told.
         if record.plan == PlanId::NONE && self.heard.plan != PlanId::NONE {
-            self.post(from, Note::Tell { record: self.heard.clone() });
+            self.post(from, Message::Tell { record: self.heard.clone() });
             return;
         }
         if record.age() == self.heard.age() {
@@ -957,13 +957,13 @@
             self.put(now, record.clone());
         } else {
             let at = self.partial.get(&record.plan).map_or(0, Parts::lacks) as u16;
-            self.post(from, Note::Wants { plan: record.plan, at });
+            self.post(from, Message::Wants { plan: record.plan, at });
         }
     }
 
     fn called(&mut self, now: Time, from: u16, call: u32, verb: Verb, plan: PlanId, at: u16) {
         let Some(lead) = &mut self.lead else {
-            return self.post(from, Note::Reply { call, said: Said::NotHolder });
+            return self.post(from, Message::Reply { call, said: Said::NotHolder });
         };
         if lead.calls.iter().any(|(of, number, _)| (*of, *number) == (from, call)) {
             return;
@@ -973,7 +973,7 @@
         let said = self.answer(now, from, &settled, verb, plan, usize::from(at));
         match said {
             None => {}
-            Some((said, None)) => self.post(from, Note::Reply { call, said }),
+            Some((said, None)) => self.post(from, Message::Reply { call, said }),
             Some((said, Some(record))) => {
                 if let Some(lead) = &mut self.lead {
                     lead.calls.push_back((from, call, said));
@@ -1007,7 +1007,7 @@
             }
             let Some(known) = self.plans.get(&plan) else {
                 let at = self.partial.get(&plan).map_or(0, Parts::lacks) as u16;
-                self.post(from, Note::Wants { plan, at });
+                self.post(from, Message::Wants { plan, at });
                 return None;
             };
             let states = vec![State::Waiting; known.machines.len()];
@@ -1068,7 +1068,7 @@
         self.plans.get(&plan).map_or(Ok(()), |plan| possible(plan, facts, self.limits(plan.kind)))
     }
 
-    fn post(&mut self, to: u16, note: Note) {
+    fn post(&mut self, to: u16, note: Message) {
         if to == self.setup.me.number {
             self.own.push_back(note);
         } else {
--- a/crates/coordination/src/work/mod.rs
+++ b/crates/coordination/src/work/mod.rs
@@ -10,7 +10,7 @@
 pub use desk::{Machine, Own, View, Work, WorkSetup};
 pub use order::{Fact, Facts, Limits, Next, Scheme, Why, next, possible};
 pub use record::{
-    Kind, Load, MOST_MACHINES, Mode, Note, PART, Places, Plan, PlanId, Record, Said, State, Verb, Word,
+    Kind, Load, MOST_MACHINES, Message, Mode, PART, Places, Plan, PlanId, Record, Said, State, Verb, Word,
 };
 pub use register::{Keeping, Store, Whole, Writer};
 pub use wire::MOST_VOTERS;
--- a/crates/coordination/src/work/record.rs
+++ b/crates/coordination/src/work/record.rs
@@ -337,7 +337,7 @@
 
 /// What poolers tell each other of work.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum Message {
     /// What is the newest record? With a token: and store nothing older from now on. `own` is the number of a blank voter that asks.
     Read {
         /// The reader's round.
--- a/crates/coordination/src/work/register.rs
+++ b/crates/coordination/src/work/register.rs
@@ -1,8 +1,8 @@
 //! Where the record lives: in the memory of voters, none of which has a disk. [`Store`] is a voter's part, [`Writer`] that of who
 //! holds the lease. The argument for safety stands in `docs/design/work.md`.
 
-use super::record::{Note, Record};
-use crate::lease::{Council, Token};
+use super::record::{Message, Record};
+use crate::lease::{Token, VoterSet};
 use std::collections::{BTreeMap, BTreeSet};
 use std::marker::PhantomData;
 
@@ -47,8 +47,8 @@
 }
 
 /// The quorums of a council, by rules that are all in place.
-fn decides(council: &Council, heard: &BTreeSet<u16>) -> bool {
-    council.decides::<crate::lease::Sound>(heard)
+fn decides(council: &VoterSet, heard: &BTreeSet<u16>) -> bool {
+    council.decides::<crate::lease::FullLeaseRules>(heard)
 }
 
 impl<K: Keeping> Store<K> {
@@ -81,16 +81,16 @@
     }
 
     /// What a blank one asks all other voters, again and again until it isn't.
-    pub fn ask(&mut self, round: u32) -> Option<Note> {
+    pub fn ask(&mut self, round: u32) -> Option<Message> {
         if !self.blank {
             return None;
         }
         (self.round, self.heard) = (round, BTreeMap::new());
-        Some(Note::Read { round, promise: Token(0), own: self.own })
+        Some(Message::Read { round, promise: Token(0), own: self.own })
     }
 
     /// Somebody reads.
-    pub fn read(&mut self, from: u16, round: u32, promise: Token, own: u32) -> Note {
+    pub fn read(&mut self, from: u16, round: u32, promise: Token, own: u32) -> Message {
         if own != 0 && from != self.me {
             let known = self.numbers.entry(from).or_default();
             if !known.contains(&own) {
@@ -104,13 +104,13 @@
             self.promised = self.promised.max(promise);
         }
         let (promised, record) = (self.promised, self.record.clone());
-        Note::Seen { round, own: self.own, blank: self.blank, promised, record }
+        Message::Seen { round, own: self.own, blank: self.blank, promised, record }
     }
 
     /// An answer to what a blank one has asked.
     pub fn seen(
         &mut self,
-        council: &Council,
+        council: &VoterSet,
         from: u16,
         round: u32,
         blank: bool,
@@ -140,7 +140,7 @@
     }
 
     /// Somebody wants a record stored. `voters` are all that are asked, in the order of `numbers`.
-    pub fn write(&mut self, voters: &BTreeSet<u16>, numbers: &[u32], record: &Record) -> Note {
+    pub fn write(&mut self, voters: &BTreeSet<u16>, numbers: &[u32], record: &Record) -> Message {
         let (token, version) = record.age();
         let fits = |of: u16, number: u32| {
             if of == self.me {
@@ -157,7 +157,7 @@
         if !refused && record.age() >= self.record.age() {
             (self.promised, self.record) = (token, record.clone());
         }
-        Note::Stored { token, version, own: self.own, refused, promised: self.promised }
+        Message::Stored { token, version, own: self.own, refused, promised: self.promised }
     }
 }
 
@@ -231,10 +231,10 @@
 
     /// What is to be sent to which voters, now and again until it is answered.
     #[must_use]
-    pub fn letters(&self) -> Vec<(u16, Note)> {
+    pub fn letters(&self) -> Vec<(u16, Message)> {
         match &self.phase {
             Phase::Reading { answers } => {
-                let ask = Note::Read { round: self.round, promise: self.token, own: 0 };
+                let ask = Message::Read { round: self.round, promise: self.token, own: 0 };
                 self.voters
                     .iter()
                     .filter(|of| !answers.contains_key(of))
@@ -244,7 +244,7 @@
             Phase::Writing { record, acks } => {
                 let numbers =
                     self.voters.iter().map(|of| self.numbers.get(of).copied().unwrap_or(0)).collect();
-                let write = Note::Write { numbers, record: record.clone() };
+                let write = Message::Write { numbers, record: record.clone() };
                 self.voters.iter().filter(|of| !acks.contains(of)).map(|of| (*of, write.clone())).collect()
             }
             Phase::Settled | Phase::Beaten => Vec::new(),
@@ -263,7 +263,7 @@
     /// An answer to a read.
     pub fn seen(
         &mut self,
-        council: &Council,
+        council: &VoterSet,
         from: u16,
         (round, own): (u32, u32),
         blank: bool,
@@ -295,7 +295,7 @@
     /// An answer to a write.
     pub fn stored(
         &mut self,
-        council: &Council,
+        council: &VoterSet,
         from: u16,
         (token, version): (Token, u32),
         own: u32,
--- a/crates/coordination/src/work/wire.rs
+++ b/crates/coordination/src/work/wire.rs
@@ -1,7 +1,7 @@
 //! The bytes of what is said of machines out for work, behind the head that all letters have. Numbers are big-endian.
 
 use super::record::{
-    Kind, Load, MOST_MACHINES, Mode, Note, PART, Places, PlanId, Record, Said, State, Verb, Word,
+    Kind, Load, MOST_MACHINES, Message, Mode, PART, Places, PlanId, Record, Said, State, Verb, Word,
 };
 use crate::lease::Reader;
 
@@ -11,15 +11,15 @@
 pub const MOST_VOTERS: usize = 14;
 
 /// Writes one.
-pub(crate) fn put(out: &mut Vec<u8>, note: &Note) {
+pub(crate) fn put(out: &mut Vec<u8>, note: &Message) {
     match note {
-        Note::Read { round, promise, own } => {
+        Message::Read { round, promise, own } => {
             out.push(FIRST);
             out.extend(round.to_be_bytes());
             out.extend(promise.0.to_be_bytes());
             out.extend(own.to_be_bytes());
         }
-        Note::Seen { round, own, blank, promised, record } => {
+        Message::Seen { round, own, blank, promised, record } => {
             out.push(FIRST + 1);
             out.extend(round.to_be_bytes());
             out.extend(own.to_be_bytes());
@@ -27,14 +27,14 @@
             out.extend(promised.0.to_be_bytes());
             put_record(out, record);
         }
-        Note::Write { numbers, record } => {
+        Message::Write { numbers, record } => {
             out.push(FIRST + 2);
             let numbers = &numbers[..numbers.len().min(MOST_VOTERS)];
             out.push(numbers.len() as u8);
             numbers.iter().for_each(|number| out.extend(number.to_be_bytes()));
             put_record(out, record);
         }
-        Note::Stored { token, version, own, refused, promised } => {
+        Message::Stored { token, version, own, refused, promised } => {
             out.push(FIRST + 3);
             out.extend(token.0.to_be_bytes());
             out.extend(version.to_be_bytes());
@@ -42,20 +42,20 @@
             out.push(u8::from(*refused));
             out.extend(promised.0.to_be_bytes());
         }
-        Note::Tell { record } => {
+        Message::Tell { record } => {
             out.push(FIRST + 4);
             put_record(out, record);
         }
-        Note::Word(word) => {
+        Message::Word(word) => {
             out.push(FIRST + 5);
             put_word(out, word);
         }
-        Note::Wants { plan, at } => {
+        Message::Wants { plan, at } => {
             out.push(FIRST + 6);
             out.extend(plan.0.to_be_bytes());
             out.extend(at.to_be_bytes());
         }
-        Note::Part { plan, kind, nonce, count, at, machines } => {
+        Message::Part { plan, kind, nonce, count, at, machines } => {
             out.push(FIRST + 7);
             out.extend(plan.0.to_be_bytes());
             out.push(u8::from(*kind == Kind::Poolers));
@@ -64,14 +64,14 @@
             out.extend(at.to_be_bytes());
             machines.iter().take(PART).for_each(|machine| out.extend(machine.to_be_bytes()));
         }
-        Note::Call { call, verb, plan, at } => {
+        Message::Call { call, verb, plan, at } => {
             out.push(FIRST + 8);
             out.extend(call.to_be_bytes());
             out.push(place(&Verb::ALL, verb));
             out.extend(plan.0.to_be_bytes());
             out.extend(at.to_be_bytes());
         }
-        Note::Reply { call, said } => {
+        Message::Reply { call, said } => {
             out.push(FIRST + 9);
             out.extend(call.to_be_bytes());
             out.push(place(&Said::ALL, said));
@@ -115,7 +115,7 @@
 }
 
 /// Reads one, to the end of what is there.
-pub(crate) fn take(form: u8, read: &mut Reader<'_>) -> Option<Note> {
+pub(crate) fn take(form: u8, read: &mut Reader<'_>) -> Option<Message> {
     read.note(form.checked_sub(FIRST)?)
 }
 
@@ -172,10 +172,10 @@
         Some(Word { plan, token, version, clear, blank, zone, failing: failing?, loads })
     }
 
-    fn note(&mut self, form: u8) -> Option<Note> {
+    fn note(&mut self, form: u8) -> Option<Message> {
         Some(match form {
-            0 => Note::Read { round: self.word()?, promise: self.token()?, own: self.word()? },
-            1 => Note::Seen {
+            0 => Message::Read { round: self.word()?, promise: self.token()?, own: self.word()? },
+            1 => Message::Seen {
                 round: self.word()?,
                 own: self.word()?,
                 blank: self.flag()?,
@@ -188,18 +188,18 @@
                     return None;
                 }
                 let numbers: Option<Vec<u32>> = (0..count).map(|_| self.word()).collect();
-                Note::Write { numbers: numbers?, record: self.record()? }
+                Message::Write { numbers: numbers?, record: self.record()? }
             }
-            3 => Note::Stored {
+            3 => Message::Stored {
                 token: self.token()?,
                 version: self.word()?,
                 own: self.word()?,
                 refused: self.flag()?,
                 promised: self.token()?,
             },
-            4 => Note::Tell { record: self.record()? },
-            5 => Note::Word(self.said_word()?),
-            6 => Note::Wants { plan: self.plan()?, at: self.short()? },
+            4 => Message::Tell { record: self.record()? },
+            5 => Message::Word(self.said_word()?),
+            6 => Message::Wants { plan: self.plan()?, at: self.short()? },
             7 => {
                 let (plan, kind, nonce) = (self.plan()?, self.flag()?, self.long()?);
                 let (count, at) = (self.short()?, self.short()?);
@@ -208,15 +208,15 @@
                 while !self.0.is_empty() && machines.len() < PART {
                     machines.push(self.long()?);
                 }
-                Note::Part { plan, kind, nonce, count, at, machines }
+                Message::Part { plan, kind, nonce, count, at, machines }
             }
-            8 => Note::Call {
+            8 => Message::Call {
                 call: self.word()?,
                 verb: self.one(&Verb::ALL)?,
                 plan: self.plan()?,
                 at: self.short()?,
             },
-            9 => Note::Reply { call: self.word()?, said: self.one(&Said::ALL)? },
+            9 => Message::Reply { call: self.word()?, said: self.one(&Said::ALL)? },
             _ => return None,
         })
     }
--- a/crates/coordination/tests/register.rs
+++ b/crates/coordination/tests/register.rs
@@ -1,7 +1,7 @@
 //! What a majority has stored is seen by every later holder, whatever is lost, doubled, late or restarted; and without one of
 //! the parts that this rests on it is not.
 
-use linnetdeal_coordination::lease::{Council, Token};
+use linnetdeal_coordination::lease::{Token, VoterSet};
 use linnetdeal_coordination::work::*;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
@@ -41,13 +41,13 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut dice = move |of: usize| rng.next_u64() as usize % of;
     let voters: BTreeSet<u16> = (0..count).collect();
-    let council = Council::new(voters.clone(), vec![]);
+    let council = VoterSet::new(voters.clone(), vec![]);
     let mut stores: Vec<Store<K>> = (0..count).map(|me| Store::new(me, 1_000 + u32::from(me))).collect();
     let mut drawn = 2_000;
     let mut round = 0;
     // The fleet starts together: all have heard that all are blank.
     for me in 0..count {
-        if let Some(Note::Read { round, .. }) = stores[usize::from(me)].ask(1) {
+        if let Some(Message::Read { round, .. }) = stores[usize::from(me)].ask(1) {
             for other in (0..count).filter(|other| *other != me) {
                 stores[usize::from(me)].seen(&council, other, round, true, Token(0), &Record::default());
             }
@@ -55,7 +55,7 @@
     }
     let mut holders: Vec<Holder<K>> = Vec::new();
     // To a voter from a holder or a voter, and back.
-    let mut letters: Vec<(bool, usize, u16, Note)> = Vec::new();
+    let mut letters: Vec<(bool, usize, u16, Message)> = Vec::new();
     let (mut bad, mut stored) = (false, 0);
     for _ in 0..1_200 {
         match dice(12) {
@@ -102,23 +102,23 @@
                 let (of_holder, who, voter, note) = letter;
                 let store = &mut stores[usize::from(voter)];
                 match note {
-                    Note::Read { round, promise, own } => {
+                    Message::Read { round, promise, own } => {
                         let from = if of_holder { 900 + who as u16 } else { who as u16 };
                         let answer = store.read(from, round, promise, own);
                         letters.push((of_holder, who, voter, answer));
                     }
-                    Note::Write { numbers, record } => {
+                    Message::Write { numbers, record } => {
                         let answer = store.write(&voters, &numbers, &record);
                         letters.push((true, who, voter, answer));
                     }
-                    Note::Seen { round, own, blank, promised, record } if of_holder => {
+                    Message::Seen { round, own, blank, promised, record } if of_holder => {
                         let holder = &mut holders[who].writer;
                         holder.seen(&council, voter, (round, own), blank, promised, record);
                     }
-                    Note::Seen { round, blank, promised, record, .. } => {
+                    Message::Seen { round, blank, promised, record, .. } => {
                         stores[who].seen(&council, voter, round, blank, promised, &record);
                     }
-                    Note::Stored { token, version, own, refused, promised } => {
+                    Message::Stored { token, version, own, refused, promised } => {
                         let holder = &mut holders[who];
                         holder.writer.stored(&council, voter, (token, version), own, refused, promised);
                         if let Some(age) = holder.writer.settled().map(Record::age) {
@@ -144,7 +144,7 @@
 #[test]
 fn a_write_that_does_not_name_all_voters_is_refused() {
     let voters: BTreeSet<u16> = (0..3).collect();
-    let council = Council::new(voters.clone(), vec![]);
+    let council = VoterSet::new(voters.clone(), vec![]);
     let mut store: Store<Whole> = Store::new(2, 1_002);
     store.ask(1);
     for other in [0, 1] {
@@ -153,7 +153,7 @@
     let record = Record { token: Token(5), version: 1, ..Record::default() };
     for (numbers, refuses) in [(&[7, 8][..], true), (&[7, 8, 1_002, 9], true), (&[7, 8, 1_002], false)] {
         let answer = store.write(&voters, numbers, &record);
-        assert!(matches!(answer, Note::Stored { refused, .. } if refused == refuses), "{numbers:?}");
+        assert!(matches!(answer, Message::Stored { refused, .. } if refused == refuses), "{numbers:?}");
     }
 }
 
@@ -177,7 +177,7 @@
 /// the holder has a majority. Whether a later holder then misses what was stored.
 fn an_ack_from_before_a_restart<K: Keeping>() -> bool {
     let voters: BTreeSet<u16> = (0..3).collect();
-    let council = Council::new(voters.clone(), vec![]);
+    let council = VoterSet::new(voters.clone(), vec![]);
     let mut stores: Vec<Store<K>> = (0..3).map(|me| Store::new(me, 1_000 + u32::from(me))).collect();
     for me in 0..3 {
         stores[usize::from(me)].ask(1);
@@ -187,19 +187,19 @@
     }
     let read = |stores: &mut Vec<Store<K>>, writer: &mut Writer<K>, of: &[u16]| {
         for (voter, note) in writer.letters() {
-            let (true, Note::Read { round, promise, own }) = (of.contains(&voter), note) else { continue };
+            let (true, Message::Read { round, promise, own }) = (of.contains(&voter), note) else { continue };
             let answer = stores[usize::from(voter)].read(9, round, promise, own);
-            let Note::Seen { round, own, blank, promised, record } = answer else { unreachable!() };
+            let Message::Seen { round, own, blank, promised, record } = answer else { unreachable!() };
             writer.seen(&council, voter, (round, own), blank, promised, record);
         }
     };
     let write = |stores: &mut Vec<Store<K>>, writer: &Writer<K>, to: u16| {
         let (_, note) = writer.letters().into_iter().find(|(voter, _)| *voter == to).unwrap();
-        let Note::Write { numbers, record } = note else { unreachable!() };
+        let Message::Write { numbers, record } = note else { unreachable!() };
         stores[usize::from(to)].write(&voters, &numbers, &record)
     };
-    let take = |writer: &mut Writer<K>, from: u16, answer: Note| {
-        let Note::Stored { token, version, own, refused, promised } = answer else { unreachable!() };
+    let take = |writer: &mut Writer<K>, from: u16, answer: Message| {
+        let Message::Stored { token, version, own, refused, promised } = answer else { unreachable!() };
         writer.stored(&council, from, (token, version), own, refused, promised);
     };
     let mut first: Writer<K> = Writer::new(Token(10), 0x8000_0001, voters.clone());
@@ -208,9 +208,9 @@
     let late = write(&mut stores, &first, 0);
     // It starts anew, and reads from both others.
     stores[0] = Store::new(0, 2_000);
-    let Some(Note::Read { round, promise, own }) = stores[0].ask(2) else { unreachable!() };
+    let Some(Message::Read { round, promise, own }) = stores[0].ask(2) else { unreachable!() };
     for other in [1, 2] {
-        let Note::Seen { blank, promised, record, .. } = stores[other].read(0, round, promise, own) else {
+        let Message::Seen { blank, promised, record, .. } = stores[other].read(0, round, promise, own) else {
             unreachable!()
         };
         stores[0].seen(&council, other as u16, round, blank, promised, &record);
--- a/crates/coordination/tests/work.rs
+++ b/crates/coordination/tests/work.rs
@@ -1,7 +1,7 @@
 //! A plan carried out by a fleet of poolers in virtual time, with holders that die, letters that are lost and poolers that start anew;
 //! and the order of machines by itself.
 
-use linnetdeal_coordination::lease::{Body, Key, Letter, Token, Who, open, seal};
+use linnetdeal_coordination::lease::{Body, Key, Letter, PoolerInstance, Token, open, seal};
 use linnetdeal_coordination::work::*;
 use linnetdeal_core::peers::To;
 use linnetdeal_core::{Span, Time};
@@ -215,7 +215,7 @@
 /// A pooler of the fleet, with what it has under way.
 struct Pooler {
     work: Work<Whole>,
-    who: Who,
+    who: PoolerInstance,
     /// Requests under way end then, by machine.
     busy: BTreeMap<u64, Time>,
 }
@@ -225,7 +225,7 @@
     count: u16,
     rng: ChaCha8Rng,
     poolers: Vec<Option<Pooler>>,
-    letters: Vec<(Time, Who, u16, Note)>,
+    letters: Vec<(Time, PoolerInstance, u16, Message)>,
     lives: u64,
     /// By whom the lease may be thought to be held, with which token.
     holders: BTreeMap<u16, Token>,
@@ -270,7 +270,7 @@
 
     fn start(&mut self, number: u16) {
         self.lives += 1;
-        let who = Who { number, life: self.lives };
+        let who = PoolerInstance { number, incarnation: self.lives };
         let setup = WorkSetup {
             me: who,
             seed: self.lives,
@@ -557,7 +557,7 @@
     /// Number 4 of five, voters are 0, 1 and 2, just started.
     fn start() -> Self {
         let setup = WorkSetup {
-            me: Who { number: 4, life: 9 },
+            me: PoolerInstance { number: 4, incarnation: 9 },
             seed: 9,
             fleet: 5,
             voters: [0, 1, 2].into(),
@@ -570,8 +570,8 @@
         Self { work: Work::new(Time(0), setup), now: Time(0), word_to: None, round: 0 }
     }
 
-    fn hear(&mut self, from: u16, note: Note) {
-        self.work.hear(self.now, Who { number: from, life: 1 }, note);
+    fn hear(&mut self, from: u16, note: Message) {
+        self.work.hear(self.now, PoolerInstance { number: from, incarnation: 1 }, note);
     }
 
     /// Ten milliseconds, with the lease held by `holder` as far as is known here, and nothing out anywhere.
@@ -583,8 +583,8 @@
         for (to, note) in self.work.take_letters() {
             let To::One(to) = to else { panic!("work is told one by one") };
             match note {
-                Note::Word(_) => self.word_to = Some(to as u16),
-                Note::Read { round, .. } => self.round = round,
+                Message::Word(_) => self.word_to = Some(to as u16),
+                Message::Read { round, .. } => self.round = round,
                 _ => {}
             }
         }
@@ -593,7 +593,7 @@
     /// A voter answers its last question.
     fn seen(&mut self, from: u16, record: &Record) {
         let (round, promised, record) = (self.round, record.token, record.clone());
-        self.hear(from, Note::Seen { round, own: 1, blank: false, promised, record });
+        self.hear(from, Message::Seen { round, own: 1, blank: false, promised, record });
     }
 }
 
@@ -604,9 +604,9 @@
     (plan, record)
 }
 
-fn part(plan: &Plan) -> Note {
+fn part(plan: &Plan) -> Message {
     let machines = plan.machines.clone();
-    Note::Part { plan: plan.id(), kind: plan.kind, nonce: plan.nonce, count: 1, at: 0, machines }
+    Message::Part { plan: plan.id(), kind: plan.kind, nonce: plan.nonce, count: 1, at: 0, machines }
 }
 
 #[test]
@@ -616,7 +616,7 @@
         let (plan, record) = leaving();
         let mut pooler = Alone::start();
         pooler.step(None);
-        pooler.hear(3, Note::Tell { record: record.clone() });
+        pooler.hear(3, Message::Tell { record: record.clone() });
         pooler.hear(3, part(&plan));
         pooler.step(None);
         assert_eq!(pooler.word_to, Some(3), "it was told, and says so");
@@ -708,7 +708,7 @@
         let record = fleet.poolers[0].as_ref().unwrap().work.acts_on().unwrap().1.clone();
         let now = fleet.now;
         let pooler = fleet.poolers[4].as_mut().unwrap();
-        pooler.work.hear(now, Who { number: 0, life: 1 }, Note::Tell { record });
+        pooler.work.hear(now, PoolerInstance { number: 0, incarnation: 1 }, Message::Tell { record });
         pooler.busy.clear();
         free_within(&mut fleet, 20, seed);
     }
@@ -727,7 +727,7 @@
     let record = fleet.poolers[3].as_ref().unwrap().work.acts_on().unwrap().1.clone();
     let now = fleet.now;
     let leader = fleet.poolers[3].as_mut().unwrap();
-    leader.work.hear(now, Who { number: 0, life: 1 }, Note::Tell { record });
+    leader.work.hear(now, PoolerInstance { number: 0, incarnation: 1 }, Message::Tell { record });
     free_within(&mut fleet, 40, 1);
 }
 
@@ -750,7 +750,7 @@
         // Now what its earlier life has said last, which has been on its way since.
         let word = Word { plan, token, version, ..Word::default() };
         let now = fleet.now;
-        fleet.poolers[3].as_mut().unwrap().work.hear(now, old, Note::Word(word));
+        fleet.poolers[3].as_mut().unwrap().work.hear(now, old, Message::Word(word));
         fleet.poolers[4].as_mut().unwrap().busy.clear();
         free_within(&mut fleet, 20, seed);
     }
@@ -769,7 +769,7 @@
     )
 }
 
-fn any_note() -> impl Strategy<Value = Note> {
+fn any_note() -> impl Strategy<Value = Message> {
     let numbers = prop::collection::vec(any::<u32>(), 0..=MOST_VOTERS);
     let word = (
         any::<[u64; 2]>(),
@@ -784,28 +784,28 @@
     let part =
         (any::<[u64; 2]>(), any::<bool>(), any::<[u16; 2]>(), prop::collection::vec(any::<u64>(), 0..=PART));
     prop_oneof![
-        any::<(u32, u64, u32)>().prop_map(|(round, promise, own)| Note::Read {
+        any::<(u32, u64, u32)>().prop_map(|(round, promise, own)| Message::Read {
             round,
             promise: Token(promise),
             own
         }),
         (any::<(u32, u32, bool, u64)>(), any_record()).prop_map(|((round, own, blank, promised), record)| {
-            Note::Seen { round, own, blank, promised: Token(promised), record }
+            Message::Seen { round, own, blank, promised: Token(promised), record }
         }),
-        (numbers, any_record()).prop_map(|(numbers, record)| Note::Write { numbers, record }),
+        (numbers, any_record()).prop_map(|(numbers, record)| Message::Write { numbers, record }),
         any::<(u64, u32, u32, bool, u64)>().prop_map(|(token, version, own, refused, promised)| {
-            Note::Stored { token: Token(token), version, own, refused, promised: Token(promised) }
+            Message::Stored { token: Token(token), version, own, refused, promised: Token(promised) }
         }),
-        any_record().prop_map(|record| Note::Tell { record }),
+        any_record().prop_map(|record| Message::Tell { record }),
         (word, rest, any::<u16>()).prop_map(
             |(([plan, token], version, clear, blank), (failing, loads), zone)| {
                 let loads = loads.into_iter().map(|[group, now, peak]| Load { group, now, peak }).collect();
                 let (plan, token, clear) = (PlanId(plan), Token(token), Places::of(clear));
-                Note::Word(Word { plan, token, version, clear, blank, zone, failing, loads })
+                Message::Word(Word { plan, token, version, clear, blank, zone, failing, loads })
             }
         ),
-        any::<(u64, u16)>().prop_map(|(plan, at)| Note::Wants { plan: PlanId(plan), at }),
-        part.prop_map(|([plan, nonce], poolers, [count, at], machines)| Note::Part {
+        any::<(u64, u16)>().prop_map(|(plan, at)| Message::Wants { plan: PlanId(plan), at }),
+        part.prop_map(|([plan, nonce], poolers, [count, at], machines)| Message::Part {
             plan: PlanId(plan),
             kind: if poolers { Kind::Poolers } else { Kind::Servers },
             nonce,
@@ -813,13 +813,13 @@
             at,
             machines
         }),
-        (any::<(u32, u64, u16)>(), 0..8_usize).prop_map(|((call, plan, at), verb)| Note::Call {
+        (any::<(u32, u64, u16)>(), 0..8_usize).prop_map(|((call, plan, at), verb)| Message::Call {
             call,
             verb: Verb::ALL[verb],
             plan: PlanId(plan),
             at
         }),
-        (any::<u32>(), 0..6_usize).prop_map(|(call, said)| Note::Reply { call, said: Said::ALL[said] }),
+        (any::<u32>(), 0..6_usize).prop_map(|(call, said)| Message::Reply { call, said: Said::ALL[said] }),
     ]
 }
 
@@ -827,7 +827,7 @@
     #[test]
     fn letters_are_read_whole_or_refused(note in any_note(), cut in 0..300_usize, bytes in prop::collection::vec(any::<u8>(), 0..260)) {
         let key = Key::new(b"the key of this test").unwrap();
-        let sender = Who { number: 3, life: 4 };
+        let sender = PoolerInstance { number: 3, incarnation: 4 };
         let letter = Letter { site: 1, version: 2, sender, number: 5, body: Body::Work(note) };
         let sealed = seal(&letter, &key);
         prop_assert!(sealed.len() <= linnetdeal_coordination::lease::LONGEST, "{} bytes", sealed.len());
--- a/crates/daemon/src/leases.rs
+++ b/crates/daemon/src/leases.rs
@@ -1,6 +1,6 @@
 //! Turns what an operator's file says of leases into what the pooler takes part with.
 
-use linnetdeal_coordination::lease::{Key, LeaseSetup, TaskId, TaskSetup, Who};
+use linnetdeal_coordination::lease::{Key, LeaseSetup, PoolerInstance, TaskId, TaskSetup};
 use linnetdeal_net::config::{Config, span_of};
 use linnetdeal_net::leases::{Call, Wanted, life};
 use linnetdeal_operator::LeaseSettings;
@@ -72,17 +72,17 @@
         Some(Call { task: task.name.clone(), address: call.address, path, every, lasts })
     });
     let setup = LeaseSetup {
-        me: Who { number, life: life(config.seed) },
+        me: PoolerInstance { number, incarnation: life(config.seed) },
         seed: config.seed,
         site: settings.site.clone(),
         version: settings.version,
         voters: settings.voters.clone(),
         previous: settings.previous.clone(),
         drift: settings.drift,
-        longest: span_of(settings.longest),
+        max_term: span_of(settings.longest),
         keys: keys(settings)?,
         tasks: tasks.collect(),
-        wall: linnetdeal_net::clock::wall_ms(),
+        wall_ms: linnetdeal_net::clock::wall_ms(),
     };
     Ok(Wanted { setup, calls: calls.collect(), positions: settings.positions })
 }
--- a/crates/lab/src/leases/check.rs
+++ b/crates/lab/src/leases/check.rs
@@ -7,7 +7,7 @@
 
 use super::mutants::Wrong;
 use linnetdeal_coordination::lease::{
-    Answer, Claimant, Council, Rules, Stage, Step, TaskId, Token, Voter, Who,
+    Answer, Claimant, LeaseRules, PoolerInstance, Stage, Step, TaskId, Token, Voter, VoterSet,
 };
 use linnetdeal_core::{Span, Time};
 use stateright::{Checker, Model, Property};
@@ -56,8 +56,8 @@
 /// A letter that was sent once, and may come ever after.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Letter {
-    ToVoter { voter: u16, who: Who, round: u32, says: Says },
-    ToClaimant { who: Who, voter: u16, round: u32 },
+    ToVoter { voter: u16, who: PoolerInstance, round: u32, says: Says },
+    ToClaimant { who: PoolerInstance, voter: u16, round: u32 },
 }
 
 /// A state of the whole.
@@ -76,7 +76,7 @@
     /// The highest token that was claimed with.
     top: Token,
     highest_held: Token,
-    held_once: BTreeSet<Who>,
+    held_once: BTreeSet<PoolerInstance>,
     wrong: Option<&'static str>,
 }
 
@@ -105,7 +105,7 @@
 
 struct Race<R>(Bounds, PhantomData<R>);
 
-impl<R: Rules> Race<R> {
+impl<R: LeaseRules> Race<R> {
     fn rate(&self, voter: bool) -> i64 {
         let wrong = TICK * i64::from(DRIFT) / 1_000;
         match (self.0.drift, voter) {
@@ -119,11 +119,11 @@
         Time(i64::from(world.ticks) * self.rate(voter))
     }
 
-    fn council() -> Council {
-        Council::new((0..VOTERS).collect(), Vec::new())
+    fn council() -> VoterSet {
+        VoterSet::new((0..VOTERS).collect(), Vec::new())
     }
 
-    fn to_voters(world: &mut World<R>, who: Who, round: u32, says: Says) {
+    fn to_voters(world: &mut World<R>, who: PoolerInstance, round: u32, says: Says) {
         world.letters.extend((0..VOTERS).map(|voter| Letter::ToVoter { voter, who, round, says }));
     }
 
@@ -138,7 +138,7 @@
             Letter::ToVoter { .. } => true,
             Letter::ToClaimant { who, round, .. } => {
                 let at = usize::from(who.number);
-                blind || *who == world.claimants[at].who() && waits(at, *round)
+                blind || *who == world.claimants[at].instance() && waits(at, *round)
             }
         };
         let letters = world.letters.iter().copied().filter(kept).collect();
@@ -154,7 +154,7 @@
         }
     }
 
-    fn took(&self, world: &mut World<R>, who: Who, token: Token) {
+    fn took(&self, world: &mut World<R>, who: PoolerInstance, token: Token) {
         // A renewal is no new token.
         if token != world.highest_held || !world.held_once.contains(&who) {
             if token <= world.highest_held {
@@ -178,7 +178,7 @@
                     }
                 };
                 // A no is as good as lost: who is told so gives up, and may do that at any time.
-                if answer.is_some_and(|answer| answer.yes) {
+                if answer.is_some_and(|answer| answer.granted) {
                     world.letters.insert(Letter::ToClaimant { who, voter, round });
                 }
             }
@@ -186,27 +186,27 @@
                 let at = usize::from(who.number);
                 let now = self.clock(world, false);
                 let claimant = &mut world.claimants[at];
-                if claimant.who() != who && !self.0.wrong.blind_to_lives {
+                if claimant.instance() != who && !self.0.wrong.blind_to_lives {
                     return;
                 }
-                let own = claimant.who();
-                let answer = Answer { yes: true, floor: Token(0), holder: None };
+                let own = claimant.instance();
+                let answer = Answer { granted: true, floor: Token(0), holder: None };
                 match claimant.answer(now, &Self::council(), voter, round, answer) {
                     Step::Wait | Step::Busy | Step::Claim(_) => {}
                     Step::Held(token) => self.took(world, own, token),
-                    Step::Beaten(token) => Self::to_voters(world, own, 0, Says::Release(token)),
+                    Step::Rejected(token) => Self::to_voters(world, own, 0, Says::Release(token)),
                 }
             }
         }
     }
 }
 
-impl<R: Rules> Model for Race<R> {
+impl<R: LeaseRules> Model for Race<R> {
     type State = World<R>;
     type Action = Happens;
 
     fn init_states(&self) -> Vec<World<R>> {
-        let claimant = |number| Claimant::new(Who { number, life: 1 }, TERM, DRIFT);
+        let claimant = |number| Claimant::new(PoolerInstance { number, incarnation: 1 }, TERM, DRIFT);
         vec![World {
             ticks: 0,
             // They have been up for as long as they were silent, so that they vote from now on.
@@ -274,7 +274,7 @@
             Happens::Tick => world.ticks += 1,
             Happens::Claim(at, next) => {
                 world.rounds[at] += 1;
-                let (round, who) = (world.rounds[at], world.claimants[at].who());
+                let (round, who) = (world.rounds[at], world.claimants[at].instance());
                 let floor = if next { world.top } else { Token(world.top.0 - 1) };
                 let token = world.claimants[at].claim(now, round, floor);
                 world.top = world.top.max(token);
@@ -283,13 +283,13 @@
             Happens::Renew(at) => {
                 world.rounds[at] += 1;
                 let round = world.rounds[at];
-                let who = world.claimants[at].who();
+                let who = world.claimants[at].instance();
                 let token = world.claimants[at].renew(now, round)?;
                 Self::to_voters(&mut world, who, round, Says::Claim(token));
             }
             Happens::Release(at) => {
                 world.releases += 1;
-                let who = world.claimants[at].who();
+                let who = world.claimants[at].instance();
                 let token = world.claimants[at].stop()?;
                 Self::to_voters(&mut world, who, 0, Says::Release(token));
             }
@@ -313,8 +313,9 @@
             }
             Happens::NewClaimant(at) => {
                 world.restarts.1 += 1;
-                let who = world.claimants[at].who();
-                world.claimants[at] = Claimant::new(Who { life: who.life + 1, ..who }, TERM, DRIFT);
+                let who = world.claimants[at].instance();
+                world.claimants[at] =
+                    Claimant::new(PoolerInstance { incarnation: who.incarnation + 1, ..who }, TERM, DRIFT);
                 // Rounds begin anew; what was on its way to the gate still is.
                 world.rounds[at] = 0;
             }
@@ -353,7 +354,7 @@
 
 /// Checks all states within these bounds, or as many as `most`.
 #[must_use]
-pub fn check<R: Rules + Send + Sync>(bounds: Bounds, threads: usize, most: usize) -> Found {
+pub fn check<R: LeaseRules + Send + Sync>(bounds: Bounds, threads: usize, most: usize) -> Found {
     let checker =
         Race::<R>(bounds, PhantomData).checker().threads(threads).target_state_count(most).spawn_bfs().join();
     let discoveries = checker.discoveries();
--- a/crates/lab/src/leases/mutants.rs
+++ b/crates/lab/src/leases/mutants.rs
@@ -1,7 +1,7 @@
 //! Leases that are broken on purpose, one part at a time. They are types of the lab: no build of the daemon can hold them.
 
 use super::check::{Bounds, Found, check};
-use linnetdeal_coordination::lease::{Rules, Sound};
+use linnetdeal_coordination::lease::{FullLeaseRules, LeaseRules};
 use linnetdeal_core::Span;
 
 /// What is wrong outside of the votes.
@@ -19,7 +19,7 @@
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
         pub struct $name;
 
-        impl Rules for $name {
+        impl LeaseRules for $name {
             $($part)*
         }
     };
@@ -32,19 +32,19 @@
         1
     }
 );
-mutant!(NoSilence, "A voter that has forgotten all votes at once.", const SILENT: bool = false;);
+mutant!(NoSilence, "A voter that has forgotten all votes at once.", const SILENT_AFTER_START: bool = false;);
 mutant!(
     NoMargin,
     "Clocks are taken to run alike.",
-    fn held(term: Span, _: u16) -> Span {
+    fn usable_term(term: Span, _: u16) -> Span {
         term
     }
 );
-mutant!(FromAnswer, "The term counts from the answer.", const FROM_SENDING: bool = false;);
+mutant!(FromAnswer, "The term counts from the answer.", const TERM_FROM_SEND: bool = false;);
 mutant!(
     LowTokens,
     "A voter grants tokens that are no higher than what it knows of.",
-    const ABOVE_FLOOR: bool = false;
+    const TOKENS_ABOVE_FLOOR: bool = false;
 );
 mutant!(NotExclusive, "A higher token beats a running grant.", const EXCLUSIVE: bool = false;);
 
@@ -85,10 +85,10 @@
         tried("term counted from the answer", check::<FromAnswer>(of, threads, most)),
         tried("lower tokens granted", check::<LowTokens>(Bounds { releases: 1, ..of }, threads, most)),
         tried("running grants overridden", check::<NotExclusive>(of, threads, most)),
-        tried("no gate", check::<Sound>(Bounds { acts: true, wrong: no_gate, ..of }, threads, most)),
+        tried("no gate", check::<FullLeaseRules>(Bounds { acts: true, wrong: no_gate, ..of }, threads, most)),
         tried(
             "answers to an earlier life",
-            check::<Sound>(Bounds { claimants: 1, wrong: blind, ..of }, threads, most),
+            check::<FullLeaseRules>(Bounds { claimants: 1, wrong: blind, ..of }, threads, most),
         ),
     ]
 }
--- a/crates/lab/src/leases/proof.rs
+++ b/crates/lab/src/leases/proof.rs
@@ -7,7 +7,7 @@
 use crate::at_once;
 use crate::processes::process;
 use crate::processes::records::{plays, quantile};
-use linnetdeal_coordination::lease::Sound;
+use linnetdeal_coordination::lease::FullLeaseRules;
 use serde_json::json;
 use std::fmt::Display;
 use std::path::PathBuf;
@@ -172,7 +172,7 @@
     ];
     let mut all = Modelled { states: 0, mutants: 0, found: 0, well: true };
     for (name, bounds) in cases {
-        let found = check::<Sound>(bounds, THREADS, most);
+        let found = check::<FullLeaseRules>(bounds, THREADS, most);
         let words = found
             .wrong
             .as_ref()
--- a/crates/lab/tests/leases.rs
+++ b/crates/lab/tests/leases.rs
@@ -1,6 +1,6 @@
 //! The audit finds what is wrong in a history, the check what is wrong in votes, and scripts their own faults.
 
-use linnetdeal_coordination::lease::Sound;
+use linnetdeal_coordination::lease::FullLeaseRules;
 use linnetdeal_lab::leases::audit::audit;
 use linnetdeal_lab::leases::check::check;
 use linnetdeal_lab::leases::mutants::{self, NoMajority, NotExclusive};
@@ -33,7 +33,7 @@
 #[test]
 fn the_check_finds_no_fault_in_the_votes_and_finds_it_in_broken_ones() {
     let bounds = mutants::bounds();
-    let sound = check::<Sound>(bounds, 4, 400_000);
+    let sound = check::<FullLeaseRules>(bounds, 4, 400_000);
     assert!(sound.wrong.is_none() && sound.states > 50_000, "{sound:?}");
     assert!(check::<NoMajority>(bounds, 4, 400_000).wrong.is_some());
     assert!(check::<NotExclusive>(bounds, 4, 3_000_000).wrong.is_some());
--- a/crates/net/src/leases.rs
+++ b/crates/net/src/leases.rs
@@ -17,7 +17,8 @@
 use hyper::body::Bytes;
 use hyper::{Request, Response, StatusCode};
 use linnetdeal_coordination::lease::{
-    LeaseSetup, Node, Note, Position, Refused, Sound, TaskId, TaskSetup, Token, Who,
+    DatagramError, FullLeaseRules, LeaseEvent, LeaseSetup, Node, PoolerInstance, Position, TaskId, TaskSetup,
+    Token,
 };
 use linnetdeal_coordination::work;
 use linnetdeal_core::peers::To;
@@ -125,8 +126,8 @@
 
 /// The leases.
 pub struct Leases {
-    node: RefCell<Node<Sound>>,
-    me: Who,
+    node: RefCell<Node<FullLeaseRules>>,
+    me: PoolerInstance,
     /// Names by what stands for them.
     names: RefCell<BTreeMap<TaskId, String>>,
     letters: RefCell<VecDeque<(To, Vec<u8>)>>,
@@ -176,14 +177,14 @@
 
     /// The poolers' address is open here now; another process may have had it until now.
     pub(crate) fn opened(&self) {
-        self.node.borrow_mut().opened(clock::steady(), clock::wall_ms());
+        self.node.borrow_mut().socket_opened(clock::steady(), clock::wall_ms());
         self.changed.notify(usize::MAX);
     }
 
     /// A datagram from the address of a pooler.
     pub(crate) fn take(&self, from: u32, bytes: &[u8]) {
         let Ok(from) = u16::try_from(from) else { return };
-        let taken = self.node.borrow_mut().take(clock::steady(), from, bytes);
+        let taken = self.node.borrow_mut().receive(clock::steady(), from, bytes);
         match taken {
             Ok(()) => self.heard.add(),
             Err(why) => self.refused[reason(why)].add(),
@@ -258,14 +259,14 @@
             .into_iter()
             .map(|task| {
                 let holder = task.holder.map(|of| {
-                    json!({"pooler": of.who.number, "life": format!("{:016x}", of.who.life),
-                           "token": of.token.0, "left_ms": of.left.0 / 1_000})
+                    json!({"pooler": of.instance.number, "life": format!("{:016x}", of.instance.incarnation),
+                           "token": of.token.0, "left_ms": of.remaining.0 / 1_000})
                 });
                 let own = task.own.map(|(token, left)| json!({"token": token.0, "left_ms": left.0 / 1_000}));
                 json!({"task": task.name, "holder": holder, "own": own, "highest": task.highest.0})
             })
             .collect();
-        let voters = node.heard(now).into_iter();
+        let voters = node.last_heard(now).into_iter();
         let voters: Vec<_> = voters
             .map(|(voter, ago)| json!({"pooler": voter, "heard_ms_ago": ago.map(|ago| ago.0 / 1_000)}))
             .collect();
@@ -340,7 +341,7 @@
             told.extend(one.await);
         }
         told.iter().for_each(|_| self.told.add());
-        self.node.borrow_mut().tell(clock::steady(), task, &told);
+        self.node.borrow_mut().publish_positions(clock::steady(), task, &told);
         self.flush();
     }
 
@@ -377,7 +378,7 @@
                             highest.0
                         );
                         let mut node = self.node.borrow_mut();
-                        node.hear(clock::steady(), task, highest);
+                        node.observe_token(clock::steady(), task, highest);
                         node.release(clock::steady(), task, None);
                         drop(node);
                         self.flush();
@@ -409,7 +410,7 @@
             .header("connection", "close")
             .header("task", &call.task)
             .header("step", step)
-            .header("pooler", format!("{}/{:016x}", self.me.number, self.me.life))
+            .header("pooler", format!("{}/{:016x}", self.me.number, self.me.incarnation))
             .header(TOKEN, token.0)
             .body(Empty::<Bytes>::new())?;
         // After the last wait and before the first byte. From here on only the gate can stop it.
@@ -426,17 +427,17 @@
     }
 
     /// What others have said of machines out for work.
-    pub(crate) fn take_work(&self) -> Vec<(Who, work::Note)> {
-        self.node.borrow_mut().take_work()
+    pub(crate) fn take_work(&self) -> Vec<(PoolerInstance, work::Message)> {
+        self.node.borrow_mut().take_work_messages()
     }
 
     /// Says something of machines out for work.
-    pub(crate) fn say(&self, letters: Vec<(To, work::Note)>) {
+    pub(crate) fn say(&self, letters: Vec<(To, work::Message)>) {
         if letters.is_empty() {
             return;
         }
         let mut node = self.node.borrow_mut();
-        letters.into_iter().for_each(|(to, note)| node.say(to, note));
+        letters.into_iter().for_each(|(to, note)| node.send_work(to, note));
         drop(node);
         self.flush();
     }
@@ -444,7 +445,7 @@
     /// Who holds a task, as far as is known.
     pub(crate) fn holder(&self, name: &str) -> Option<u16> {
         let view = self.node.borrow().view(clock::steady());
-        view.into_iter().find(|task| task.name == name)?.holder.map(|holder| holder.who.number)
+        view.into_iter().find(|task| task.name == name)?.holder.map(|holder| holder.instance.number)
     }
 
     /// Gives all tasks to others and takes no more part, or takes part again in those that are `wanted`.
@@ -471,7 +472,7 @@
     /// Hands on what the node wants sent and logged.
     fn flush(&self) {
         let mut node = self.node.borrow_mut();
-        let (letters, notes) = (node.take_letters(), node.take_notes());
+        let (letters, notes) = (node.take_datagrams(), node.take_events());
         drop(node);
         let mut waiting = self.letters.borrow_mut();
         for letter in letters {
@@ -487,23 +488,25 @@
             let names = self.names.borrow();
             let name = |task: TaskId| names.get(&task).map_or("", String::as_str);
             match note {
-                Note::Gained(task, token) => {
+                LeaseEvent::Gained(task, token) => {
                     tracing::info!("leases: {} gained, token {}", name(task), token.0)
                 }
-                Note::Lost(task, token) => tracing::info!("leases: {} lost, token {}", name(task), token.0),
-                Note::Released(task, token) => {
+                LeaseEvent::Lost(task, token) => {
+                    tracing::info!("leases: {} lost, token {}", name(task), token.0)
+                }
+                LeaseEvent::Released(task, token) => {
                     tracing::info!("leases: {} released, token {}", name(task), token.0);
                 }
-                Note::Version(from, version) => {
+                LeaseEvent::VersionMismatch(from, version) => {
                     tracing::warn!("leases: pooler {from} is refused, it goes by version {version}");
                 }
-                Note::Site(from) => tracing::warn!(
+                LeaseEvent::SiteMismatch(from) => tracing::warn!(
                     "leases: pooler {from} is refused, it is of another site or counts with other terms or drift"
                 ),
-                Note::Twins(from) => tracing::warn!(
+                LeaseEvent::DuplicateVoter(from) => tracing::warn!(
                     "leases: two processes answer for voter {from}, and neither counts until one of them ends"
                 ),
-                Note::Code(from) => tracing::warn!(
+                LeaseEvent::BadSignature(from) => tracing::warn!(
                     "leases: what comes from pooler {from} is refused, it is altered or signed with another key"
                 ),
             }
@@ -512,15 +515,15 @@
     }
 }
 
-fn reason(why: Refused) -> usize {
+fn reason(why: DatagramError) -> usize {
     match why {
-        Refused::Malformed => 0,
-        Refused::Site => 1,
-        Refused::Version(_) => 2,
-        Refused::Code => 3,
-        Refused::Stranger => 4,
-        Refused::Replayed => 5,
-        Refused::Flood => 6,
+        DatagramError::Malformed => 0,
+        DatagramError::SiteMismatch => 1,
+        DatagramError::VersionMismatch(_) => 2,
+        DatagramError::BadSignature => 3,
+        DatagramError::SenderMismatch => 4,
+        DatagramError::Replayed => 5,
+        DatagramError::RateLimited => 6,
     }
 }
 
