--- a/crates/net/src/seats.rs
+++ b/crates/net/src/connection_slots.rs
@@ -18,7 +18,7 @@
 
 /// How readily a client without an open request makes room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rank {
+pub enum EvictionRank {
     /// It was told that its connection ends.
     Parting,
     /// It has asked nothing yet.
@@ -27,7 +27,7 @@
     Idle,
 }
 
-impl Rank {
+impl EvictionRank {
     /// One that came to its seat more lately may be about to send.
     const fn least(self) -> Duration {
         match self {
@@ -37,18 +37,18 @@
     }
 }
 
-type At = (Rank, Instant, u64);
+type At = (EvictionRank, Instant, u64);
 
 /// All seats.
 #[derive(Debug)]
-pub struct Seats {
+pub struct ConnectionSlots {
     most: usize,
     /// For clients that are accepted only to be refused.
     spare: usize,
     most_silent: usize,
     /// Clients that have asked, busy ones included, beyond which the idle make room.
     most_known: usize,
-    taken: Cell<usize>,
+    in_use: Cell<usize>,
     number: Cell<u64>,
     freed: Bell,
     /// Who can be asked to go.
@@ -58,7 +58,7 @@
     started: Instant,
 }
 
-impl Seats {
+impl ConnectionSlots {
     /// So many seats, a few more for those that are refused, and so many for clients that have asked.
     #[must_use]
     pub fn new(most: usize, spare: usize, most_known: usize) -> Self {
@@ -67,7 +67,7 @@
             spare,
             most_silent: (most / 4).max(1),
             most_known,
-            taken: Cell::new(0),
+            in_use: Cell::new(0),
             number: Cell::new(0),
             freed: Bell::new(),
             waiting: RefCell::default(),
@@ -78,47 +78,51 @@
 
     /// How many are taken, but for those whose clients have been asked to go.
     #[must_use]
-    pub fn taken(&self) -> usize {
-        self.taken.get()
+    pub fn in_use(&self) -> usize {
+        self.in_use.get()
     }
 
     /// Whether a client that comes now finds a seat.
     #[must_use]
     pub fn has_room(&self) -> bool {
-        self.taken.get() < self.most
+        self.in_use.get() < self.most
     }
 
     /// Waits until one more client can be accepted, others being asked to make room if need be. False if it
     /// can only be refused: all who sit there are being served.
     pub async fn room(&self) -> bool {
         loop {
-            let unknown = self.waiting.borrow().range(..(Rank::Idle, self.started, 0)).count();
-            if self.taken.get().saturating_sub(unknown) >= self.most_known {
-                self.ask_one_to_go(Rank::Idle..=Rank::Idle);
+            let unknown = self.waiting.borrow().range(..(EvictionRank::Idle, self.started, 0)).count();
+            if self.in_use.get().saturating_sub(unknown) >= self.most_known {
+                self.ask_one_to_go(EvictionRank::Idle..=EvictionRank::Idle);
             }
             let crowd = self.silent.get() >= self.most_silent;
-            let full = self.taken.get() >= self.most;
+            let full = self.in_use.get() >= self.most;
             if !(crowd || full)
-                || self.ask_one_to_go(Rank::Parting..=if full { Rank::Idle } else { Rank::Silent })
+                || self.ask_one_to_go(
+                    EvictionRank::Parting..=if full { EvictionRank::Idle } else { EvictionRank::Silent },
+                )
             {
                 return true;
             }
             // The crowd is too young to be told from clients that are about to send.
-            if !crowd && self.taken.get() < self.most + self.spare {
+            if !crowd && self.in_use.get() < self.most + self.spare {
                 return false;
             }
             let freed = self.freed.listen();
             or(freed, async {
-                let _ = Timer::after(Rank::Silent.least()).await;
+                let _ = Timer::after(EvictionRank::Silent.least()).await;
             })
             .await;
         }
     }
 
     /// Asks one client of these ranks to make room; false if nobody can be asked.
-    pub fn ask_one_to_go(&self, ranks: RangeInclusive<Rank>) -> bool {
+    pub fn ask_one_to_go(&self, ranks: RangeInclusive<EvictionRank>) -> bool {
         let waiting = self.waiting.borrow();
-        let ranks = [Rank::Parting, Rank::Silent, Rank::Idle].into_iter().filter(|rank| ranks.contains(rank));
+        let ranks = [EvictionRank::Parting, EvictionRank::Silent, EvictionRank::Idle]
+            .into_iter()
+            .filter(|rank| ranks.contains(rank));
         let oldest = |rank| {
             waiting.range((rank, self.started, 0)..).next().map(|(at, _)| *at).filter(|at| at.0 == rank)
         };
@@ -126,7 +130,7 @@
         let Some(at) = ranks.filter_map(oldest).find(old_enough) else { return false };
         drop(waiting);
         if let Some(flag) = self.leave(at) {
-            self.taken.set(self.taken.get() - 1);
+            self.in_use.set(self.in_use.get() - 1);
             flag.raise();
         }
         true
@@ -134,36 +138,41 @@
 
     fn leave(&self, at: At) -> Option<Rc<Flag>> {
         let flag = self.waiting.borrow_mut().remove(&at);
-        if flag.is_some() && at.0 == Rank::Silent {
+        if flag.is_some() && at.0 == EvictionRank::Silent {
             self.silent.set(self.silent.get() - 1);
         }
         flag
     }
 
     /// Takes a seat for a new client.
-    pub fn take(&self) -> Seat<'_> {
+    pub fn take(&self) -> ConnectionSlot<'_> {
         self.number.set(self.number.get() + 1);
-        self.taken.set(self.taken.get() + 1);
-        Seat { seats: self, number: self.number.get(), asked: Cell::new(false) }
+        self.in_use.set(self.in_use.get() + 1);
+        ConnectionSlot { seats: self, number: self.number.get(), asked: Cell::new(false) }
     }
 }
 
 /// A client's seat, given up when it is dropped.
 #[derive(Debug)]
-pub struct Seat<'a> {
-    seats: &'a Seats,
+pub struct ConnectionSlot<'a> {
+    seats: &'a ConnectionSlots,
     number: u64,
     /// Its client has been asked to go: the seat counts no longer.
     asked: Cell<bool>,
 }
 
-impl Seat<'_> {
+impl ConnectionSlot<'_> {
     /// Does `work` in a state in which the client can be asked to make room; `None` if it was, and `work` had
     /// not ended by then. What has ended goes before: a client whose request can be read stays.
-    pub async fn yielding<T>(&self, rank: Rank, since: Instant, work: impl Future<Output = T>) -> Option<T> {
+    pub async fn yielding<T>(
+        &self,
+        rank: EvictionRank,
+        since: Instant,
+        work: impl Future<Output = T>,
+    ) -> Option<T> {
         let (flag, at) = (Rc::new(Flag::default()), (rank, since, self.number));
         self.seats.waiting.borrow_mut().insert(at, flag.clone());
-        if rank == Rank::Silent {
+        if rank == EvictionRank::Silent {
             self.seats.silent.set(self.seats.silent.get() + 1);
         }
         let wait = Wait { seat: self, at, flag };
@@ -175,16 +184,16 @@
         drop(wait);
         if done.is_some() && self.asked.replace(false) {
             // It stays after all.
-            self.seats.taken.set(self.seats.taken.get() + 1);
+            self.seats.in_use.set(self.seats.in_use.get() + 1);
         }
         done
     }
 }
 
-impl Drop for Seat<'_> {
+impl Drop for ConnectionSlot<'_> {
     fn drop(&mut self) {
         if !self.asked.get() {
-            self.seats.taken.set(self.seats.taken.get() - 1);
+            self.seats.in_use.set(self.seats.in_use.get() - 1);
         }
         self.seats.freed.notify(1);
     }
@@ -192,7 +201,7 @@
 
 /// A client that can be asked to go.
 struct Wait<'a> {
-    seat: &'a Seat<'a>,
+    seat: &'a ConnectionSlot<'a>,
     at: At,
     flag: Rc<Flag>,
 }
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -5,7 +5,7 @@
 use super::clock::Clock;
 use super::counters::Counters;
 use super::tenants::Tenants;
-use crate::standstill::Standstill;
+use crate::stall::StallDetector;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future::{or, poll_fn};
@@ -57,7 +57,7 @@
     /// What is counted.
     pub counters: Rc<Counters>,
     /// Whether the process has just stood still.
-    pub standstill: Rc<Standstill>,
+    pub stall: Rc<StallDetector>,
     router: RefCell<Router>,
     actions: RefCell<Vec<Action>>,
     mailboxes: RefCell<HashMap<RequestId, Rc<Mailbox>>>,
@@ -81,7 +81,7 @@
         Self {
             clock: Clock::start(),
             counters,
-            standstill: Rc::default(),
+            stall: Rc::default(),
             router: RefCell::new(router),
             actions: RefCell::default(),
             mailboxes: RefCell::default(),
@@ -97,7 +97,7 @@
     pub fn feed(&self, event: Event) {
         // With these lines of all poolers a day is counted over the whole fleet; see docs/design/fleet-scale.md.
         tracing::debug!(target: "events", "{event:?}");
-        self.standstill.moved();
+        self.stall.moved();
         self.watch_members(&event);
         let mut actions = self.actions.take();
         self.router.borrow_mut().handle(self.clock.now(), event, &mut actions);
@@ -300,9 +300,9 @@
 }
 
 /// What the run-time check has counted, as one line of what is shown.
-pub struct InvariantsShown(pub Rc<Driver>);
+pub struct InvariantsReport(pub Rc<Driver>);
 
-impl fmt::Display for InvariantsShown {
+impl fmt::Display for InvariantsReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}; {}", self.0.invariants.borrow(), self.0.router.borrow().given_up())
     }
--- a/crates/net/src/flag.rs
+++ b/crates/net/src/flag.rs
@@ -45,12 +45,12 @@
 impl Switch {
     /// Since when it is on.
     #[must_use]
-    pub fn since(&self) -> Option<Instant> {
+    pub fn on_since(&self) -> Option<Instant> {
         self.since.get()
     }
 
     /// Turns it on or off and wakes all who wait. On once more changes nothing.
-    pub fn turn(&self, on: bool) {
+    pub fn set_on(&self, on: bool) {
         let since = self.since.get().or_else(|| Some(Instant::now()));
         self.since.set(since.filter(|_| on));
         self.event.notify(usize::MAX);
@@ -63,7 +63,7 @@
     }
 
     /// Waits until it is off.
-    pub async fn off(&self) {
+    pub async fn wait_off(&self) {
         loop {
             let listener = self.event.listen();
             if !self.is_on() {
@@ -74,7 +74,7 @@
     }
 
     /// Waits until it is on.
-    pub async fn on(&self) -> Instant {
+    pub async fn wait_on(&self) -> Instant {
         loop {
             let listener = self.event.listen();
             if let Some(since) = self.since.get() {
--- a/crates/net/src/frontend.rs
+++ b/crates/net/src/frontend.rs
@@ -2,16 +2,16 @@
 
 use super::arrivals::Arrivals;
 use super::buffer::{ReadBuffer, discard, write_all};
+use super::connection_slots::{ConnectionSlot, ConnectionSlots, EvictionRank};
 use super::pg::write::{self, Severity};
 use super::pg::{self, Asks, PgError, Startup};
 use super::request::{Asked, Cut, Final, Patron, serve};
-use super::seats::{Rank, Seat, Seats};
 use super::system_errors::is_shortage;
 use super::upstream::{Pool, Reply, Statement};
 use crate::classes::Classes;
 use crate::counters::{CloseReason, Counters};
-use crate::doubts::Doubts;
 use crate::driver::Driver;
+use crate::in_doubt::InDoubtWrites;
 use crate::lifecycle::Lifecycle;
 use crate::mutants::{self, Mutant};
 use crate::tenants::Tenants;
@@ -93,7 +93,7 @@
 }
 
 /// What those need who serve clients.
-pub(crate) struct Door {
+pub(crate) struct FrontendContext {
     /// What carries the tasks.
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     /// The module and its mailboxes.
@@ -105,13 +105,13 @@
     /// How far the pooler's life has come.
     pub(crate) life: Rc<Lifecycle>,
     /// The seats of the connections.
-    pub(crate) seats: Rc<Seats>,
+    pub(crate) slots: Rc<ConnectionSlots>,
     /// The classes.
     pub(crate) classes: Rc<Classes>,
     /// The tenants.
     pub(crate) tenants: Rc<Tenants>,
     /// Writes whose outcome nobody knows.
-    pub(crate) doubts: Rc<Doubts>,
+    pub(crate) in_doubt: Rc<InDoubtWrites>,
     /// The clients' ids of the requests that are open: at most one a connection.
     pub(crate) open_ids: RefCell<HashSet<Box<str>>>,
     /// Where bytes are read to that nobody wants.
@@ -120,31 +120,31 @@
 
 /// Accepts clients until the pooler turns deaf; again when it is needed after all, which it can be only where the platform holds
 /// the listening socket (`kept`). One of its own is closed, so that nobody waits in it.
-pub(crate) async fn run(door: Rc<Door>, listener: Async<TcpListener>, kept: bool) {
+pub(crate) async fn run(context: Rc<FrontendContext>, listener: Async<TcpListener>, kept: bool) {
     loop {
         let accepted = async {
-            let room = door.seats.room().await;
+            let room = context.slots.room().await;
             Some(listener.accept().await.map(|(stream, _)| (stream, room)))
         };
         let deaf = async {
-            door.life.accept_paused.on().await;
+            context.life.accept_paused.wait_on().await;
             None
         };
         match or(accepted, deaf).await {
-            None if kept => door.life.accept_paused.off().await,
+            None if kept => context.life.accept_paused.wait_off().await,
             None => return,
             Some(Ok((stream, room))) => {
                 // It may have been waited for long since all seats were taken.
-                let room = room || door.seats.has_room();
-                admit(&door, stream, room);
+                let room = room || context.slots.has_room();
+                admit(&context, stream, room);
                 // A flood of connections holds up nobody who is already here.
                 yield_now().await;
             }
             // Out of descriptors: neither spin nor end. An idle connection is let go to make room.
             Some(Err(error)) if is_shortage(&error) => {
-                door.counters.short.add();
-                if !door.pool.close_one_idle() {
-                    door.seats.ask_one_to_go(Rank::Parting..=Rank::Idle);
+                context.counters.short.add();
+                if !context.pool.close_one_idle() {
+                    context.slots.ask_one_to_go(EvictionRank::Parting..=EvictionRank::Idle);
                 }
                 Timer::after(SHORT_PAUSE).await;
             }
@@ -156,17 +156,17 @@
     }
 }
 
-fn admit(door: &Rc<Door>, stream: Async<TcpStream>, room: bool) {
-    door.counters.clients.add();
+fn admit(context: &Rc<FrontendContext>, stream: Async<TcpStream>, room: bool) {
+    context.counters.clients.add();
     // An answer that the system holds back until an earlier one is acknowledged would go if the connection was reset.
     if let Err(error) = stream.get_ref().set_nodelay(true) {
         tracing::debug!(target: "clients", "TCP_NODELAY: {error}");
     }
-    let owner = door.clone();
+    let owner = context.clone();
     let task = async move {
-        let seat = owner.seats.take();
+        let seat = owner.slots.take();
         let mut client = Client {
-            door: &owner,
+            context: &owner,
             // Closed before the seat counts as free.
             stream,
             buffer: ReadBuffer::default(),
@@ -181,7 +181,7 @@
         let ended = client.run(room).await;
         client.note_close(ended);
     };
-    door.executor.spawn(task).detach();
+    context.executor.spawn(task).detach();
 }
 
 /// Why a client's connection ends.
@@ -215,11 +215,11 @@
 }
 
 struct Client<'a> {
-    door: &'a Rc<Door>,
+    context: &'a Rc<FrontendContext>,
     stream: Async<TcpStream>,
     buffer: ReadBuffer,
     arrivals: Arrivals,
-    seat: Seat<'a>,
+    seat: ConnectionSlot<'a>,
     stage: Stage,
     /// When it came to its seat, or last had an answer.
     since: Instant,
@@ -249,7 +249,7 @@
         };
         match ended {
             Err(ClientError::Pg(error)) => {
-                self.door.counters.rejected.add();
+                self.context.counters.rejected.add();
                 self.closes.set(CloseReason::Protocol);
                 // What makes no sense can't be told from requests any more.
                 self.buffer = ReadBuffer::default();
@@ -299,7 +299,7 @@
             }
         }
         if !room {
-            self.door.counters.crowded_out.add();
+            self.context.counters.crowded_out.add();
             self.closes.set(CloseReason::NoRoom);
             self.part("53300", "too many clients", Some("250")).await?;
             return Ok(false);
@@ -342,7 +342,7 @@
                     self.send(&[&out]).await?;
                 }
                 Command::Rejected(code, words) => {
-                    self.door.counters.rejected.add();
+                    self.context.counters.rejected.add();
                     self.errors += 1;
                     // A request that was read behind it is owed its answer first.
                     let may_close = self.close_facts().may_close();
@@ -361,7 +361,7 @@
                     };
                     if !may_close {
                         rest.await;
-                    } else if self.seat.yielding(Rank::Silent, self.since, rest).await.is_none() {
+                    } else if self.seat.yielding(EvictionRank::Silent, self.since, rest).await.is_none() {
                         self.closes.set(CloseReason::MadeRoom);
                         return Ok(());
                     }
@@ -388,7 +388,7 @@
     /// Reads more; false if there will be none, or the client has to go: it makes room, took too long for a
     /// command, or the process ends. What is readable goes before all that.
     async fn more(&mut self) -> Result<bool, ClientError> {
-        let Self { door, stream, buffer, arrivals, seat, stage, since, .. } = self;
+        let Self { context, stream, buffer, arrivals, seat, stage, since, .. } = self;
         let between = buffer.data().is_empty() && *stage != Stage::Startup;
         buffer.rest();
         // The first bytes of a command that has begun came just now; they don't grant more time again.
@@ -398,7 +398,7 @@
         };
         let read = async {
             let count = buffer.fill(stream).await?;
-            arrivals.came(count, door.driver.clock.now());
+            arrivals.came(count, context.driver.clock.now());
             Ok(if count > 0 { Read::More } else { Read::End(CloseReason::ClientLeft) })
         };
         let late = async {
@@ -409,7 +409,7 @@
             Ok(Read::End(CloseReason::Slow))
         };
         let ending = async {
-            let ends = if between { &door.life.closing_idle } else { &door.life.terminating };
+            let ends = if between { &context.life.closing_idle } else { &context.life.terminating };
             ends.raised().await;
             Ok(Read::End(CloseReason::ProcessEnds))
         };
@@ -418,12 +418,12 @@
             if !between || *stage != Stage::Known {
                 std::future::pending::<()>().await;
             }
-            let since = door.life.drained.on().await;
+            let since = context.life.drained.wait_on().await;
             let _ = Timer::at(since + EMPTIED).await;
             Ok(Read::End(CloseReason::Emptied))
         };
         let ending = or(ending, emptied);
-        let rank = if *stage == Stage::Known { Rank::Idle } else { Rank::Silent };
+        let rank = if *stage == Stage::Known { EvictionRank::Idle } else { EvictionRank::Silent };
         let done: Option<Result<Read, ClientError>> =
             seat.yielding(rank, *since, or(read, or(late, ending))).await;
         if between && *stage == Stage::Known {
@@ -458,11 +458,11 @@
             Err(ClientError::Pg(_)) => CloseReason::Protocol,
             Err(ClientError::Slow) => CloseReason::Slow,
         };
-        self.door.counters.closed(closes);
+        self.context.counters.closed(closes);
         let facts = CloseFacts { client_left: closes.is_client_disconnect(), ..self.close_facts() };
         if !facts.may_close() {
             let unanswered = facts.requests_unanswered;
-            self.door.driver.check(|now, invariants| invariants.connection_closed(now, unanswered));
+            self.context.driver.check(|now, invariants| invariants.connection_closed(now, unanswered));
         }
         tracing::debug!(target: "clients", ?closes, stage = ?self.stage, errors = self.errors, "connection closed");
     }
@@ -481,11 +481,11 @@
                 let statement = pg::query_text(message.body)?;
                 match pg::request(statement) {
                     Ok(Asks::Request(comment)) => {
-                        let asked = self.door.asked(statement, &comment, arrived);
-                        let open = OpenId::enter(self.door, comment.id);
+                        let asked = self.context.asked(statement, &comment, arrived);
+                        let open = OpenId::enter(self.context, comment.id);
                         if let (Some(asked), Some(open)) = (asked, open) {
                             let wait = comment.wait_at.clone();
-                            let effect = self.door.classes.get(asked.class).map(|(.., effect)| effect);
+                            let effect = self.context.classes.get(asked.class).map(|(.., effect)| effect);
                             let once = effect != Some(Effect::Safe) && effect != Some(Effect::Keyed);
                             let (bytes, at) = self.buffer.detach(size);
                             let whole = at.start + 5..at.end;
@@ -497,7 +497,7 @@
                         }
                         rejected = Some(("42601", "no class of this site, or an id in use".to_owned()));
                     }
-                    Ok(Asks::Nothing) if self.door.life.drained.since().is_some() => {
+                    Ok(Asks::Nothing) if self.context.life.drained.on_since().is_some() => {
                         rejected = Some(("57P03", "drained by hand".to_owned()));
                     }
                     Ok(Asks::Nothing) => write::empty_query(out),
@@ -527,14 +527,14 @@
         id: &str,
         out: &mut Vec<u8>,
     ) -> Result<bool, ClientError> {
-        let Self { door, stream, buffer, arrivals, .. } = self;
+        let Self { context, stream, buffer, arrivals, .. } = self;
         let read = RefCell::new((buffer, arrivals));
-        let asking = Asking { life: &door.life, driver: &door.driver, stream, read };
-        let (answer, owed) = serve(&door.driver, &*door.pool, &asked, &asking).await;
+        let asking = Asking { life: &context.life, driver: &context.driver, stream, read };
+        let (answer, owed) = serve(&context.driver, &*context.pool, &asked, &asking).await;
         if let (Final::Failed { at: Some(at) }, Some((class, Need::Write, _))) =
-            (&answer, door.classes.get(asked.class))
+            (&answer, context.classes.get(asked.class))
         {
-            door.doubts.add(id, &class, Some(at.clone()), door.driver.clock.now());
+            context.in_doubt.add(id, &class, Some(at.clone()), context.driver.clock.now());
         }
         self.buffer.give_back(asked.query.bytes);
         let how = match &answer {
@@ -558,7 +558,7 @@
 
     /// Whether this is a request whose answer a broken variant forgets.
     fn forgets(&self) -> bool {
-        let taken = self.door.counters.taken.get();
+        let taken = self.context.counters.taken.get();
         mutants::is_active(Mutant::ForgottenAnswer) && taken % FORGOTTEN_EVERY == 0
     }
 
@@ -569,7 +569,7 @@
                 let begun: Vec<&[u8]> = reply.pieces().collect();
                 self.send(&begun).await?;
                 // What can't be finished ends with the connection: the client sees that it is not whole.
-                while let Some(piece) = self.door.pool.more(&mut reply).await? {
+                while let Some(piece) = self.context.pool.more(&mut reply).await? {
                     self.send(&[&piece]).await?;
                     yield_now().await;
                 }
@@ -614,7 +614,7 @@
     /// Whether the client goes over to a newer process with the next answer: not while it has sent more already.
     fn parts(&self) -> bool {
         let nothing = |error: io::Error| error.kind() == io::ErrorKind::WouldBlock;
-        self.door.life.handing_over_clients.is_on()
+        self.context.life.handing_over_clients.is_on()
             && self.buffer.data().is_empty()
             && self.stream.get_ref().peek(&mut [0]).is_err_and(nothing)
     }
@@ -638,15 +638,15 @@
     async fn linger(&self) {
         let rest = async {
             // One that sends at full speed holds up nobody else.
-            while matches!(discard(&self.stream, &self.door.scratch).await, Ok(1..)) {
+            while matches!(discard(&self.stream, &self.context.scratch).await, Ok(1..)) {
                 yield_now().await;
             }
         };
         let enough = async {
             Timer::after(PARTING).await;
         };
-        let work = or(rest, or(enough, self.door.life.terminating.raised()));
-        self.seat.yielding(Rank::Parting, Instant::now(), work).await;
+        let work = or(rest, or(enough, self.context.life.terminating.raised()));
+        self.seat.yielding(EvictionRank::Parting, Instant::now(), work).await;
     }
 }
 
@@ -723,26 +723,26 @@
 
 /// The id of a request that is open, given free when it is dropped: nobody else may use it meanwhile.
 struct OpenId {
-    door: Rc<Door>,
+    context: Rc<FrontendContext>,
     id: Box<str>,
 }
 
 impl OpenId {
     /// `None` if a request with this id is open.
-    fn enter(door: &Rc<Door>, id: &str) -> Option<Self> {
+    fn enter(context: &Rc<FrontendContext>, id: &str) -> Option<Self> {
         let id: Box<str> = id.into();
-        let new = door.open_ids.borrow_mut().insert(id.clone());
-        new.then(|| Self { door: door.clone(), id })
+        let new = context.open_ids.borrow_mut().insert(id.clone());
+        new.then(|| Self { context: context.clone(), id })
     }
 }
 
 impl Drop for OpenId {
     fn drop(&mut self) {
-        self.door.open_ids.borrow_mut().remove(&self.id);
+        self.context.open_ids.borrow_mut().remove(&self.id);
     }
 }
 
-impl Door {
+impl FrontendContext {
     /// The request that a statement makes whose last byte came at this time; `None` if its class is unknown. Its client counts
     /// from there, however long it waited behind others of its connection.
     fn asked(&self, statement: &str, comment: &pg::Comment<'_>, arrived: Option<Time>) -> Option<Asked<()>> {
--- a/crates/net/src/doubts.rs
+++ b/crates/net/src/in_doubt.rs
@@ -21,12 +21,12 @@
 
 /// The writes in doubt since the start, the latest of them by name.
 #[derive(Debug, Default)]
-pub struct Doubts {
+pub struct InDoubtWrites {
     all: Cell<u64>,
     latest: RefCell<VecDeque<Doubt>>,
 }
 
-impl Doubts {
+impl InDoubtWrites {
     /// One more: the client's id, its class, the member that may have run it, and when that was given up.
     pub fn add(&self, id: &str, class: &str, member: Option<MemberId>, at: Time) {
         self.all.set(self.all.get().saturating_add(1));
@@ -39,7 +39,7 @@
     }
 }
 
-impl fmt::Display for Doubts {
+impl fmt::Display for InDoubtWrites {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "in doubt: {} since the start", self.all.get())?;
         for Doubt { id, class, member, at } in self.latest.borrow().iter().rev() {
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,19 +1,19 @@
 //! The daemon: the decisions on real sockets. One executor on one thread carries all tasks.
 
-pub mod alarms;
 pub mod arrivals;
 pub mod buffer;
 pub mod classes;
 pub mod clock;
 pub mod config;
 mod connection;
+pub mod connection_slots;
 pub mod counters;
 pub mod discovery;
-pub mod doubts;
 pub mod driver;
 pub mod flag;
 pub mod frontend;
 pub mod http;
+pub mod in_doubt;
 pub mod leases;
 pub mod lifecycle;
 pub mod members;
@@ -24,31 +24,31 @@
 pub mod pg;
 pub mod probes;
 pub mod request;
-pub mod seats;
 pub mod signals;
-pub mod standstill;
+pub mod stall;
 pub mod succession;
 pub mod system_errors;
 pub mod tenants;
+pub mod timer_queue;
 pub mod upstream;
 pub mod work;
 
 use crate::config::Config;
 use async_executor::LocalExecutor;
 use async_io::Timer;
+use connection_slots::ConnectionSlots;
 use counters::StatusLog;
 use discovery::{Follower, Source};
-use doubts::Doubts;
-use driver::{Driver, InvariantsShown};
+use driver::{Driver, InvariantsReport};
 use flag::Flag;
 use futures_lite::future::or;
+use in_doubt::InDoubtWrites;
 use leases::{Leases, Wanted};
 use lifecycle::Lifecycle;
 use linnetdeal_core::backoff::Backoff;
 use linnetdeal_core::guard::StartFacts;
 use linnetdeal_core::{Checks, Router};
 use members::{Feed, Members};
-use seats::Seats;
 use signals::Signals;
 use std::cell::RefCell;
 use std::fmt::Display;
@@ -131,14 +131,14 @@
             members.clone(),
             counters.clone(),
             config.host,
-            driver.standstill.clone(),
+            driver.stall.clone(),
             to_servers,
         ));
         let source = Rc::new(Source::new(config.discovery));
         let known = members.clone();
-        let seats = Seats::new(rest - most_upstream - spare_clients, spare_clients, sockets / 4);
-        let seats = Rc::new(seats);
-        let doubts = Rc::new(Doubts::default());
+        let slots = ConnectionSlots::new(rest - most_upstream - spare_clients, spare_clients, sockets / 4);
+        let slots = Rc::new(slots);
+        let in_doubt = Rc::new(InDoubtWrites::default());
         let folder = std::env::var_os("TMPDIR").filter(|_| config.operator.is_some()).map(PathBuf::from);
         let shared = folder.and_then(|folder| {
             let opened = SharedState::open(&folder);
@@ -150,8 +150,8 @@
             };
             opened.inspect_err(failed).ok().map(Rc::new)
         });
-        shown.add(doubts.clone());
-        shown.add(Rc::new(InvariantsShown(driver.clone())));
+        shown.add(in_doubt.clone());
+        shown.add(Rc::new(InvariantsReport(driver.clone())));
         shown.add(driver.clone());
         if leases.is_some() && config.peers.is_none() {
             tracing::warn!("leases are off: the platform lets poolers not talk, or names not all of them");
@@ -184,7 +184,7 @@
                 driver: driver.clone(),
                 pool: pool.clone(),
                 life: life.clone(),
-                seats: seats.clone(),
+                slots: slots.clone(),
                 shared: shared.clone(),
                 executor: executor.clone(),
             };
@@ -193,7 +193,7 @@
         let handler = signals::Handler {
             executor: executor.clone(),
             life: life.clone(),
-            seats: seats.clone(),
+            slots: slots.clone(),
             shown: shown.clone(),
             source: source.clone(),
             config_file,
@@ -203,16 +203,16 @@
             driver: driver.clone(),
             pool: pool.clone(),
         };
-        let door = frontend::Door {
+        let context = frontend::FrontendContext {
             executor: executor.clone(),
             driver: driver.clone(),
             pool: pool.clone(),
             counters: counters.clone(),
             life: life.clone(),
-            seats,
+            slots,
             classes,
             tenants,
-            doubts,
+            in_doubt,
             open_ids: RefCell::default(),
             scratch: RefCell::new(vec![0; SCRATCH]),
         };
@@ -249,7 +249,7 @@
         let (a, b, c) = (driver.clone(), pool.clone(), pool.clone());
         executor.spawn(async move { a.run_wakes().await }).detach();
         executor.spawn(async move { b.run_upkeep().await }).detach();
-        executor.spawn(async move { c.run_alarms().await }).detach();
+        executor.spawn(async move { c.run_timers().await }).detach();
         if let Some(shared) = shared.clone() {
             if let Err(error) = shared.register_as_newest() {
                 tracing::warn!("an older process of this pooler won't know of this one: {error}");
@@ -322,7 +322,7 @@
                 // Raised only once what was to be waited for is there, or its time is over.
                 start.discovery_waited_for = true;
                 checked.check(|now, invariants| invariants.started(now, start.may_serve()));
-                frontend::run(Rc::new(door), listener, handed.is_some()).await;
+                frontend::run(Rc::new(context), listener, handed.is_some()).await;
             })
             .detach();
         Ok(Self { executor, life, shown, feed, driver: driver_of_start, name: config.name, listening })
--- a/crates/net/src/operator_api.rs
+++ b/crates/net/src/operator_api.rs
@@ -129,7 +129,7 @@
         }
         match parts[..] {
             ["ready"] if self.life.draining.is_up() => no(StatusCode::SERVICE_UNAVAILABLE, "ending"),
-            ["ready"] if self.life.drained.since().is_some() => {
+            ["ready"] if self.life.drained.on_since().is_some() => {
                 no(StatusCode::SERVICE_UNAVAILABLE, "drained")
             }
             ["ready"] if self.works.as_ref().is_some_and(|works| !works.has_started()) => {
@@ -144,7 +144,7 @@
             _ => {
                 let on = rest == "drain";
                 self.life.drained_by_operator.set(on);
-                self.life.drained.turn(on);
+                self.life.drained.set_on(on);
                 tracing::info!("{} by hand", if on { "drained" } else { "resumed" });
                 no(StatusCode::OK, if on { "draining" } else { "taking clients" })
             }
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -2,12 +2,12 @@
 
 use crate::classes::Classes;
 use crate::config::{Config, duration, span_of};
+use crate::connection_slots::ConnectionSlots;
 use crate::counters::{Counters, StatusLog};
 use crate::discovery::Source;
 use crate::driver::Driver;
 use crate::lifecycle::Lifecycle;
 use crate::mutants::{self, Mutant};
-use crate::seats::Seats;
 use crate::succession::SharedState;
 use crate::tenants::Tenants;
 use crate::upstream::Pool;
@@ -36,7 +36,7 @@
     /// How far the pooler's life has come.
     pub(crate) life: Rc<Lifecycle>,
     /// The clients' seats: who is still there.
-    pub(crate) seats: Rc<Seats>,
+    pub(crate) slots: Rc<ConnectionSlots>,
     /// What is counted.
     pub(crate) shown: Rc<StatusLog>,
     /// Where the platform's list is followed.
@@ -150,7 +150,7 @@
                 return;
             }
             // In the same step: what reports hold is read by the names that the module counts by.
-            handler.pool.set_host(host);
+            handler.pool.set_host_settings(host);
             handler.source.retune(fleet, drain_grace);
             handler.shown.counters.reloads.add();
             tracing::info!("configuration read again, discovery at {:?}", config.discovery);
@@ -167,7 +167,7 @@
     let taken = handler.shared.as_ref().is_some_and(|shared| shared.is_superseded());
     let plan = Leaving::plan(span_of(handler.classes.longest_deadline()), taken);
     life.draining.raise();
-    let clients = handler.seats.taken();
+    let clients = handler.slots.in_use();
     tracing::info!(
         "draining with {clients} clients connected{}",
         if taken { ", for a newer process" } else { "" }
@@ -175,8 +175,8 @@
     if taken && leave_place(handler, &plan, started).await {
         let life = &handler.life;
         tracing::warn!("the newer process is gone: clients are taken again");
-        life.handing_over_clients.turn(false);
-        life.accept_paused.turn(false);
+        life.handing_over_clients.set_on(false);
+        life.accept_paused.set_on(false);
         // As one that has no newer one, except that it has no more time than before.
         let alone = Leaving::plan(span_of(handler.classes.longest_deadline()), false);
         stages(handler, &alone, started).await;
@@ -188,8 +188,8 @@
 /// Leaves the clients to the newer process until they are gone; true if that died meanwhile.
 async fn leave_place(handler: &Handler, plan: &Leaving, started: Instant) -> bool {
     let life = &handler.life;
-    life.handing_over_clients.turn(true);
-    life.accept_paused.turn(true);
+    life.handing_over_clients.set_on(true);
+    life.accept_paused.set_on(true);
     while started.elapsed() < duration(plan.closing) {
         if handler.shared.as_ref().is_some_and(|shared| shared.successor_is_dead()) {
             return true;
@@ -209,13 +209,13 @@
             Timer::after(wait).await;
         }
         match switch {
-            Some(switch) => switch.turn(true),
+            Some(switch) => switch.set_on(true),
             None => life.closing_idle.raise(),
         }
     }
     let mut until = duration(plan.ending);
     for stage in [&life.terminating, &life.terminated] {
-        while handler.seats.taken() > 0 && started.elapsed() < until {
+        while handler.slots.in_use() > 0 && started.elapsed() < until {
             Timer::after(LOOK).await;
         }
         stage.raise();
--- a/crates/net/src/standstill.rs
+++ b/crates/net/src/stall.rs
@@ -11,19 +11,19 @@
 
 /// Notes when things happen.
 #[derive(Debug)]
-pub struct Standstill {
+pub struct StallDetector {
     last: Cell<Instant>,
     ended: Cell<Instant>,
 }
 
-impl Default for Standstill {
+impl Default for StallDetector {
     fn default() -> Self {
         let now = Instant::now();
         Self { last: Cell::new(now), ended: Cell::new(now) }
     }
 }
 
-impl Standstill {
+impl StallDetector {
     /// Something happens now.
     pub fn moved(&self) {
         let now = Instant::now();
--- a/crates/net/src/alarms.rs
+++ b/crates/net/src/timer_queue.rs
@@ -18,7 +18,7 @@
 
 /// All limits: one for each that waits.
 #[derive(Debug, Default)]
-pub struct Alarms {
+pub struct TimerQueue {
     due: RefCell<BTreeMap<Key, Waker>>,
     last: Cell<u64>,
     /// When the timer rings.
@@ -26,11 +26,11 @@
     sooner: Event,
 }
 
-impl Alarms {
+impl TimerQueue {
     /// Ends at `when`, or a little later.
-    pub fn at(&self, when: Instant) -> Alarm<'_> {
+    pub fn at(&self, when: Instant) -> Timeout<'_> {
         self.last.set(self.last.get() + 1);
-        Alarm { alarms: self, key: (when, self.last.get()), set: false }
+        Timeout { timers: self, key: (when, self.last.get()), set: false }
     }
 
     /// Wakes those whose time has come. Runs for ever.
@@ -71,32 +71,32 @@
 
 /// A limit; it is set when it is first waited for, and taken back when dropped.
 #[derive(Debug)]
-pub struct Alarm<'a> {
-    alarms: &'a Alarms,
+pub struct Timeout<'a> {
+    timers: &'a TimerQueue,
     key: Key,
     set: bool,
 }
 
-impl Future for Alarm<'_> {
+impl Future for Timeout<'_> {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
         if Instant::now() >= self.key.0 {
             return Poll::Ready(());
         }
-        let known = self.alarms.due.borrow().get(&self.key).is_some_and(|of| of.will_wake(context.waker()));
+        let known = self.timers.due.borrow().get(&self.key).is_some_and(|of| of.will_wake(context.waker()));
         if !known {
-            self.alarms.set(self.key, context.waker().clone());
+            self.timers.set(self.key, context.waker().clone());
             self.set = true;
         }
         Poll::Pending
     }
 }
 
-impl Drop for Alarm<'_> {
+impl Drop for Timeout<'_> {
     fn drop(&mut self) {
         if self.set {
-            self.alarms.due.borrow_mut().remove(&self.key);
+            self.timers.due.borrow_mut().remove(&self.key);
         }
     }
 }
--- a/crates/net/src/upstream.rs
+++ b/crates/net/src/upstream.rs
@@ -1,6 +1,5 @@
 //! Connections to servers: opened when none is free, reused last in first out, within a budget.
 
-use super::alarms::Alarms;
 use super::buffer::{ReadBuffer, write_all, write_now, write_rest};
 use super::connection::{Budget, Connection, Look, Lost, MARK, Permit, Presence};
 use super::counters::Counters;
@@ -8,9 +7,10 @@
 use super::pg::{self, Code, Notes, Part};
 use super::request::{Carrier, Ended, Gate};
 use super::system_errors::{is_momentary, is_shortage};
+use super::timer_queue::TimerQueue;
 use crate::config::{HostSettings, span_of};
 use crate::mutants::{self, Mutant};
-use crate::standstill::Standstill;
+use crate::stall::StallDetector;
 use async_io::{Async, Timer};
 use event_listener::Event;
 use futures_lite::future::{or, yield_now};
@@ -102,12 +102,12 @@
 
 /// What `work` gives within a time limit.
 async fn bounded<T>(
-    alarms: &Alarms,
+    timers: &TimerQueue,
     longest: Duration,
     work: impl Future<Output = Result<T, Lost>>,
 ) -> Result<T, Lost> {
     let limit = async {
-        alarms.at(Instant::now() + longest).await;
+        timers.at(Instant::now() + longest).await;
         Err(Lost::Silent)
     };
     or(work, limit).await
@@ -236,21 +236,21 @@
     members: Rc<Members>,
     counters: Rc<Counters>,
     host: RefCell<HostSettings>,
-    standstill: Rc<Standstill>,
+    stall: Rc<StallDetector>,
     budget: Rc<Budget>,
     idle: RefCell<HashMap<MemberId, VecDeque<Connection>>>,
     trust: RefCell<Trust>,
-    alarms: Alarms,
+    timers: TimerQueue,
     started: Instant,
     /// What is open or under way, by member.
     present: RefCell<HashMap<MemberId, Rc<Cell<usize>>>>,
     /// Where somebody wants to know what is sent and what fails.
-    meter: RefCell<Option<Meter>>,
+    stats: RefCell<Option<SendStats>>,
 }
 
 /// What is sent, by group, and members that fail, with how many attempts in a row they have failed.
 #[derive(Debug, Default)]
-pub(crate) struct Meter {
+pub(crate) struct SendStats {
     /// Attempts so far.
     pub(crate) sent: HashMap<GroupId, u64>,
     /// Attempts in a row that found nobody, of members that are known.
@@ -264,7 +264,7 @@
         members: Rc<Members>,
         counters: Rc<Counters>,
         host: HostSettings,
-        standstill: Rc<Standstill>,
+        stall: Rc<StallDetector>,
         most: usize,
     ) -> Self {
         let budget = Rc::new(Budget { used: Cell::new(0), most, freed: Event::new() });
@@ -272,30 +272,30 @@
             members,
             counters,
             host: RefCell::new(host),
-            standstill,
+            stall,
             budget,
             idle: RefCell::default(),
             trust: RefCell::default(),
-            alarms: Alarms::default(),
+            timers: TimerQueue::default(),
             started: Instant::now(),
             present: RefCell::default(),
-            meter: RefCell::default(),
+            stats: RefCell::default(),
         }
     }
 
     /// Counts what is sent and what fails from now on.
-    pub(crate) fn measure(&self) {
-        self.meter.borrow_mut().get_or_insert_default();
+    pub(crate) fn enable_stats(&self) {
+        self.stats.borrow_mut().get_or_insert_default();
     }
 
     /// What was counted.
-    pub(crate) fn measured<T>(&self, look: impl FnOnce(&mut Meter) -> T) -> Option<T> {
-        self.meter.borrow_mut().as_mut().map(look)
+    pub(crate) fn with_stats<T>(&self, look: impl FnOnce(&mut SendStats) -> T) -> Option<T> {
+        self.stats.borrow_mut().as_mut().map(look)
     }
 
     /// Whether nothing is out, idle or being opened at a member.
     #[must_use]
-    pub fn is_clear(&self, member: &MemberId) -> bool {
+    pub fn has_no_connections(&self, member: &MemberId) -> bool {
         self.present.borrow().get(member).is_none_or(|count| count.get() == 0)
     }
 
@@ -304,24 +304,24 @@
     }
 
     fn note(&self, member: &MemberId, sent: bool, verdict: Verdict) {
-        let mut meter = self.meter.borrow_mut();
-        let Some(meter) = meter.as_mut() else { return };
+        let mut stats = self.stats.borrow_mut();
+        let Some(stats) = stats.as_mut() else { return };
         if sent {
             if let Some(group) = self.members.group(member) {
-                *meter.sent.entry(group).or_default() += 1;
+                *stats.sent.entry(group).or_default() += 1;
             }
         }
         match verdict {
             Verdict::ConnectFailed | Verdict::Unreachable | Verdict::Broken => {
-                *meter.failed.entry(member.clone()).or_default() += 1
+                *stats.failed.entry(member.clone()).or_default() += 1
             }
             Verdict::Moot | Verdict::Timeout | Verdict::Reset | Verdict::Cancelled => {}
-            _ => drop(meter.failed.remove(member)),
+            _ => drop(stats.failed.remove(member)),
         }
     }
 
     /// Goes by these settings from now on, also for connections that are kept already.
-    pub fn set_host(&self, host: HostSettings) {
+    pub fn set_host_settings(&self, host: HostSettings) {
         self.host.replace(host);
     }
 
@@ -335,7 +335,7 @@
     }
 
     /// Closes idle connections that are of no more use.
-    pub fn let_go(&self) {
+    pub fn close_stale_idle(&self) {
         let longest = self.longest_idle();
         self.idle.borrow_mut().retain(|member, connections| {
             let address = self.members.address(member).filter(|_| self.members.in_service(member));
@@ -348,17 +348,17 @@
     pub async fn run_upkeep(&self) {
         loop {
             Timer::after(Duration::from_millis(500)).await;
-            self.let_go();
+            self.close_stale_idle();
             self.trust.borrow_mut().forget(self.now());
             self.present.borrow_mut().retain(|_, count| Rc::strong_count(count) > 1);
             // Who is forgotten is not held here either.
-            self.measured(|meter| meter.failed.retain(|member, _| self.members.group(member).is_some()));
+            self.with_stats(|stats| stats.failed.retain(|member, _| self.members.group(member).is_some()));
         }
     }
 
     /// Ends attempts whose time is over. Runs for ever.
-    pub async fn run_alarms(&self) {
-        self.alarms.run().await;
+    pub async fn run_timers(&self) {
+        self.timers.run().await;
     }
 
     /// Closes the connection that has been idle longest, if there is one.
@@ -443,8 +443,8 @@
                 }
                 let settled = match reuse {
                     Reuse::AtOnce if connection.rests() => Ok(()),
-                    Reuse::AtOnce => bounded(&self.alarms, ASKED_WAIT, connection.rest()).await,
-                    Reuse::Asked => bounded(&self.alarms, ASKED_WAIT, connection.ask()).await,
+                    Reuse::AtOnce => bounded(&self.timers, ASKED_WAIT, connection.rest()).await,
+                    Reuse::Asked => bounded(&self.timers, ASKED_WAIT, connection.ask()).await,
                 };
                 if settled.is_ok() {
                     return Ok((connection, Some(reuse)));
@@ -463,7 +463,7 @@
             }
             stage.set(Stage::Dialing);
             let dial_timeout = self.host.borrow().dial_timeout;
-            match bounded(&self.alarms, dial_timeout, self.dial(member, permit)).await {
+            match bounded(&self.timers, dial_timeout, self.dial(member, permit)).await {
                 // The system is out of something though the budget is not: wait, and let an idle one go.
                 Err(Lost::Short) => {
                     stage.set(Stage::Waiting);
@@ -534,7 +534,7 @@
         let (mut connection, reuse) = self.connection(member, query.runs_once(), stage).await?;
         // What came while the process stood still is taken first: it may say that the member is withdrawn. The connection may
         // have ended meanwhile.
-        if self.standstill.just_ended() {
+        if self.stall.just_ended() {
             yield_now().await;
             if connection.look(self.members.address(member), self.longest_idle()) != Look::Good {
                 return Err(Lost::Broken);
@@ -606,7 +606,7 @@
         let _present = self.present(member);
         let answer = async { Some(self.exchange(member, query, &course, gate).await) };
         let limit = async {
-            self.alarms.at(until).await;
+            self.timers.at(until).await;
             None
         };
         let ended = or(answer, limit).await;
--- a/crates/net/src/work.rs
+++ b/crates/net/src/work.rs
@@ -3,11 +3,11 @@
 
 use crate::clock;
 use crate::config::duration;
+use crate::connection_slots::ConnectionSlots;
 use crate::driver::Driver;
 use crate::leases::Leases;
 use crate::lifecycle::Lifecycle;
 use crate::members::{Feed, Members};
-use crate::seats::Seats;
 use crate::succession::SharedState;
 use crate::upstream::Pool;
 use async_executor::LocalExecutor;
@@ -209,7 +209,7 @@
     pub(crate) driver: Rc<Driver>,
     pub(crate) pool: Rc<Pool>,
     pub(crate) life: Rc<Lifecycle>,
-    pub(crate) seats: Rc<Seats>,
+    pub(crate) slots: Rc<ConnectionSlots>,
     pub(crate) shared: Option<Rc<SharedState>>,
     pub(crate) executor: Rc<LocalExecutor<'static>>,
 }
@@ -232,7 +232,7 @@
 
 impl Works {
     pub(crate) fn new(wanted: WorkWanted, parts: Parts) -> Self {
-        parts.pool.measure();
+        parts.pool.enable_stats();
         Self {
             work: RefCell::new(Work::new(clock::steady(), wanted.setup.clone())),
             wanted,
@@ -355,17 +355,17 @@
                     .collect();
                 self.parts.feed.by_plan(&out, &back);
                 // A machine is not kept waiting for what is idle there.
-                self.parts.pool.let_go();
+                self.parts.pool.close_stale_idle();
                 if !back.is_empty() {
                     // What was heard of it before says nothing now; who leads takes it for dead until it answers.
                     let leads = work.view(clock::steady()).leads;
                     let members = self.parts.members.all();
                     let back = members.into_iter().filter(|(id, _)| back.contains(&stands_for(&id.0)));
-                    self.parts.pool.measured(|meter| {
+                    self.parts.pool.with_stats(|stats| {
                         for (id, _) in back {
-                            meter.failed.remove(&id);
+                            stats.failed.remove(&id);
                             if leads {
-                                meter.failed.insert(id, FAILED);
+                                stats.failed.insert(id, FAILED);
                             }
                         }
                     });
@@ -377,7 +377,7 @@
                 if away != self.emptied.replace(away) {
                     tracing::info!("work: this pooler's machine is {}", if away { "out" } else { "back" });
                     // What was emptied by hand stays so.
-                    self.parts.life.drained.turn(away || self.parts.life.drained_by_operator.get());
+                    self.parts.life.drained.set_on(away || self.parts.life.drained_by_operator.get());
                     self.parts.leases.abstain(away, &self.wanted.tasks);
                 }
             }
@@ -433,11 +433,11 @@
                 Kind::Servers => members
                     .iter()
                     .filter(|(id, _)| stands_for(&id.0) == machine)
-                    .all(|(id, _)| self.parts.pool.is_clear(id)),
+                    .all(|(id, _)| self.parts.pool.has_no_connections(id)),
                 Kind::Poolers => {
                     machine == u64::from(self.wanted.setup.me.number)
                         && self.emptied.get()
-                        && self.parts.seats.taken() == 0
+                        && self.parts.slots.in_use() == 0
                         && self.wanted.tasks.iter().all(|task| self.parts.leases.holds(*task).is_none())
                 }
             }
@@ -447,11 +447,11 @@
     }
 
     fn failing(&self) -> Vec<u64> {
-        let failing = |meter: &mut crate::upstream::Meter| {
-            let failed = meter.failed.iter().filter(|(_, times)| **times >= FAILED);
+        let failing = |stats: &mut crate::upstream::SendStats| {
+            let failed = stats.failed.iter().filter(|(_, times)| **times >= FAILED);
             failed.map(|(member, _)| stands_for(&member.0)).collect::<Vec<_>>()
         };
-        self.parts.pool.measured(failing).unwrap_or_default()
+        self.parts.pool.with_stats(failing).unwrap_or_default()
     }
 
     /// Counts what this pooler bears, when it is due.
@@ -462,7 +462,7 @@
         let sent: BTreeMap<GroupId, u64> = self
             .parts
             .pool
-            .measured(|meter| meter.sent.iter().map(|(group, count)| (*group, *count)).collect())
+            .with_stats(|stats| stats.sent.iter().map(|(group, count)| (*group, *count)).collect())
             .unwrap_or_default();
         let mut loads = self.loads.borrow_mut();
         let loads = &mut *loads;
