--- a/crates/core/src/choice.rs
+++ b/crates/core/src/choice.rs
@@ -12,7 +12,7 @@
 use crate::given_up::{GivenUp, Reasons};
 use crate::handover::*;
 use crate::interface::*;
-use crate::pace::Pace;
+use crate::latency::LatencyEstimate;
 use crate::peers::{Fact, Peers};
 use crate::sessions::Sessions;
 use crate::state::*;
@@ -106,7 +106,7 @@
     /// Groups that hold requests, and those of which something new is known.
     waiting: BTreeSet<GroupId>,
     stirred: BTreeSet<GroupId>,
-    pace: Vec<Pace>,
+    pace: Vec<LatencyEstimate>,
     /// Worth served and asked for.
     classes: Vec<Counts>,
     tenants: Vec<Counts>,
@@ -133,7 +133,7 @@
     pub fn new(seed: u64, settings: Settings) -> Self {
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
-            pace: settings.classes.iter().map(|class| Pace::guess(class.aim)).collect(),
+            pace: settings.classes.iter().map(|class| LatencyEstimate::initial(class.aim)).collect(),
             classes: vec![Counts::default(); settings.classes.len()],
             tenants: vec![Counts::default(); settings.tenants.len()],
             members: BTreeMap::new(),
@@ -200,7 +200,7 @@
     }
 
     /// What is known of each group's primary, with its latest turns.
-    pub fn changes(&self) -> impl Iterator<Item = (GroupId, &Change)> {
+    pub fn primaries(&self) -> impl Iterator<Item = (GroupId, &Change)> {
         self.groups.iter().map(|(id, group)| (*id, &group.change))
     }
 
@@ -298,7 +298,7 @@
         let class = &self.settings.classes[open.class];
         let spent = open.attempts.len() as u32 >= open.most;
         let ran = open.may_have_run && class.effect != Effect::Safe;
-        let takes = self.pace[open.class].takes(SURE);
+        let takes = self.pace[open.class].upper_bound(SURE);
         let (first, crowding) = (open.attempts.is_empty(), self.crowding(now, open.group, REPLICA));
         let late = if crowding > CROWD_SPILLS { LATE_COUNTS } else { f64::MIN_POSITIVE };
         let last = if class.late_worth < late { open.aim } else { open.deadline };
@@ -356,7 +356,7 @@
         let group = self.groups.get(&gid)?;
         let replicas = group.members.iter().map(|id| (id, &self.members[id])).filter(|_| !fresh_only);
         let replicas: Vec<_> = replicas.filter(|(id, m)| self.sendable(m) && Some(*id) != primary).collect();
-        let usual = self.pace[open.class].takes(0.0).min((open.aim - open.arrived).times(USUAL_MOST));
+        let usual = self.pace[open.class].upper_bound(0.0).min((open.aim - open.arrived).times(USUAL_MOST));
         // Tried members and suspects serve only where nobody better is left, the primary included.
         let rank = |(id, m): &(&MemberId, &Member)| {
             // Nor does one that is known to be too slow. Where all are, it is no member's fault.
@@ -387,7 +387,7 @@
         } else {
             let loads: Vec<f64> = pool.iter().map(|(_, m)| self.load(m, now)).collect();
             let valid = THRESHOLD * loads.iter().sum::<f64>() / loads.len() as f64;
-            let first = crate::subset::first(dice, self.settings.rank, self.settings.fleet, pool.len());
+            let first = crate::subset::first_pick(dice, self.settings.rank, self.settings.fleet, pool.len());
             let mut steps = (0..=FORWARD.min(pool.len() - 1)).map(|step| (first + step) % pool.len());
             let at = steps.find(|at| loads[*at] <= valid).unwrap_or(first);
             Some(pool[at].0.clone())
@@ -423,12 +423,12 @@
         let (need, usual) = (self.need(now, open), self.usual(now));
         let class = &self.settings.classes[open.class];
         let pace = self.pace[open.class];
-        let patience = pace.takes(PATIENCE).max(class.aim.times(LEAST_PATIENCE));
+        let patience = pace.upper_bound(PATIENCE).max(class.aim.times(LEAST_PATIENCE));
         // Until the client leaves: what is given up goes on at the member, and its client comes again.
         let left = open.deadline - now;
         // Second tries stop where the whole group is slow: they would only add to it.
         let again = class.effect == Effect::Safe
-            && now + patience + pace.takes(0.0) < open.aim
+            && now + patience + pace.upper_bound(0.0) < open.aim
             && self.crowding(now, m.group, m.role()) < CROWDED;
         let hedged = again && self.settings.second_copies;
         let timeout = if again && !hedged && self.retries >= 1.0 { patience } else { left };
@@ -456,7 +456,8 @@
         let safe = self.settings.classes[open.class].effect == Effect::Safe;
         if safe || (!open.may_have_run && now + SWEEP < open.deadline) {
             let back = self.change(open).and_then(|change| change.back(now, &self.lengths));
-            let wait = self.pace[open.class].takes(0.0).max(LEAST_RETRY_AFTER).max(back.unwrap_or_default());
+            let wait =
+                self.pace[open.class].upper_bound(0.0).max(LEAST_RETRY_AFTER).max(back.unwrap_or_default());
             let retry_after = self.settings.retry_after.then(|| wait.min(self.settings.max_retry_after));
             actions.push(Action::Refuse { request: id, retry_after });
         } else {
@@ -689,7 +690,7 @@
 
     /// How many sessions are remembered.
     #[must_use]
-    pub fn sessions(&self) -> usize {
+    pub fn session_count(&self) -> usize {
         self.sessions.len()
     }
 
@@ -724,7 +725,7 @@
         }
         if let Some(pace) = pace.filter(|_| matches!(verdict, Verdict::Cancelled | Verdict::Timeout)) {
             m.left.retain(|done| now < *done);
-            m.left.push(now + pace.takes(0.0).times(m.slow.now(now)));
+            m.left.push(now + pace.upper_bound(0.0).times(m.slow.now(now)));
         }
         let before = m.ejections;
         match verdict {
@@ -764,7 +765,7 @@
                 m.crowded(now, took, work);
                 let write = out.is_some_and(|out| self.settings.classes[out.class].need == Need::Write);
                 m.refusals = if write { (m.refusals + 1).min(MOST_DOUBLINGS) } else { m.refusals };
-                let rest = pace.map_or(SWEEP, |pace| pace.takes(0.0).max(SWEEP));
+                let rest = pace.map_or(SWEEP, |pace| pace.upper_bound(0.0).max(SWEEP));
                 let longer = if write { f64::from(1 << (m.refusals - 1)) } else { 1.0 };
                 m.rested = now + rest.times(longer).min(EJECTION).max(rest);
             }
@@ -786,7 +787,7 @@
         if verdict == Verdict::Ok || (verdict == Verdict::Timeout && !lost && took >= pace.mean) {
             m.slow.learn(now, 1, took / pace.mean.max(1.0));
             self.peers.saw(id, crowded || verdict == Verdict::Timeout, took / pace.mean.max(1.0));
-            self.pace[out.class].learn(took);
+            self.pace[out.class].observe(took);
         }
         // A lost answer beside quick ones says nothing of a crowd; beside slow ones it does.
         let seen = match verdict {
@@ -816,7 +817,7 @@
 
     /// Whether an attempt is out for far too long.
     fn overdue(&self, out: &Out, now: Time) -> bool {
-        now - out.sent > self.pace[out.class].takes(OVERDUE).times(SILENCE)
+        now - out.sent > self.pace[out.class].upper_bound(OVERDUE).times(SILENCE)
     }
 
     /// Whether it is, and either what was sent later has been answered, so that its connection alone is
--- a/crates/core/src/choice/retune.rs
+++ b/crates/core/src/choice/retune.rs
@@ -11,9 +11,9 @@
 
     /// Goes by these settings from now on; their classes are those of [`crate::retune::merge`]. Open requests
     /// keep their classes and the attempts that they might have. What is known of members stays.
-    pub fn retune(&mut self, settings: Settings) {
+    pub fn update_settings(&mut self, settings: Settings) {
         let new = settings.classes.iter().skip(self.pace.len());
-        self.pace.extend(new.map(|class| Pace::guess(class.aim)));
+        self.pace.extend(new.map(|class| LatencyEstimate::initial(class.aim)));
         self.classes.resize(settings.classes.len(), Counts::default());
         self.tenants.resize(settings.tenants.len(), Counts::default());
         self.peers.allow(settings.peers);
--- a/crates/core/src/given_up.rs
+++ b/crates/core/src/given_up.rs
@@ -61,7 +61,7 @@
 
     /// Why a request was given up by the latest event, if it was.
     #[must_use]
-    pub fn of(&self, request: RequestId) -> Option<GivenUp> {
+    pub fn reason_for(&self, request: RequestId) -> Option<GivenUp> {
         self.latest.iter().find(|(of, _)| *of == request).map(|(_, why)| *why)
     }
 
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -18,7 +18,7 @@
     /// How long the attempt and its client still have.
     pub time_left: Span,
     /// Other attempts of the request that are out.
-    pub others_out: usize,
+    pub other_attempts: usize,
     /// The settings and the class allow a second copy.
     pub copies_allowed: bool,
     /// An earlier attempt may have run.
@@ -58,7 +58,7 @@
             (!self.process_serving, SendDenied::ProcessEnds),
             (!self.member_in_service, SendDenied::MemberWithdrawn),
             (self.time_left <= Span(0), SendDenied::TimeOver),
-            (self.others_out > 0 && !self.copies_allowed, SendDenied::AnotherOut),
+            (self.other_attempts > 0 && !self.copies_allowed, SendDenied::AnotherOut),
             (self.may_have_run && self.effect != Effect::Safe, SendDenied::MayHaveRun),
             (!self.data_fresh, SendDenied::DataTooOld),
         ];
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -179,7 +179,7 @@
     pub quota: f64,
 }
 
-/// What a router is told when it starts, and by [`crate::Router::retune`] later on.
+/// What a router is told when it starts, and by [`crate::Router::update_settings`] later on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The classes, by [`ClassId`].
--- a/crates/core/src/pace.rs
+++ b/crates/core/src/latency.rs
@@ -11,29 +11,29 @@
 
 /// The usual latency of a class, in microseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct LatencyEstimate {
     /// The mean.
     pub mean: f64,
     dev: f64,
     seen: f64,
 }
 
-impl Pace {
+impl LatencyEstimate {
     /// A guess, by the class's aim.
     #[must_use]
-    pub fn guess(aim: Span) -> Self {
+    pub fn initial(aim: Span) -> Self {
         let aim = aim.0 as f64;
         Self { mean: aim * MEAN, dev: aim * DEV, seen: PRIOR }
     }
 
     /// The mean and so many deviations.
     #[must_use]
-    pub fn takes(&self, deviations: f64) -> Span {
+    pub fn upper_bound(&self, deviations: f64) -> Span {
         Span((self.mean + deviations * self.dev) as i64)
     }
 
     /// One answer took this many microseconds.
-    pub fn learn(&mut self, took: f64) {
+    pub fn observe(&mut self, took: f64) {
         self.seen = (self.seen + 1.0).min(MEMORY);
         self.dev += ((took - self.mean).abs() - self.dev) / self.seen;
         self.mean += (took - self.mean) / self.seen;
--- a/crates/core/src/subset.rs
+++ b/crates/core/src/subset.rs
@@ -11,7 +11,7 @@
 
 /// The place of the member to look at first, of so many (at least one): a draw of 32 bits, put into the window of the router of this rank.
 #[must_use]
-pub fn first(draw: usize, rank: u32, routers: u32, members: usize) -> usize {
+pub fn first_pick(draw: usize, rank: u32, routers: u32, members: usize) -> usize {
     let (count, routers) = (members as f64, f64::from(routers.max(1)));
     // Routers that were told no rank of their own would all look at the same members.
     let unknown = f64::from(rank) >= routers;
--- a/crates/core/tests/bounds.rs
+++ b/crates/core/tests/bounds.rs
@@ -27,7 +27,7 @@
         ask_of(&mut host, at);
     }
     host.pass(1_000);
-    assert_eq!(host.router.changes().count(), 1, "only the group that has members");
+    assert_eq!(host.router.primaries().count(), 1, "only the group that has members");
 }
 
 #[test]
@@ -44,7 +44,7 @@
         }
     }
     host.pass(100);
-    assert!(host.router.sessions() <= 10_000, "{} sessions are kept", host.router.sessions());
+    assert!(host.router.session_count() <= 10_000, "{} sessions are kept", host.router.session_count());
     // A session that was let go of still sees what it wrote: a replica that is known to be behind all of it gets none of its reads.
     host.probed(2, false, 60_000_000);
     for _ in 0..20 {
--- a/crates/core/tests/guard.rs
+++ b/crates/core/tests/guard.rs
@@ -13,7 +13,7 @@
         process_serving: true,
         data_fresh: true,
         time_left: Span::millis(10),
-        others_out: 0,
+        other_attempts: 0,
         copies_allowed: false,
         may_have_run: false,
         effect: Effect::Unsafe,
@@ -28,7 +28,7 @@
         (SendFacts { process_serving: false, ..fine() }, SendDenied::ProcessEnds),
         (SendFacts { member_in_service: false, ..fine() }, SendDenied::MemberWithdrawn),
         (SendFacts { time_left: Span(0), ..fine() }, SendDenied::TimeOver),
-        (SendFacts { others_out: 1, ..fine() }, SendDenied::AnotherOut),
+        (SendFacts { other_attempts: 1, ..fine() }, SendDenied::AnotherOut),
         (SendFacts { may_have_run: true, ..fine() }, SendDenied::MayHaveRun),
         (SendFacts { may_have_run: true, effect: Effect::Keyed, ..fine() }, SendDenied::MayHaveRun),
         (SendFacts { data_fresh: false, ..fine() }, SendDenied::DataTooOld),
@@ -36,7 +36,7 @@
     for (facts, why) in cases {
         assert_eq!(facts.check(), Err(why), "{facts:?}");
     }
-    let copies = SendFacts { others_out: 1, copies_allowed: true, effect: Effect::Safe, ..fine() };
+    let copies = SendFacts { other_attempts: 1, copies_allowed: true, effect: Effect::Safe, ..fine() };
     assert_eq!(copies.check(), Ok(()), "a second copy where that is allowed");
     let repeat = SendFacts { may_have_run: true, effect: Effect::Safe, ..fine() };
     assert_eq!(repeat.check(), Ok(()), "a repeat of what may run any number of times");
--- a/crates/core/tests/peers.rs
+++ b/crates/core/tests/peers.rs
@@ -202,7 +202,7 @@
     for allowed in [true, false] {
         let mut host = Host::new(talk(), 3);
         host.probed(1, true, 0);
-        host.router.retune(Settings { peers: allowed, ..talk() });
+        host.router.update_settings(Settings { peers: allowed, ..talk() });
         host.now = host.now + Span::millis(2_000);
         let actions = host.probed(2, true, 0);
         let tells = actions.iter().filter(|action| matches!(action, Action::Tell { .. })).count();
--- a/crates/core/tests/retune.rs
+++ b/crates/core/tests/retune.rs
@@ -46,7 +46,7 @@
     new.max_attempts = 1;
     let (all, numbers) = merge(host.router.classes(), &new.classes).unwrap();
     new.classes = all;
-    host.router.retune(new);
+    host.router.update_settings(new);
     for attempt in 0..3 {
         let to = sends(&actions).pop().expect("a read that is safe to repeat goes on to others");
         let at = (1..=5).find(|at| member(*at) == to).unwrap();
--- a/crates/core/tests/subset.rs
+++ b/crates/core/tests/subset.rs
@@ -1,6 +1,6 @@
 //! Windows of members: even over all routers, narrow for each, and stable.
 
-use linnetdeal_core::subset::first;
+use linnetdeal_core::subset::first_pick;
 use std::collections::BTreeSet;
 
 const DRAWS: usize = 512;
@@ -15,7 +15,7 @@
     for rank in 0..routers {
         let mut used = BTreeSet::new();
         for draw in draws() {
-            let at = first(draw, rank, routers, members);
+            let at = first_pick(draw, rank, routers, members);
             got[at] += 1;
             used.insert(at);
         }
@@ -43,7 +43,7 @@
     for (routers, members) in [(1, 5), (5, 6), (20, 9), (300, 1), (300, 2)] {
         let mut used = BTreeSet::new();
         for draw in 0..1_000 {
-            let at = first(draw, routers / 2, routers, members);
+            let at = first_pick(draw, routers / 2, routers, members);
             assert!(at < members);
             used.insert(at);
         }
@@ -51,7 +51,7 @@
     }
     // Nor does one that was told no rank, or one that can't be, have a window.
     for rank in [linnetdeal_core::Settings::NO_RANK, 300] {
-        let used: BTreeSet<usize> = (0..1_000).map(|draw| first(draw, rank, 300, 7)).collect();
+        let used: BTreeSet<usize> = (0..1_000).map(|draw| first_pick(draw, rank, 300, 7)).collect();
         assert_eq!(used.len(), 7, "rank {rank}");
     }
 }
@@ -60,7 +60,7 @@
 fn a_member_more_moves_windows_by_less_than_one_member() {
     for rank in 0..300 {
         let all = |members: usize| -> BTreeSet<usize> {
-            draws().map(|draw| first(draw, rank, 300, members)).collect()
+            draws().map(|draw| first_pick(draw, rank, 300, members)).collect()
         };
         let (before, after) = (all(10), all(11));
         assert!(after.difference(&before).count() <= 1, "rank {rank}: {before:?} {after:?}");
--- a/crates/fleet/src/even/scheme.rs
+++ b/crates/fleet/src/even/scheme.rs
@@ -2,7 +2,7 @@
 
 use super::forward;
 use super::{Figures, Member, Plan, ZONES};
-use linnetdeal_core::{Pace, Slowness, Span, Time, subset};
+use linnetdeal_core::{LatencyEstimate, Slowness, Span, Time, subset};
 use rand::{Rng, RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -136,7 +136,7 @@
     rng: ChaCha8Rng,
     servers: usize,
     pairs: Vec<Pair>,
-    pace: Vec<Pace>,
+    pace: Vec<LatencyEstimate>,
     /// What was told last: when, and what each server held.
     told_at: Time,
     held: Vec<f64>,
@@ -157,7 +157,7 @@
             rng: ChaCha8Rng::seed_from_u64(plan.seed ^ 0xC401CE),
             servers,
             pairs: vec![Pair { speed: 1.0, ..Pair::default() }; servers * plan.poolers],
-            pace: vec![Pace::guess(super::AIM); plan.poolers],
+            pace: vec![LatencyEstimate::initial(super::AIM); plan.poolers],
             told_at: super::BEGIN,
             held: vec![0.0; servers],
             rate: rate / plan.groups as f64,
@@ -192,7 +192,7 @@
             Scheme::Random => any,
             Scheme::Forward => self.forward(now, pooler, pool, draw % all),
             Scheme::Windows => {
-                let first = subset::first(draw, pooler as u32, self.plan.poolers as u32, all);
+                let first = subset::first_pick(draw, pooler as u32, self.plan.poolers as u32, all);
                 self.forward(now, pooler, pool, first)
             }
             Scheme::Two(of) => self.two(pooler, pool, of, members),
@@ -205,7 +205,7 @@
             Scheme::Interpreted => self.interpreted(now, pool),
             Scheme::Probes => self.probed(now, pooler, pool, members),
             Scheme::LeastOfStep => {
-                let first = subset::first(draw, pooler as u32, self.plan.poolers as u32, all);
+                let first = subset::first_pick(draw, pooler as u32, self.plan.poolers as u32, all);
                 pool[forward::least(first, all, |at| self.load(now, pooler, pool[at]))]
             }
             Scheme::Central => self.least(pool, |_, at| {
@@ -371,7 +371,7 @@
         let pair = self.pair_mut(pooler, to);
         pair.slow.learn(now, 1, ratio);
         pair.speed += (ratio.clamp(0.1, 10.0) - pair.speed) / SPEED_MEMORY;
-        self.pace[pooler].learn(took.0 as f64);
+        self.pace[pooler].observe(took.0 as f64);
     }
 
     pub(super) fn told(&mut self, now: Time, members: &[Member]) {
--- a/crates/fleet/tests/forward.rs
+++ b/crates/fleet/tests/forward.rs
@@ -64,7 +64,7 @@
             }
         }
         for _ in 0..20 {
-            let first = subset::first(rng.next_u32() as usize, rank, ROUTERS, MEMBERS);
+            let first = subset::first_pick(rng.next_u32() as usize, rank, ROUTERS, MEMBERS);
             got[least(first, MEMBERS, |at| slow[at].now(now))] += 1;
         }
     }
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -134,7 +134,7 @@
     }
 
     fn log_given_up(&self, request: RequestId, how: &str) {
-        let why = self.router.borrow().given_up().of(request);
+        let why = self.router.borrow().given_up().reason_for(request);
         tracing::debug!(target: "requests", request = request.0, ?why, "{how} by the module");
     }
 
@@ -163,7 +163,7 @@
         tenants.set(&shares, named);
         (settings.classes, settings.tenants) = (all, shares);
         self.invariants.borrow_mut().set_drain_grace(settings.drain_grace);
-        self.router.borrow_mut().retune(settings);
+        self.router.borrow_mut().update_settings(settings);
         true
     }
 
@@ -254,7 +254,7 @@
     pub fn primaries(&self) -> (HashMap<GroupId, MemberId>, Vec<GroupId>) {
         let router = self.router.borrow();
         let (mut primaries, mut changing) = (HashMap::new(), Vec::new());
-        for (group, change) in router.changes() {
+        for (group, change) in router.primaries() {
             if let Some(mark) = change.mark() {
                 primaries.insert(group, mark.clone());
             }
@@ -312,7 +312,7 @@
 impl fmt::Display for Driver {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "changes of primary")?;
-        for (group, change) in self.router.borrow().changes() {
+        for (group, change) in self.router.borrow().primaries() {
             let mark = change.mark().map_or("-", |mark| &mark.0);
             write!(f, "; group {}: {:?} at {mark}, {}", group.0, change.phase(), change.record)?;
         }
--- a/crates/net/src/request.rs
+++ b/crates/net/src/request.rs
@@ -200,7 +200,7 @@
                         ordered: until - sent,
                         copies_allowed: asked.copies,
                         effect: asked.effect,
-                        others_out: out.len(),
+                        other_attempts: out.len(),
                         may_have_run: may_have_run.is_some(),
                         stopped: Cell::new(None),
                         begun: begun.clone(),
@@ -286,7 +286,7 @@
     copies_allowed: bool,
     effect: Effect,
     /// As of when the attempt was ordered: only fewer are out later, and a second one is ordered with the first known.
-    others_out: usize,
+    other_attempts: usize,
     may_have_run: bool,
     /// Why the request goes no further, once that was seen.
     stopped: Cell<Option<Cut>>,
@@ -304,7 +304,7 @@
             process_serving: cut != Some(Cut::ProcessEnds),
             data_fresh: self.driver.is_fresh(self.request, &self.member),
             time_left,
-            others_out: self.others_out,
+            other_attempts: self.other_attempts,
             copies_allowed: self.copies_allowed,
             may_have_run: self.may_have_run,
             effect: self.effect,
