--- a/crates/core/src/backoff.rs
+++ b/crates/core/src/backoff.rs
@@ -33,7 +33,7 @@
 
 /// Why one has to ask again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum WatchEnd {
     /// It was answered, went on for a while and ended, as it may have for all at once.
     Served,
     /// The service said that it can't.
@@ -42,11 +42,11 @@
     Unreached,
 }
 
-impl Ended {
+impl WatchEnd {
     /// How a watch ended that lasted for so long: whether it was refused, answered at all, and had news. Where it waited
     /// and nobody said a word it has not been served, and asking again at once would only add to those who wait.
     #[must_use]
-    pub fn of(refused: bool, answered: bool, news: bool, lasted: Span) -> Self {
+    pub fn classify(refused: bool, answered: bool, news: bool, lasted: Span) -> Self {
         match (refused, answered && (news || lasted > LASTED)) {
             (true, _) => Self::Refused,
             (false, true) => Self::Served,
@@ -82,15 +82,15 @@
     }
 
     /// How long to wait before it is asked again.
-    pub fn pause(&mut self, ended: Ended) -> Span {
+    pub fn pause(&mut self, ended: WatchEnd) -> Span {
         match ended {
-            Ended::Served => {
+            WatchEnd::Served => {
                 self.refused = 0;
                 self.soon.times(self.chance())
             }
             // It costs the service nothing that the own way to it fails.
-            Ended::Unreached => self.soon.times(0.5 + 0.5 * self.chance()),
-            Ended::Refused => {
+            WatchEnd::Unreached => self.soon.times(0.5 + 0.5 * self.chance()),
+            WatchEnd::Refused => {
                 let all = EACH.times(f64::from(self.fleet)).max(LEAST);
                 self.refused = (self.refused + 1).min(MOST_DOUBLINGS);
                 let most = all.times(MOST_TIMES).max(LEAST_MOST);
--- a/crates/core/src/choice.rs
+++ b/crates/core/src/choice.rs
@@ -13,7 +13,7 @@
 use crate::handover::*;
 use crate::interface::*;
 use crate::latency::LatencyEstimate;
-use crate::peers::{Fact, Peers};
+use crate::peers::{Gossip, Observation};
 use crate::sessions::Sessions;
 use crate::state::*;
 use rand_chacha::ChaCha8Rng;
@@ -113,7 +113,7 @@
     sessions: Sessions,
     reasons: Reasons,
     lengths: Lengths,
-    peers: Peers,
+    peers: Gossip,
     crowd: [Counts; 2],
     /// Answers, of all members in service.
     served: Counts,
@@ -145,7 +145,7 @@
             sessions: Sessions::default(),
             reasons: Reasons::default(),
             lengths: Lengths::new(settings.changes),
-            peers: Peers::new(seed, &settings),
+            peers: Gossip::new(seed, &settings),
             crowd: [Counts::default(); 2],
             served: Counts::default(),
             in_service: 0.0,
@@ -185,7 +185,7 @@
         }
         self.sweep(now, actions);
         self.release(now, actions);
-        self.peers.tell(now, actions);
+        self.peers.send_due(now, actions);
         if let Some(line) = self.log.take().filter(|_| now - self.logged >= LOG_EVERY) {
             self.logged = now;
             actions.push(Action::Log { line });
@@ -224,7 +224,7 @@
             self.stirred.insert(entry.group);
             named.extend(full.then(|| entry.member.clone()));
             let (dice, id) = (self.chance(), entry.member.clone());
-            self.peers.enter(&id);
+            self.peers.add_member(&id);
             let m = self.members.entry(entry.member).or_insert_with(|| Member::new(entry.group, limit));
             let before = std::mem::replace(&mut m.group, entry.group);
             if let Some(group) = self.groups.get_mut(&before).filter(|_| before != entry.group) {
@@ -250,7 +250,7 @@
             if let Some(m) = self.members.get(id).filter(|m| done(m)) {
                 self.groups.entry(m.group).and_modify(|group| group.leave(id));
                 self.members.remove(id);
-                self.peers.leave(id);
+                self.peers.remove_member(id);
             }
         }
         self.groups.retain(|_, group| !group.members.is_empty() || !group.held.is_empty());
@@ -285,7 +285,7 @@
             due: deadline,
         };
         self.tally(now, &open, [0.0, 1.0]);
-        self.peers.request();
+        self.peers.credit_request();
         self.retries = (self.retries + RETRY_GAIN).min(RETRY_MOST);
         self.due.insert((deadline, request.id));
         self.open.insert(request.id, open);
@@ -360,7 +360,7 @@
         // Tried members and suspects serve only where nobody better is left, the primary included.
         let rank = |(id, m): &(&MemberId, &Member)| {
             // Nor does one that is known to be too slow. Where all are, it is no member's fault.
-            let late = now + usual.times(m.slow.now(now)) > open.aim;
+            let late = now + usual.times(m.slow.ratio(now)) > open.aim;
             2 * u8::from(open.tried(id)) + u8::from(late || self.suspect(m, now))
         };
         let mut pool = replicas.clone();
@@ -556,16 +556,16 @@
     /// What others have seen counts like what was seen here. Whom they call a primary is believed only where
     /// members check what they are sent: elsewhere the age of data rests on it.
     fn told(&mut self, now: Time, from: u32, bytes: &[u8]) {
-        for fact in self.peers.hear(now, from, bytes) {
+        for fact in self.peers.receive(now, from, bytes) {
             match fact {
-                Fact::Primary { .. } if self.settings.checks == Checks::None => {}
-                Fact::Primary { member, at } => {
+                Observation::Primary { .. } if self.settings.checks == Checks::None => {}
+                Observation::Primary { member, at } => {
                     self.show_primary(now, &member, at.min(now));
-                    self.peers.hush(&member);
+                    self.peers.suppress_announcement(&member);
                 }
-                Fact::Seen { member, answers, late, pace } => {
+                Observation::Answers { member, answers, late, pace } => {
                     let Some(m) = self.members.get_mut(&member) else { continue };
-                    m.slow.learn(now, answers, pace);
+                    m.slow.observe(now, answers, pace);
                     m.heal(answers - late);
                     let (gid, role, seen) = (m.group, m.role(), [f64::from(late), f64::from(answers)]);
                     self.crowd[role].add(now, MEMORY, seen);
@@ -617,7 +617,7 @@
         let Some(m) = self.members.get_mut(id) else { return };
         (m.primary_at, m.position) = (m.primary_at.max(at), m.position.max(at));
         let gid = m.group;
-        self.peers.primary(gid, id, at);
+        self.peers.record_primary(gid, id, at);
         let rival = self.groups.get(&gid).and_then(|group| group.change.mark()).filter(|mark| *mark != id);
         let rival_at = rival.map_or(NEVER, |mark| self.members[mark].primary_at);
         let Some(group) = self.groups.get_mut(&gid) else { return };
@@ -725,7 +725,7 @@
         }
         if let Some(pace) = pace.filter(|_| matches!(verdict, Verdict::Cancelled | Verdict::Timeout)) {
             m.left.retain(|done| now < *done);
-            m.left.push(now + pace.upper_bound(0.0).times(m.slow.now(now)));
+            m.left.push(now + pace.upper_bound(0.0).times(m.slow.ratio(now)));
         }
         let before = m.ejections;
         match verdict {
@@ -785,8 +785,8 @@
         let Some((out, pace)) = out.zip(pace) else { return };
         let took = took.0 as f64;
         if verdict == Verdict::Ok || (verdict == Verdict::Timeout && !lost && took >= pace.mean) {
-            m.slow.learn(now, 1, took / pace.mean.max(1.0));
-            self.peers.saw(id, crowded || verdict == Verdict::Timeout, took / pace.mean.max(1.0));
+            m.slow.observe(now, 1, took / pace.mean.max(1.0));
+            self.peers.record_answer(id, crowded || verdict == Verdict::Timeout, took / pace.mean.max(1.0));
             self.pace[out.class].observe(took);
         }
         // A lost answer beside quick ones says nothing of a crowd; beside slow ones it does.
@@ -806,7 +806,7 @@
         };
         let out: f64 = m.out.values().map(waits).sum();
         let left = self.in_work(m, now) - self.live(m, now);
-        (1.0 + out + left) * m.slow.now(now)
+        (1.0 + out + left) * m.slow.ratio(now)
     }
 
     fn suspect(&self, m: &Member, now: Time) -> bool {
--- a/crates/core/src/choice/retune.rs
+++ b/crates/core/src/choice/retune.rs
@@ -16,7 +16,7 @@
         self.pace.extend(new.map(|class| LatencyEstimate::initial(class.aim)));
         self.classes.resize(settings.classes.len(), Counts::default());
         self.tenants.resize(settings.tenants.len(), Counts::default());
-        self.peers.allow(settings.peers);
+        self.peers.set_enabled(settings.peers);
         self.settings = Settings { changes: self.settings.changes, ..settings };
     }
 }
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -17,13 +17,13 @@
 use std::collections::BTreeMap;
 
 /// No datagram is longer, in bytes.
-pub const LONGEST: usize = 256;
+pub const MAX_DATAGRAM_LEN: usize = 256;
 const VERSION: u8 = 1;
 const HEADER: usize = 11;
 const FACT: usize = 7;
 const CHECK: usize = 4;
 /// Facts in a datagram at most.
-pub const MOST_FACTS: usize = (LONGEST - HEADER - CHECK) / FACT;
+pub const MAX_OBSERVATIONS: usize = (MAX_DATAGRAM_LEN - HEADER - CHECK) / FACT;
 /// The part of G that messages may cost, all in all.
 const ALLOWED: f64 = 0.004;
 /// Bytes of one full message for each request cost the price in the settings.
@@ -52,7 +52,7 @@
 
 /// What a pooler tells of a member.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fact {
+pub enum Observation {
     /// It was shown to be the primary as of this time.
     Primary {
         /// The member.
@@ -61,7 +61,7 @@
         at: Time,
     },
     /// It answered, or did not in time.
-    Seen {
+    Answers {
         /// The member.
         member: MemberId,
         /// How often.
@@ -82,7 +82,7 @@
 
 /// One pooler's side of the talk.
 #[derive(Clone, Debug)]
-pub struct Peers {
+pub struct Gossip {
     on: bool,
     /// The settings allow it still.
     allowed: bool,
@@ -104,7 +104,7 @@
     heard: BTreeMap<u32, i64>,
 }
 
-impl Peers {
+impl Gossip {
     /// A pooler's side; silent and deaf where the settings allow no messages, or nobody is there.
     #[must_use]
     pub fn new(seed: u64, settings: &Settings) -> Self {
@@ -133,12 +133,12 @@
     }
 
     /// Whether the settings allow talk now. Where they did not at the start there is no way to others.
-    pub fn allow(&mut self, allowed: bool) {
+    pub fn set_enabled(&mut self, allowed: bool) {
         self.allowed = allowed;
     }
 
     /// A member that may be told of.
-    pub fn enter(&mut self, member: &MemberId) {
+    pub fn add_member(&mut self, member: &MemberId) {
         if !self.on {
             return;
         }
@@ -149,14 +149,14 @@
     }
 
     /// A member that is told of no more.
-    pub fn leave(&mut self, member: &MemberId) {
+    pub fn remove_member(&mut self, member: &MemberId) {
         self.names.remove(&digest(member.0.as_bytes()));
         self.seen.remove(member);
         self.primaries.retain(|_, (of, ..)| of != member);
     }
 
     /// An own request has come, which earns part of a message.
-    pub fn request(&mut self) {
+    pub fn credit_request(&mut self) {
         if self.on {
             let most = SAVED * FULL * f64::from(self.fleet);
             self.allowance = (self.allowance + self.earns).min(most);
@@ -164,7 +164,7 @@
     }
 
     /// A member answered, or did not in time; `pace` is what it took as a multiple of the usual.
-    pub fn saw(&mut self, member: &MemberId, late: bool, pace: f64) {
+    pub fn record_answer(&mut self, member: &MemberId, late: bool, pace: f64) {
         if self.on {
             let seen = self.seen.entry(member.clone()).or_default();
             seen.answers += 1;
@@ -174,7 +174,7 @@
     }
 
     /// A member was shown here to be its group's primary; news if it was not the one known, or not known so lately.
-    pub fn primary(&mut self, group: GroupId, member: &MemberId, at: Time) {
+    pub fn record_primary(&mut self, group: GroupId, member: &MemberId, at: Time) {
         let known = self.primaries.get(&group);
         if self.on && known.is_none_or(|(_, known, _)| at > *known) {
             let news = known.is_none_or(|(of, _, tell)| of != member || *tell);
@@ -185,22 +185,24 @@
     }
 
     /// All have been told that a member is the primary.
-    pub fn hush(&mut self, member: &MemberId) {
+    pub fn suppress_announcement(&mut self, member: &MemberId) {
         let of = self.primaries.values_mut().filter(|(of, ..)| of == member);
         of.for_each(|(.., tell)| *tell = false);
     }
 
     /// What is to be told now.
-    pub fn tell(&mut self, now: Time, actions: &mut Vec<Action>) {
+    pub fn send_due(&mut self, now: Time, actions: &mut Vec<Action>) {
         if !self.on || !self.allowed {
             return;
         }
         let mut news = Vec::new();
-        for (member, at, tell) in self.primaries.values_mut().filter(|(.., tell)| *tell).take(MOST_FACTS) {
+        for (member, at, tell) in
+            self.primaries.values_mut().filter(|(.., tell)| *tell).take(MAX_OBSERVATIONS)
+        {
             *tell = false;
             // Who was cut off may still say that it is the primary, as of long ago: older than its age can be told.
             if now - *at < OLDEST {
-                news.push(Fact::Primary { member: member.clone(), at: *at });
+                news.push(Observation::Primary { member: member.clone(), at: *at });
             }
         }
         let bytes = self.encode(now, &news);
@@ -213,10 +215,10 @@
             return;
         }
         self.due = now + EVERY + EVERY.times(0.5 * self.chance());
-        let mut facts: Vec<Fact> = std::mem::take(&mut self.seen).into_iter().map(fact).collect();
+        let mut facts: Vec<Observation> = std::mem::take(&mut self.seen).into_iter().map(fact).collect();
         // The slowest first, should there be more than one datagram holds.
         facts.sort_by(|a, b| weight(b).total_cmp(&weight(a)));
-        facts.truncate(MOST_FACTS);
+        facts.truncate(MAX_OBSERVATIONS);
         let bytes = self.encode(now, &facts);
         let each = bytes.len() as f64;
         for _ in 0..MOST_TOLD {
@@ -229,7 +231,7 @@
     }
 
     /// The facts of a datagram from the pooler `from`; none of one that is no use.
-    pub fn hear(&mut self, now: Time, from: u32, bytes: &[u8]) -> Vec<Fact> {
+    pub fn receive(&mut self, now: Time, from: u32, bytes: &[u8]) -> Vec<Observation> {
         if !self.on || !self.allowed || from >= self.fleet || from == self.rank {
             return Vec::new();
         }
@@ -243,18 +245,24 @@
         facts.chunks_exact(FACT).filter_map(|fact| self.read(at, fact)).collect()
     }
 
-    fn read(&self, sent: Time, fact: &[u8]) -> Option<Fact> {
+    fn read(&self, sent: Time, fact: &[u8]) -> Option<Observation> {
         let name = u32::from_be_bytes(fact.get(1..5)?.try_into().ok()?);
         let member = self.names.get(&name)?.clone()?;
         let (a, b) = (fact[5], fact[6]);
         match fact[0] {
-            b'P' => {
-                Some(Fact::Primary { member, at: sent - Span::millis(i64::from(u16::from_be_bytes([a, b]))) })
-            }
+            b'P' => Some(Observation::Primary {
+                member,
+                at: sent - Span::millis(i64::from(u16::from_be_bytes([a, b]))),
+            }),
             b'S' => {
                 let (answers, late) = (u32::from(a >> 4), u32::from(a & 15));
                 let pace = ((f64::from(b) - 128.0) / STEPS).exp2();
-                (late <= answers && answers > 0).then_some(Fact::Seen { member, answers, late, pace })
+                (late <= answers && answers > 0).then_some(Observation::Answers {
+                    member,
+                    answers,
+                    late,
+                    pace,
+                })
             }
             _ => None,
         }
@@ -264,20 +272,20 @@
         f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
     }
 
-    fn encode(&self, now: Time, facts: &[Fact]) -> Vec<u8> {
+    fn encode(&self, now: Time, facts: &[Observation]) -> Vec<u8> {
         let sent = now.0 / 1_000;
         let mut bytes = Vec::with_capacity(HEADER + FACT * facts.len() + CHECK);
         bytes.push(VERSION);
         bytes.extend_from_slice(&self.site.to_be_bytes());
         bytes.extend_from_slice(&sent.to_be_bytes()[2..]);
-        for fact in facts.iter().take(MOST_FACTS) {
+        for fact in facts.iter().take(MAX_OBSERVATIONS) {
             let (kind, member, rest) = match fact {
-                Fact::Primary { member, at } => {
+                Observation::Primary { member, at } => {
                     // Rounded down: a primary is not claimed for later than it was shown.
                     let age = (sent - at.0.div_euclid(1_000)).clamp(0, i64::from(u16::MAX)) as u16;
                     (b'P', member, age.to_be_bytes())
                 }
-                Fact::Seen { member, answers, late, pace } => {
+                Observation::Answers { member, answers, late, pace } => {
                     // More than fifteen are told as fifteen, with the same part of them late.
                     let (all, most) = (f64::from((*answers).max(1)), (*answers).clamp(1, 15));
                     let late = (f64::from(*late) * f64::from(most) / all).round();
@@ -295,18 +303,18 @@
     }
 }
 
-fn fact((member, seen): (MemberId, Seen)) -> Fact {
+fn fact((member, seen): (MemberId, Seen)) -> Observation {
     let Seen { answers, late, pace } = seen;
-    Fact::Seen { member, answers, late, pace: pace / f64::from(answers.max(1)) }
+    Observation::Answers { member, answers, late, pace: pace / f64::from(answers.max(1)) }
 }
 
-fn weight(fact: &Fact) -> f64 {
-    if let Fact::Seen { pace, .. } = fact { *pace } else { f64::INFINITY }
+fn weight(fact: &Observation) -> f64 {
+    if let Observation::Answers { pace, .. } = fact { *pace } else { f64::INFINITY }
 }
 
 /// When a datagram was sent, in milliseconds, and its facts; `None` if it is none of this site's.
 fn open(site: u32, bytes: &[u8]) -> Option<(i64, &[u8])> {
-    if bytes.len() > LONGEST || bytes.len() < HEADER + CHECK {
+    if bytes.len() > MAX_DATAGRAM_LEN || bytes.len() < HEADER + CHECK {
         return None;
     }
     let (body, check) = bytes.split_at(bytes.len() - CHECK);
--- a/crates/core/src/retune.rs
+++ b/crates/core/src/retune.rs
@@ -7,11 +7,11 @@
 
 /// So many classes are held, of all versions together. A further version is refused: the numbers of earlier ones stay, since
 /// nobody here knows which requests are open.
-pub const MOST_CLASSES: usize = 1_024;
+pub const MAX_CLASSES: usize = 1_024;
 
 /// The classes of all versions by number, and the numbers of this version's in its order; `None` if they are too many.
 #[must_use]
-pub fn merge(held: &[Class], new: &[Class]) -> Option<(Vec<Class>, Vec<ClassId>)> {
+pub fn merge_classes(held: &[Class], new: &[Class]) -> Option<(Vec<Class>, Vec<ClassId>)> {
     let mut all = held.to_vec();
     let mut number = |class: &Class| {
         let at = all.iter().position(|held| held == class).unwrap_or_else(|| {
@@ -21,11 +21,11 @@
         ClassId(at)
     };
     let numbers = new.iter().map(&mut number).collect();
-    (all.len() <= MOST_CLASSES).then_some((all, numbers))
+    (all.len() <= MAX_CLASSES).then_some((all, numbers))
 }
 
 /// So many tenants are held, of all versions together, for the same reason.
-pub const MOST_TENANTS: usize = 4_096;
+pub const MAX_TENANTS: usize = 4_096;
 
 /// The tenants of all versions by number, and the numbers of this version's in its order; `None` if they are too many. The
 /// shares are this version's: whom it doesn't name has none.
@@ -43,5 +43,5 @@
         TenantId(at)
     });
     let numbers = numbers.collect();
-    (all.len() <= MOST_TENANTS).then_some((all, numbers))
+    (all.len() <= MAX_TENANTS).then_some((all, numbers))
 }
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -14,7 +14,7 @@
 
 /// A length of time given in milliseconds.
 #[must_use]
-pub fn span(ms: f64) -> Span {
+pub fn span_from_ms(ms: f64) -> Span {
     Span((ms * 1_000.0).round() as i64)
 }
 
@@ -23,7 +23,7 @@
 pub struct Pairs {
     values: BTreeMap<String, String>,
     /// The keys that were asked for, there or not.
-    asked: RefCell<BTreeSet<String>>,
+    requested: RefCell<BTreeSet<String>>,
 }
 
 /// A setting that a configuration has and nothing goes by.
@@ -117,17 +117,17 @@
     }
 
     fn get(&self, key: &str) -> Option<&str> {
-        let mut asked = self.asked.borrow_mut();
-        if !asked.contains(key) {
-            asked.insert(key.to_owned());
+        let mut requested = self.requested.borrow_mut();
+        if !requested.contains(key) {
+            requested.insert(key.to_owned());
         }
         self.values.get(key).map(String::as_str)
     }
 
     /// The keys that were asked for so far, whether they were there or not.
     #[must_use]
-    pub fn asked(&self) -> BTreeSet<String> {
-        self.asked.borrow().clone()
+    pub fn requested(&self) -> BTreeSet<String> {
+        self.requested.borrow().clone()
     }
 
     /// The keys that are there.
@@ -138,14 +138,14 @@
     /// The keys that the schema does not know.
     #[must_use]
     pub fn unknown(&self) -> Vec<&str> {
-        self.keys().filter(|path| Key::of(path).is_none()).collect()
+        self.keys().filter(|path| Key::find(path).is_none()).collect()
     }
 
     /// The settings that are there and known, and that nothing goes by: those of a list's items once for all of them, and each
     /// field of a load report by itself.
     #[must_use]
     pub fn unused(&self) -> Vec<Unused> {
-        let known = self.keys().filter_map(Key::of);
+        let known = self.keys().filter_map(Key::find);
         let keys = known.filter_map(|key| match key.usage {
             Usage::Read => None,
             Usage::Decoded(why) | Usage::Unread(why) => Some(Unused { path: key.path.to_owned(), why }),
@@ -186,7 +186,7 @@
             "strong" => Need::Fresh,
             "lag_bound" => {
                 let bound = bounds.get(at).and_then(|text| text.parse().ok());
-                Need::Bounded(span(bound.ok_or("FamilyInfo.OldestData is unreadable")?))
+                Need::Bounded(span_from_ms(bound.ok_or("FamilyInfo.OldestData is unreadable")?))
             }
             other => return Err(format!("unknown need '{other}' in FamilyInfo.NeedsByClass")),
         };
@@ -201,7 +201,7 @@
             name: keys.text(&lane("Name"))?.to_owned(),
             effect,
             need,
-            aim: span(keys.number(&lane("Objective"))?),
+            aim: span_from_ms(keys.number(&lane("Objective"))?),
             aim_stretch: keys.number_or(&lane("AimStretch"), 0.0)?,
             worth: keys.number(&lane("Worth"))?,
             late_worth: keys.number(&lane("LateValue"))?,
@@ -235,20 +235,20 @@
             "kept" => Tokens::Remembered,
             other => return Err(format!("unknown FamilyInfo.SessionMarks '{other}'")),
         },
-        zero: Time(span(keys.number("FamilyInfo.Zero")?).0),
+        zero: Time(span_from_ms(keys.number("FamilyInfo.Zero")?).0),
         report: fields.collect(),
         max_attempts: keys.number("Limits.SendCap")? as u32,
         second_copies: keys.flag("Limits.MayDuplicate")?,
         probes: keys.flag("Limits.Probing")?,
         cancels: keys.flag("Limits.Cancel")?,
         retry_after: keys.flag("Limits.RetryAfter")?,
-        max_retry_after: span(keys.number_or("Limits.MaxRetryAfter", 0.0)?),
-        drain_grace: span(keys.number("Rules.DrainGrace")?),
+        max_retry_after: span_from_ms(keys.number_or("Limits.MaxRetryAfter", 0.0)?),
+        drain_grace: span_from_ms(keys.number("Rules.DrainGrace")?),
         soft_removal: keys.flag("Rules.SoftRemoval").unwrap_or(false),
         cold_share: keys.number("Rules.ColdFrom")?,
-        cold_span: span(keys.number("Rules.Cold")?),
+        cold_span: span_from_ms(keys.number("Rules.Cold")?),
         fall_multiple: keys.number("Rules.FallMultiple")?,
-        fall_span: span(keys.number("Rules.Fall")?),
+        fall_span: span_from_ms(keys.number("Rules.Fall")?),
         over_share_worth: keys.number_or("OverShareWorth", 1.0)?,
         goal: Goal {
             whole: keys.number_or("ObjectiveMix.Whole", 0.0)?,
--- a/crates/core/src/settings/schema.rs
+++ b/crates/core/src/settings/schema.rs
@@ -36,11 +36,11 @@
 
     /// The key of this path, if there is one.
     #[must_use]
-    pub fn of(path: &str) -> Option<&'static Self> {
-        KEYS.iter().find(|key| key.covers(path))
+    pub fn find(path: &str) -> Option<&'static Self> {
+        KEYS.iter().find(|key| key.matches(path))
     }
 
-    fn covers(&self, path: &str) -> bool {
+    fn matches(&self, path: &str) -> bool {
         let mut parts = path.split('.');
         let mut same = self.path.split('.').all(|wanted| {
             let part = parts.next().unwrap_or("");
--- a/crates/core/src/slowness.rs
+++ b/crates/core/src/slowness.rs
@@ -26,15 +26,15 @@
 impl Slowness {
     /// What it is taken for now: 1 is as usual.
     #[must_use]
-    pub fn now(&self, now: Time) -> f64 {
+    pub fn ratio(&self, now: Time) -> f64 {
         let keeps = (-((now - self.at).0.max(0) as f64) / FORGETS.0 as f64).exp();
         1.0 + (self.value - 1.0) * keeps
     }
 
     /// So many answers took this multiple of the usual, in the mean.
-    pub fn learn(&mut self, now: Time, answers: u32, pace: f64) {
+    pub fn observe(&mut self, now: Time, answers: u32, pace: f64) {
         let keeps = KEEPS.powi(i32::try_from(answers).unwrap_or(i32::MAX));
-        self.value = (self.now(now) * keeps + (1.0 - keeps) * pace).clamp(QUICKEST, SLOWEST);
+        self.value = (self.ratio(now) * keeps + (1.0 - keeps) * pace).clamp(QUICKEST, SLOWEST);
         self.at = now;
     }
 }
--- a/crates/core/tests/backoff.rs
+++ b/crates/core/tests/backoff.rs
@@ -1,7 +1,7 @@
 //! A service of fixed capacity that a whole fleet asks.
 
 use linnetdeal_core::Span;
-use linnetdeal_core::backoff::{Backoff, Ended};
+use linnetdeal_core::backoff::{Backoff, WatchEnd};
 use std::collections::BTreeSet;
 
 const GRACE: Span = Span::millis(250);
@@ -13,7 +13,7 @@
         (0..poolers).map(|at| Backoff::new(u64::from(at), poolers, GRACE)).collect();
     let mut asks: BTreeSet<(i64, u32)> = BTreeSet::new();
     for (at, back) in (0..).zip(&mut backs) {
-        asks.insert((back.pause(Ended::Served).0 / 1_000, at));
+        asks.insert((back.pause(WatchEnd::Served).0 / 1_000, at));
     }
     let (mut free, mut waiting, mut there) = (0, Vec::new(), 0);
     while let Some((now, at)) = asks.pop_first().filter(|(now, _)| *now < seconds * 1_000) {
@@ -27,7 +27,7 @@
         };
         match again {
             Some(told) => {
-                asks.insert((told + backs[at as usize].pause(Ended::Refused).0 / 1_000, at));
+                asks.insert((told + backs[at as usize].pause(WatchEnd::Refused).0 / 1_000, at));
             }
             None => there += 1,
         }
@@ -46,11 +46,11 @@
 #[test]
 fn a_small_fleet_hardly_waits() {
     let mut back = Backoff::new(7, 4, GRACE);
-    assert!(back.pause(Ended::Served) <= Span::millis(80));
-    assert!(back.pause(Ended::Refused) <= Span::millis(160));
+    assert!(back.pause(WatchEnd::Served) <= Span::millis(80));
+    assert!(back.pause(WatchEnd::Refused) <= Span::millis(160));
     for _ in 0..12 {
         assert!(
-            back.pause(Ended::Refused) <= Span::millis(1_000),
+            back.pause(WatchEnd::Refused) <= Span::millis(1_000),
             "what is told binds whether it was heard or not"
         );
     }
@@ -63,9 +63,9 @@
         let most = Span::millis(grace).0 / 4;
         let most = most.max(20_000);
         for _ in 0..40 {
-            let pause = back.pause(Ended::Served);
+            let pause = back.pause(WatchEnd::Served);
             assert!(pause <= Span(most), "what an agent has binds, watched or not: {pause:?}");
-            let pause = back.pause(Ended::Unreached);
+            let pause = back.pause(WatchEnd::Unreached);
             assert!(pause <= Span(most) && pause >= Span(most / 2), "{pause:?}");
         }
     }
@@ -75,19 +75,24 @@
 fn no_two_poolers_keep_step_and_no_pause_is_endless() {
     let mut ones: Vec<Backoff> = (0..100).map(|seed| Backoff::new(seed, 100, GRACE)).collect();
     for _ in 0..20 {
-        let pauses: BTreeSet<i64> = ones.iter_mut().map(|one| one.pause(Ended::Refused).0 / 1_000).collect();
+        let pauses: BTreeSet<i64> =
+            ones.iter_mut().map(|one| one.pause(WatchEnd::Refused).0 / 1_000).collect();
         assert!(pauses.len() > 90 && pauses.last() <= Some(&16_000));
     }
-    let again = ones[0].pause(Ended::Served);
+    let again = ones[0].pause(WatchEnd::Served);
     assert!(again <= Span::millis(2_000), "served once, it starts anew");
 }
 
 #[test]
 fn who_waited_for_nothing_was_not_served() {
     let long = Span::millis(3_200);
-    assert_eq!(Ended::of(false, false, false, long), Ended::Unreached, "silence");
-    assert_eq!(Ended::of(true, false, false, long), Ended::Refused, "503 after a wait");
-    assert_eq!(Ended::of(false, true, false, long), Ended::Served);
-    assert_eq!(Ended::of(false, true, true, Span(1)), Ended::Served);
-    assert_eq!(Ended::of(false, true, false, Span(1)), Ended::Unreached, "dropped at once, again and again");
+    assert_eq!(WatchEnd::classify(false, false, false, long), WatchEnd::Unreached, "silence");
+    assert_eq!(WatchEnd::classify(true, false, false, long), WatchEnd::Refused, "503 after a wait");
+    assert_eq!(WatchEnd::classify(false, true, false, long), WatchEnd::Served);
+    assert_eq!(WatchEnd::classify(false, true, true, Span(1)), WatchEnd::Served);
+    assert_eq!(
+        WatchEnd::classify(false, true, false, Span(1)),
+        WatchEnd::Unreached,
+        "dropped at once, again and again"
+    );
 }
--- a/crates/core/tests/retune.rs
+++ b/crates/core/tests/retune.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use linnetdeal_core::retune::{MOST_CLASSES, MOST_TENANTS, merge, merge_tenants};
+use linnetdeal_core::retune::{MAX_CLASSES, MAX_TENANTS, merge_classes, merge_tenants};
 use linnetdeal_core::*;
 
 #[test]
@@ -10,14 +10,14 @@
     let held = settings().classes;
     let changed = Class { effect: Effect::Unsafe, ..held[4].clone() };
     let new = [held[2].clone(), class("more", Need::Any, Effect::Safe), changed.clone(), held[0].clone()];
-    let (all, numbers) = merge(&held, &new).unwrap();
+    let (all, numbers) = merge_classes(&held, &new).unwrap();
     assert_eq!(numbers, [ClassId(2), ClassId(6), ClassId(7), ClassId(0)]);
     assert_eq!((&all[..6], &all[7]), (&held[..], &changed));
     // Back and forth between two versions adds nothing; endless versions are refused at a bound.
-    assert_eq!(merge(&all, &held).unwrap().0, all);
-    assert_eq!(merge(&all, &new).unwrap().0, all);
-    let many: Vec<_> = (0..MOST_CLASSES).map(|at| class(&at.to_string(), Need::Any, Effect::Safe)).collect();
-    assert!(merge(&held, &many).is_none() && merge(&[], &many).is_some());
+    assert_eq!(merge_classes(&all, &held).unwrap().0, all);
+    assert_eq!(merge_classes(&all, &new).unwrap().0, all);
+    let many: Vec<_> = (0..MAX_CLASSES).map(|at| class(&at.to_string(), Need::Any, Effect::Safe)).collect();
+    assert!(merge_classes(&held, &many).is_none() && merge_classes(&[], &many).is_some());
 }
 
 #[test]
@@ -31,7 +31,7 @@
     let (all, numbers) = merge_tenants(&all, &held).unwrap();
     assert_eq!(all, [tenant("a", 5.0), tenant("b", 6.0), tenant("c", 0.0)]);
     assert_eq!(numbers, [TenantId(0), TenantId(1)]);
-    let many: Vec<_> = (0..MOST_TENANTS).map(|at| tenant(&at.to_string(), 1.0)).collect();
+    let many: Vec<_> = (0..MAX_TENANTS).map(|at| tenant(&at.to_string(), 1.0)).collect();
     assert!(merge_tenants(&held, &many).is_none() && merge_tenants(&[], &many).is_some());
 }
 
@@ -44,7 +44,7 @@
     // 'any' is a write that must not run twice now, and one attempt is all there is.
     new.classes = vec![class("any", Need::Write, Effect::Unsafe)];
     new.max_attempts = 1;
-    let (all, numbers) = merge(host.router.classes(), &new.classes).unwrap();
+    let (all, numbers) = merge_classes(host.router.classes(), &new.classes).unwrap();
     new.classes = all;
     host.router.update_settings(new);
     for attempt in 0..3 {
--- a/crates/core/tests/settings.rs
+++ b/crates/core/tests/settings.rs
@@ -6,10 +6,10 @@
 #[test]
 fn keys_of_the_schema_are_found_by_their_paths() {
     for path in ["Lanes.count", "Lanes.0.Name", "Lanes.17.Name", "Tenants", "Zone"] {
-        assert!(Key::of(path).is_some(), "{path}");
+        assert!(Key::find(path).is_some(), "{path}");
     }
     for path in ["Lanes.x.Name", "Lanes.Name", "Lanes.0", "Lanes.0.Name.More", "Zone.count", "zone", ""] {
-        assert_eq!(Key::of(path), None, "{path}");
+        assert_eq!(Key::find(path), None, "{path}");
     }
 }
 
@@ -36,9 +36,9 @@
 #[test]
 fn a_key_that_is_asked_for_is_noted_whether_it_is_there_or_not() {
     let pairs = Pairs::from_parts("Rank=3".split(' '));
-    assert_eq!(pairs.asked().len(), 0);
+    assert_eq!(pairs.requested().len(), 0);
     assert_eq!(pairs.number_or("Rank", 0.0), Ok(3.0));
     assert_eq!(pairs.number_or("Costs.Peer", 0.5), Ok(0.5));
     assert_eq!(pairs.text("Zone"), Err("setting Zone is missing".to_owned()));
-    assert_eq!(pairs.asked().into_iter().collect::<Vec<_>>(), ["Costs.Peer", "Rank", "Zone"]);
+    assert_eq!(pairs.requested().into_iter().collect::<Vec<_>>(), ["Costs.Peer", "Rank", "Zone"]);
 }
--- a/crates/core/tests/slowness.rs
+++ b/crates/core/tests/slowness.rs
@@ -8,15 +8,15 @@
 #[test]
 fn slowness_is_learned_within_bounds_and_forgotten_with_time() {
     let (mut slow, mut now) = (Slowness::default(), Time(1_000_000_000));
-    assert!((slow.now(now) - 1.0).abs() < 1e-9);
-    (0..50).for_each(|_| slow.learn(now, 4, 90.0));
-    assert!((slow.now(now) - 10.0).abs() < 1e-9);
+    assert!((slow.ratio(now) - 1.0).abs() < 1e-9);
+    (0..50).for_each(|_| slow.observe(now, 4, 90.0));
+    assert!((slow.ratio(now) - 10.0).abs() < 1e-9);
     now = now + Span::millis(2_500);
-    assert!((4.0..4.7).contains(&slow.now(now)), "{}", slow.now(now));
+    assert!((4.0..4.7).contains(&slow.ratio(now)), "{}", slow.ratio(now));
     now = now + Span::millis(60_000);
-    assert!(slow.now(now) < 1.01);
-    slow.learn(now, 1_000_000, 0.0);
-    assert!((slow.now(now) - 0.3).abs() < 1e-9);
+    assert!(slow.ratio(now) < 1.01);
+    slow.observe(now, 1_000_000, 0.0);
+    assert!((slow.ratio(now) - 0.3).abs() < 1e-9);
 }
 
 /// Two replicas and a primary; replica 2 has answered usually, replica 3 in `slow` ms, and is worth no read then.
--- a/crates/daemon/tests/sockets.rs
+++ b/crates/daemon/tests/sockets.rs
@@ -749,7 +749,7 @@
 
 #[test]
 fn a_poolers_word_moves_a_write_and_a_strangers_does_not() {
-    use linnetdeal_core::peers::{Peers, To};
+    use linnetdeal_core::peers::{Gossip, To};
     use linnetdeal_core::settings::Pairs;
     use linnetdeal_core::{Action, GroupId, MemberId, Settings, Span, Time};
     let (one, two) = (plain("s-1", "master"), plain("s-2", "replica"));
@@ -765,12 +765,12 @@
 
     // A genuine datagram of the other pooler, to which the primary has just changed.
     let settings = Pairs::from_json(&config["settings"]).settings().unwrap();
-    let mut other = Peers::new(1, &Settings { rank: 1, ..settings });
+    let mut other = Gossip::new(1, &Settings { rank: 1, ..settings });
     let now = Time(SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as i64);
-    other.primary(GroupId(2), &MemberId("s-1".into()), now - Span::millis(1));
-    other.primary(GroupId(2), &MemberId("s-2".into()), now);
+    other.record_primary(GroupId(2), &MemberId("s-1".into()), now - Span::millis(1));
+    other.record_primary(GroupId(2), &MemberId("s-2".into()), now);
     let mut actions = Vec::new();
-    other.tell(now, &mut actions);
+    other.send_due(now, &mut actions);
     let [Action::Tell { to: To::All, bytes }] = &actions[..] else { panic!("{actions:?}") };
 
     // The counters only say when what was sent has been read.
--- a/crates/fleet/src/even/scheme.rs
+++ b/crates/fleet/src/even/scheme.rs
@@ -220,7 +220,7 @@
         let pair = self.pair(pooler, to);
         let out = f64::from(pair.out);
         let age = (now.0 as f64 - pair.sent as f64 / out.max(1.0)) / self.pace[pooler].mean.max(1.0);
-        (1.0 + out * age.clamp(1.0, LONGEST_WAIT)) * pair.slow.now(now)
+        (1.0 + out * age.clamp(1.0, LONGEST_WAIT)) * pair.slow.ratio(now)
     }
 
     fn forward(&mut self, now: Time, pooler: usize, pool: &[u32], first: usize) -> u32 {
@@ -369,7 +369,7 @@
         self.lost(pooler, to, sent);
         let ratio = took.0 as f64 / self.pace[pooler].mean.max(1.0);
         let pair = self.pair_mut(pooler, to);
-        pair.slow.learn(now, 1, ratio);
+        pair.slow.observe(now, 1, ratio);
         pair.speed += (ratio.clamp(0.1, 10.0) - pair.speed) / SPEED_MEMORY;
         self.pace[pooler].observe(took.0 as f64);
     }
--- a/crates/fleet/tests/forward.rs
+++ b/crates/fleet/tests/forward.rs
@@ -60,12 +60,12 @@
             for _ in 0..8 {
                 let pace = if at == 5 { 2.0 } else { 1.0 };
                 let takes: f64 = Exp1.sample(&mut rng);
-                slow.learn(now, 1, pace * takes);
+                slow.observe(now, 1, pace * takes);
             }
         }
         for _ in 0..20 {
             let first = subset::first_pick(rng.next_u32() as usize, rank, ROUTERS, MEMBERS);
-            got[least(first, MEMBERS, |at| slow[at].now(now))] += 1;
+            got[least(first, MEMBERS, |at| slow[at].ratio(now))] += 1;
         }
     }
     let even = f64::from(ROUTERS) * 20.0 / MEMBERS as f64;
@@ -80,8 +80,8 @@
 #[test]
 fn one_that_was_slow_gets_its_picks_back() {
     let (mut slow, now) = (Slowness::default(), Time(1_000_000_000));
-    (0..20).for_each(|_| slow.learn(now, 1, 5.0));
-    let pick = |now: Time| least(0, 3, |at| if at == 0 { slow.now(now) } else { 1.01 });
+    (0..20).for_each(|_| slow.observe(now, 1, 5.0));
+    let pick = |now: Time| least(0, 3, |at| if at == 0 { slow.ratio(now) } else { 1.01 });
     assert_ne!(pick(now), 0);
     assert_eq!(pick(now + Span::millis(60_000)), 0);
 }
--- a/crates/net/src/config.rs
+++ b/crates/net/src/config.rs
@@ -2,7 +2,7 @@
 //! Keys that mean nothing here are ignored.
 
 use linnetdeal_core::membership::{Claim, Evidence, News};
-use linnetdeal_core::settings::{Pairs, Unused, span};
+use linnetdeal_core::settings::{Pairs, Unused, span_from_ms};
 use linnetdeal_core::*;
 use serde::Deserialize;
 use serde_json::Value;
@@ -269,7 +269,7 @@
 
 impl HostSettings {
     fn decode(pairs: &Pairs) -> Result<Self, String> {
-        let time = |key: &str, absent| Ok::<_, String>(duration(span(pairs.number_or(key, absent)?)));
+        let time = |key: &str, absent| Ok::<_, String>(duration(span_from_ms(pairs.number_or(key, absent)?)));
         let positive = |key: &str, time: Duration| {
             if time.is_zero() { Err(format!("setting {key} is not above 0")) } else { Ok(time) }
         };
@@ -369,7 +369,7 @@
             group: self.cell.map(|cell| GroupId(cell as i64)),
             state: self.state(),
             primary: self.part.as_deref() == Some("master"),
-            started: self.started_at_ms.filter(|ms| *ms > 0.0).map(|ms| Time(span(ms).0)),
+            started: self.started_at_ms.filter(|ms| *ms > 0.0).map(|ms| Time(span_from_ms(ms).0)),
             zone: self.zone.clone(),
             machine: self.machine_type.clone(),
             evidence: Evidence { stamp: number, ..Evidence::default() },
--- a/crates/net/src/discovery.rs
+++ b/crates/net/src/discovery.rs
@@ -11,7 +11,7 @@
 use async_io::{Async, Timer};
 use event_listener::Event as Bell;
 use futures_lite::future::or;
-use linnetdeal_core::backoff::{Backoff, Ended};
+use linnetdeal_core::backoff::{Backoff, WatchEnd};
 use linnetdeal_core::{ListState, Span};
 use std::cell::Cell;
 use std::io;
@@ -141,7 +141,12 @@
         let answered = Cell::new(false);
         let ended = or(watch(&node, address, before, &answered), left).await;
         let refused = matches!(ended, Err(WatchError::Http(HttpError::Status(_))));
-        let why = Ended::of(refused, answered.get(), node.newest.get() != before, span_of(opened.elapsed()));
+        let why = WatchEnd::classify(
+            refused,
+            answered.get(),
+            node.newest.get() != before,
+            span_of(opened.elapsed()),
+        );
         match ended {
             // A dropped watch is nothing to report; an answer that makes no sense is, once.
             Err(WatchError::Io(_)) | Ok(()) => {}
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -154,7 +154,7 @@
         tenants: &Tenants,
         longest_deadline: Duration,
     ) -> bool {
-        let merged = retune::merge(self.router.borrow().classes(), &settings.classes);
+        let merged = retune::merge_classes(self.router.borrow().classes(), &settings.classes);
         let Some((all, present)) = merged else { return false };
         let Some((shares, named)) = retune::merge_tenants(&tenants.all(), &settings.tenants) else {
             return false;
--- a/crates/net/src/peers.rs
+++ b/crates/net/src/peers.rs
@@ -9,7 +9,7 @@
 use futures_lite::future::{or, yield_now};
 use linnetdeal_coordination::lease::MAGIC;
 use linnetdeal_core::Event;
-use linnetdeal_core::peers::{LONGEST, To};
+use linnetdeal_core::peers::{MAX_DATAGRAM_LEN, To};
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
@@ -99,7 +99,7 @@
 
     async fn receive(&self) {
         // One byte more than any has, so that a longer one is not taken for a whole one.
-        let mut buffer = [0; LONGEST + 1];
+        let mut buffer = [0; MAX_DATAGRAM_LEN + 1];
         loop {
             match self.socket.recv_from(&mut buffer).await {
                 Ok((size, sender)) => match self.numbers.get(&sender) {
--- a/crates/net/tests/settings.rs
+++ b/crates/net/tests/settings.rs
@@ -51,12 +51,12 @@
 fn every_key_of_the_schema_is_read_or_stands_as_one_that_is_not() {
     let pairs = Pairs::from_json(&settings());
     assert_eq!(pairs.unknown(), Vec::<&str>::new(), "not in the schema");
-    let present: BTreeSet<&str> = pairs.keys().filter_map(Key::of).map(|key| key.path).collect();
+    let present: BTreeSet<&str> = pairs.keys().filter_map(Key::find).map(|key| key.path).collect();
     decode_settings(&pairs).unwrap();
-    let asked = pairs.asked();
-    let strange: Vec<&String> = asked.iter().filter(|path| Key::of(path).is_none()).collect();
+    let asked = pairs.requested();
+    let strange: Vec<&String> = asked.iter().filter(|path| Key::find(path).is_none()).collect();
     assert_eq!(strange, Vec::<&String>::new(), "asked for and not in the schema");
-    let asked: BTreeSet<&str> = asked.iter().filter_map(|path| Key::of(path)).map(|key| key.path).collect();
+    let asked: BTreeSet<&str> = asked.iter().filter_map(|path| Key::find(path)).map(|key| key.path).collect();
     for Key { path, usage } in KEYS {
         assert!(present.contains(path), "the example lacks {path}");
         let decoded = !matches!(usage, Usage::Unread(_));
@@ -111,7 +111,7 @@
         let changed = decode(&after) != decode(&before);
         // Bounds count only where a class has one, and the longest deadline is the longest of all.
         let shorter = ["Lanes.0.Deadline"].contains(&path.as_str());
-        let decoded = !matches!(Key::of(&path).unwrap().usage, Usage::Unread(_));
+        let decoded = !matches!(Key::find(&path).unwrap().usage, Usage::Unread(_));
         assert_eq!(changed, decoded && !shorter, "{path}");
     }
 }
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -2,7 +2,7 @@
 //! decides nothing; instances share nothing but the numbered lists that the wire itself shares.
 
 use linnetdeal_core::Router;
-use linnetdeal_core::settings::{Pairs, Parsed, span};
+use linnetdeal_core::settings::{Pairs, Parsed, span_from_ms};
 use linnetdeal_core::*;
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -181,8 +181,8 @@
                 session: session.map(SessionKey),
                 left,
                 group,
-                last_write: last_write.filter(|ms| *ms > 0.0).map(span),
-                cost: cost.filter(|_| bits & 1 != 0).map(span),
+                last_write: last_write.filter(|ms| *ms > 0.0).map(span_from_ms),
+                cost: cost.filter(|_| bits & 1 != 0).map(span_from_ms),
                 retry: bits & 2 != 0,
             })
         }
@@ -249,7 +249,7 @@
     };
     let _weight = parts.text("PowerHint")?;
     let started: Option<f64> = parts.optional("OnlineSince")?;
-    let started = started.filter(|ms| *ms > 0.0).map(|ms| Time(span(ms).0));
+    let started = started.filter(|ms| *ms > 0.0).map(|ms| Time(span_from_ms(ms).0));
     Ok(Entry { member, group, state, primary, started, zone })
 }
 
@@ -284,7 +284,7 @@
     }
 
     fn span(&mut self, what: &str) -> Parsed<Span> {
-        Ok(span(self.number(what)?))
+        Ok(span_from_ms(self.number(what)?))
     }
 
     fn time(&mut self, what: &str) -> Parsed<Time> {
