--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -22,13 +22,13 @@
 use std::time::Duration;
 
 /// A wake later than this tells that the process stood still.
-const LATE: Span = Span::millis(5);
+const LATE_WAKE: Span = Span::millis(5);
 /// Long enough for one turn of the reactor.
-const A_TURN: Duration = Duration::from_millis(1);
+const REACTOR_TURN: Duration = Duration::from_millis(1);
 
 /// What the module wants done for a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum RequestAction {
     /// Start an attempt.
     Send {
         /// Where to.
@@ -61,10 +61,10 @@
     router: RefCell<Router>,
     actions: RefCell<Vec<Action>>,
     mailboxes: RefCell<HashMap<RequestId, Rc<Mailbox>>>,
-    last: Cell<u64>,
+    last_id: Cell<u64>,
     wakes: (Sender<Time>, Receiver<Time>),
     probes: Sender<MemberId>,
-    tells: Sender<(To, Vec<u8>)>,
+    peer_messages: Sender<(To, Vec<u8>)>,
     invariants: RefCell<Invariants>,
 }
 
@@ -75,7 +75,7 @@
         router: Router,
         counters: Rc<Counters>,
         probes: Sender<MemberId>,
-        tells: Sender<(To, Vec<u8>)>,
+        peer_messages: Sender<(To, Vec<u8>)>,
     ) -> Self {
         let invariants = RefCell::new(Invariants::new(router.drain_grace()));
         Self {
@@ -85,10 +85,10 @@
             router: RefCell::new(router),
             actions: RefCell::default(),
             mailboxes: RefCell::default(),
-            last: Cell::new(0),
+            last_id: Cell::new(0),
             wakes: async_channel::unbounded(),
             probes,
-            tells,
+            peer_messages,
             invariants,
         }
     }
@@ -98,32 +98,34 @@
         // With these lines of all poolers a day is counted over the whole fleet; see docs/design/fleet-scale.md.
         tracing::debug!(target: "events", "{event:?}");
         self.stall.moved();
-        self.watch_members(&event);
+        self.track_members(&event);
         let mut actions = self.actions.take();
         self.router.borrow_mut().handle(self.clock.now(), event, &mut actions);
         for action in actions.drain(..) {
-            self.pass_on(action);
+            self.dispatch(action);
         }
         self.actions.replace(actions);
     }
 
-    fn pass_on(&self, action: Action) {
+    fn dispatch(&self, action: Action) {
         tracing::debug!(target: "actions", "{action:?}");
         match action {
             Action::Send { request, member, timeout } => {
-                self.order(request, Order::Send { member, until: self.clock.now() + timeout });
+                self.post_action(request, RequestAction::Send { member, until: self.clock.now() + timeout });
             }
             Action::Refuse { request, retry_after } => {
                 self.log_given_up(request, "refused");
-                self.order(request, Order::Refuse { retry_after });
+                self.post_action(request, RequestAction::Refuse { retry_after });
             }
             Action::Fail { request } => {
                 self.log_given_up(request, "failed");
-                self.order(request, Order::Fail);
+                self.post_action(request, RequestAction::Fail);
+            }
+            Action::Cancel { request, attempt } => {
+                self.post_action(request, RequestAction::Cancel { attempt })
             }
-            Action::Cancel { request, attempt } => self.order(request, Order::Cancel { attempt }),
             // A message may get lost anywhere; where there is no room, it is here.
-            Action::Tell { to, bytes } => drop(self.tells.try_send((to, bytes))),
+            Action::Tell { to, bytes } => drop(self.peer_messages.try_send((to, bytes))),
             // Both channels are unbounded, and their other ends live as long as the process.
             Action::Probe { member } => drop(self.probes.try_send(member)),
             Action::Wake { at } => drop(self.wakes.0.try_send(at)),
@@ -139,9 +141,9 @@
     }
 
     /// A request that has ended already has no mailbox; an order for it is void.
-    fn order(&self, request: RequestId, order: Order) {
+    fn post_action(&self, request: RequestId, action: RequestAction) {
         if let Some(mailbox) = self.mailboxes.borrow().get(&request) {
-            mailbox.put(order);
+            mailbox.post(action);
         }
     }
 
@@ -181,10 +183,10 @@
         }
     }
 
-    /// A request's client is owed an answer from now on.
-    pub(crate) fn owe(self: &Rc<Self>, request: RequestId, promise: Promise) -> Owed {
+    /// A request's client is pending_answer an answer from now on.
+    pub(crate) fn expect_answer(self: &Rc<Self>, request: RequestId, promise: Promise) -> PendingAnswer {
         self.invariants.borrow_mut().taken(request, promise);
-        Owed { driver: self.clone(), request }
+        PendingAnswer { driver: self.clone(), request }
     }
 
     pub(crate) fn attempt_ended(&self, request: RequestId, attempt: AttemptNo, verdict: Verdict) {
@@ -192,7 +194,7 @@
     }
 
     /// The run-time check hears of who is withdrawn before the module does.
-    fn watch_members(&self, event: &Event) {
+    fn track_members(&self, event: &Event) {
         let Event::List(listing) = event else { return };
         let (now, mut invariants) = (self.clock.now(), self.invariants.borrow_mut());
         match listing {
@@ -207,14 +209,17 @@
     }
 
     /// Opens a mailbox under a new id, and tells the module of the request that `event` makes with it.
-    pub fn take(self: &Rc<Self>, event: impl FnOnce(RequestId, Time) -> Request) -> Ticket {
-        let id = RequestId(self.last.get() + 1);
-        self.last.set(id.0);
+    pub fn register_request(
+        self: &Rc<Self>,
+        event: impl FnOnce(RequestId, Time) -> Request,
+    ) -> RequestHandle {
+        let id = RequestId(self.last_id.get() + 1);
+        self.last_id.set(id.0);
         let mailbox = Rc::new(Mailbox::default());
         self.mailboxes.borrow_mut().insert(id, mailbox.clone());
         self.counters.taken.add();
         self.feed(Event::Request(event(id, self.clock.now())));
-        Ticket { driver: self.clone(), id, mailbox }
+        RequestHandle { driver: self.clone(), id, mailbox }
     }
 
     /// Wakes the module when it asked for it. A later wish takes the place of an earlier one: the module
@@ -223,7 +228,7 @@
         let mut due: Option<Time> = None;
         loop {
             let next = async { self.wakes.1.recv().await.ok() };
-            let rings = async {
+            let wake_due = async {
                 match due {
                     Some(at) => {
                         let _ = Timer::at(self.clock.instant(at)).await;
@@ -232,14 +237,14 @@
                 }
                 None
             };
-            let wanted = due;
-            due = or(next, rings).await;
+            let previous = due;
+            due = or(next, wake_due).await;
             if due.is_none() {
                 // Requests whose answers are readable by now get to read them before the module counts
                 // them as overdue. The tasks that the same turn of the reactor woke come first; and where
                 // this process itself stood still, the reactor gets another turn to find them.
-                if wanted.is_some_and(|at| self.clock.now() - at > LATE) {
-                    Timer::after(A_TURN).await;
+                if previous.is_some_and(|at| self.clock.now() - at > LATE_WAKE) {
+                    Timer::after(REACTOR_TURN).await;
                 }
                 futures_lite::future::yield_now().await;
                 self.feed(Event::Wake);
@@ -266,13 +271,13 @@
     }
 }
 
-/// The answer that a client is owed. Dropped before it was written, with the client still there, it is a violation.
-pub struct Owed {
+/// The answer that a client is pending_answer. Dropped before it was written, with the client still there, it is a violation.
+pub struct PendingAnswer {
     driver: Rc<Driver>,
     request: RequestId,
 }
 
-impl Owed {
+impl PendingAnswer {
     /// The request's id.
     #[must_use]
     pub fn request(&self) -> RequestId {
@@ -285,7 +290,7 @@
     }
 
     /// The client has left, or its connection has failed: nobody is there to be told.
-    pub fn departed(&self) {
+    pub fn client_left(&self) {
         self.driver.check(|now, invariants| {
             invariants.departed(now, self.request);
             Vec::new()
@@ -293,7 +298,7 @@
     }
 }
 
-impl Drop for Owed {
+impl Drop for PendingAnswer {
     fn drop(&mut self) {
         self.driver.check(|now, invariants| invariants.closed(now, self.request));
     }
@@ -325,24 +330,24 @@
 /// request.
 #[derive(Default)]
 struct Mailbox {
-    orders: RefCell<VecDeque<Order>>,
+    actions: RefCell<VecDeque<RequestAction>>,
     /// Who waits for one: only the request's own task does.
-    waits: Cell<Option<Waker>>,
+    waiting: Cell<Option<Waker>>,
 }
 
 impl Mailbox {
-    fn put(&self, order: Order) {
-        self.orders.borrow_mut().push_back(order);
-        if let Some(waker) = self.waits.take() {
+    fn post(&self, action: RequestAction) {
+        self.actions.borrow_mut().push_back(action);
+        if let Some(waker) = self.waiting.take() {
             waker.wake();
         }
     }
 
-    async fn next(&self) -> Order {
-        poll_fn(|context| match self.orders.borrow_mut().pop_front() {
-            Some(order) => Poll::Ready(order),
+    async fn next_action(&self) -> RequestAction {
+        poll_fn(|context| match self.actions.borrow_mut().pop_front() {
+            Some(action) => Poll::Ready(action),
             None => {
-                self.waits.set(Some(context.waker().clone()));
+                self.waiting.set(Some(context.waker().clone()));
                 Poll::Pending
             }
         })
@@ -351,13 +356,13 @@
 }
 
 /// A request's side of its mailbox.
-pub struct Ticket {
+pub struct RequestHandle {
     driver: Rc<Driver>,
     id: RequestId,
     mailbox: Rc<Mailbox>,
 }
 
-impl Ticket {
+impl RequestHandle {
     /// The request's id.
     #[must_use]
     pub fn id(&self) -> RequestId {
@@ -365,21 +370,21 @@
     }
 
     /// The next order for the request.
-    pub async fn order(&self) -> Order {
-        self.mailbox.next().await
+    pub async fn next_action(&self) -> RequestAction {
+        self.mailbox.next_action().await
     }
 
     /// Takes the members that attempts were ordered to and not begun: the request has ended before.
-    pub fn unsent(&self) -> impl Iterator<Item = MemberId> {
-        let orders = self.mailbox.orders.take();
-        orders.into_iter().filter_map(|order| match order {
-            Order::Send { member, .. } => Some(member),
+    pub fn take_unsent(&self) -> impl Iterator<Item = MemberId> {
+        let actions = self.mailbox.actions.take();
+        actions.into_iter().filter_map(|action| match action {
+            RequestAction::Send { member, .. } => Some(member),
             _ => None,
         })
     }
 }
 
-impl Drop for Ticket {
+impl Drop for RequestHandle {
     fn drop(&mut self) {
         self.driver.mailboxes.borrow_mut().remove(&self.id);
     }
--- a/crates/net/src/frontend.rs
+++ b/crates/net/src/frontend.rs
@@ -5,7 +5,7 @@
 use super::connection_slots::{ConnectionSlot, ConnectionSlots, EvictionRank};
 use super::pg::write::{self, Severity};
 use super::pg::{self, Asks, PgError, Startup};
-use super::request::{Asked, Cut, Final, Patron, serve};
+use super::request::{AbortReason, AbortSource, ClientRequest, FinalAnswer, serve};
 use super::system_errors::is_shortage;
 use super::upstream::{Pool, Reply, Statement};
 use crate::classes::Classes;
@@ -35,7 +35,7 @@
 const SHORT_PAUSE: Duration = Duration::from_millis(20);
 /// A client gets this long for its first command from when it was accepted, and for the rest of any command
 /// that has begun; and this long to take an answer. Connections without an open request may be closed after 2 s,
-/// and who sends nothing whole is owed a close within 3 s of connecting, part of which it may wait in the backlog.
+/// and who sends nothing whole is pending_answer a close within 3 s of connecting, part of which it may wait in the backlog.
 const COMMAND_WAIT: Duration = Duration::from_secs(2);
 const WRITE_WAIT: Duration = Duration::from_secs(30);
 /// How long a client that was told why its connection ends may go on writing: enough for 60 MB.
@@ -232,7 +232,7 @@
 /// What a command comes down to.
 enum Command {
     /// A request to route.
-    Request(Asked<Statement>, OpenId),
+    Request(ClientRequest<Statement>, OpenId),
     /// Something answered here; the answer is in the buffer given.
     Answered,
     /// Something that is not served: the code and words of its error.
@@ -523,35 +523,35 @@
     /// Serves a request and writes its one answer; false if the connection ends with it.
     async fn request(
         &mut self,
-        asked: Asked<Statement>,
+        asked: ClientRequest<Statement>,
         id: &str,
         out: &mut Vec<u8>,
     ) -> Result<bool, ClientError> {
         let Self { context, stream, buffer, arrivals, .. } = self;
         let read = RefCell::new((buffer, arrivals));
         let asking = Asking { life: &context.life, driver: &context.driver, stream, read };
-        let (answer, owed) = serve(&context.driver, &*context.pool, &asked, &asking).await;
-        if let (Final::Failed { at: Some(at) }, Some((class, Need::Write, _))) =
+        let (answer, pending_answer) = serve(&context.driver, &*context.pool, &asked, &asking).await;
+        if let (FinalAnswer::Failed { member: Some(member) }, Some((class, Need::Write, _))) =
             (&answer, context.classes.get(asked.class))
         {
-            context.in_doubt.add(id, &class, Some(at.clone()), context.driver.clock.now());
+            context.in_doubt.add(id, &class, Some(member.clone()), context.driver.clock.now());
         }
         self.buffer.give_back(asked.query.bytes);
         let how = match &answer {
-            Final::Served(_) => Some(Answer::Served),
-            Final::Refused(_) => Some(Answer::Refused),
-            Final::Failed { .. } => Some(Answer::Failed),
-            Final::Gone => None,
+            FinalAnswer::Served(_) => Some(Answer::Served),
+            FinalAnswer::Refused(_) => Some(Answer::Refused),
+            FinalAnswer::Failed { .. } => Some(Answer::Failed),
+            FinalAnswer::Gone => None,
         };
-        tracing::debug!(target: "requests", request = owed.request().0, client_id = id, ?how, "final answer");
+        tracing::debug!(target: "requests", request = pending_answer.request().0, client_id = id, ?how, "final answer");
         if how.is_some() && self.forgets() {
             return Ok(false);
         }
         let written = self.answer(answer, out).await;
         match (&written, how) {
-            (Ok(_), Some(how)) => owed.answered(how),
+            (Ok(_), Some(how)) => pending_answer.answered(how),
             // It can't be told any more.
-            (Ok(_), None) | (Err(_), _) => owed.departed(),
+            (Ok(_), None) | (Err(_), _) => pending_answer.client_left(),
         }
         written
     }
@@ -562,10 +562,10 @@
         mutants::is_active(Mutant::ForgottenAnswer) && taken % FORGOTTEN_EVERY == 0
     }
 
-    async fn answer(&self, answer: Final<Reply>, out: &mut Vec<u8>) -> Result<bool, ClientError> {
+    async fn answer(&self, answer: FinalAnswer<Reply>, out: &mut Vec<u8>) -> Result<bool, ClientError> {
         match answer {
-            Final::Gone => Ok(false),
-            Final::Served(mut reply) if reply.is_large() => {
+            FinalAnswer::Gone => Ok(false),
+            FinalAnswer::Served(mut reply) if reply.is_large() => {
                 let begun: Vec<&[u8]> = reply.pieces().collect();
                 self.send(&begun).await?;
                 // What can't be finished ends with the connection: the client sees that it is not whole.
@@ -576,12 +576,12 @@
                 write::ready(out);
                 self.finish(&[out]).await
             }
-            Final::Served(reply) => {
+            FinalAnswer::Served(reply) => {
                 write::ready(out);
                 let pieces: Vec<&[u8]> = reply.pieces().chain([out.as_slice()]).collect();
                 self.finish(&pieces).await
             }
-            Final::Refused(retry_after) => {
+            FinalAnswer::Refused(retry_after) => {
                 let ms = retry_after.map(|after| after.0.max(0).unsigned_abs().div_ceil(1_000).to_string());
                 write::error(
                     out,
@@ -593,7 +593,7 @@
                 write::ready(out);
                 self.finish(&[out]).await
             }
-            Final::Failed { .. } => {
+            FinalAnswer::Failed { .. } => {
                 write::error(out, Severity::Error, "08007", "no answer; it may have been carried out", None);
                 write::ready(out);
                 self.finish(&[out]).await
@@ -680,18 +680,18 @@
     }
 }
 
-impl Patron for Asking<'_> {
-    fn ended(&self) -> Option<Cut> {
+impl AbortSource for Asking<'_> {
+    fn abort_reason(&self) -> Option<AbortReason> {
         if self.has_left() {
-            return Some(Cut::ClientLeft);
+            return Some(AbortReason::ClientLeft);
         }
-        self.life.terminating.is_up().then_some(Cut::ProcessEnds)
+        self.life.terminating.is_up().then_some(AbortReason::ProcessEnds)
     }
 
-    async fn end(&self) -> Cut {
+    async fn aborted(&self) -> AbortReason {
         loop {
-            if let Some(cut) = self.ended() {
-                return cut;
+            if let Some(reason) = self.abort_reason() {
+                return reason;
             }
             // What can't be waited for is given up: to look again at once would never end.
             let more = async {
@@ -699,14 +699,14 @@
                     Timer::after(LOOK).await;
                     return None;
                 }
-                self.stream.readable().await.is_err().then_some(Cut::ClientLeft)
+                self.stream.readable().await.is_err().then_some(AbortReason::ClientLeft)
             };
             let ending = async {
                 self.life.terminating.raised().await;
                 None
             };
-            if let Some(cut) = or(more, ending).await {
-                return cut;
+            if let Some(reason) = or(more, ending).await {
+                return reason;
             }
         }
     }
@@ -745,7 +745,12 @@
 impl FrontendContext {
     /// The request that a statement makes whose last byte came at this time; `None` if its class is unknown. Its client counts
     /// from there, however long it waited behind others of its connection.
-    fn asked(&self, statement: &str, comment: &pg::Comment<'_>, arrived: Option<Time>) -> Option<Asked<()>> {
+    fn asked(
+        &self,
+        statement: &str,
+        comment: &pg::Comment<'_>,
+        arrived: Option<Time>,
+    ) -> Option<ClientRequest<()>> {
         let class = self.classes.named(comment.class)?;
         let longest = Span(i64::try_from(self.classes.longest_deadline().as_micros()).unwrap_or(i64::MAX));
         let keyed = matches!(self.classes.get(class)?.1, Need::Write | Need::Session);
@@ -754,7 +759,7 @@
             key.hash(&mut hasher);
             SessionKey(hasher.finish())
         });
-        Some(Asked {
+        Some(ClientRequest {
             class,
             tenant: comment.tenant.and_then(|name| self.tenants.named(name)),
             session,
@@ -763,17 +768,38 @@
                 + Span((comment.wait_ms * 1_000.0) as i64).min(longest),
             last_write: comment.after_ms.map(|ms| Time((ms * 1_000.0) as i64)),
             retry: comment.retry,
-            copies: self.classes.may_be_copied(class),
+            copies_allowed: self.classes.may_be_copied(class),
             effect: self.classes.get(class)?.2,
             query: (),
         })
     }
 }
 
-impl Asked<()> {
-    fn with(self, query: Statement) -> Asked<Statement> {
-        let Self { class, tenant, session, group, deadline, last_write, retry, copies, effect, query: () } =
-            self;
-        Asked { class, tenant, session, group, deadline, last_write, retry, copies, effect, query }
+impl ClientRequest<()> {
+    fn with(self, query: Statement) -> ClientRequest<Statement> {
+        let Self {
+            class,
+            tenant,
+            session,
+            group,
+            deadline,
+            last_write,
+            retry,
+            copies_allowed,
+            effect,
+            query: (),
+        } = self;
+        ClientRequest {
+            class,
+            tenant,
+            session,
+            group,
+            deadline,
+            last_write,
+            retry,
+            copies_allowed,
+            effect,
+            query,
+        }
     }
 }
--- a/crates/net/src/request.rs
+++ b/crates/net/src/request.rs
@@ -1,7 +1,7 @@
 //! The life of a request, from when it is taken to its one final answer. Which protocol carries it is for
-//! [`Carrier`] to know.
+//! [`Transport`] to know.
 
-use super::driver::{Driver, Order, Owed};
+use super::driver::{Driver, PendingAnswer, RequestAction};
 use crate::config::{duration, span_of};
 use crate::mutants::{self, Mutant};
 use futures_lite::future::{or, poll_fn};
@@ -16,10 +16,10 @@
 use std::time::{Duration, Instant};
 
 /// Where second copies are allowed, so many attempts of a request may be out at once.
-const MOST_OUT: usize = 2;
+const MAX_CONCURRENT_ATTEMPTS: usize = 2;
 
 /// What takes an attempt to a member.
-pub trait Carrier {
+pub trait Transport {
     /// What the client asks, ready to be sent on.
     type Query;
     /// What a member gave for it.
@@ -33,12 +33,12 @@
         member: &MemberId,
         query: &Self::Query,
         until: Instant,
-        gate: &dyn Gate,
-    ) -> impl Future<Output = Ended<Self::Reply>>;
+        gate: &dyn SendGate,
+    ) -> impl Future<Output = AttemptResult<Self::Reply>>;
 }
 
 /// What an attempt asks before its first byte.
-pub trait Gate {
+pub trait SendGate {
     /// Whether it may begin now, and how long the member is told to wait.
     ///
     /// # Errors
@@ -47,21 +47,21 @@
     fn admit(&self, member_in_service: bool) -> Result<Duration, SendDenied>;
 
     /// The first byte was written, and the member told to wait so long.
-    fn began(&self, told: Duration);
+    fn began(&self, timeout: Duration);
 }
 
 /// The client that asks, and the process that serves it.
-pub trait Patron {
+pub trait AbortSource {
     /// Why the request is to go no further, by all that can be seen at this moment.
-    fn ended(&self) -> Option<Cut>;
+    fn abort_reason(&self) -> Option<AbortReason>;
 
     /// Waits until there is a reason.
-    fn end(&self) -> impl Future<Output = Cut>;
+    fn aborted(&self) -> impl Future<Output = AbortReason>;
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub struct Ended<R> {
+pub struct AttemptResult<R> {
     /// The outcome.
     pub verdict: Verdict,
     /// What the member said of itself.
@@ -72,7 +72,7 @@
     pub reply: Option<R>,
 }
 
-impl<R> Ended<R> {
+impl<R> AttemptResult<R> {
     /// An end without an answer or a note.
     #[must_use]
     pub fn without_answer(verdict: Verdict) -> Self {
@@ -82,7 +82,7 @@
 
 /// A request as a client's side hands it in.
 #[derive(Debug)]
-pub struct Asked<Q> {
+pub struct ClientRequest<Q> {
     /// Its class.
     pub class: ClassId,
     /// Its tenant, if the settings name it.
@@ -98,7 +98,7 @@
     /// Its client marks it as a retry.
     pub retry: bool,
     /// A second attempt may be out beside the first: the settings allowed it when the request was taken, and so does its class.
-    pub copies: bool,
+    pub copies_allowed: bool,
     /// What a repeat of it does.
     pub effect: Effect,
     /// What is sent to a member.
@@ -107,7 +107,7 @@
 
 /// Why a request ends without the module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
+pub enum AbortReason {
     /// Its client has left.
     ClientLeft,
     /// The process ends before its deadline.
@@ -116,7 +116,7 @@
 
 /// The final answer.
 #[derive(Debug)]
-pub enum Final<R> {
+pub enum FinalAnswer<R> {
     /// A member's answer.
     Served(R),
     /// Refused; trying again does no harm.
@@ -124,184 +124,195 @@
     /// Failed; nothing is promised. Named is the last member that may have run it, if one may.
     Failed {
         /// The member.
-        at: Option<MemberId>,
+        member: Option<MemberId>,
     },
     /// Nobody is there to be told.
     Gone,
 }
 
 /// How a request ends.
-enum Last<R> {
+enum Conclusion<R> {
     Served(R),
     Refused(Option<Span>),
     Failed,
-    Cut(Cut),
+    Aborted(AbortReason),
 }
 
 /// What comes next for a request.
-enum Turn<R> {
-    Ended(Over<R>),
-    Ordered(Order),
-    Cut(Cut),
+enum NextStep<R> {
+    AttemptEnded(FinishedAttempt<R>),
+    Action(RequestAction),
+    Aborted(AbortReason),
 }
 
-/// Serves one request. Its client is owed the answer until it has been written.
-pub async fn serve<C: Carrier>(
+/// Serves one request. Its client is pending_answer the answer until it has been written.
+pub async fn serve<C: Transport>(
     driver: &Rc<Driver>,
     carrier: &C,
-    asked: &Asked<C::Query>,
-    patron: &impl Patron,
-) -> (Final<C::Reply>, Owed) {
-    let most_out = if asked.copies { MOST_OUT } else { 1 };
-    let mut cut = pin!(patron.end());
-    let mut sends = (0..).map(AttemptNo);
-    let mut out = Vec::new();
+    client_request: &ClientRequest<C::Query>,
+    abort_source: &impl AbortSource,
+) -> (FinalAnswer<C::Reply>, PendingAnswer) {
+    let max_running = if client_request.copies_allowed { MAX_CONCURRENT_ATTEMPTS } else { 1 };
+    let mut abort = pin!(abort_source.aborted());
+    let mut attempt_numbers = (0..).map(AttemptNo);
+    let mut running = Vec::new();
     let mut may_have_run = None;
 
     // Taken: the module is asked what to do.
-    let ticket = driver.take(|id, now| Request {
+    let handle = driver.register_request(|id, now| Request {
         id,
-        class: asked.class,
-        tenant: asked.tenant,
-        session: asked.session,
-        left: asked.deadline - now,
-        group: asked.group,
-        last_write: asked.last_write.map(|at| now - at),
+        class: client_request.class,
+        tenant: client_request.tenant,
+        session: client_request.session,
+        left: client_request.deadline - now,
+        group: client_request.group,
+        last_write: client_request.last_write.map(|at| now - at),
         cost: None,
-        retry: asked.retry,
+        retry: client_request.retry,
     });
-    let promise = Promise { deadline: asked.deadline, effect: asked.effect, copies_allowed: asked.copies };
-    let owed = driver.owe(ticket.id(), promise);
+    let promise = Promise {
+        deadline: client_request.deadline,
+        effect: client_request.effect,
+        copies_allowed: client_request.copies_allowed,
+    };
+    let pending_answer = driver.expect_answer(handle.id(), promise);
     loop {
         // An answer that is there goes before the module's orders, and both before the client's leaving. The module orders an
         // attempt or the final answer, or lets the request wait.
-        let ended = async { Turn::Ended(first_to_end(&mut out).await) };
-        let order = async { Turn::Ordered(ticket.order().await) };
-        let left = async { Turn::Cut(cut.as_mut().await) };
-        let turn = or(ended, or(order, left)).await;
-        let (over, last) = match turn {
+        let ended = async { NextStep::AttemptEnded(next_finished(&mut running).await) };
+        let action = async { NextStep::Action(handle.next_action().await) };
+        let aborted = async { NextStep::Aborted(abort.as_mut().await) };
+        let next_step = or(ended, or(action, aborted)).await;
+        let (finished, conclusion) = match next_step {
             // Sent: the client may have left, or the process be about to end, in the same poll as the order came, a connection
             // was proved or a dial came up: that is looked for before the first byte, whatever came before it.
-            Turn::Ordered(Order::Send { member, until }) => {
-                let number = sends.next().unwrap_or(AttemptNo(u32::MAX));
-                if out.len() >= most_out {
-                    (Some(Over::unsent(driver, number, member)), None)
+            NextStep::Action(RequestAction::Send { member, until }) => {
+                let number = attempt_numbers.next().unwrap_or(AttemptNo(u32::MAX));
+                if running.len() >= max_running {
+                    (Some(FinishedAttempt::unsent(driver, number, member)), None)
                 } else {
                     driver.counters.sent.add();
-                    let sent = driver.clock.now();
-                    let begun = Rc::new(Cell::new(false));
+                    let sent_at = driver.clock.now();
+                    let started = Rc::new(Cell::new(false));
                     let gate = RequestGate {
                         driver,
-                        patron,
-                        request: ticket.id(),
+                        abort_source,
+                        request: handle.id(),
                         attempt: number,
                         member: member.clone(),
-                        until: until.min(asked.deadline),
-                        ordered: until - sent,
-                        copies_allowed: asked.copies,
-                        effect: asked.effect,
-                        other_attempts: out.len(),
+                        until: until.min(client_request.deadline),
+                        requested_timeout: until - sent_at,
+                        copies_allowed: client_request.copies_allowed,
+                        effect: client_request.effect,
+                        other_attempts: running.len(),
                         may_have_run: may_have_run.is_some(),
-                        stopped: Cell::new(None),
-                        begun: begun.clone(),
+                        aborted: Cell::new(None),
+                        started: started.clone(),
                     };
-                    let work = Box::pin(attempt(carrier, &asked.query, driver.clock.instant(until), gate));
-                    out.push(Attempt { number, member, sent, begun, work });
+                    let future =
+                        Box::pin(attempt(carrier, &client_request.query, driver.clock.instant(until), gate));
+                    running.push(Attempt { number, member, sent_at, started, future });
                     continue;
                 }
             }
-            Turn::Ordered(Order::Cancel { attempt }) => {
-                let at = out.iter().position(|one| one.number == attempt);
-                (at.map(|at| out.remove(at).give_up()), None)
+            NextStep::Action(RequestAction::Cancel { attempt }) => {
+                let index = running.iter().position(|candidate| candidate.number == attempt);
+                (index.map(|index| running.remove(index).abandon()), None)
             }
-            Turn::Ordered(Order::Refuse { retry_after }) => (None, Some(Last::Refused(retry_after))),
-            Turn::Ordered(Order::Fail) => (None, Some(Last::Failed)),
-            Turn::Cut(why) => (None, Some(Last::Cut(why))),
-            Turn::Ended(mut over) => {
-                let served = over.ended.reply.take().map(Last::Served);
-                let last = served.or(over.stopped.map(Last::Cut));
-                (Some(over), last)
+            NextStep::Action(RequestAction::Refuse { retry_after }) => {
+                (None, Some(Conclusion::Refused(retry_after)))
+            }
+            NextStep::Action(RequestAction::Fail) => (None, Some(Conclusion::Failed)),
+            NextStep::Aborted(reason) => (None, Some(Conclusion::Aborted(reason))),
+            NextStep::AttemptEnded(mut finished) => {
+                let served = finished.ended.reply.take().map(Conclusion::Served);
+                let conclusion = served.or(finished.aborted.map(Conclusion::Aborted));
+                (Some(finished), conclusion)
             }
         };
 
         // What is still out when the final answer is known is given up. Attempts are over, with their connections if they were
         // given up; only now is the module told.
-        let given_up: Vec<_> = match last {
-            Some(_) => out.drain(..).map(Attempt::give_up).collect(),
+        let abandoned: Vec<_> = match conclusion {
+            Some(_) => running.drain(..).map(Attempt::abandon).collect(),
             None => Vec::new(),
         };
-        if matches!(last, Some(Last::Cut(_))) {
-            driver.feed(Event::Gone(ticket.id()));
+        if matches!(conclusion, Some(Conclusion::Aborted(_))) {
+            driver.feed(Event::Gone(handle.id()));
         }
-        if matches!(last, Some(Last::Cut(Cut::ClientLeft))) {
-            owed.departed();
+        if matches!(conclusion, Some(Conclusion::Aborted(AbortReason::ClientLeft))) {
+            pending_answer.client_left();
         }
-        for over in over.into_iter().chain(given_up) {
-            if !over.ended.verdict.never_ran() {
-                may_have_run = Some(over.member.clone());
+        for finished in finished.into_iter().chain(abandoned) {
+            if !finished.ended.verdict.never_ran() {
+                may_have_run = Some(finished.member.clone());
             }
-            over.tell(driver, ticket.id(), last.is_some());
+            finished.report_outcome(driver, handle.id(), conclusion.is_some());
         }
 
         // The final answer, if this was it; else the module has been asked again.
-        let Some(last) = last else { continue };
-        for (member, number) in ticket.unsent().zip(sends) {
-            Over::<C::Reply>::unsent(driver, number, member).tell(driver, ticket.id(), true);
+        let Some(conclusion) = conclusion else { continue };
+        for (member, number) in handle.take_unsent().zip(attempt_numbers) {
+            FinishedAttempt::<C::Reply>::unsent(driver, number, member).report_outcome(
+                driver,
+                handle.id(),
+                true,
+            );
         }
-        let answer = match last {
-            Last::Served(reply) => {
+        let answer = match conclusion {
+            Conclusion::Served(reply) => {
                 driver.counters.served.add();
-                Final::Served(reply)
+                FinalAnswer::Served(reply)
             }
-            Last::Refused(retry_after) => refused(driver, retry_after),
-            Last::Failed => failed(driver, may_have_run),
-            Last::Cut(why) => end_early(driver, why, may_have_run),
+            Conclusion::Refused(retry_after) => refused(driver, retry_after),
+            Conclusion::Failed => failed(driver, may_have_run),
+            Conclusion::Aborted(reason) => aborted_answer(driver, reason, may_have_run),
         };
-        return (answer, owed);
+        return (answer, pending_answer);
     }
 }
 
 /// One attempt, and why the request was stopped, if the client or the process stopped it before the first byte.
-async fn attempt<C: Carrier, P: Patron>(
+async fn attempt<C: Transport, P: AbortSource>(
     carrier: &C,
     query: &C::Query,
     until: Instant,
     gate: RequestGate<'_, P>,
-) -> (Ended<C::Reply>, Option<Cut>) {
+) -> (AttemptResult<C::Reply>, Option<AbortReason>) {
     let ended = carrier.attempt(&gate.member, query, until, &gate).await;
-    (ended, gate.stopped.get())
+    (ended, gate.aborted.get())
 }
 
 /// The gate of a request's attempt: it brings together what client, process, settings and module say.
 struct RequestGate<'a, P> {
     driver: &'a Driver,
-    patron: &'a P,
+    abort_source: &'a P,
     request: RequestId,
     attempt: AttemptNo,
     member: MemberId,
     /// When the attempt or its client's time is over.
     until: Time,
     /// The wait as it was ordered.
-    ordered: Span,
+    requested_timeout: Span,
     copies_allowed: bool,
     effect: Effect,
     /// As of when the attempt was ordered: only fewer are out later, and a second one is ordered with the first known.
     other_attempts: usize,
     may_have_run: bool,
     /// Why the request goes no further, once that was seen.
-    stopped: Cell<Option<Cut>>,
-    begun: Rc<Cell<bool>>,
+    aborted: Cell<Option<AbortReason>>,
+    started: Rc<Cell<bool>>,
 }
 
-impl<P: Patron> Gate for RequestGate<'_, P> {
+impl<P: AbortSource> SendGate for RequestGate<'_, P> {
     fn admit(&self, member_in_service: bool) -> Result<Duration, SendDenied> {
-        let cut = self.patron.ended();
-        self.stopped.set(cut);
+        let abort_reason = self.abort_source.abort_reason();
+        self.aborted.set(abort_reason);
         let time_left = self.until - self.driver.clock.now();
         let facts = SendFacts {
             member_in_service,
-            client_connected: cut != Some(Cut::ClientLeft),
-            process_serving: cut != Some(Cut::ProcessEnds),
+            client_connected: abort_reason != Some(AbortReason::ClientLeft),
+            process_serving: abort_reason != Some(AbortReason::ProcessEnds),
             data_fresh: self.driver.is_fresh(self.request, &self.member),
             time_left,
             other_attempts: self.other_attempts,
@@ -315,16 +326,17 @@
                 tracing::debug!(target: "requests", request = self.request.0, attempt = self.attempt.0, member = &*self.member.0, ?denied, "not sent");
             })?;
         }
-        let told = if mutants::is_active(Mutant::OrderedDeadline) { self.ordered } else { time_left };
-        Ok(duration(told))
+        let timeout =
+            if mutants::is_active(Mutant::OrderedDeadline) { self.requested_timeout } else { time_left };
+        Ok(duration(timeout))
     }
 
-    fn began(&self, told: Duration) {
-        self.begun.set(true);
+    fn began(&self, timeout: Duration) {
+        self.started.set(true);
         let (request, attempt) = (self.request, self.attempt);
         self.driver
-            .check(|now, invariants| invariants.began(now, request, attempt, &self.member, span_of(told)));
-        tracing::debug!(target: "requests", request = request.0, attempt = attempt.0, member = &*self.member.0, told_ms = told.as_millis() as u64, "sent");
+            .check(|now, invariants| invariants.began(now, request, attempt, &self.member, span_of(timeout)));
+        tracing::debug!(target: "requests", request = request.0, attempt = attempt.0, member = &*self.member.0, told_ms = timeout.as_millis() as u64, "sent");
     }
 }
 
@@ -332,38 +344,38 @@
 struct Attempt<F> {
     number: AttemptNo,
     member: MemberId,
-    sent: Time,
+    sent_at: Time,
     /// Its first byte may have been written.
-    begun: Rc<Cell<bool>>,
+    started: Rc<Cell<bool>>,
     /// Out of the request's own state: most clients have none out.
-    work: Pin<Box<F>>,
+    future: Pin<Box<F>>,
 }
 
 impl<F, R> Attempt<F>
 where
-    F: Future<Output = (Ended<R>, Option<Cut>)>,
+    F: Future<Output = (AttemptResult<R>, Option<AbortReason>)>,
 {
     /// Closes its connection. One that is given up before its first byte never ran.
-    fn give_up(self) -> Over<R> {
-        let verdict = if self.begun.get() { Verdict::Cancelled } else { Verdict::Moot };
-        self.over(Ended::without_answer(verdict), None)
+    fn abandon(self) -> FinishedAttempt<R> {
+        let verdict = if self.started.get() { Verdict::Cancelled } else { Verdict::Moot };
+        self.finish(AttemptResult::without_answer(verdict), None)
     }
 
-    fn over(self, ended: Ended<R>, stopped: Option<Cut>) -> Over<R> {
-        let Self { number, member, sent, .. } = self;
-        Over { number, member, sent, ended, stopped }
+    fn finish(self, ended: AttemptResult<R>, aborted: Option<AbortReason>) -> FinishedAttempt<R> {
+        let Self { number, member, sent_at, .. } = self;
+        FinishedAttempt { number, member, sent_at, ended, aborted }
     }
 }
 
 /// The first of these attempts that ends, the earlier one where two do; never while none is out.
-async fn first_to_end<F, R>(out: &mut Vec<Attempt<F>>) -> Over<R>
+async fn next_finished<F, R>(running: &mut Vec<Attempt<F>>) -> FinishedAttempt<R>
 where
-    F: Future<Output = (Ended<R>, Option<Cut>)>,
+    F: Future<Output = (AttemptResult<R>, Option<AbortReason>)>,
 {
     poll_fn(|context| {
-        for at in 0..out.len() {
-            if let Poll::Ready((ended, stopped)) = out[at].work.as_mut().poll(context) {
-                return Poll::Ready(out.remove(at).over(ended, stopped));
+        for index in 0..running.len() {
+            if let Poll::Ready((ended, aborted)) = running[index].future.as_mut().poll(context) {
+                return Poll::Ready(running.remove(index).finish(ended, aborted));
             }
         }
         Poll::Pending
@@ -372,29 +384,29 @@
 }
 
 /// An attempt that is over, and nothing of it is out any more.
-struct Over<R> {
+struct FinishedAttempt<R> {
     number: AttemptNo,
     member: MemberId,
-    sent: Time,
-    ended: Ended<R>,
-    stopped: Option<Cut>,
+    sent_at: Time,
+    ended: AttemptResult<R>,
+    aborted: Option<AbortReason>,
 }
 
-impl<R> Over<R> {
+impl<R> FinishedAttempt<R> {
     /// One that was ordered and never begun.
     fn unsent(driver: &Driver, number: AttemptNo, member: MemberId) -> Self {
         driver.counters.sent.add();
-        let sent = driver.clock.now();
-        Self { number, member, sent, ended: Ended::without_answer(Verdict::Moot), stopped: None }
+        let sent_at = driver.clock.now();
+        Self { number, member, sent_at, ended: AttemptResult::without_answer(Verdict::Moot), aborted: None }
     }
 
     /// Tells the module, and whether the client has its final answer.
-    fn tell(self, driver: &Driver, request: RequestId, closed: bool) {
-        let Self { number: attempt, member, sent, ended, .. } = self;
-        let Ended { verdict, note, report, .. } = ended;
+    fn report_outcome(self, driver: &Driver, request: RequestId, closed: bool) {
+        let Self { number: attempt, member, sent_at, ended, .. } = self;
+        let AttemptResult { verdict, note, report, .. } = ended;
         driver.counters.outcome(verdict);
         driver.attempt_ended(request, attempt, verdict);
-        let took = driver.clock.now() - sent;
+        let took = driver.clock.now() - sent_at;
         tracing::debug!(target: "requests", request = request.0, attempt = attempt.0, member = &*member.0,
             ?verdict, took_us = took.0, closed, "attempt ended");
         driver.feed(Event::Outcome(Outcome {
@@ -410,24 +422,24 @@
     }
 }
 
-fn refused<R>(driver: &Driver, retry_after: Option<Span>) -> Final<R> {
+fn refused<R>(driver: &Driver, retry_after: Option<Span>) -> FinalAnswer<R> {
     driver.counters.refused.add();
-    Final::Refused(retry_after)
+    FinalAnswer::Refused(retry_after)
 }
 
-fn failed<R>(driver: &Driver, at: Option<MemberId>) -> Final<R> {
+fn failed<R>(driver: &Driver, member: Option<MemberId>) -> FinalAnswer<R> {
     driver.counters.failed.add();
-    Final::Failed { at }
+    FinalAnswer::Failed { member }
 }
 
 /// At the end of the process a refusal is an honest answer only to what can't have run.
-fn end_early<R>(driver: &Driver, why: Cut, may_have_run: Option<MemberId>) -> Final<R> {
-    match why {
-        Cut::ClientLeft => {
+fn aborted_answer<R>(driver: &Driver, reason: AbortReason, may_have_run: Option<MemberId>) -> FinalAnswer<R> {
+    match reason {
+        AbortReason::ClientLeft => {
             driver.counters.gone.add();
-            Final::Gone
+            FinalAnswer::Gone
         }
-        Cut::ProcessEnds if may_have_run.is_some() => failed(driver, may_have_run),
-        Cut::ProcessEnds => refused(driver, None),
+        AbortReason::ProcessEnds if may_have_run.is_some() => failed(driver, may_have_run),
+        AbortReason::ProcessEnds => refused(driver, None),
     }
 }
--- a/crates/net/src/upstream.rs
+++ b/crates/net/src/upstream.rs
@@ -5,7 +5,7 @@
 use super::counters::Counters;
 use super::members::Members;
 use super::pg::{self, Code, Notes, Part};
-use super::request::{Carrier, Ended, Gate};
+use super::request::{AttemptResult, SendGate, Transport};
 use super::system_errors::{is_momentary, is_shortage};
 use super::timer_queue::TimerQueue;
 use crate::config::{HostSettings, span_of};
@@ -206,7 +206,7 @@
     until: Instant,
 }
 
-impl Gate for ProbeGate {
+impl SendGate for ProbeGate {
     fn admit(&self, member_in_service: bool) -> Result<Duration, SendDenied> {
         let left = self.until.saturating_duration_since(Instant::now());
         if member_in_service { Ok(left) } else { Err(SendDenied::MemberWithdrawn) }
@@ -524,7 +524,7 @@
         member: &MemberId,
         query: &Query<'_>,
         course: &Course,
-        gate: &dyn Gate,
+        gate: &dyn SendGate,
     ) -> Result<(Connection, Exchange), Lost> {
         let Course { stage, kept, .. } = course;
         // Who has been taken out since is not even called: work may begin there as soon as nothing is under way.
@@ -570,7 +570,7 @@
         query: &Query<'_>,
         marks: bool,
         course: &Course,
-        gate: &dyn Gate,
+        gate: &dyn SendGate,
     ) -> Result<(), Lost> {
         let Course { written, .. } = course;
         loop {
@@ -600,7 +600,7 @@
         until: Instant,
         member: &MemberId,
         query: &Query<'_>,
-        gate: &dyn Gate,
+        gate: &dyn SendGate,
     ) -> Result<(Connection, Exchange), Verdict> {
         let course = Course::default();
         let _present = self.present(member);
@@ -714,7 +714,7 @@
     }
 }
 
-impl Carrier for Pool {
+impl Transport for Pool {
     type Query = Statement;
     type Reply = Reply;
 
@@ -723,12 +723,12 @@
         member: &MemberId,
         query: &Statement,
         until: Instant,
-        gate: &dyn Gate,
-    ) -> Ended<Reply> {
+        gate: &dyn SendGate,
+    ) -> AttemptResult<Reply> {
         match self.within(until, member, &Query::Statement(query), gate).await {
             Err(verdict) => {
                 self.note(member, true, verdict);
-                Ended::without_answer(verdict)
+                AttemptResult::without_answer(verdict)
             }
             Ok((mut connection, exchange)) => {
                 self.note(member, true, exchange.verdict);
@@ -746,7 +746,12 @@
                 } else if ready {
                     self.put_back(member, connection);
                 }
-                Ended { verdict, note: notes.note(), report: notes.report(&self.host.borrow().report), reply }
+                AttemptResult {
+                    verdict,
+                    note: notes.note(),
+                    report: notes.report(&self.host.borrow().report),
+                    reply,
+                }
             }
         }
     }
