--- a/crates/coordination/src/work/desk.rs
+++ b/crates/coordination/src/work/coordinator.rs
@@ -1,10 +1,11 @@
 //! All of one pooler: its part in keeping the record, the plan's steps if it holds the lease, what it acts on itself, and staff's calls.
 
-use super::order::{Facts, Limits, Next, Why, next, possible};
+use super::order::{FleetInfo, Limits, NextStep, WaitReason, check_feasible, next_step};
 use super::record::{
-    Kind, Load, MOST_MACHINES, Message, Mode, PART, Places, Plan, PlanId, Record, Said, State, Verb, Word,
+    Command, CommandResult, GroupLoad, Heartbeat, MAX_MACHINES, MachineKind, MachineSet, MachineState,
+    Message, Mode, PART, Plan, PlanId, Record,
 };
-use super::register::{Keeping, Store, Writer};
+use super::register::{RegisterRules, VoterStore, Writer};
 use crate::lease::{FullLeaseRules, PoolerInstance, Token, VoterSet};
 use linnetdeal_core::peers::To;
 use linnetdeal_core::{Span, Time};
@@ -34,7 +35,7 @@
 
 /// How a pooler takes part.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WorkSetup {
+pub struct CoordinatorSetup {
     /// This life of this pooler.
     pub me: PoolerInstance,
     /// For what is drawn by chance.
@@ -46,62 +47,62 @@
     /// Sets that other processes may still go by.
     pub previous: Vec<BTreeSet<u16>>,
     /// A word is said so often while a plan is under way; letters without an answer are sent again after half of it.
-    pub every: Span,
+    pub heartbeat_interval: Span,
     /// A pooler that starts waits so long for a majority of voters before it serves by what it has heard.
-    pub hold: Span,
+    pub start_timeout: Span,
     /// What must hold while servers are out.
-    pub limits: Limits,
+    pub server_limits: Limits,
     /// What must hold while poolers are.
-    pub poolers: Limits,
+    pub pooler_limits: Limits,
 }
 
 /// What the host knows of this pooler when it has things done.
 #[derive(Clone, Debug, Default)]
-pub struct Own {
+pub struct LocalState {
     /// The lease's token, if it is held now.
     pub token: Option<Token>,
     /// Who holds the lease, as far as is known.
     pub holder: Option<u16>,
     /// By the plan's machines: nothing is out and nothing idle there, in any process of this pooler.
-    pub clear: Places,
+    pub clear: MachineSet,
     /// The age of the record that `clear` is about.
-    pub clear_of: (Token, u32),
+    pub clear_revision: (Token, u32),
     /// What stands for its zone.
     pub zone: u16,
     /// Servers that fail it.
     pub failing: Vec<u64>,
     /// What it bears.
-    pub loads: Vec<Load>,
+    pub loads: Vec<GroupLoad>,
 }
 
 /// A machine of the plan as shown.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Machine {
+pub struct MachineView {
     /// What stands for it.
     pub machine: u64,
     /// How far it is.
-    pub state: State,
+    pub state: MachineState,
     /// How long it has been so, as far as this pooler knows.
-    pub since: Span,
+    pub elapsed: Span,
     /// Why it waits; only its holder knows.
-    pub why: Option<Why>,
+    pub wait_reason: Option<WaitReason>,
     /// Poolers that have not said that they have nothing there; only the holder knows.
-    pub missing: Vec<u16>,
+    pub unconfirmed: Vec<u16>,
 }
 
 /// The plan as shown.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct View {
+pub struct PlanView {
     /// The plan.
     pub plan: PlanId,
     /// What its machines are.
-    pub kind: Kind,
+    pub kind: MachineKind,
     /// How it goes on.
     pub mode: Mode,
     /// Its machines.
-    pub machines: Vec<Machine>,
+    pub machines: Vec<MachineView>,
     /// The record's age.
-    pub age: (Token, u32),
+    pub revision: (Token, u32),
     /// Whether this pooler holds the lease and has read what there is.
     pub leads: bool,
     /// This pooler is a voter that knows nothing yet.
@@ -109,12 +110,12 @@
     /// This pooler knows what is out.
     pub started: bool,
     /// Poolers that were not heard lately; only the holder knows.
-    pub silent: Vec<u16>,
+    pub silent_poolers: Vec<u16>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Parts {
-    kind: Kind,
+    kind: MachineKind,
     nonce: u64,
     machines: Vec<Option<u64>>,
 }
@@ -133,14 +134,14 @@
 #[derive(Clone, Debug)]
 struct Heard {
     life: u64,
-    word: Word,
+    word: Heartbeat,
     at: Time,
     /// What it bears, by group, and when it said so: one word has room for some of them.
-    loads: BTreeMap<u16, (Load, Time)>,
+    loads: BTreeMap<u16, (GroupLoad, Time)>,
 }
 
 impl Heard {
-    fn take_loads(&mut self, now: Time, loads: &[Load]) {
+    fn take_loads(&mut self, now: Time, loads: &[GroupLoad]) {
         for load in loads {
             if self.loads.len() < MOST_GROUPS || self.loads.contains_key(&load.group) {
                 self.loads.insert(load.group, (*load, now));
@@ -150,12 +151,12 @@
 }
 
 struct Call {
-    verb: Verb,
+    verb: Command,
     plan: PlanId,
     at: u16,
     until: Time,
     sent: Time,
-    said: Option<Said>,
+    said: Option<CommandResult>,
 }
 
 /// What a holder has beside what is written.
@@ -166,12 +167,12 @@
     begun: Time,
     /// Since when each machine is in its state.
     times: Vec<Time>,
-    waits: BTreeMap<usize, Why>,
+    waits: BTreeMap<usize, WaitReason>,
     /// Who was told the record, by its age.
     told: BTreeMap<u16, Time>,
     sent: Time,
     /// What staff have called for that is not stored yet.
-    calls: VecDeque<(u16, u32, Said)>,
+    calls: VecDeque<(u16, u32, CommandResult)>,
     /// The first record that is this holder's own.
     own: Option<(Token, u32)>,
     /// The version with which each machine left, where this holder has taken it out.
@@ -179,11 +180,11 @@
 }
 
 /// One pooler.
-pub struct Work<K> {
-    setup: WorkSetup,
+pub struct Coordinator<K> {
+    setup: CoordinatorSetup,
     council: VoterSet,
     voters: BTreeSet<u16>,
-    store: Option<Store<K>>,
+    store: Option<VoterStore<K>>,
     lead: Option<Lead<K>>,
     /// The highest token that it has led with: with none twice, so that no two records are of one age.
     led: Token,
@@ -209,7 +210,7 @@
     round: u32,
     word_due: Time,
     asked: Time,
-    last_word: Option<Word>,
+    last_word: Option<Heartbeat>,
     /// The place of the load that the next word begins with.
     next_load: usize,
     out: Vec<(To, Message)>,
@@ -217,14 +218,15 @@
     rng: ChaCha8Rng,
 }
 
-impl<K: Keeping> Work<K> {
+impl<K: RegisterRules> Coordinator<K> {
     /// A pooler that has just started.
     #[must_use]
-    pub fn new(now: Time, setup: WorkSetup) -> Self {
+    pub fn new(now: Time, setup: CoordinatorSetup) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(setup.seed ^ setup.me.incarnation ^ 0x776f_726b);
         let council = VoterSet::new(setup.voters.clone(), setup.previous.clone());
         let voters = council.asked();
-        let store = voters.contains(&setup.me.number).then(|| Store::new(setup.me.number, rng.next_u32()));
+        let store =
+            voters.contains(&setup.me.number).then(|| VoterStore::new(setup.me.number, rng.next_u32()));
         Self {
             council,
             voters,
@@ -258,12 +260,12 @@
     }
 
     /// Whether the lease that is held is of no more use, since somebody with a later token has been heard of. Said once.
-    pub fn take_beaten(&mut self) -> bool {
+    pub fn take_superseded(&mut self) -> bool {
         std::mem::take(&mut self.beaten)
     }
 
     /// Letters to be sent.
-    pub fn take_letters(&mut self) -> Vec<(To, Message)> {
+    pub fn take_messages(&mut self) -> Vec<(To, Message)> {
         std::mem::take(&mut self.out)
     }
 
@@ -274,32 +276,32 @@
     }
 
     /// Another process of this pooler, which lives, knows what is out, and that was adopted.
-    pub fn start_by_other(&mut self) {
+    pub fn mark_started(&mut self) {
         self.started = true;
     }
 
     /// The age of the record that this pooler acts on.
     #[must_use]
-    pub fn age(&self) -> (Token, u32) {
-        self.heard.age()
+    pub fn revision(&self) -> (Token, u32) {
+        self.heard.revision()
     }
 
     /// Waited for a majority in vain: it is served by what was heard. True once, when that happens.
-    pub fn give_up_waiting(&mut self, now: Time) -> bool {
-        let over = !self.started && now - self.began >= self.setup.hold;
+    pub fn start_on_timeout(&mut self, now: Time) -> bool {
+        let over = !self.started && now - self.began >= self.setup.start_timeout;
         self.started |= over;
         over
     }
 
     /// The plan and record that this pooler acts on, and the age of that.
     #[must_use]
-    pub fn acts_on(&self) -> Option<(&Plan, &Record)> {
+    pub fn current_plan(&self) -> Option<(&Plan, &Record)> {
         Some((self.plans.get(&self.heard.plan)?, &self.heard))
     }
 
     /// What another process of this pooler acts on: taken if it is newer.
     pub fn adopt(&mut self, now: Time, plan: Plan, record: &Record) {
-        if plan.machines.len() <= MOST_MACHINES && plan.id() == record.plan {
+        if plan.machines.len() <= MAX_MACHINES && plan.id() == record.plan {
             self.keep(plan);
             self.act_on(now, self.setup.me.number, record);
         }
@@ -313,15 +315,15 @@
 
     /// Whether a plan is under way, as far as is known.
     #[must_use]
-    pub fn is_under_way(&self) -> bool {
-        self.heard.mode != Mode::Over
+    pub fn is_active(&self) -> bool {
+        self.heard.mode != Mode::Idle
     }
 
     /// The token of the lease must not be wanted by a pooler whose own machine is out.
     #[must_use]
-    pub fn own_is_out(&self) -> bool {
-        self.acts_on().is_some_and(|(plan, record)| {
-            plan.kind == Kind::Poolers
+    pub fn own_machine_is_out(&self) -> bool {
+        self.current_plan().is_some_and(|(plan, record)| {
+            plan.kind == MachineKind::Poolers
                 && record.out().any(|at| plan.machines.get(at) == Some(&self.setup.me.number.into()))
         })
     }
@@ -330,7 +332,7 @@
     /// pooler was heard lately and is whole.
     #[must_use]
     pub fn poolers(&self, now: Time) -> Vec<(u16, u16, bool)> {
-        let stale = Span(self.setup.every.0 * STALE);
+        let stale = Span(self.setup.heartbeat_interval.0 * STALE);
         let of = |number: u16| {
             let last = self.words.get(&number).and_then(|lives| lives.last());
             let zone = last.map_or(0, |heard| heard.word.zone);
@@ -345,11 +347,11 @@
         let mut loads: BTreeMap<u16, (f64, f64)> = BTreeMap::new();
         for heard in self.words.values().filter_map(|lives| lives.last()) {
             // Each group has its turn once in so many words.
-            let turns = heard.loads.len().div_ceil(Word::MOST_LOADS).max(1) as i64;
-            let stale = Span(self.setup.every.0 * STALE * turns);
+            let turns = heard.loads.len().div_ceil(Heartbeat::MOST_LOADS).max(1) as i64;
+            let stale = Span(self.setup.heartbeat_interval.0 * STALE * turns);
             for (load, _) in heard.loads.values().filter(|(_, at)| now - *at < stale) {
                 let sum = loads.entry(load.group).or_default();
-                sum.0 += f64::from(load.now);
+                sum.0 += f64::from(load.current);
                 sum.1 += f64::from(load.peak);
             }
         }
@@ -359,7 +361,7 @@
     /// Servers that so many poolers say fail them.
     #[must_use]
     pub fn failing(&self, now: Time) -> BTreeMap<u64, usize> {
-        let stale = Span(self.setup.every.0 * STALE);
+        let stale = Span(self.setup.heartbeat_interval.0 * STALE);
         let mut failing = BTreeMap::new();
         for heard in
             self.words.values().filter_map(|lives| lives.last()).filter(|heard| now - heard.at < stale)
@@ -379,20 +381,20 @@
     pub fn submit(
         &mut self,
         now: Time,
-        kind: Kind,
+        kind: MachineKind,
         machines: Vec<u64>,
     ) -> Result<(PlanId, u32), &'static str> {
         if machines.is_empty() {
             return Err("the plan names no machine");
         }
-        if machines.len() > MOST_MACHINES {
+        if machines.len() > MAX_MACHINES {
             return Err("the plan names more than 256 machines");
         }
         if machines.iter().collect::<BTreeSet<_>>().len() < machines.len() {
             return Err("a machine is named twice");
         }
         // Sent again since nobody had answered in time: it may have been taken meanwhile.
-        let over = self.heard.mode == Mode::Over;
+        let over = self.heard.mode == Mode::Idle;
         let same = self.plans.iter().find(|(id, plan)| {
             plan.kind == kind && plan.machines == machines && !(over && **id == self.heard.plan)
         });
@@ -402,29 +404,31 @@
         };
         let id = plan.id();
         self.keep(plan);
-        self.call(now, Verb::Submit, id, 0).map(|call| (id, call)).ok_or("too many calls are waiting")
+        self.queue_command(now, Command::Submit, id, 0)
+            .map(|call| (id, call))
+            .ok_or("too many calls are waiting")
     }
 
     /// Has the holder asked for something; the call's number.
-    pub fn call(&mut self, now: Time, verb: Verb, plan: PlanId, at: u16) -> Option<u32> {
+    pub fn queue_command(&mut self, now: Time, verb: Command, plan: PlanId, at: u16) -> Option<u32> {
         self.calls.retain(|_, call| now < call.until);
         if self.calls.len() >= MOST_CALLS {
             return None;
         }
         self.next_call = self.next_call.wrapping_add(1);
-        let until = now + Span(self.setup.every.0 * CALL_WORDS);
+        let until = now + Span(self.setup.heartbeat_interval.0 * CALL_WORDS);
         let sent = Time(i64::MIN / 4);
         self.calls.insert(self.next_call, Call { verb, plan, at, until, sent, said: None });
         Some(self.next_call)
     }
 
     /// Nobody waits for a call any more.
-    pub fn forget_call(&mut self, call: u32) {
+    pub fn forget_command(&mut self, call: u32) {
         self.calls.remove(&call);
     }
 
     /// How a call came out; `None` while it is not known. A call that was answered is forgotten by this.
-    pub fn said(&mut self, call: u32) -> Option<Said> {
+    pub fn take_result(&mut self, call: u32) -> Option<CommandResult> {
         let said = self.calls.get(&call)?.said?;
         self.calls.remove(&call);
         Some(said)
@@ -432,34 +436,36 @@
 
     /// The plan as this pooler sees it.
     #[must_use]
-    pub fn view(&self, now: Time) -> View {
-        let mut view = View {
+    pub fn view(&self, now: Time) -> PlanView {
+        let mut view = PlanView {
             mode: self.heard.mode,
-            age: self.heard.age(),
+            revision: self.heard.revision(),
             leads: self.lead.as_ref().is_some_and(|lead| lead.writer.settled().is_some()),
-            blank: self.store.as_ref().is_some_and(Store::is_blank),
+            blank: self.store.as_ref().is_some_and(VoterStore::is_blank),
             started: self.started,
-            ..View::default()
+            ..PlanView::default()
         };
-        let Some((plan, record)) = self.acts_on() else { return view };
+        let Some((plan, record)) = self.current_plan() else { return view };
         (view.plan, view.kind) = (record.plan, plan.kind);
-        let stale = Span(self.setup.every.0 * STALE);
+        let stale = Span(self.setup.heartbeat_interval.0 * STALE);
         if self.lead.is_some() {
             let heard = |of: &u16| {
                 self.words.get(of).and_then(|lives| lives.last()).is_some_and(|heard| now - heard.at < stale)
             };
-            view.silent = (0..self.setup.fleet).filter(|of| !heard(of)).collect();
+            view.silent_poolers = (0..self.setup.fleet).filter(|of| !heard(of)).collect();
         }
         for (at, machine) in plan.machines.iter().enumerate() {
             let state = record.states.get(at).copied().unwrap_or_default();
             let times = self.lead.as_ref().map_or(&self.times, |lead| &lead.times);
             let lead = self.lead.as_ref();
-            view.machines.push(Machine {
+            view.machines.push(MachineView {
                 machine: *machine,
                 state,
-                since: times.get(at).map_or(Span(0), |since| now - *since),
-                why: lead.and_then(|lead| lead.waits.get(&at).cloned()),
-                missing: lead.filter(|_| state.is_leaving()).map_or(Vec::new(), |_| self.missing(plan, at)),
+                elapsed: times.get(at).map_or(Span(0), |since| now - *since),
+                wait_reason: lead.and_then(|lead| lead.waits.get(&at).cloned()),
+                unconfirmed: lead
+                    .filter(|_| state.is_leaving())
+                    .map_or(Vec::new(), |_| self.missing(plan, at)),
             });
         }
         view
@@ -479,7 +485,7 @@
         let clear = |number: &u16| {
             self.words.get(number).is_some_and(|lives| !lives.is_empty() && lives.iter().all(says))
         };
-        if plan.kind == Kind::Poolers {
+        if plan.kind == MachineKind::Poolers {
             let machine = plan.machines.get(at).and_then(|of| u16::try_from(*of).ok());
             return machine.into_iter().filter(|number| !clear(number)).collect();
         }
@@ -487,14 +493,14 @@
     }
 
     /// Something of the pooler of this number, by its present life.
-    pub fn hear(&mut self, now: Time, from: PoolerInstance, note: Message) {
+    pub fn receive(&mut self, now: Time, from: PoolerInstance, note: Message) {
         self.read(now, from, note);
         self.settle(now);
     }
 
     /// Does what is due: to be called some times in each word's time, and when something has changed.
-    pub fn tick(&mut self, now: Time, own: &Own, facts: &dyn Fn(Kind) -> Facts) {
-        let half = Span(self.setup.every.0 / 2);
+    pub fn tick(&mut self, now: Time, own: &LocalState, facts: &dyn Fn(MachineKind) -> FleetInfo) {
+        let half = Span(self.setup.heartbeat_interval.0 / 2);
         if now - self.asked >= half {
             self.asked = now;
             self.ask();
@@ -523,7 +529,7 @@
             self.start = (round, BTreeMap::new());
             let note = Message::Read { round, promise: Token(0), own: 0 };
             // A blank voter's own question is the same, and its answers count for both.
-            let blank = self.store.as_ref().is_some_and(Store::is_blank);
+            let blank = self.store.as_ref().is_some_and(VoterStore::is_blank);
             for voter in self.voters.clone() {
                 if !blank || voter == self.setup.me.number {
                     self.post(voter, note.clone());
@@ -541,9 +547,9 @@
         }
     }
 
-    fn take_lead(&mut self, now: Time, own: &Own) {
+    fn take_lead(&mut self, now: Time, own: &LocalState) {
         let held = self.lead.as_ref().map(|lead| lead.writer.token());
-        self.beaten |= self.lead.as_ref().is_some_and(|lead| lead.writer.is_beaten());
+        self.beaten |= self.lead.as_ref().is_some_and(|lead| lead.writer.is_superseded());
         if own.token == held && !self.beaten {
             return;
         }
@@ -569,8 +575,8 @@
         });
     }
 
-    fn lead(&mut self, now: Time, facts: &dyn Fn(Kind) -> Facts) {
-        let half = Span(self.setup.every.0 / 2);
+    fn lead(&mut self, now: Time, facts: &dyn Fn(MachineKind) -> FleetInfo) {
+        let half = Span(self.setup.heartbeat_interval.0 / 2);
         let Some(lead) = &mut self.lead else { return };
         if let Some(record) = lead.writer.has_read().cloned() {
             // A majority that lost its memory: this pooler may have heard of what was there; if not, others tell.
@@ -597,8 +603,8 @@
         }
         if let Some(settled) = lead.writer.settled().cloned() {
             let first = lead.own.is_none();
-            lead.own.get_or_insert(settled.age());
-            if first || settled.age() > self.heard.age() {
+            lead.own.get_or_insert(settled.revision());
+            if first || settled.revision() > self.heard.revision() {
                 let calls = std::mem::take(&mut lead.calls);
                 lead.told.clear();
                 for (to, call, said) in calls {
@@ -619,8 +625,8 @@
     }
 
     /// The plan's next step, if there is one.
-    fn step(&mut self, now: Time, settled: &Record, facts: &dyn Fn(Kind) -> Facts) {
-        if settled.mode == Mode::Over {
+    fn step(&mut self, now: Time, settled: &Record, facts: &dyn Fn(MachineKind) -> FleetInfo) {
+        if settled.mode == Mode::Idle {
             return;
         }
         let Some(plan) = self.plans.get(&settled.plan).cloned() else { return };
@@ -628,12 +634,12 @@
         // Each pooler has to say first what it bears.
         let begun = self.lead.as_ref().map_or(now, |lead| lead.begun.max(lead.since));
         let groups: BTreeSet<u16> = facts.machines.iter().map(|of| of.group).collect();
-        let words = FIRST_WORDS + groups.len().div_ceil(Word::MOST_LOADS) as i64;
-        facts.unknown = now - begun < Span(self.setup.every.0 * words);
+        let words = FIRST_WORDS + groups.len().div_ceil(Heartbeat::MOST_LOADS) as i64;
+        facts.load_unknown = now - begun < Span(self.setup.heartbeat_interval.0 * words);
         let lead_times = self.lead.as_ref().map(|lead| lead.times.clone()).unwrap_or_default();
         let clear = |at: usize| self.missing(&plan, at).is_empty();
-        let Next { states, mode, waits } =
-            next(now, &plan, settled, &lead_times, &facts, self.limits(plan.kind), &clear);
+        let NextStep { states, mode, waits } =
+            next_step(now, &plan, settled, &lead_times, &facts, self.limits(plan.kind), &clear);
         let Some(lead) = &mut self.lead else { return };
         lead.waits = waits;
         if states != settled.states || mode != settled.mode {
@@ -641,10 +647,10 @@
         }
     }
 
-    fn limits(&self, kind: Kind) -> &Limits {
+    fn limits(&self, kind: MachineKind) -> &Limits {
         match kind {
-            Kind::Servers => &self.setup.limits,
-            Kind::Poolers => &self.setup.poolers,
+            MachineKind::Servers => &self.setup.server_limits,
+            MachineKind::Poolers => &self.setup.pooler_limits,
         }
     }
 
@@ -676,16 +682,16 @@
     /// Tells those the record that have not said a word of it. While a plan is under way, who was heard and falls silent is told
     /// again: it may have started again since, or speak to somebody else.
     fn tell(&mut self, now: Time) {
-        let half = Span(self.setup.every.0 / 2);
-        let stale = Span(self.setup.every.0 * STALE);
+        let half = Span(self.setup.heartbeat_interval.0 / 2);
+        let stale = Span(self.setup.heartbeat_interval.0 * STALE);
         let Some(lead) = &mut self.lead else { return };
         let Some(record) = lead.writer.settled().cloned() else { return };
         let me = self.setup.me.number;
         let mut to = Vec::new();
         for number in (0..self.setup.fleet).filter(|number| *number != me) {
             let knows = self.words.get(&number).and_then(|lives| lives.last()).is_some_and(|heard| {
-                let of_this = (heard.word.token, heard.word.version) == record.age();
-                let lately = record.mode == Mode::Over || now - heard.at < stale;
+                let of_this = (heard.word.token, heard.word.version) == record.revision();
+                let lately = record.mode == Mode::Idle || now - heard.at < stale;
                 heard.word.plan == record.plan && of_this && lately
             });
             let told = lead.told.get(&number).copied();
@@ -718,19 +724,19 @@
     }
 
     /// Says what is to be said.
-    fn say(&mut self, now: Time, own: &Own) {
-        let word = Word {
+    fn say(&mut self, now: Time, own: &LocalState) {
+        let word = Heartbeat {
             plan: self.heard.plan,
             token: self.heard.token,
             version: self.heard.version,
-            clear: if self.acts_on().is_some() && self.started {
+            clear: if self.current_plan().is_some() && self.started {
                 own.clear.clone()
             } else {
-                Places::default()
+                MachineSet::default()
             },
-            blank: self.store.as_ref().is_some_and(Store::is_blank),
+            blank: self.store.as_ref().is_some_and(VoterStore::is_blank),
             zone: own.zone,
-            failing: own.failing.iter().copied().take(Word::MOST_FAILING).collect(),
+            failing: own.failing.iter().copied().take(Heartbeat::MOST_FAILING).collect(),
             loads: Vec::new(),
         };
         let changed = self.last_word.as_ref().is_none_or(|last| {
@@ -739,20 +745,24 @@
         });
         // Without a plan, who holds the lease needs no words but the first. What is clear was found out by an older record: the
         // next word is about this one.
-        let late = own.clear_of != self.heard.age();
+        let late = own.clear_revision != self.heard.revision();
         if !changed && now < self.word_due || self.heard.token == Token(0) || late {
             return;
         }
-        let pause = if self.is_under_way() { self.setup.every.0 } else { self.setup.every.0 * 60 };
+        let pause = if self.is_active() {
+            self.setup.heartbeat_interval.0
+        } else {
+            self.setup.heartbeat_interval.0 * 60
+        };
         self.word_due =
             now + Span(pause - pause / 8 + (self.rng.next_u64() >> 1) as i64 % (pause / 4).max(1));
         self.last_word = Some(word.clone());
         // Groups have their turns where one word has no room for all.
         let first = self.next_load % own.loads.len().max(1);
-        let loads = own.loads.iter().cycle().skip(first).take(own.loads.len().min(Word::MOST_LOADS));
-        let word = Word { loads: loads.copied().collect(), ..word };
-        self.next_load = first + Word::MOST_LOADS;
-        self.post(self.speaks_to(own.holder), Message::Word(word));
+        let loads = own.loads.iter().cycle().skip(first).take(own.loads.len().min(Heartbeat::MOST_LOADS));
+        let word = Heartbeat { loads: loads.copied().collect(), ..word };
+        self.next_load = first + Heartbeat::MOST_LOADS;
+        self.post(self.speaks_to(own.holder), Message::Heartbeat(word));
     }
 
     fn read(&mut self, now: Time, from: PoolerInstance, note: Message) {
@@ -782,12 +792,12 @@
             }
             Message::Tell { record } => {
                 self.act_on(now, from.number, &record);
-                if record.age() == self.heard.age() {
+                if record.revision() == self.heard.revision() {
                     self.told_by = Some(from.number);
                 }
                 self.copy(now, from.number, &record);
             }
-            Message::Word(word) => self.word(now, from, word),
+            Message::Heartbeat(word) => self.word(now, from, word),
             Message::Wants { plan, at } => {
                 let Some(known) = self.plans.get(&plan).cloned() else { return };
                 let count = known.machines.len() as u16;
@@ -799,14 +809,14 @@
                 }
             }
             Message::Part { plan, kind, nonce, count, at, machines } => {
-                if usize::from(count) <= MOST_MACHINES {
+                if usize::from(count) <= MAX_MACHINES {
                     let parts = Parts { kind, nonce, machines: vec![None; count.into()] };
                     self.part(from.number, plan, parts, at, &machines);
                 }
             }
             Message::Call { call, verb, plan, at } => self.called(now, from.number, call, verb, plan, at),
             Message::Reply { call, said } => {
-                if let Some(call) = self.calls.get_mut(&call).filter(|_| said != Said::NotHolder) {
+                if let Some(call) = self.calls.get_mut(&call).filter(|_| said != CommandResult::NotHolder) {
                     call.said.get_or_insert(said);
                 }
             }
@@ -830,7 +840,7 @@
                 self.start.1.iter().filter(|(_, (blank, _))| !blank).map(|(of, _)| *of).collect();
             let own_known = self.store.as_ref().is_none_or(|store| !store.is_blank());
             if self.council.decides::<FullLeaseRules>(&voted) && own_known {
-                let newest = self.start.1.iter().max_by_key(|(_, (_, record))| record.age());
+                let newest = self.start.1.iter().max_by_key(|(_, (_, record))| record.revision());
                 let newest = newest.map(|(of, (_, record))| (*of, record.clone()));
                 self.started = true;
                 if let Some((of, record)) = newest {
@@ -838,7 +848,7 @@
                 }
                 // What is named and not known yet is out all the same, once its machines are.
                 self.started = self.heard.plan == PlanId::NONE
-                    || self.heard.mode == Mode::Over
+                    || self.heard.mode == Mode::Idle
                     || self.plans.contains_key(&self.heard.plan);
             }
         }
@@ -847,9 +857,9 @@
         }
     }
 
-    fn word(&mut self, now: Time, from: PoolerInstance, mut word: Word) {
+    fn word(&mut self, now: Time, from: PoolerInstance, mut word: Heartbeat) {
         let loads = std::mem::take(&mut word.loads);
-        let stale = Span(self.setup.every.0 * STALE);
+        let stale = Span(self.setup.heartbeat_interval.0 * STALE);
         let lives = self.words.entry(from.number).or_default();
         match lives.iter_mut().find(|heard| heard.life == from.incarnation) {
             // Of one life the later record counts: letters may overtake each other.
@@ -919,7 +929,7 @@
     }
 
     fn act_on(&mut self, now: Time, from: u16, record: &Record) {
-        if record.age() < self.heard.age() {
+        if record.revision() < self.heard.revision() {
             return;
         }
         // All voters have lost their memory, and this pooler has not: what it knows to be out stays out, and is told.
@@ -927,7 +937,7 @@
             self.post(from, Message::Tell { record: self.heard.clone() });
             return;
         }
-        if record.age() == self.heard.age() {
+        if record.revision() == self.heard.revision() {
             if from != self.setup.me.number {
                 self.heard_from = from;
             }
@@ -961,9 +971,9 @@
         }
     }
 
-    fn called(&mut self, now: Time, from: u16, call: u32, verb: Verb, plan: PlanId, at: u16) {
+    fn called(&mut self, now: Time, from: u16, call: u32, verb: Command, plan: PlanId, at: u16) {
         let Some(lead) = &mut self.lead else {
-            return self.post(from, Message::Reply { call, said: Said::NotHolder });
+            return self.post(from, Message::Reply { call, said: CommandResult::NotHolder });
         };
         if lead.calls.iter().any(|(of, number, _)| (*of, *number) == (from, call)) {
             return;
@@ -989,20 +999,20 @@
         now: Time,
         from: u16,
         settled: &Record,
-        verb: Verb,
+        verb: Command,
         plan: PlanId,
         at: usize,
-    ) -> Option<(Said, Option<Record>)> {
-        if verb == Verb::Submit {
+    ) -> Option<(CommandResult, Option<Record>)> {
+        if verb == Command::Submit {
             if settled.plan == plan {
-                return Some((Said::Done, None));
+                return Some((CommandResult::Done, None));
             }
-            if settled.mode != Mode::Over {
-                return Some((Said::Busy, None));
+            if settled.mode != Mode::Idle {
+                return Some((CommandResult::Busy, None));
             }
             // Should the voters have lost their memory, others have had time to say what there was.
             let since = self.lead.as_ref().map_or(now, |lead| lead.since);
-            if settled.plan == PlanId::NONE && now - since < Span(self.setup.every.0 * COPIES) {
+            if settled.plan == PlanId::NONE && now - since < Span(self.setup.heartbeat_interval.0 * COPIES) {
                 return None;
             }
             let Some(known) = self.plans.get(&plan) else {
@@ -1010,53 +1020,69 @@
                 self.post(from, Message::Wants { plan, at });
                 return None;
             };
-            let states = vec![State::Waiting; known.machines.len()];
-            return Some((Said::Done, Some(Record { plan, mode: Mode::Running, states, ..settled.clone() })));
+            let states = vec![MachineState::Waiting; known.machines.len()];
+            return Some((
+                CommandResult::Done,
+                Some(Record { plan, mode: Mode::Running, states, ..settled.clone() }),
+            ));
         }
         if settled.plan != plan || plan == PlanId::NONE {
-            return Some((Said::Unknown, None));
+            return Some((CommandResult::NotFound, None));
         }
         let whole = |from: &[Mode], to: Mode| {
             if settled.mode == to {
-                (Said::Done, None)
+                (CommandResult::Done, None)
             } else if from.contains(&settled.mode) {
-                (Said::Done, Some(Record { mode: to, ..settled.clone() }))
+                (CommandResult::Done, Some(Record { mode: to, ..settled.clone() }))
             } else {
-                (Said::NotNow, None)
+                (CommandResult::InvalidState, None)
             }
         };
         match verb {
-            Verb::Pause => return Some(whole(&[Mode::Running], Mode::Paused)),
-            Verb::Resume => return Some(whole(&[Mode::Paused], Mode::Running)),
-            Verb::Cancel => return Some(whole(&[Mode::Running, Mode::Paused], Mode::Cancelled)),
+            Command::Pause => return Some(whole(&[Mode::Running], Mode::Paused)),
+            Command::Resume => return Some(whole(&[Mode::Paused], Mode::Running)),
+            Command::Cancel => return Some(whole(&[Mode::Running, Mode::Paused], Mode::Cancelled)),
             _ => {}
         }
-        let Some(state) = settled.states.get(at).copied() else { return Some((Said::Unknown, None)) };
+        let Some(state) = settled.states.get(at).copied() else {
+            return Some((CommandResult::NotFound, None));
+        };
         let to = match (verb, state) {
-            (Verb::Skip, State::Waiting | State::Forced | State::Handing) => State::Skipped,
-            (Verb::Skip, state) if state.is_leaving() || state.is_free() => State::Skipped,
-            (Verb::Force, State::Waiting | State::Handing) if settled.mode == Mode::Running => State::Forced,
+            (Command::Skip, MachineState::Waiting | MachineState::Forced | MachineState::HandingOver) => {
+                MachineState::Skipped
+            }
+            (Command::Skip, state) if state.is_leaving() || state.is_free() => MachineState::Skipped,
+            (Command::Force, MachineState::Waiting | MachineState::HandingOver)
+                if settled.mode == Mode::Running =>
+            {
+                MachineState::Forced
+            }
             // Staff know that who isn't heard sends nothing there.
-            (Verb::Force, state) if state.is_leaving() => State::ForcedFree,
-            (Verb::Begin, state) if state.is_free() => {
+            (Command::Force, state) if state.is_leaving() => MachineState::ForcedFree,
+            (Command::Begin, state) if state.is_free() => {
                 // What was free by an earlier holder's word is so by this one's: somebody may have come back since.
                 let known = self.plans.get(&plan)?;
-                if state == State::Free && !self.missing(known, at).is_empty() {
+                if state == MachineState::Free && !self.missing(known, at).is_empty() {
                     return None;
                 }
-                State::AtWork
+                MachineState::AtWork
             }
-            (Verb::Done, State::AtWork) => State::Warming,
+            (Command::Done, MachineState::AtWork) => MachineState::Warming,
             // The answer was lost, and it is asked again.
-            (Verb::Skip, State::Skipped)
-            | (Verb::Force, State::Forced | State::ForcedLeaving | State::ForcedFree)
-            | (Verb::Begin, State::AtWork)
-            | (Verb::Done, State::Warming | State::Back) => return Some((Said::Done, None)),
-            _ => return Some((Said::NotNow, None)),
+            (Command::Skip, MachineState::Skipped)
+            | (
+                Command::Force,
+                MachineState::Forced | MachineState::ForcedLeaving | MachineState::ForcedFree,
+            )
+            | (Command::Begin, MachineState::AtWork)
+            | (Command::Done, MachineState::Warming | MachineState::Back) => {
+                return Some((CommandResult::Done, None));
+            }
+            _ => return Some((CommandResult::InvalidState, None)),
         };
         let mut record = settled.clone();
         record.states[at] = to;
-        Some((Said::Done, Some(record)))
+        Some((CommandResult::Done, Some(record)))
     }
 
     /// Whether the limits can ever be met by a plan, by the facts of this pooler.
@@ -1064,8 +1090,8 @@
     /// # Errors
     ///
     /// The first machine that never may go out, by its place, and why.
-    pub fn possible(&self, plan: PlanId, facts: &Facts) -> Result<(), (usize, Why)> {
-        self.plans.get(&plan).map_or(Ok(()), |plan| possible(plan, facts, self.limits(plan.kind)))
+    pub fn check_feasible(&self, plan: PlanId, facts: &FleetInfo) -> Result<(), (usize, WaitReason)> {
+        self.plans.get(&plan).map_or(Ok(()), |plan| check_feasible(plan, facts, self.limits(plan.kind)))
     }
 
     fn post(&mut self, to: u16, note: Message) {
--- a/crates/coordination/src/work/mod.rs
+++ b/crates/coordination/src/work/mod.rs
@@ -1,17 +1,20 @@
 //! Machines out for work: [`Plan`] and [`Record`] are what there is to do and how far it is, [`Store`] and [`Writer`] keep the record in
 //! voters' memory, [`next`] decides what goes out, [`Work`] is all of one pooler. `docs/design/work.md` has the reasons.
 
-mod desk;
+mod coordinator;
 mod order;
 mod record;
 mod register;
 mod wire;
 
-pub use desk::{Machine, Own, View, Work, WorkSetup};
-pub use order::{Fact, Facts, Limits, Next, Scheme, Why, next, possible};
+pub use coordinator::{Coordinator, CoordinatorSetup, LocalState, MachineView, PlanView};
+pub use order::{
+    FleetInfo, Limits, MachineInfo, NextStep, OrderPolicy, WaitReason, check_feasible, next_step,
+};
 pub use record::{
-    Kind, Load, MOST_MACHINES, Message, Mode, PART, Places, Plan, PlanId, Record, Said, State, Verb, Word,
+    Command, CommandResult, GroupLoad, Heartbeat, MAX_MACHINES, MachineKind, MachineSet, MachineState,
+    Message, Mode, PART, Plan, PlanId, Record,
 };
-pub use register::{Keeping, Store, Whole, Writer};
+pub use register::{FullRegisterRules, RegisterRules, VoterStore, Writer};
 pub use wire::MOST_VOTERS;
 pub(crate) use wire::{put, take};
--- a/crates/coordination/src/work/record.rs
+++ b/crates/coordination/src/work/record.rs
@@ -4,13 +4,13 @@
 use linnetdeal_core::membership::fnv;
 
 /// No plan names more machines: its record has to fit into one datagram.
-pub const MOST_MACHINES: usize = 256;
+pub const MAX_MACHINES: usize = 256;
 /// Machines that one letter names.
 pub const PART: usize = 22;
 
 /// What kind of machines a plan is about.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum Kind {
+pub enum MachineKind {
     /// Those of servers, known by what stands for their ids.
     #[default]
     Servers,
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Plan {
     /// What they are.
-    pub kind: Kind,
+    pub kind: MachineKind,
     /// Which they are: what stands for a server's id (`membership::stands_for`), or a pooler's number.
     pub machines: Vec<u64>,
     /// Tells plans of the same machines apart.
@@ -42,19 +42,19 @@
     /// Its name. A name that stands for no plan is not drawn.
     #[must_use]
     pub fn id(&self) -> PlanId {
-        let head = [u8::from(self.kind == Kind::Poolers)].into_iter().chain(self.nonce.to_be_bytes());
+        let head = [u8::from(self.kind == MachineKind::Poolers)].into_iter().chain(self.nonce.to_be_bytes());
         PlanId(fnv(head.chain(self.machines.iter().flat_map(|of| of.to_be_bytes()))).max(1))
     }
 }
 
 /// How far a machine is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum State {
+pub enum MachineState {
     /// In use, its turn is to come.
     #[default]
     Waiting,
     /// Somebody else is to be made the primary first.
-    Handing,
+    HandingOver,
     /// It gets nothing new; some may have something out there.
     Leaving,
     /// Nobody has anything there: work may begin.
@@ -70,7 +70,7 @@
     /// It is not there any more.
     Gone,
     /// Nobody else became the primary.
-    NotHanded,
+    NotHandedOver,
     /// The plan was cancelled before its turn.
     Cancelled,
     /// Waiting, and to go next whatever the limits say.
@@ -81,11 +81,11 @@
     ForcedFree,
 }
 
-impl State {
+impl MachineState {
     /// All, by their numbers.
     pub const ALL: [Self; 14] = [
         Self::Waiting,
-        Self::Handing,
+        Self::HandingOver,
         Self::Leaving,
         Self::Free,
         Self::AtWork,
@@ -93,7 +93,7 @@
         Self::Back,
         Self::Skipped,
         Self::Gone,
-        Self::NotHanded,
+        Self::NotHandedOver,
         Self::Cancelled,
         Self::Forced,
         Self::ForcedLeaving,
@@ -120,22 +120,22 @@
 
     /// Whether it counts against the limits.
     #[must_use]
-    pub fn counts(self) -> bool {
+    pub fn counts_against_limits(self) -> bool {
         self.is_out() || self == Self::Warming
     }
 
     /// Whether nothing more becomes of it.
     #[must_use]
-    pub fn is_over(self) -> bool {
-        matches!(self, Self::Back | Self::Skipped | Self::Gone | Self::NotHanded | Self::Cancelled)
+    pub fn is_final(self) -> bool {
+        matches!(self, Self::Back | Self::Skipped | Self::Gone | Self::NotHandedOver | Self::Cancelled)
     }
 
     /// In a word.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Self::Waiting => "waiting",
-            Self::Handing => "handing over",
+            Self::HandingOver => "handing over",
             Self::Leaving => "leaving",
             Self::Free => "free",
             Self::AtWork => "at work",
@@ -143,7 +143,7 @@
             Self::Back => "back",
             Self::Skipped => "skipped by hand",
             Self::Gone => "skipped, gone",
-            Self::NotHanded => "skipped, nobody else became the primary",
+            Self::NotHandedOver => "skipped, nobody else became the primary",
             Self::Cancelled => "skipped, cancelled",
             Self::Forced => "waiting, forced",
             Self::ForcedLeaving => "leaving, forced",
@@ -157,7 +157,7 @@
 pub enum Mode {
     /// There is none, or all is done.
     #[default]
-    Over,
+    Idle,
     /// Steps are taken.
     Running,
     /// Nothing more goes out.
@@ -168,11 +168,11 @@
 
 impl Mode {
     /// All, by their numbers.
-    pub const ALL: [Self; 4] = [Self::Over, Self::Running, Self::Paused, Self::Cancelled];
+    pub const ALL: [Self; 4] = [Self::Idle, Self::Running, Self::Paused, Self::Cancelled];
 
     /// In a word.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         ["over", "running", "paused", "cancelled"][self as usize]
     }
 }
@@ -189,13 +189,13 @@
     /// How it goes on.
     pub mode: Mode,
     /// By the plan's machines.
-    pub states: Vec<State>,
+    pub states: Vec<MachineState>,
 }
 
 impl Record {
     /// What orders records.
     #[must_use]
-    pub fn age(&self) -> (Token, u32) {
+    pub fn revision(&self) -> (Token, u32) {
         (self.token, self.version)
     }
 
@@ -207,14 +207,14 @@
 
 /// Which places are meant: one bit each.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Places(Vec<u8>);
+pub struct MachineSet(Vec<u8>);
 
-impl Places {
+impl MachineSet {
     /// These.
     #[must_use]
     pub fn of(places: impl IntoIterator<Item = usize>) -> Self {
         let mut bits = Vec::new();
-        for at in places.into_iter().filter(|at| *at < MOST_MACHINES) {
+        for at in places.into_iter().filter(|at| *at < MAX_MACHINES) {
             if bits.len() <= at / 8 {
                 bits.resize(at / 8 + 1, 0);
             }
@@ -240,18 +240,18 @@
 
 /// What a pooler bears of one group, in requests a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Load {
+pub struct GroupLoad {
     /// The group.
     pub group: u16,
     /// Now.
-    pub now: u16,
+    pub current: u16,
     /// At the busiest minute of the last hour.
     pub peak: u16,
 }
 
 /// What a pooler says of itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Word {
+pub struct Heartbeat {
     /// The record that it acts on.
     pub plan: PlanId,
     /// Its token.
@@ -259,7 +259,7 @@
     /// Its version.
     pub version: u32,
     /// Of the machines that are out, those where it has nothing out and nothing idle.
-    pub clear: Places,
+    pub clear: MachineSet,
     /// It is a voter that knows nothing yet.
     pub blank: bool,
     /// What stands for its zone.
@@ -267,10 +267,10 @@
     /// Servers that fail it.
     pub failing: Vec<u64>,
     /// What it bears, by group.
-    pub loads: Vec<Load>,
+    pub loads: Vec<GroupLoad>,
 }
 
-impl Word {
+impl Heartbeat {
     /// Servers that one names.
     pub const MOST_FAILING: usize = 6;
     /// Groups that one names.
@@ -279,7 +279,7 @@
 
 /// What staff want done with a plan, or with one of its machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Verb {
+pub enum Command {
     /// Begin it.
     Submit,
     /// Nothing more goes out.
@@ -298,7 +298,7 @@
     Done,
 }
 
-impl Verb {
+impl Command {
     /// All, by their numbers.
     pub const ALL: [Self; 8] = [
         Self::Submit,
@@ -314,25 +314,25 @@
 
 /// How a call came out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Said {
+pub enum CommandResult {
     /// It is done, and outlives its holder.
     Done,
     /// The plan or machine is not in a state for this.
-    NotNow,
+    InvalidState,
     /// Another plan is under way.
     Busy,
     /// There is no such plan or machine.
-    Unknown,
+    NotFound,
     /// The limits can never be met, whatever comes back.
-    Never,
+    Infeasible,
     /// Who was asked does not hold the lease.
     NotHolder,
 }
 
-impl Said {
+impl CommandResult {
     /// All, by their numbers.
     pub const ALL: [Self; 6] =
-        [Self::Done, Self::NotNow, Self::Busy, Self::Unknown, Self::Never, Self::NotHolder];
+        [Self::Done, Self::InvalidState, Self::Busy, Self::NotFound, Self::Infeasible, Self::NotHolder];
 }
 
 /// What poolers tell each other of work.
@@ -386,7 +386,7 @@
         record: Record,
     },
     /// What a pooler says of itself.
-    Word(Word),
+    Heartbeat(Heartbeat),
     /// I lack the plan's machines from this place on.
     Wants {
         /// The plan.
@@ -399,7 +399,7 @@
         /// The plan.
         plan: PlanId,
         /// Its kind.
-        kind: Kind,
+        kind: MachineKind,
         /// Its nonce.
         nonce: u64,
         /// How many machines it has.
@@ -414,7 +414,7 @@
         /// Tells calls of one pooler's life apart.
         call: u32,
         /// What.
-        verb: Verb,
+        verb: Command,
         /// The plan.
         plan: PlanId,
         /// The place of the machine.
@@ -425,6 +425,6 @@
         /// The call.
         call: u32,
         /// The outcome.
-        said: Said,
+        said: CommandResult,
     },
 }
--- a/crates/coordination/src/work/register.rs
+++ b/crates/coordination/src/work/register.rs
@@ -10,7 +10,7 @@
 const MOST_NUMBERS: usize = 8;
 
 /// What safety rests on, each part by name, so that the lab can take one away. [`Whole`] is what serves.
-pub trait Keeping:
+pub trait RegisterRules:
     Clone + Copy + std::fmt::Debug + Default + PartialEq + Eq + std::hash::Hash + 'static
 {
     /// A voter that starts with empty memory counts for nothing until it has read from a majority.
@@ -25,13 +25,13 @@
 
 /// All parts in place.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Whole;
+pub struct FullRegisterRules;
 
-impl Keeping for Whole {}
+impl RegisterRules for FullRegisterRules {}
 
 /// What a voter has.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Store<K> {
+pub struct VoterStore<K> {
     me: u16,
     /// Drawn when it began to read what there is; never 0.
     own: u32,
@@ -51,7 +51,7 @@
     council.decides::<crate::lease::FullLeaseRules>(heard)
 }
 
-impl<K: Keeping> Store<K> {
+impl<K: RegisterRules> VoterStore<K> {
     /// A voter that has just started; `own` is drawn by chance.
     #[must_use]
     pub fn new(me: u16, own: u32) -> Self {
@@ -123,7 +123,7 @@
         self.heard.insert(from, blank);
         if !blank {
             self.promised = self.promised.max(promised);
-            if record.age() > self.record.age() {
+            if record.revision() > self.record.revision() {
                 self.record = record.clone();
             }
         }
@@ -141,7 +141,7 @@
 
     /// Somebody wants a record stored. `voters` are all that are asked, in the order of `numbers`.
     pub fn write(&mut self, voters: &BTreeSet<u16>, numbers: &[u32], record: &Record) -> Message {
-        let (token, version) = record.age();
+        let (token, version) = record.revision();
         let fits = |of: u16, number: u32| {
             if of == self.me {
                 return number == self.own;
@@ -154,7 +154,7 @@
         let whole = voters.len() == numbers.len();
         let known = !K::NUMBERS || whole && voters.iter().zip(numbers).all(|(of, number)| fits(*of, *number));
         let refused = self.blank || !known || token < self.promised;
-        if !refused && record.age() >= self.record.age() {
+        if !refused && record.revision() >= self.record.revision() {
             (self.promised, self.record) = (token, record.clone());
         }
         Message::Stored { token, version, own: self.own, refused, promised: self.promised }
@@ -188,7 +188,7 @@
     keeping: PhantomData<K>,
 }
 
-impl<K: Keeping> Writer<K> {
+impl<K: RegisterRules> Writer<K> {
     /// One that begins to read.
     #[must_use]
     pub fn new(token: Token, round: u32, voters: BTreeSet<u16>) -> Self {
@@ -225,7 +225,7 @@
 
     /// Somebody with a later token has been here.
     #[must_use]
-    pub fn is_beaten(&self) -> bool {
+    pub fn is_superseded(&self) -> bool {
         self.phase == Phase::Beaten
     }
 
@@ -286,7 +286,7 @@
         self.numbers.insert(from, own);
         answers.insert(from, record);
         if decides(council, &answers.keys().copied().collect()) {
-            let newest = answers.values().max_by_key(|record| record.age()).cloned();
+            let newest = answers.values().max_by_key(|record| record.revision()).cloned();
             self.record = newest.unwrap_or_default();
             self.phase = Phase::Settled;
         }
--- a/crates/coordination/src/work/wire.rs
+++ b/crates/coordination/src/work/wire.rs
@@ -1,7 +1,8 @@
 //! The bytes of what is said of machines out for work, behind the head that all letters have. Numbers are big-endian.
 
 use super::record::{
-    Kind, Load, MOST_MACHINES, Message, Mode, PART, Places, PlanId, Record, Said, State, Verb, Word,
+    Command, CommandResult, GroupLoad, Heartbeat, MAX_MACHINES, MachineKind, MachineSet, MachineState,
+    Message, Mode, PART, PlanId, Record,
 };
 use crate::lease::Reader;
 
@@ -46,7 +47,7 @@
             out.push(FIRST + 4);
             put_record(out, record);
         }
-        Message::Word(word) => {
+        Message::Heartbeat(word) => {
             out.push(FIRST + 5);
             put_word(out, word);
         }
@@ -58,7 +59,7 @@
         Message::Part { plan, kind, nonce, count, at, machines } => {
             out.push(FIRST + 7);
             out.extend(plan.0.to_be_bytes());
-            out.push(u8::from(*kind == Kind::Poolers));
+            out.push(u8::from(*kind == MachineKind::Poolers));
             out.extend(nonce.to_be_bytes());
             out.extend(count.to_be_bytes());
             out.extend(at.to_be_bytes());
@@ -67,14 +68,14 @@
         Message::Call { call, verb, plan, at } => {
             out.push(FIRST + 8);
             out.extend(call.to_be_bytes());
-            out.push(place(&Verb::ALL, verb));
+            out.push(place(&Command::ALL, verb));
             out.extend(plan.0.to_be_bytes());
             out.extend(at.to_be_bytes());
         }
         Message::Reply { call, said } => {
             out.push(FIRST + 9);
             out.extend(call.to_be_bytes());
-            out.push(place(&Said::ALL, said));
+            out.push(place(&CommandResult::ALL, said));
         }
     }
 }
@@ -89,15 +90,15 @@
     out.extend(record.version.to_be_bytes());
     out.extend(record.plan.0.to_be_bytes());
     out.push(place(&Mode::ALL, &record.mode));
-    let states = &record.states[..record.states.len().min(MOST_MACHINES)];
+    let states = &record.states[..record.states.len().min(MAX_MACHINES)];
     out.extend((states.len() as u16).to_be_bytes());
     for two in states.chunks(2) {
-        let high = place(&State::ALL, &two[0]);
-        out.push(high << 4 | two.get(1).map_or(0, |low| place(&State::ALL, low)));
+        let high = place(&MachineState::ALL, &two[0]);
+        out.push(high << 4 | two.get(1).map_or(0, |low| place(&MachineState::ALL, low)));
     }
 }
 
-fn put_word(out: &mut Vec<u8>, word: &Word) {
+fn put_word(out: &mut Vec<u8>, word: &Heartbeat) {
     out.extend(word.plan.0.to_be_bytes());
     out.extend(word.token.0.to_be_bytes());
     out.extend(word.version.to_be_bytes());
@@ -106,11 +107,11 @@
     let clear = word.clear.bytes();
     out.push(clear.len() as u8);
     out.extend(clear);
-    let failing = &word.failing[..word.failing.len().min(Word::MOST_FAILING)];
+    let failing = &word.failing[..word.failing.len().min(Heartbeat::MOST_FAILING)];
     out.push(failing.len() as u8);
     failing.iter().for_each(|of| out.extend(of.to_be_bytes()));
-    for load in word.loads.iter().take(Word::MOST_LOADS) {
-        [load.group, load.now, load.peak].iter().for_each(|part| out.extend(part.to_be_bytes()));
+    for load in word.loads.iter().take(Heartbeat::MOST_LOADS) {
+        [load.group, load.current, load.peak].iter().for_each(|part| out.extend(part.to_be_bytes()));
     }
 }
 
@@ -135,15 +136,15 @@
     fn record(&mut self) -> Option<Record> {
         let (token, version, plan) = (self.token()?, self.word()?, self.plan()?);
         let (mode, count) = (self.one(&Mode::ALL)?, usize::from(self.short()?));
-        if count > MOST_MACHINES {
+        if count > MAX_MACHINES {
             return None;
         }
         let mut states = Vec::with_capacity(count);
         while states.len() < count {
             let two = self.byte()?;
-            states.push(*State::ALL.get(usize::from(two >> 4))?);
+            states.push(*MachineState::ALL.get(usize::from(two >> 4))?);
             if states.len() < count {
-                states.push(*State::ALL.get(usize::from(two & 15))?);
+                states.push(*MachineState::ALL.get(usize::from(two & 15))?);
             } else if two & 15 != 0 {
                 return None;
             }
@@ -151,25 +152,25 @@
         Some(Record { token, version, plan, mode, states })
     }
 
-    fn said_word(&mut self) -> Option<Word> {
+    fn said_word(&mut self) -> Option<Heartbeat> {
         let (plan, token, version) = (self.plan()?, self.token()?, self.word()?);
         let (blank, zone, size) = (self.flag()?, self.short()?, usize::from(self.byte()?));
-        if size > MOST_MACHINES / 8 || size > self.0.len() {
+        if size > MAX_MACHINES / 8 || size > self.0.len() {
             return None;
         }
         let (clear, rest) = self.0.split_at(size);
         self.0 = rest;
         let count = usize::from(self.byte()?);
-        if count > Word::MOST_FAILING {
+        if count > Heartbeat::MOST_FAILING {
             return None;
         }
         let failing: Option<Vec<u64>> = (0..count).map(|_| self.long()).collect();
         let mut loads = Vec::new();
-        while !self.0.is_empty() && loads.len() < Word::MOST_LOADS {
-            loads.push(Load { group: self.short()?, now: self.short()?, peak: self.short()? });
+        while !self.0.is_empty() && loads.len() < Heartbeat::MOST_LOADS {
+            loads.push(GroupLoad { group: self.short()?, current: self.short()?, peak: self.short()? });
         }
-        let clear = Places::read(clear);
-        Some(Word { plan, token, version, clear, blank, zone, failing: failing?, loads })
+        let clear = MachineSet::read(clear);
+        Some(Heartbeat { plan, token, version, clear, blank, zone, failing: failing?, loads })
     }
 
     fn note(&mut self, form: u8) -> Option<Message> {
@@ -198,12 +199,12 @@
                 promised: self.token()?,
             },
             4 => Message::Tell { record: self.record()? },
-            5 => Message::Word(self.said_word()?),
+            5 => Message::Heartbeat(self.said_word()?),
             6 => Message::Wants { plan: self.plan()?, at: self.short()? },
             7 => {
                 let (plan, kind, nonce) = (self.plan()?, self.flag()?, self.long()?);
                 let (count, at) = (self.short()?, self.short()?);
-                let kind = if kind { Kind::Poolers } else { Kind::Servers };
+                let kind = if kind { MachineKind::Poolers } else { MachineKind::Servers };
                 let mut machines = Vec::new();
                 while !self.0.is_empty() && machines.len() < PART {
                     machines.push(self.long()?);
@@ -212,11 +213,11 @@
             }
             8 => Message::Call {
                 call: self.word()?,
-                verb: self.one(&Verb::ALL)?,
+                verb: self.one(&Command::ALL)?,
                 plan: self.plan()?,
                 at: self.short()?,
             },
-            9 => Message::Reply { call: self.word()?, said: self.one(&Said::ALL)? },
+            9 => Message::Reply { call: self.word()?, said: self.one(&CommandResult::ALL)? },
             _ => return None,
         })
     }
--- a/crates/coordination/tests/register.rs
+++ b/crates/coordination/tests/register.rs
@@ -9,22 +9,22 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct NoBlank;
-impl Keeping for NoBlank {
+impl RegisterRules for NoBlank {
     const BLANK: bool = false;
 }
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct NoPromises;
-impl Keeping for NoPromises {
+impl RegisterRules for NoPromises {
     const PROMISES: bool = false;
 }
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct NoNumbers;
-impl Keeping for NoNumbers {
+impl RegisterRules for NoNumbers {
     const NUMBERS: bool = false;
 }
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct NoReads;
-impl Keeping for NoReads {
+impl RegisterRules for NoReads {
     const READS: bool = false;
 }
 
@@ -37,12 +37,13 @@
 /// Voters and holders that never know of each other's end; letters come in any order, twice or never. At most a minority of
 /// voters is blank at a time. Says whether a holder went on from something older than what was stored before it, or was
 /// overtaken by an older one.
-fn play<K: Keeping>(seed: u64, count: u16) -> (bool, usize) {
+fn play<K: RegisterRules>(seed: u64, count: u16) -> (bool, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut dice = move |of: usize| rng.next_u64() as usize % of;
     let voters: BTreeSet<u16> = (0..count).collect();
     let council = VoterSet::new(voters.clone(), vec![]);
-    let mut stores: Vec<Store<K>> = (0..count).map(|me| Store::new(me, 1_000 + u32::from(me))).collect();
+    let mut stores: Vec<VoterStore<K>> =
+        (0..count).map(|me| VoterStore::new(me, 1_000 + u32::from(me))).collect();
     let mut drawn = 2_000;
     let mut round = 0;
     // The fleet starts together: all have heard that all are blank.
@@ -69,7 +70,7 @@
                 // Any of them, the paused ones included.
                 let at = dice(holders.len());
                 let holder = &mut holders[at];
-                if let Some(base) = holder.writer.has_read().map(Record::age) {
+                if let Some(base) = holder.writer.has_read().map(Record::revision) {
                     holder.base = Some(base);
                 }
                 if let Some(before) = holder.writer.has_read().or(holder.writer.settled()).cloned() {
@@ -82,7 +83,7 @@
                 if blank < usize::from(count / 2) {
                     drawn += 1;
                     let at = dice(count.into());
-                    stores[at] = Store::new(at as u16, drawn);
+                    stores[at] = VoterStore::new(at as u16, drawn);
                 }
             }
             4 => {
@@ -121,7 +122,7 @@
                     Message::Stored { token, version, own, refused, promised } => {
                         let holder = &mut holders[who];
                         holder.writer.stored(&council, voter, (token, version), own, refused, promised);
-                        if let Some(age) = holder.writer.settled().map(Record::age) {
+                        if let Some(age) = holder.writer.settled().map(Record::revision) {
                             stored += usize::from(age > holder.settled);
                             holder.settled = holder.settled.max(age);
                         }
@@ -145,7 +146,7 @@
 fn a_write_that_does_not_name_all_voters_is_refused() {
     let voters: BTreeSet<u16> = (0..3).collect();
     let council = VoterSet::new(voters.clone(), vec![]);
-    let mut store: Store<Whole> = Store::new(2, 1_002);
+    let mut store: VoterStore<FullRegisterRules> = VoterStore::new(2, 1_002);
     store.ask(1);
     for other in [0, 1] {
         store.seen(&council, other, 1, true, Token(0), &Record::default());
@@ -157,7 +158,7 @@
     }
 }
 
-fn found<K: Keeping>(seeds: u64) -> Option<u64> {
+fn found<K: RegisterRules>(seeds: u64) -> Option<u64> {
     (0..seeds).find(|seed| play::<K>(*seed, if seed % 2 == 0 { 3 } else { 5 }).0)
 }
 
@@ -165,27 +166,28 @@
 fn what_a_majority_has_stored_is_seen_by_every_later_holder() {
     let mut stored = 0;
     for seed in 0..6_000 {
-        let (bad, more) = play::<Whole>(seed, if seed % 2 == 0 { 3 } else { 5 });
+        let (bad, more) = play::<FullRegisterRules>(seed, if seed % 2 == 0 { 3 } else { 5 });
         assert!(!bad, "seed {seed}");
         stored += more;
     }
-    assert!(!an_ack_from_before_a_restart::<Whole>());
+    assert!(!an_ack_from_before_a_restart::<FullRegisterRules>());
     assert!(stored > 6_000, "{stored} records were stored");
 }
 
 /// A voter stores a record and starts anew; what it reads then is without it. Its answer from before comes late, and with one more
 /// the holder has a majority. Whether a later holder then misses what was stored.
-fn an_ack_from_before_a_restart<K: Keeping>() -> bool {
+fn an_ack_from_before_a_restart<K: RegisterRules>() -> bool {
     let voters: BTreeSet<u16> = (0..3).collect();
     let council = VoterSet::new(voters.clone(), vec![]);
-    let mut stores: Vec<Store<K>> = (0..3).map(|me| Store::new(me, 1_000 + u32::from(me))).collect();
+    let mut stores: Vec<VoterStore<K>> =
+        (0..3).map(|me| VoterStore::new(me, 1_000 + u32::from(me))).collect();
     for me in 0..3 {
         stores[usize::from(me)].ask(1);
         for other in (0..3).filter(|other| *other != me) {
             stores[usize::from(me)].seen(&council, other, 1, true, Token(0), &Record::default());
         }
     }
-    let read = |stores: &mut Vec<Store<K>>, writer: &mut Writer<K>, of: &[u16]| {
+    let read = |stores: &mut Vec<VoterStore<K>>, writer: &mut Writer<K>, of: &[u16]| {
         for (voter, note) in writer.letters() {
             let (true, Message::Read { round, promise, own }) = (of.contains(&voter), note) else { continue };
             let answer = stores[usize::from(voter)].read(9, round, promise, own);
@@ -193,7 +195,7 @@
             writer.seen(&council, voter, (round, own), blank, promised, record);
         }
     };
-    let write = |stores: &mut Vec<Store<K>>, writer: &Writer<K>, to: u16| {
+    let write = |stores: &mut Vec<VoterStore<K>>, writer: &Writer<K>, to: u16| {
         let (_, note) = writer.letters().into_iter().find(|(voter, _)| *voter == to).unwrap();
         let Message::Write { numbers, record } = note else { unreachable!() };
         stores[usize::from(to)].write(&voters, &numbers, &record)
@@ -207,7 +209,7 @@
     first.write(Record { plan: PlanId(7), ..Record::default() });
     let late = write(&mut stores, &first, 0);
     // It starts anew, and reads from both others.
-    stores[0] = Store::new(0, 2_000);
+    stores[0] = VoterStore::new(0, 2_000);
     let Some(Message::Read { round, promise, own }) = stores[0].ask(2) else { unreachable!() };
     for other in [1, 2] {
         let Message::Seen { blank, promised, record, .. } = stores[other].read(0, round, promise, own) else {
@@ -219,10 +221,10 @@
     take(&mut first, 0, late);
     let answer = write(&mut stores, &first, 1);
     take(&mut first, 1, answer);
-    let Some(settled) = first.settled().map(Record::age) else { return false };
+    let Some(settled) = first.settled().map(Record::revision) else { return false };
     let mut second: Writer<K> = Writer::new(Token(11), 0x8000_0002, voters.clone());
     read(&mut stores, &mut second, &[0, 2]);
-    second.has_read().is_some_and(|record| record.age() < settled)
+    second.has_read().is_some_and(|record| record.revision() < settled)
 }
 
 #[test]
--- a/crates/coordination/tests/work.rs
+++ b/crates/coordination/tests/work.rs
@@ -14,57 +14,65 @@
 
 fn limits() -> Limits {
     Limits {
-        all: 3,
-        zone: 2,
-        group: 1,
+        total: 3,
+        per_zone: 2,
+        per_group: 1,
         zones: 1,
-        warm: 1,
-        spare: 1.0,
-        cold: Span::millis(300),
-        handing: Span::millis(1_000),
-        scheme: Scheme::Ahead,
+        min_warm: 1,
+        load_factor: 1.0,
+        cold_period: Span::millis(300),
+        handover_timeout: Span::millis(1_000),
+        order: OrderPolicy::LongestRemaining,
     }
 }
 
 /// Groups of three in three zones; the first of each is its primary.
-fn facts(groups: u16) -> Facts {
-    let of = |group: u16, zone: u16| Fact {
+fn facts(groups: u16) -> FleetInfo {
+    let of = |group: u16, zone: u16| MachineInfo {
         machine: u64::from(group * 10 + zone) + 1_000,
         group,
         zone,
         capacity: 100.0,
         primary: zone == group % 3,
-        serves: true,
+        in_service: true,
         failing: false,
         warm: true,
     };
     let machines = (0..groups).flat_map(|group| (0..3).map(move |zone| of(group, zone))).collect();
-    Facts { machines, ..Facts::default() }
+    FleetInfo { machines, ..FleetInfo::default() }
 }
 
-fn plan(facts: &Facts) -> Plan {
-    Plan { kind: Kind::Servers, machines: facts.machines.iter().map(|of| of.machine).collect(), nonce: 1 }
+fn plan(facts: &FleetInfo) -> Plan {
+    Plan {
+        kind: MachineKind::Servers,
+        machines: facts.machines.iter().map(|of| of.machine).collect(),
+        nonce: 1,
+    }
 }
 
 fn record(plan: &Plan) -> Record {
-    let states = vec![State::Waiting; plan.machines.len()];
+    let states = vec![MachineState::Waiting; plan.machines.len()];
     Record { token: Token(1), version: 1, plan: plan.id(), mode: Mode::Running, states }
 }
 
 /// One step after another until nothing changes, with machines that are clear at once and work that lasts a step.
-fn carry_out(facts: &mut Facts, limits: &Limits, mut each: impl FnMut(usize, &[State], &Facts)) -> Record {
+fn carry_out(
+    facts: &mut FleetInfo,
+    limits: &Limits,
+    mut each: impl FnMut(usize, &[MachineState], &FleetInfo),
+) -> Record {
     let plan = plan(facts);
     let mut record = record(&plan);
     let mut since = vec![Time(0); plan.machines.len()];
     for step in 0..1_000 {
         let now = Time(step * 100_000);
-        let next = next(now, &plan, &record, &since, facts, limits, &|_| true);
+        let next = next_step(now, &plan, &record, &since, facts, limits, &|_| true);
         for (at, (before, after)) in record.states.iter().zip(&next.states).enumerate() {
             if before != after {
                 since[at] = now;
             }
             // The hand-over is made.
-            if *after == State::Handing {
+            if *after == MachineState::HandingOver {
                 let (group, machine) = (facts.machines[at].group, plan.machines[at]);
                 let heir = facts.machines.iter().position(|of| of.group == group && of.machine != machine);
                 facts.machines[at].primary = false;
@@ -73,14 +81,14 @@
         }
         (record.states, record.mode) = (next.states, next.mode);
         each(step as usize, &record.states, facts);
-        if record.mode == Mode::Over {
+        if record.mode == Mode::Idle {
             return record;
         }
         for (at, state) in record.states.iter_mut().enumerate() {
             if state.is_free() {
-                (*state, since[at]) = (State::AtWork, now);
-            } else if *state == State::AtWork {
-                (*state, since[at]) = (State::Warming, now);
+                (*state, since[at]) = (MachineState::AtWork, now);
+            } else if *state == MachineState::AtWork {
+                (*state, since[at]) = (MachineState::Warming, now);
             }
         }
     }
@@ -89,27 +97,30 @@
 
 #[test]
 fn all_are_worked_on_within_the_limits_replicas_first() {
-    for scheme in [Scheme::Named, Scheme::Spare, Scheme::Ahead] {
-        let (mut facts, limits) = (facts(6), Limits { scheme, ..limits() });
+    for scheme in [OrderPolicy::AsNamed, OrderPolicy::MostSpare, OrderPolicy::LongestRemaining] {
+        let (mut facts, limits) = (facts(6), Limits { order: scheme, ..limits() });
         let first: Vec<bool> = facts.machines.iter().map(|of| of.primary).collect();
         let mut seen = BTreeMap::new();
         let end = carry_out(&mut facts, &limits, |step, states, facts| {
-            let out: Vec<&Fact> = states
+            let out: Vec<&MachineInfo> = states
                 .iter()
                 .zip(&facts.machines)
-                .filter(|(state, _)| state.counts())
+                .filter(|(state, _)| state.counts_against_limits())
                 .map(|(_, of)| of)
                 .collect();
-            assert!(out.len() <= limits.all, "{scheme:?}");
+            assert!(out.len() <= limits.total, "{scheme:?}");
             let zones: BTreeSet<u16> = out.iter().map(|of| of.zone).collect();
             let groups: BTreeSet<u16> = out.iter().map(|of| of.group).collect();
-            assert!(zones.len() <= 1 && out.len() <= limits.zone && groups.len() == out.len(), "{scheme:?}");
+            assert!(
+                zones.len() <= 1 && out.len() <= limits.per_zone && groups.len() == out.len(),
+                "{scheme:?}"
+            );
             assert!(out.iter().all(|of| !of.primary), "never a primary");
             for (at, state) in states.iter().enumerate().filter(|(_, state)| state.is_out()) {
                 seen.entry(at).or_insert((step, *state));
             }
         });
-        assert!(end.states.iter().all(|state| *state == State::Back), "{scheme:?}: {:?}", end.states);
+        assert!(end.states.iter().all(|state| *state == MachineState::Back), "{scheme:?}: {:?}", end.states);
         for (at, was_primary) in first.iter().enumerate().filter(|(_, primary)| **primary) {
             let group = at / 3 * 3;
             let before =
@@ -125,16 +136,16 @@
     let plan = plan(&facts);
     let mut record = record(&plan);
     let since = vec![Time(0); 18];
-    let go = |record: &Record, facts: &Facts, clear: bool| {
-        next(Time(0), &plan, record, &since, facts, &limits, &|_| clear)
+    let go = |record: &Record, facts: &FleetInfo, clear: bool| {
+        next_step(Time(0), &plan, record, &since, facts, &limits, &|_| clear)
     };
     let first = go(&record, &facts, false);
     let out: Vec<usize> = (0..18).filter(|at| first.states[*at].is_leaving()).collect();
     assert_eq!(out.len(), 2, "as many as a zone allows: {:?}", first.waits);
     assert_eq!(first.waits.len(), 16, "each other has a reason");
     record.states = first.states;
-    record.states[out[0]] = State::AtWork;
-    record.states[out[1]] = State::Free;
+    record.states[out[0]] = MachineState::AtWork;
+    record.states[out[1]] = MachineState::Free;
     // A server of each of two other zones dies.
     for zone in 0..3 {
         let dies = facts.machines.iter().position(|of| {
@@ -143,9 +154,9 @@
         facts.machines[dies.unwrap()].failing = true;
     }
     let hurt = go(&record, &facts, false);
-    assert_eq!(hurt.states[out[0]], State::AtWork, "work has begun: nobody can take that back");
-    assert_eq!(hurt.states[out[1]], State::Waiting);
-    assert_eq!(hurt.waits[&out[1]], Why::Hurts);
+    assert_eq!(hurt.states[out[0]], MachineState::AtWork, "work has begun: nobody can take that back");
+    assert_eq!(hurt.states[out[1]], MachineState::Waiting);
+    assert_eq!(hurt.waits[&out[1]], WaitReason::LimitsBroken);
     record.states = hurt.states;
     let after = go(&record, &facts, false).states;
     let went = (0..18).filter(|at| after[*at] != record.states[*at]);
@@ -154,11 +165,11 @@
         "nothing more goes out but what is dead: {after:?}"
     );
     // Forced by staff, it goes all the same, and stays.
-    record.states[out[1]] = State::Forced;
+    record.states[out[1]] = MachineState::Forced;
     record.states = go(&record, &facts, false).states;
-    assert_eq!(record.states[out[1]], State::ForcedLeaving);
+    assert_eq!(record.states[out[1]], MachineState::ForcedLeaving);
     assert_eq!(go(&record, &facts, false).states, record.states);
-    assert_eq!(go(&record, &facts, true).states[out[1]], State::ForcedFree);
+    assert_eq!(go(&record, &facts, true).states[out[1]], MachineState::ForcedFree);
 }
 
 #[test]
@@ -167,54 +178,61 @@
     let plan = plan(&facts);
     let since = vec![Time(0); 6];
     facts.loads = [(0, (50.0, 250.0)), (1, (150.0, 160.0))].into();
-    let next_of = |facts: &Facts, limits: &Limits| {
-        next(Time(0), &plan, &record(&plan), &since, facts, limits, &|_| false)
+    let next_of = |facts: &FleetInfo, limits: &Limits| {
+        next_step(Time(0), &plan, &record(&plan), &since, facts, limits, &|_| false)
     };
     let next = next_of(&facts, &limits);
-    let why: Vec<_> = next.waits.values().filter(|why| matches!(why, Why::Capacity(..))).collect();
+    let why: Vec<_> = next.waits.values().filter(|why| matches!(why, WaitReason::Capacity(..))).collect();
     assert_eq!(
         why,
-        [&Why::Capacity(200.0, 250.0), &Why::Capacity(200.0, 250.0)],
+        [&WaitReason::Capacity(200.0, 250.0), &WaitReason::Capacity(200.0, 250.0)],
         "the peak counts: {:?}",
         next.waits
     );
     assert!(next.states[3..].iter().any(|state| state.is_leaving()), "the other group has room");
-    assert!(possible(&plan, &facts, &limits).is_ok(), "the load will not always be so");
-    let never = possible(&plan, &facts, &Limits { warm: 2, ..limits.clone() });
-    assert_eq!(never, Err((0, Why::Warm(1))));
-    assert_eq!(possible(&plan, &facts, &Limits { zone: 0, ..limits.clone() }), Err((0, Why::Zone(0))));
+    assert!(check_feasible(&plan, &facts, &limits).is_ok(), "the load will not always be so");
+    let never = check_feasible(&plan, &facts, &Limits { min_warm: 2, ..limits.clone() });
+    assert_eq!(never, Err((0, WaitReason::WarmReplicas(1))));
+    assert_eq!(
+        check_feasible(&plan, &facts, &Limits { per_zone: 0, ..limits.clone() }),
+        Err((0, WaitReason::ZoneLimit(0)))
+    );
     // The only warm replica stays; a primary that changes holds its group.
     facts.loads.clear();
     facts.machines[1].warm = false;
-    facts.changing.insert(1);
-    let next = next_of(&facts, &Limits { zones: 3, all: 9, group: 3, ..limits.clone() });
-    assert_eq!(next.waits[&2], Why::Warm(0));
-    assert_eq!((&next.waits[&4], &next.waits[&0]), (&Why::Changing, &Why::Replicas));
-    facts.quiet = true;
-    assert!(next_of(&facts, &limits).waits.values().all(|why| *why == Why::Quiet));
+    facts.changing_primary.insert(1);
+    let next = next_of(&facts, &Limits { zones: 3, total: 9, per_group: 3, ..limits.clone() });
+    assert_eq!(next.waits[&2], WaitReason::WarmReplicas(0));
+    assert_eq!(
+        (&next.waits[&4], &next.waits[&0]),
+        (&WaitReason::PrimaryChanging, &WaitReason::ReplicasFirst)
+    );
+    facts.quiet_hours = true;
+    assert!(next_of(&facts, &limits).waits.values().all(|why| *why == WaitReason::QuietHours));
 }
 
 #[test]
 fn poolers_go_one_zone_at_a_time_and_one_voter_at_a_time() {
-    let of = |number: u64| Fact {
+    let of = |number: u64| MachineInfo {
         machine: number,
         zone: number as u16 % 2,
-        serves: true,
+        in_service: true,
         warm: true,
-        ..Fact::default()
+        ..MachineInfo::default()
     };
-    let facts = Facts { machines: (0..10).map(of).collect(), voters: [0, 2, 4].into(), ..Facts::default() };
-    let plan = Plan { kind: Kind::Poolers, machines: (0..10).collect(), nonce: 1 };
-    let limits = Limits { all: 4, zone: 4, ..limits() };
-    let next = next(Time(0), &plan, &record(&plan), &[Time(0); 10], &facts, &limits, &|_| false);
+    let facts =
+        FleetInfo { machines: (0..10).map(of).collect(), voters: [0, 2, 4].into(), ..FleetInfo::default() };
+    let plan = Plan { kind: MachineKind::Poolers, machines: (0..10).collect(), nonce: 1 };
+    let limits = Limits { total: 4, per_zone: 4, ..limits() };
+    let next = next_step(Time(0), &plan, &record(&plan), &[Time(0); 10], &facts, &limits, &|_| false);
     let out: Vec<usize> = (0..10).filter(|at| next.states[*at].is_out()).collect();
     assert_eq!(out, [0, 6, 8], "{:?}", next.waits);
-    assert_eq!((&next.waits[&2], &next.waits[&1]), (&Why::Voters, &Why::Zones(1)));
+    assert_eq!((&next.waits[&2], &next.waits[&1]), (&WaitReason::Voters, &WaitReason::OtherZones(1)));
 }
 
 /// A pooler of the fleet, with what it has under way.
 struct Pooler {
-    work: Work<Whole>,
+    work: Coordinator<FullRegisterRules>,
     who: PoolerInstance,
     /// Requests under way end then, by machine.
     busy: BTreeMap<u64, Time>,
@@ -229,7 +247,7 @@
     lives: u64,
     /// By whom the lease may be thought to be held, with which token.
     holders: BTreeMap<u16, Token>,
-    facts: Facts,
+    facts: FleetInfo,
     /// Machines that somebody works on, and until when.
     at_work: BTreeMap<u64, Time>,
     worked: BTreeSet<u64>,
@@ -238,7 +256,7 @@
     cut: BTreeSet<u16>,
     lost: u32,
     /// What each pooler bears.
-    loads: Vec<Load>,
+    loads: Vec<GroupLoad>,
 }
 
 impl Fleet {
@@ -271,18 +289,18 @@
     fn start(&mut self, number: u16) {
         self.lives += 1;
         let who = PoolerInstance { number, incarnation: self.lives };
-        let setup = WorkSetup {
+        let setup = CoordinatorSetup {
             me: who,
             seed: self.lives,
             fleet: self.count,
             voters: [0, 1, 2].into(),
             previous: vec![],
-            every: EVERY,
-            hold: Span::millis(3_600_000),
-            limits: limits(),
-            poolers: limits(),
+            heartbeat_interval: EVERY,
+            start_timeout: Span::millis(3_600_000),
+            server_limits: limits(),
+            pooler_limits: limits(),
         };
-        let work = Work::new(self.now, setup);
+        let work = Coordinator::new(self.now, setup);
         self.poolers[usize::from(number)] = Some(Pooler { work, who, busy: BTreeMap::new() });
         self.holders.remove(&number);
     }
@@ -303,7 +321,7 @@
                 continue;
             }
             if let Some(pooler) = &mut self.poolers[usize::from(to)] {
-                pooler.work.hear(now, from, note);
+                pooler.work.receive(now, from, note);
             }
         }
         // What a plan has out is out of service for everybody else's eyes too.
@@ -315,7 +333,7 @@
             let Some(pooler) = &mut self.poolers[usize::from(number)] else { continue };
             pooler.busy.retain(|_, until| *until > now);
             let mut out = BTreeSet::new();
-            if let Some((plan, record)) = pooler.work.acts_on() {
+            if let Some((plan, record)) = pooler.work.current_plan() {
                 out.extend(record.out().map(|at| plan.machines[at]));
             }
             out.iter().for_each(|of| *banned.entry(*of).or_insert(0) += 1);
@@ -326,18 +344,18 @@
                     pooler.busy.insert(machine, Time(now.0 + i64::from(send >> 8) % 80_000));
                 }
             }
-            let clear = match pooler.work.acts_on() {
+            let clear = match pooler.work.current_plan() {
                 Some((plan, record)) => {
-                    Places::of(record.out().filter(|at| !pooler.busy.contains_key(&plan.machines[*at])))
+                    MachineSet::of(record.out().filter(|at| !pooler.busy.contains_key(&plan.machines[*at])))
                 }
-                None => Places::default(),
+                None => MachineSet::default(),
             };
             let holder = self.holders.iter().max_by_key(|(_, token)| **token).map(|(of, _)| *of);
-            let (clear_of, loads) = (pooler.work.age(), self.loads.clone());
-            let own = Own { token, holder, clear, clear_of, loads, ..Own::default() };
+            let (clear_revision, loads) = (pooler.work.revision(), self.loads.clone());
+            let own = LocalState { token, holder, clear, clear_revision, loads, ..LocalState::default() };
             pooler.work.tick(now, &own, &|_| facts.clone());
             let who = pooler.who;
-            sent.extend(pooler.work.take_letters().into_iter().map(|letter| (who, letter)));
+            sent.extend(pooler.work.take_messages().into_iter().map(|letter| (who, letter)));
         }
         // Out is what is worked on, and what most don't use; who was cut off learns late that one is back.
         let half = self.poolers.iter().flatten().count() / 2;
@@ -363,9 +381,13 @@
             .poolers
             .iter()
             .flatten()
-            .filter_map(|pooler| pooler.work.acts_on())
+            .filter_map(|pooler| pooler.work.current_plan())
             .flat_map(|(plan, record)| {
-                let places = record.states.iter().enumerate().filter(|(_, state)| **state == State::Handing);
+                let places = record
+                    .states
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, state)| **state == MachineState::HandingOver);
                 places.map(|(at, _)| plan.machines[at]).collect::<Vec<_>>()
             })
             .collect();
@@ -400,19 +422,20 @@
         self.holders.insert(next, token);
     }
 
-    fn view(&self) -> Option<View> {
+    fn view(&self) -> Option<PlanView> {
         let leads = |pooler: &&Pooler| pooler.work.view(self.now).leads;
         self.poolers.iter().flatten().find(leads).map(|pooler| pooler.work.view(self.now))
     }
 
     /// Waits for a call's outcome, with steps of the fleet.
-    fn call(&mut self, at: u16, verb: Verb, plan: PlanId, place: usize) -> Option<Said> {
+    fn call(&mut self, at: u16, verb: Command, plan: PlanId, place: usize) -> Option<CommandResult> {
         let now = self.now;
         let pooler = self.poolers[usize::from(at)].as_mut()?;
-        let call = pooler.work.call(now, verb, plan, place as u16)?;
+        let call = pooler.work.queue_command(now, verb, plan, place as u16)?;
         for _ in 0..400 {
             self.step();
-            let said = self.poolers[usize::from(at)].as_mut().and_then(|pooler| pooler.work.said(call));
+            let said =
+                self.poolers[usize::from(at)].as_mut().and_then(|pooler| pooler.work.take_result(call));
             if said.is_some() {
                 return said;
             }
@@ -433,16 +456,16 @@
         for (place, machine) in view.machines.iter().enumerate() {
             let any = self.dice(u32::from(self.count)) as u16;
             if machine.state.is_free() && !self.worked.contains(&machine.machine) {
-                if self.call(any, Verb::Begin, view.plan, place) == Some(Said::Done) {
+                if self.call(any, Command::Begin, view.plan, place) == Some(CommandResult::Done) {
                     let until = Time(self.now.0 + lasts);
                     self.at_work.entry(machine.machine).or_insert(until);
                 }
                 return;
             }
-            if machine.state == State::AtWork && !self.at_work.contains_key(&machine.machine) {
+            if machine.state == MachineState::AtWork && !self.at_work.contains_key(&machine.machine) {
                 // Its begin was not answered in time, or it is done.
                 self.worked.insert(machine.machine);
-                self.call(any, Verb::Done, view.plan, place);
+                self.call(any, Command::Done, view.plan, place);
                 return;
             }
         }
@@ -458,11 +481,16 @@
     fleet.elect(false);
     let machines: Vec<u64> = fleet.facts.machines.iter().map(|of| of.machine).collect();
     let now = fleet.now;
-    let (id, call) = fleet.poolers[5].as_mut().unwrap().work.submit(now, Kind::Servers, machines).unwrap();
+    let (id, call) =
+        fleet.poolers[5].as_mut().unwrap().work.submit(now, MachineKind::Servers, machines).unwrap();
     for _ in 0..200 {
         fleet.step();
     }
-    assert_eq!(fleet.poolers[5].as_mut().unwrap().work.said(call), Some(Said::Done), "seed {seed}");
+    assert_eq!(
+        fleet.poolers[5].as_mut().unwrap().work.take_result(call),
+        Some(CommandResult::Done),
+        "seed {seed}"
+    );
     let mut dead: Option<(u16, Time)> = None;
     let mut faults = 0;
     while fleet.now < Time(600_000_000) {
@@ -497,15 +525,15 @@
         if fleet.holders.is_empty() || fleet.view().is_none() && fleet.dice(100) == 0 {
             fleet.elect(false);
         }
-        let over = fleet.view().is_some_and(|view| view.plan == id && view.mode == Mode::Over);
+        let over = fleet.view().is_some_and(|view| view.plan == id && view.mode == Mode::Idle);
         if over {
             let view = fleet.view().unwrap();
-            assert!(view.machines.iter().all(|of| of.state == State::Back), "seed {seed}: {view:?}");
+            assert!(view.machines.iter().all(|of| of.state == MachineState::Back), "seed {seed}: {view:?}");
             break;
         }
     }
     assert_eq!(fleet.sends_to_work, 0, "seed {seed}: sent to a machine that was worked on");
-    assert!(fleet.most_out <= limits().all, "seed {seed}: {} were out", fleet.most_out);
+    assert!(fleet.most_out <= limits().total, "seed {seed}: {} were out", fleet.most_out);
     assert_eq!(fleet.worked.len(), usize::from(groups * 3), "seed {seed}: {:?}", fleet.view());
     (faults, fleet.now.0)
 }
@@ -529,9 +557,9 @@
     fleet.elect(false);
     let machines: Vec<u64> = fleet.facts.machines.iter().map(|of| of.machine).collect();
     let now = fleet.now;
-    fleet.poolers[0].as_mut().unwrap().work.submit(now, Kind::Servers, machines).unwrap();
-    let groups = 3 * Word::MOST_LOADS as u16 + 1;
-    fleet.loads = (0..groups).map(|group| Load { group, now: group, peak: 2 * group }).collect();
+    fleet.poolers[0].as_mut().unwrap().work.submit(now, MachineKind::Servers, machines).unwrap();
+    let groups = 3 * Heartbeat::MOST_LOADS as u16 + 1;
+    fleet.loads = (0..groups).map(|group| GroupLoad { group, current: group, peak: 2 * group }).collect();
     for _ in 0..150 {
         fleet.step();
     }
@@ -545,7 +573,7 @@
 
 /// A pooler that stands alone before the test, which reads and writes all of its letters.
 struct Alone {
-    work: Work<Whole>,
+    work: Coordinator<FullRegisterRules>,
     now: Time,
     /// Whom its last word went to.
     word_to: Option<u16>,
@@ -556,34 +584,37 @@
 impl Alone {
     /// Number 4 of five, voters are 0, 1 and 2, just started.
     fn start() -> Self {
-        let setup = WorkSetup {
+        let setup = CoordinatorSetup {
             me: PoolerInstance { number: 4, incarnation: 9 },
             seed: 9,
             fleet: 5,
             voters: [0, 1, 2].into(),
             previous: vec![],
-            every: EVERY,
-            hold: Span::millis(3_600_000),
-            limits: limits(),
-            poolers: limits(),
+            heartbeat_interval: EVERY,
+            start_timeout: Span::millis(3_600_000),
+            server_limits: limits(),
+            pooler_limits: limits(),
         };
-        Self { work: Work::new(Time(0), setup), now: Time(0), word_to: None, round: 0 }
+        Self { work: Coordinator::new(Time(0), setup), now: Time(0), word_to: None, round: 0 }
     }
 
     fn hear(&mut self, from: u16, note: Message) {
-        self.work.hear(self.now, PoolerInstance { number: from, incarnation: 1 }, note);
+        self.work.receive(self.now, PoolerInstance { number: from, incarnation: 1 }, note);
     }
 
     /// Ten milliseconds, with the lease held by `holder` as far as is known here, and nothing out anywhere.
     fn step(&mut self, holder: Option<u16>) {
         self.now = Time(self.now.0 + 10_000);
-        let clear = self.work.acts_on().map_or(Places::default(), |(_, record)| Places::of(record.out()));
-        let own = Own { holder, clear, clear_of: self.work.age(), ..Own::default() };
-        self.work.tick(self.now, &own, &|_| Facts::default());
-        for (to, note) in self.work.take_letters() {
+        let clear = self
+            .work
+            .current_plan()
+            .map_or(MachineSet::default(), |(_, record)| MachineSet::of(record.out()));
+        let own = LocalState { holder, clear, clear_revision: self.work.revision(), ..LocalState::default() };
+        self.work.tick(self.now, &own, &|_| FleetInfo::default());
+        for (to, note) in self.work.take_messages() {
             let To::One(to) = to else { panic!("work is told one by one") };
             match note {
-                Message::Word(_) => self.word_to = Some(to as u16),
+                Message::Heartbeat(_) => self.word_to = Some(to as u16),
                 Message::Read { round, .. } => self.round = round,
                 _ => {}
             }
@@ -599,8 +630,8 @@
 
 /// One machine that leaves, as the holder of a token has it stored.
 fn leaving() -> (Plan, Record) {
-    let plan = Plan { kind: Kind::Servers, machines: vec![1_001], nonce: 1 };
-    let record = Record { token: Token(7), version: 2, states: vec![State::Leaving], ..record(&plan) };
+    let plan = Plan { kind: MachineKind::Servers, machines: vec![1_001], nonce: 1 };
+    let record = Record { token: Token(7), version: 2, states: vec![MachineState::Leaving], ..record(&plan) };
     (plan, record)
 }
 
@@ -667,7 +698,7 @@
     let mut fleet = led_by_pooler_3(seed);
     let machine = fleet.facts.machines[1].machine;
     let now = fleet.now;
-    fleet.poolers[0].as_mut().unwrap().work.submit(now, Kind::Servers, vec![machine]).unwrap();
+    fleet.poolers[0].as_mut().unwrap().work.submit(now, MachineKind::Servers, vec![machine]).unwrap();
     for _ in 0..300 {
         let busy = &mut fleet.poolers[4].as_mut().unwrap().busy;
         busy.insert(machine, Time(i64::MAX));
@@ -676,14 +707,14 @@
         fleet.poolers[4].as_mut().unwrap().busy.insert(machine, Time(i64::MAX));
     }
     let of = &fleet.view().unwrap().machines[0];
-    assert_eq!((of.state, &of.missing), (State::Leaving, &vec![4]), "seed {seed}");
+    assert_eq!((of.state, &of.unconfirmed), (MachineState::Leaving, &vec![4]), "seed {seed}");
     fleet
 }
 
 /// The machine is free in less than so many words' time.
 fn free_within(fleet: &mut Fleet, words: i64, seed: u64) {
     let end = fleet.now + Span(EVERY.0 * words);
-    while fleet.view().is_none_or(|view| view.machines[0].state != State::Free) {
+    while fleet.view().is_none_or(|view| view.machines[0].state != MachineState::Free) {
         assert!(fleet.now < end, "seed {seed}: {:?}", fleet.view());
         fleet.step();
     }
@@ -705,10 +736,10 @@
     for seed in 0..20 {
         let mut fleet = waits_for_pooler_4(seed);
         // A record of this age from somebody who does not lead: that one is spoken to from now on.
-        let record = fleet.poolers[0].as_ref().unwrap().work.acts_on().unwrap().1.clone();
+        let record = fleet.poolers[0].as_ref().unwrap().work.current_plan().unwrap().1.clone();
         let now = fleet.now;
         let pooler = fleet.poolers[4].as_mut().unwrap();
-        pooler.work.hear(now, PoolerInstance { number: 0, incarnation: 1 }, Message::Tell { record });
+        pooler.work.receive(now, PoolerInstance { number: 0, incarnation: 1 }, Message::Tell { record });
         pooler.busy.clear();
         free_within(&mut fleet, 20, seed);
     }
@@ -719,15 +750,15 @@
     let mut fleet = led_by_pooler_3(1);
     let now = fleet.now;
     let machine = fleet.facts.machines[1].machine;
-    fleet.poolers[0].as_mut().unwrap().work.submit(now, Kind::Servers, vec![machine]).unwrap();
+    fleet.poolers[0].as_mut().unwrap().work.submit(now, MachineKind::Servers, vec![machine]).unwrap();
     while fleet.view().is_none_or(|view| view.machines.is_empty()) {
         fleet.step();
     }
-    assert_eq!(fleet.view().unwrap().machines[0].state, State::Waiting);
-    let record = fleet.poolers[3].as_ref().unwrap().work.acts_on().unwrap().1.clone();
+    assert_eq!(fleet.view().unwrap().machines[0].state, MachineState::Waiting);
+    let record = fleet.poolers[3].as_ref().unwrap().work.current_plan().unwrap().1.clone();
     let now = fleet.now;
     let leader = fleet.poolers[3].as_mut().unwrap();
-    leader.work.hear(now, PoolerInstance { number: 0, incarnation: 1 }, Message::Tell { record });
+    leader.work.receive(now, PoolerInstance { number: 0, incarnation: 1 }, Message::Tell { record });
     free_within(&mut fleet, 40, 1);
 }
 
@@ -736,7 +767,7 @@
     for seed in 0..20 {
         let mut fleet = waits_for_pooler_4(seed);
         let old = fleet.poolers[4].as_ref().unwrap().who;
-        let of = fleet.poolers[4].as_ref().unwrap().work.acts_on().unwrap().1;
+        let of = fleet.poolers[4].as_ref().unwrap().work.current_plan().unwrap().1;
         let (plan, token, version) = (of.plan, of.token, of.version);
         fleet.kill(4);
         (0..300).for_each(|_| fleet.step());
@@ -748,38 +779,34 @@
             fleet.step();
         }
         // Now what its earlier life has said last, which has been on its way since.
-        let word = Word { plan, token, version, ..Word::default() };
+        let word = Heartbeat { plan, token, version, ..Heartbeat::default() };
         let now = fleet.now;
-        fleet.poolers[3].as_mut().unwrap().work.hear(now, old, Message::Word(word));
+        fleet.poolers[3].as_mut().unwrap().work.receive(now, old, Message::Heartbeat(word));
         fleet.poolers[4].as_mut().unwrap().busy.clear();
         free_within(&mut fleet, 20, seed);
     }
 }
 
 fn any_record() -> impl Strategy<Value = Record> {
-    let states = prop::collection::vec(0..State::ALL.len(), 0..=MOST_MACHINES);
+    let states = prop::collection::vec(0..MachineState::ALL.len(), 0..=MAX_MACHINES);
     (any::<u64>(), any::<u32>(), any::<u64>(), 0..4_usize, states).prop_map(
         |(token, version, plan, mode, states)| Record {
             token: Token(token),
             version,
             plan: PlanId(plan),
             mode: Mode::ALL[mode],
-            states: states.into_iter().map(|of| State::ALL[of]).collect(),
+            states: states.into_iter().map(|of| MachineState::ALL[of]).collect(),
         },
     )
 }
 
 fn any_note() -> impl Strategy<Value = Message> {
     let numbers = prop::collection::vec(any::<u32>(), 0..=MOST_VOTERS);
-    let word = (
-        any::<[u64; 2]>(),
-        any::<u32>(),
-        prop::collection::btree_set(0..MOST_MACHINES, 0..40),
-        any::<bool>(),
-    );
+    let word =
+        (any::<[u64; 2]>(), any::<u32>(), prop::collection::btree_set(0..MAX_MACHINES, 0..40), any::<bool>());
     let rest = (
-        prop::collection::vec(any::<u64>(), 0..=Word::MOST_FAILING),
-        prop::collection::vec(any::<[u16; 3]>(), 0..=Word::MOST_LOADS),
+        prop::collection::vec(any::<u64>(), 0..=Heartbeat::MOST_FAILING),
+        prop::collection::vec(any::<[u16; 3]>(), 0..=Heartbeat::MOST_LOADS),
     );
     let part =
         (any::<[u64; 2]>(), any::<bool>(), any::<[u16; 2]>(), prop::collection::vec(any::<u64>(), 0..=PART));
@@ -799,15 +826,18 @@
         any_record().prop_map(|record| Message::Tell { record }),
         (word, rest, any::<u16>()).prop_map(
             |(([plan, token], version, clear, blank), (failing, loads), zone)| {
-                let loads = loads.into_iter().map(|[group, now, peak]| Load { group, now, peak }).collect();
-                let (plan, token, clear) = (PlanId(plan), Token(token), Places::of(clear));
-                Message::Word(Word { plan, token, version, clear, blank, zone, failing, loads })
+                let loads = loads
+                    .into_iter()
+                    .map(|[group, now, peak]| GroupLoad { group, current: now, peak })
+                    .collect();
+                let (plan, token, clear) = (PlanId(plan), Token(token), MachineSet::of(clear));
+                Message::Heartbeat(Heartbeat { plan, token, version, clear, blank, zone, failing, loads })
             }
         ),
         any::<(u64, u16)>().prop_map(|(plan, at)| Message::Wants { plan: PlanId(plan), at }),
         part.prop_map(|([plan, nonce], poolers, [count, at], machines)| Message::Part {
             plan: PlanId(plan),
-            kind: if poolers { Kind::Poolers } else { Kind::Servers },
+            kind: if poolers { MachineKind::Poolers } else { MachineKind::Servers },
             nonce,
             count,
             at,
@@ -815,11 +845,12 @@
         }),
         (any::<(u32, u64, u16)>(), 0..8_usize).prop_map(|((call, plan, at), verb)| Message::Call {
             call,
-            verb: Verb::ALL[verb],
+            verb: Command::ALL[verb],
             plan: PlanId(plan),
             at
         }),
-        (any::<u32>(), 0..6_usize).prop_map(|(call, said)| Message::Reply { call, said: Said::ALL[said] }),
+        (any::<u32>(), 0..6_usize)
+            .prop_map(|(call, said)| Message::Reply { call, said: CommandResult::ALL[said] }),
     ]
 }
 
--- a/crates/daemon/src/work.rs
+++ b/crates/daemon/src/work.rs
@@ -18,18 +18,18 @@
 
 fn limits(settings: &WorkSettings, of: Bounds) -> Limits {
     Limits {
-        all: of.all,
-        zone: of.zone,
-        group: settings.group,
+        total: of.all,
+        per_zone: of.zone,
+        per_group: settings.group,
         zones: of.zones,
-        warm: settings.warm,
-        spare: settings.spare,
-        cold: span_of(settings.cold),
-        handing: span_of(settings.handing),
-        scheme: match settings.order.as_str() {
-            "named" => Scheme::Named,
-            "spare" => Scheme::Spare,
-            _ => Scheme::Ahead,
+        min_warm: settings.warm,
+        load_factor: settings.spare,
+        cold_period: span_of(settings.cold),
+        handover_timeout: span_of(settings.handing),
+        order: match settings.order.as_str() {
+            "named" => OrderPolicy::AsNamed,
+            "spare" => OrderPolicy::MostSpare,
+            _ => OrderPolicy::LongestRemaining,
         },
     }
 }
@@ -40,16 +40,16 @@
     let of = &leases.setup;
     let own = of.tasks.iter().filter(|task| task.wanted).map(|task| TaskId::of(&task.name));
     WorkWanted {
-        setup: WorkSetup {
+        setup: CoordinatorSetup {
             me: of.me,
             seed: of.seed,
             fleet,
             voters: of.voters.clone(),
             previous: of.previous.clone(),
-            every: span_of(settings.every),
-            hold: span_of(settings.hold),
-            limits: limits(settings, settings.servers),
-            poolers: limits(settings, settings.poolers),
+            heartbeat_interval: span_of(settings.every),
+            start_timeout: span_of(settings.hold),
+            server_limits: limits(settings, settings.servers),
+            pooler_limits: limits(settings, settings.poolers),
         },
         capacity: settings.capacity.iter().cloned().collect(),
         quiet: settings.quiet.clone(),
@@ -81,36 +81,42 @@
             |name: &str| settings.capacity.iter().find(|(of, _)| of == name).map(|(_, requests)| *requests);
         of(machine).or_else(|| of("")).unwrap_or(0.0)
     };
-    let mut facts = Facts::default();
+    let mut facts = FleetInfo::default();
     for of in listed() {
         let claim = of.claim(0);
-        facts.machines.push(Fact {
+        facts.machines.push(MachineInfo {
             machine: stands_for(&of.instance_id),
             group: claim.group.map_or(0, |group| u16::try_from(group.0).unwrap_or(u16::MAX)),
             zone: zone_mark(&claim.zone),
             capacity: capacity(&claim.machine),
             primary: claim.primary,
-            serves: claim.state == ListState::Healthy,
+            in_service: claim.state == ListState::Healthy,
             failing: false,
             warm: true,
         });
     }
-    if kind == Kind::Poolers {
-        let of = |number: u64| Fact { machine: number, serves: true, warm: true, ..Fact::default() };
+    if kind == MachineKind::Poolers {
+        let of = |number: u64| MachineInfo {
+            machine: number,
+            in_service: true,
+            warm: true,
+            ..MachineInfo::default()
+        };
         facts.machines = (0..u64::from(fleet)).map(of).collect();
         let voters = operator.leases.iter().flat_map(|leases| leases.voters.iter());
         facts.voters = voters.map(|voter| u64::from(*voter)).collect();
     }
-    let limits = limits(settings, if kind == Kind::Servers { settings.servers } else { settings.poolers });
+    let limits =
+        limits(settings, if kind == MachineKind::Servers { settings.servers } else { settings.poolers });
     let name = |machine: u64| match kind {
-        Kind::Poolers => format!("pooler {machine}"),
-        Kind::Servers => servers
+        MachineKind::Poolers => format!("pooler {machine}"),
+        MachineKind::Servers => servers
             .iter()
             .find(|of| stands_for(&of.id) == machine)
             .map_or_else(String::new, |of| of.id.clone()),
     };
     let plan = Plan { kind, machines, nonce: 0 };
-    if let Err((at, why)) = possible(&plan, &facts, &limits) {
+    if let Err((at, why)) = check_feasible(&plan, &facts, &limits) {
         return Err(End::other(format!("{} could never go out: {why}", name(plan.machines[at]))));
     }
     for (step, out) in rehearse(&plan, facts, &limits).into_iter().enumerate() {
@@ -121,17 +127,19 @@
 }
 
 /// The plan's steps, each with the places of the machines that go out together.
-fn rehearse(plan: &Plan, mut facts: Facts, limits: &Limits) -> Vec<Vec<usize>> {
-    let limits = Limits { cold: Span(0), handing: Span(i64::MAX / 4), ..limits.clone() };
-    let states = vec![State::Waiting; plan.machines.len()];
+fn rehearse(plan: &Plan, mut facts: FleetInfo, limits: &Limits) -> Vec<Vec<usize>> {
+    let limits = Limits { cold_period: Span(0), handover_timeout: Span(i64::MAX / 4), ..limits.clone() };
+    let states = vec![MachineState::Waiting; plan.machines.len()];
     let mut record = Record { token: Token(1), version: 1, plan: plan.id(), mode: Mode::Running, states };
     let since = vec![Time(0); plan.machines.len()];
     let mut steps = Vec::new();
     // Each turn takes one out, hands one over or brings one back, so that more turns than these come to nothing.
     for _ in 0..plan.machines.len() * 6 + 6 {
-        let next = next(Time(0), plan, &record, &since, &facts, &limits, &|_| true);
+        let next = next_step(Time(0), plan, &record, &since, &facts, &limits, &|_| true);
         let went: Vec<usize> = (0..next.states.len()).filter(|at| next.states[*at].is_leaving()).collect();
-        for (at, state) in next.states.iter().enumerate().filter(|(_, state)| **state == State::Handing) {
+        for (at, state) in
+            next.states.iter().enumerate().filter(|(_, state)| **state == MachineState::HandingOver)
+        {
             let _ = state;
             let machine = plan.machines[at];
             let group = facts.machines.iter().find(|of| of.machine == machine).map(|of| of.group);
@@ -145,12 +153,12 @@
         if !went.is_empty() {
             steps.push(went);
         }
-        if record.mode == Mode::Over {
+        if record.mode == Mode::Idle {
             break;
         }
         for state in &mut record.states {
             if state.is_out() {
-                *state = State::Warming;
+                *state = MachineState::Warming;
             }
         }
     }
--- a/crates/lab/src/work/model.rs
+++ b/crates/lab/src/work/model.rs
@@ -2,7 +2,9 @@
 //! the limits allow.
 
 use linnetdeal_coordination::lease::Token;
-use linnetdeal_coordination::work::{Fact, Facts, Kind, Limits, Mode, Plan, Record, Scheme, State, next};
+use linnetdeal_coordination::work::{
+    FleetInfo, Limits, MachineInfo, MachineKind, MachineState, Mode, OrderPolicy, Plan, Record, next_step,
+};
 use linnetdeal_core::{Span, Time};
 use plotters::prelude::*;
 use rand::{Rng, SeedableRng};
@@ -19,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct Fleet {
     /// What is known of its servers.
-    pub facts: Facts,
+    pub facts: FleetInfo,
     /// How long work lasts.
     pub work: Span,
     /// How long it takes until everybody has said that a machine is clear.
@@ -61,13 +63,13 @@
         for member in 0..members {
             let own = capacity * rng.random_range(0.85..1.15);
             can += own;
-            machines.push(Fact {
+            machines.push(MachineInfo {
                 machine: machines.len() as u64 + 1,
                 group,
                 zone: (first + member as u16) % 3,
                 capacity: own,
                 primary: member == 0,
-                serves: true,
+                in_service: true,
                 failing: false,
                 warm: true,
             });
@@ -76,7 +78,7 @@
         loads.insert(group, (load, load));
         group += 1;
     }
-    let facts = Facts { machines, loads, ..Facts::default() };
+    let facts = FleetInfo { machines, loads, ..FleetInfo::default() };
     Fleet {
         facts,
         work: Span::millis(600_000),
@@ -97,8 +99,8 @@
 pub fn play(fleet: &Fleet, limits: &Limits) -> Played {
     let mut facts = fleet.facts.clone();
     let machines: Vec<u64> = facts.machines.iter().map(|of| of.machine).collect();
-    let plan = Plan { kind: Kind::Servers, machines, nonce: 1 };
-    let states = vec![State::Waiting; plan.machines.len()];
+    let plan = Plan { kind: MachineKind::Servers, machines, nonce: 1 };
+    let states = vec![MachineState::Waiting; plan.machines.len()];
     let mut record = Record { token: Token(1), version: 1, plan: plan.id(), mode: Mode::Running, states };
     let mut since = vec![Time(0); plan.machines.len()];
     let peak: BTreeMap<u16, f64> = facts.loads.iter().map(|(group, (_, peak))| (*group, *peak)).collect();
@@ -114,14 +116,16 @@
             (*of, *most) = (peak[group] * share, peak[group] * peak_share);
         }
         let clear = |at: usize| now - since[at] >= fleet.leave;
-        let after = next(now, &plan, &record, &since, &facts, limits, &clear);
+        let after = next_step(now, &plan, &record, &since, &facts, limits, &clear);
         let mut states = after.states;
         for (at, state) in states.iter_mut().enumerate() {
             let lasted = now - since[at];
             match *state {
-                State::Free => *state = State::AtWork,
-                State::AtWork if lasted >= fleet.work => *state = State::Warming,
-                State::Handing if record.states[at] == State::Handing && lasted >= fleet.handing => {
+                MachineState::Free => *state = MachineState::AtWork,
+                MachineState::AtWork if lasted >= fleet.work => *state = MachineState::Warming,
+                MachineState::HandingOver
+                    if record.states[at] == MachineState::HandingOver && lasted >= fleet.handing =>
+                {
                     let group = facts.machines[at].group;
                     let heir = facts
                         .machines
@@ -147,7 +151,7 @@
             // A cold one does a sixth of its work at first.
             let share = match state {
                 state if state.is_out() => 0.0,
-                State::Warming => 0.16,
+                MachineState::Warming => 0.16,
                 _ => 1.0,
             };
             *can.entry(of.group).or_default() += of.capacity * share;
@@ -161,12 +165,12 @@
         asked += load;
         missed += lost;
         played.curve.push((gone / capacity, 1.0 - lost / load));
-        if record.mode == Mode::Over {
+        if record.mode == Mode::Idle {
             played.seconds = Some(step as f64 * STEP.0 as f64 / 1e6);
             break;
         }
     }
-    played.worked = record.states.iter().filter(|state| **state == State::Back).count();
+    played.worked = record.states.iter().filter(|state| **state == MachineState::Back).count();
     played.lost = missed / asked;
     played
 }
@@ -174,35 +178,37 @@
 /// The shortest that counts of machines allow, in seconds: whatever else the limits ask for can only make it longer.
 #[must_use]
 pub fn shortest(fleet: &Fleet, limits: &Limits) -> f64 {
-    let each = (fleet.leave.0 + fleet.work.0 + limits.cold.0) as f64 / 1e6;
-    let count = |is: &dyn Fn(&Fact) -> bool| fleet.facts.machines.iter().filter(|of| is(of)).count();
+    let each = (fleet.leave.0 + fleet.work.0 + limits.cold_period.0) as f64 / 1e6;
+    let count = |is: &dyn Fn(&MachineInfo) -> bool| fleet.facts.machines.iter().filter(|of| is(of)).count();
     let turns = |count: usize, most: usize| count.div_ceil(most.max(1));
     let zones: Vec<u16> = (0..3).collect();
-    let by_zone: Vec<usize> =
-        zones.iter().map(|zone| turns(count(&|of| of.zone == *zone), limits.zone.min(limits.all))).collect();
+    let by_zone: Vec<usize> = zones
+        .iter()
+        .map(|zone| turns(count(&|of| of.zone == *zone), limits.per_zone.min(limits.total)))
+        .collect();
     // Zones that may be out together overlap.
     let zones = by_zone.iter().sum::<usize>().div_ceil(limits.zones.clamp(1, 3));
     let groups: BTreeMap<u16, usize> = fleet.facts.machines.iter().fold(BTreeMap::new(), |mut groups, of| {
         *groups.entry(of.group).or_default() += 1;
         groups
     });
-    let longest = groups.values().map(|count| turns(*count, limits.group)).max().unwrap_or(0);
-    each * zones.max(longest).max(turns(fleet.facts.machines.len(), limits.all)) as f64
+    let longest = groups.values().map(|count| turns(*count, limits.per_group)).max().unwrap_or(0);
+    each * zones.max(longest).max(turns(fleet.facts.machines.len(), limits.total)) as f64
 }
 
 /// The limits of a kernel round.
 #[must_use]
-pub fn limits(scheme: Scheme) -> Limits {
+pub fn limits(scheme: OrderPolicy) -> Limits {
     Limits {
-        all: 12,
-        zone: 12,
-        group: 1,
+        total: 12,
+        per_zone: 12,
+        per_group: 1,
         zones: 1,
-        warm: 1,
-        spare: 1.2,
-        cold: Span::millis(30_000),
-        handing: Span::millis(60_000),
-        scheme,
+        min_warm: 1,
+        load_factor: 1.2,
+        cold_period: Span::millis(30_000),
+        handover_timeout: Span::millis(60_000),
+        order: scheme,
     }
 }
 
--- a/crates/lab/src/work/proof.rs
+++ b/crates/lab/src/work/proof.rs
@@ -6,7 +6,7 @@
 use crate::at_once;
 use crate::processes::process;
 use crate::processes::records::{plays, quantile};
-use linnetdeal_coordination::work::Scheme;
+use linnetdeal_coordination::work::OrderPolicy;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -137,7 +137,11 @@
 ///
 /// When the plot can't be written.
 pub fn schemes(say: &impl Fn(&dyn Display)) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
-    let all = [("named", Scheme::Named), ("spare", Scheme::Spare), ("ahead", Scheme::Ahead)];
+    let all = [
+        ("named", OrderPolicy::AsNamed),
+        ("spare", OrderPolicy::MostSpare),
+        ("ahead", OrderPolicy::LongestRemaining),
+    ];
     for servers in [18, 120, 240] {
         for (name, scheme) in all {
             let (mut over, mut lost, mut out) = (Vec::new(), 0.0, 0);
--- a/crates/net/src/operator_api.rs
+++ b/crates/net/src/operator_api.rs
@@ -13,7 +13,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::{Method, Request, Response, StatusCode};
-use linnetdeal_coordination::work::Verb;
+use linnetdeal_coordination::work::Command;
 use linnetdeal_core::MemberId;
 use smol_hyper::rt::FuturesIo;
 use std::cell::Cell;
@@ -174,13 +174,13 @@
         let Some(works) = &self.works else { return no(StatusCode::NOT_FOUND, "work is off here") };
         let parts: Vec<&str> = rest.split('/').skip(1).collect();
         let verb = |word: &str| match word {
-            "pause" => Some((Verb::Pause, false)),
-            "resume" => Some((Verb::Resume, false)),
-            "cancel" => Some((Verb::Cancel, false)),
-            "skip" => Some((Verb::Skip, true)),
-            "force" => Some((Verb::Force, true)),
-            "begin" => Some((Verb::Begin, true)),
-            "done" => Some((Verb::Done, true)),
+            "pause" => Some((Command::Pause, false)),
+            "resume" => Some((Command::Resume, false)),
+            "cancel" => Some((Command::Cancel, false)),
+            "skip" => Some((Command::Skip, true)),
+            "force" => Some((Command::Force, true)),
+            "begin" => Some((Command::Begin, true)),
+            "done" => Some((Command::Done, true)),
             _ => None,
         };
         let (verb, machine) = match parts[..] {
--- a/crates/net/src/work.rs
+++ b/crates/net/src/work.rs
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug)]
 pub struct WorkWanted {
     /// This pooler's part, with the limits for servers.
-    pub setup: WorkSetup,
+    pub setup: CoordinatorSetup,
     /// Requests a second that machines bear, by type; "" for all others.
     pub capacity: BTreeMap<String, f64>,
     /// Minutes of the day, in UTC, in which nothing begins.
@@ -137,7 +137,7 @@
     /// # Errors
     ///
     /// When none is, one is not known, or two kinds are; in words.
-    pub fn machines(&self, servers: &[Choosable], fleet: u16) -> Result<(Kind, Vec<u64>), String> {
+    pub fn machines(&self, servers: &[Choosable], fleet: u16) -> Result<(MachineKind, Vec<u64>), String> {
         match (&self.servers, &self.poolers) {
             (Some(_), Some(_)) => Err("a plan is of servers or of poolers, not of both".to_owned()),
             (None, None) => Err("the plan names no machine".to_owned()),
@@ -167,7 +167,7 @@
                 match machines.is_empty() {
                     _ if twins => Err("two servers' ids can't be told apart in a datagram".to_owned()),
                     true => Err("no server fits the plan".to_owned()),
-                    false => Ok((Kind::Servers, machines)),
+                    false => Ok((MachineKind::Servers, machines)),
                 }
             }
             (None, Some(of)) => {
@@ -178,7 +178,7 @@
                     return Err(format!("there is no pooler {number}, the platform names {fleet}"));
                 }
                 let numbers = if of.all { (0..fleet).collect() } else { of.numbers.clone() };
-                Ok((Kind::Poolers, numbers.into_iter().map(u64::from).collect()))
+                Ok((MachineKind::Poolers, numbers.into_iter().map(u64::from).collect()))
             }
         }
     }
@@ -218,10 +218,10 @@
 pub struct Works {
     wanted: WorkWanted,
     parts: Parts,
-    work: RefCell<Work<Whole>>,
+    work: RefCell<Coordinator<FullRegisterRules>>,
     /// The record that was acted on last.
     acted: Cell<(Token, u32)>,
-    before: RefCell<(PlanId, Vec<State>)>,
+    before: RefCell<(PlanId, Vec<MachineState>)>,
     emptied: Cell<bool>,
     loads: RefCell<Loads>,
     written: Cell<Option<(Token, u32)>>,
@@ -234,7 +234,7 @@
     pub(crate) fn new(wanted: WorkWanted, parts: Parts) -> Self {
         parts.pool.enable_stats();
         Self {
-            work: RefCell::new(Work::new(clock::steady(), wanted.setup.clone())),
+            work: RefCell::new(Coordinator::new(clock::steady(), wanted.setup.clone())),
             wanted,
             parts,
             acted: Cell::default(),
@@ -260,7 +260,7 @@
 
     /// Does what is due, for ever.
     pub(crate) async fn run(self: Rc<Self>) {
-        let pause = (duration(self.wanted.setup.every) / 8).min(TURN);
+        let pause = (duration(self.wanted.setup.heartbeat_interval) / 8).min(TURN);
         loop {
             let changed = self.parts.leases.listen();
             self.turn();
@@ -276,7 +276,7 @@
     fn turn(self: &Rc<Self>) {
         let now = clock::steady();
         for (who, note) in self.parts.leases.take_work() {
-            self.work.borrow_mut().hear(now, who, note);
+            self.work.borrow_mut().receive(now, who, note);
         }
         self.look_beside(now);
         self.act();
@@ -284,9 +284,9 @@
         let heard = self.heard(now);
         let mut work = self.work.borrow_mut();
         work.tick(now, &own, &|kind| self.facts(kind, &heard));
-        let letters = work.take_letters();
-        let beaten = work.take_beaten();
-        if work.give_up_waiting(now) {
+        let letters = work.take_messages();
+        let beaten = work.take_superseded();
+        if work.start_on_timeout(now) {
             tracing::warn!("work: no majority of voters has told what is out; serving by what was heard");
         }
         if work.has_started() && !self.started.is_up() {
@@ -313,22 +313,22 @@
         }
         // It lives, and says of nothing that it is clear as long as this one does. A dead one's word may be old.
         if !work.has_started() && shared.has_other_process() {
-            work.start_by_other();
+            work.mark_started();
         }
     }
 
     fn write_beside(&self) {
         let Some(shared) = &self.parts.shared else { return };
         let work = self.work.borrow();
-        if !work.has_started() || self.written.get() == Some(work.age()) {
+        if !work.has_started() || self.written.get() == Some(work.revision()) {
             return;
         }
-        let bytes = match work.acts_on() {
+        let bytes = match work.current_plan() {
             Some((plan, record)) => write_beside(Some(plan), record),
             None => write_beside(None, &Record::default()),
         };
-        match shared.write_work((work.age().0.0, work.age().1), &bytes) {
-            Ok(()) => self.written.set(Some(work.age())),
+        match shared.write_work((work.revision().0.0, work.revision().1), &bytes) {
+            Ok(()) => self.written.set(Some(work.revision())),
             Err(error) => tracing::debug!("work: other processes of this pooler don't learn of it: {error}"),
         }
     }
@@ -336,21 +336,21 @@
     /// Does what the record says: before anything is said to be clear, nothing new goes there.
     fn act(&self) {
         let work = self.work.borrow();
-        let Some((plan, record)) = work.acts_on() else { return };
-        if self.acted.get() == record.age() {
+        let Some((plan, record)) = work.current_plan() else { return };
+        if self.acted.get() == record.revision() {
             return;
         }
-        self.acted.set(record.age());
+        self.acted.set(record.revision());
         let mut before = self.before.borrow_mut();
         let same = before.0 == record.plan;
         let was = |at: usize| before.1.get(at).copied().filter(|_| same);
         let changed = |at: &usize| was(*at) != Some(record.states[*at]);
         match plan.kind {
-            Kind::Servers => {
+            MachineKind::Servers => {
                 let out: BTreeSet<u64> = record.out().map(|at| plan.machines[at]).collect();
                 // What comes back from work is cold; what was never touched is not.
                 let back: Vec<u64> = (0..plan.machines.len().min(record.states.len()))
-                    .filter(|at| record.states[*at] == State::Warming && changed(at))
+                    .filter(|at| record.states[*at] == MachineState::Warming && changed(at))
                     .map(|at| plan.machines[at])
                     .collect();
                 self.parts.feed.by_plan(&out, &back);
@@ -371,9 +371,9 @@
                     });
                 }
             }
-            Kind::Poolers => {
+            MachineKind::Poolers => {
                 self.parts.feed.by_plan(&BTreeSet::new(), &[]);
-                let away = work.own_is_out();
+                let away = work.own_machine_is_out();
                 if away != self.emptied.replace(away) {
                     tracing::info!("work: this pooler's machine is {}", if away { "out" } else { "back" });
                     // What was emptied by hand stays so.
@@ -384,8 +384,8 @@
         }
         for at in (0..record.states.len()).filter(changed) {
             let name = plan.machines.get(at).map_or_else(String::new, |of| self.name(plan.kind, *of));
-            if was(at).is_some() || record.states[at] != State::Waiting {
-                tracing::info!("work: {name} {}", record.states[at].word());
+            if was(at).is_some() || record.states[at] != MachineState::Waiting {
+                tracing::info!("work: {name} {}", record.states[at].label());
             }
         }
         if !same {
@@ -394,8 +394,8 @@
         *before = (record.plan, record.states.clone());
     }
 
-    fn name(&self, kind: Kind, machine: u64) -> String {
-        if kind == Kind::Poolers {
+    fn name(&self, kind: MachineKind, machine: u64) -> String {
+        if kind == MachineKind::Poolers {
             return format!("pooler {machine}");
         }
         let members = self.parts.members.all();
@@ -403,38 +403,39 @@
         known.map_or_else(|| format!("{machine:016x}"), |(id, _)| id.0.to_string())
     }
 
-    fn own(&self, now: Time) -> Own {
+    fn own(&self, now: Time) -> LocalState {
         let task = TaskId::of(TASK);
         let work = self.work.borrow();
-        let token = self.parts.leases.holds(task).filter(|_| !work.own_is_out() && work.has_started());
-        let mut own = Own {
+        let token =
+            self.parts.leases.holds(task).filter(|_| !work.own_machine_is_out() && work.has_started());
+        let mut own = LocalState {
             token,
             holder: self.parts.leases.holder(TASK),
             zone: zone_mark(&self.wanted.zone),
-            clear_of: work.age(),
-            ..Own::default()
+            clear_revision: work.revision(),
+            ..LocalState::default()
         };
         // Counted at all times: a plan that begins has to know the last hour's peak.
         self.measure(now);
-        if work.is_under_way() {
+        if work.is_active() {
             own.loads = self.measured();
             own.failing = self.failing();
         }
-        let Some((plan, record)) = work.acts_on() else { return own };
+        let Some((plan, record)) = work.current_plan() else { return own };
         let alone = || self.parts.shared.as_ref().is_none_or(|shared| shared.is_alone());
         let out: Vec<usize> = record.out().collect();
         if out.is_empty() || !alone() {
             return own;
         }
-        let members = if plan.kind == Kind::Servers { self.parts.members.all() } else { Vec::new() };
+        let members = if plan.kind == MachineKind::Servers { self.parts.members.all() } else { Vec::new() };
         let is_clear = |at: &usize| {
             let machine = plan.machines[*at];
             match plan.kind {
-                Kind::Servers => members
+                MachineKind::Servers => members
                     .iter()
                     .filter(|(id, _)| stands_for(&id.0) == machine)
                     .all(|(id, _)| self.parts.pool.has_no_connections(id)),
-                Kind::Poolers => {
+                MachineKind::Poolers => {
                     machine == u64::from(self.wanted.setup.me.number)
                         && self.emptied.get()
                         && self.parts.slots.in_use() == 0
@@ -442,7 +443,7 @@
                 }
             }
         };
-        own.clear = Places::of(out.into_iter().filter(is_clear));
+        own.clear = MachineSet::of(out.into_iter().filter(is_clear));
         own
     }
 
@@ -456,7 +457,7 @@
 
     /// Counts what this pooler bears, when it is due.
     fn measure(&self, now: Time) {
-        if now - self.loads.borrow().at < Span(self.wanted.setup.every.0 * NOW) {
+        if now - self.loads.borrow().at < Span(self.wanted.setup.heartbeat_interval.0 * NOW) {
             return;
         }
         let sent: BTreeMap<GroupId, u64> = self
@@ -488,12 +489,12 @@
     }
 
     /// What this pooler bears, by group.
-    fn measured(&self) -> Vec<Load> {
+    fn measured(&self) -> Vec<GroupLoad> {
         let loads = self.loads.borrow();
         let whole = |rate: f64| rate.ceil().clamp(0.0, 65_535.0) as u16;
         let of = |(group, (rate, hour)): (&GroupId, &(f64, VecDeque<f64>))| {
             let peak = hour.iter().copied().fold(*rate, f64::max);
-            Some(Load { group: u16::try_from(group.0).ok()?, now: whole(*rate), peak: whole(peak) })
+            Some(GroupLoad { group: u16::try_from(group.0).ok()?, current: whole(*rate), peak: whole(peak) })
         };
         loads.rates.iter().filter_map(of).collect()
     }
@@ -504,19 +505,19 @@
         Heard { loads: work.loads(now), failing: work.failing(now), poolers: work.poolers(now) }
     }
 
-    fn facts(&self, kind: Kind, heard: &Heard) -> Facts {
+    fn facts(&self, kind: MachineKind, heard: &Heard) -> FleetInfo {
         let quiet = self.is_quiet();
-        if kind == Kind::Poolers {
-            let of = |(number, zone, whole): &(u16, u16, bool)| Fact {
+        if kind == MachineKind::Poolers {
+            let of = |(number, zone, whole): &(u16, u16, bool)| MachineInfo {
                 machine: u64::from(*number),
                 zone: *zone,
-                serves: *whole,
+                in_service: *whole,
                 warm: *whole,
-                ..Fact::default()
+                ..MachineInfo::default()
             };
             let voters = self.wanted.setup.voters.iter().map(|voter| u64::from(*voter)).collect();
             let machines = heard.poolers.iter().map(of).collect();
-            return Facts { machines, quiet, voters, ..Facts::default() };
+            return FleetInfo { machines, quiet_hours: quiet, voters, ..FleetInfo::default() };
         }
         let (primaries, changing) = self.parts.driver.primaries();
         let fails = self.failing();
@@ -530,23 +531,32 @@
                 continue;
             }
             let capacity = self.wanted.capacity.get(&known.machine).or(self.wanted.capacity.get(""));
-            machines.push(Fact {
+            machines.push(MachineInfo {
                 machine,
                 group: group(known.group),
                 zone: zone_mark(&known.zone),
                 capacity: capacity.copied().unwrap_or(0.0),
                 primary: primaries.get(&known.group).map_or(known.primary, |of| *of == id),
-                serves: self.parts.members.serves_but_for_plans(&id),
+                in_service: self.parts.members.serves_but_for_plans(&id),
                 failing: fails.contains(&machine)
                     || heard.failing.get(&machine).is_some_and(|by| *by >= WITNESSES),
-                warm: known.started.is_none_or(|started| wall - started >= self.wanted.setup.limits.cold),
+                warm: known
+                    .started
+                    .is_none_or(|started| wall - started >= self.wanted.setup.server_limits.cold_period),
             });
         }
         // Where nobody is known to be, by own answers or by the list, nobody can be handed over to.
         let known: BTreeSet<u16> = machines.iter().filter(|of| of.primary).map(|of| of.group).collect();
         let without = machines.iter().map(|of| of.group).filter(|of| !known.contains(of));
         let changing = changing.into_iter().map(group).chain(without).collect();
-        Facts { machines, changing, loads: heard.loads.clone(), gone, quiet, ..Facts::default() }
+        FleetInfo {
+            machines,
+            changing_primary: changing,
+            loads: heard.loads.clone(),
+            gone,
+            quiet_hours: quiet,
+            ..FleetInfo::default()
+        }
     }
 
     fn is_quiet(&self) -> bool {
@@ -560,14 +570,15 @@
     fn ask_and_hand_over(self: &Rc<Self>, token: Option<Token>) {
         let Some(token) = token else { return };
         let work = self.work.borrow();
-        let Some((plan, record)) = work.acts_on().filter(|(plan, _)| plan.kind == Kind::Servers) else {
+        let Some((plan, record)) = work.current_plan().filter(|(plan, _)| plan.kind == MachineKind::Servers)
+        else {
             return;
         };
-        let with = |state: State| -> BTreeSet<u64> {
+        let with = |state: MachineState| -> BTreeSet<u64> {
             let of = record.states.iter().zip(&plan.machines).filter(|(one, _)| **one == state);
             of.map(|(_, machine)| *machine).collect()
         };
-        let (handing, warming) = (with(State::Handing), with(State::Warming));
+        let (handing, warming) = (with(MachineState::HandingOver), with(MachineState::Warming));
         if handing.is_empty() && warming.is_empty()
             || self.asked.get().is_some_and(|at| at.elapsed() < ASK_AGAIN)
         {
@@ -638,7 +649,7 @@
     /// A machine that is out for too long is told of once.
     fn tell_of_late(&self, now: Time) {
         let work = self.work.borrow();
-        if !work.is_under_way() {
+        if !work.is_active() {
             return;
         }
         let view = work.view(now);
@@ -646,17 +657,17 @@
             return;
         }
         for (at, of) in view.machines.iter().enumerate() {
-            let late = of.state.is_out() && duration(of.since) > self.wanted.longest;
+            let late = of.state.is_out() && duration(of.elapsed) > self.wanted.longest;
             if late && self.told_late.borrow_mut().insert((view.plan, at)) {
                 tracing::warn!(
                     "work: {} is {} for more than {:?}",
                     self.name(view.kind, of.machine),
-                    of.state.word(),
+                    of.state.label(),
                     self.wanted.longest
                 );
             }
         }
-        if self.told_late.borrow().len() > MOST_MACHINES {
+        if self.told_late.borrow().len() > MAX_MACHINES {
             self.told_late.borrow_mut().clear();
         }
     }
@@ -669,24 +680,24 @@
             .machines
             .iter()
             .map(|of| {
-                let mut shown = json!({"machine": self.name(view.kind, of.machine), "state": of.state.word(),
-                    "for_ms": of.since.0 / 1_000});
-                if let Some(why) = &of.why {
+                let mut shown = json!({"machine": self.name(view.kind, of.machine), "state": of.state.label(),
+                    "for_ms": of.elapsed.0 / 1_000});
+                if let Some(why) = &of.wait_reason {
                     shown["waits"] = why.to_string().into();
                 }
-                if !of.missing.is_empty() {
-                    shown["waits_for_poolers"] = of.missing.clone().into();
+                if !of.unconfirmed.is_empty() {
+                    shown["waits_for_poolers"] = of.unconfirmed.clone().into();
                 }
-                if of.state.is_out() && duration(of.since) > self.wanted.longest {
+                if of.state.is_out() && duration(of.elapsed) > self.wanted.longest {
                     shown["overdue"] = true.into();
                 }
                 shown
             })
             .collect();
         let plan = (view.plan != PlanId::NONE).then(|| format!("{:016x}", view.plan.0));
-        json!({"plan": plan, "mode": view.mode.word(), "machines": machines, "token": view.age.0.0,
-            "version": view.age.1, "leads": view.leads, "holder": self.parts.leases.holder(TASK),
-            "knows_what_is_out": view.started, "voter_without_memory": view.blank, "silent_poolers": view.silent})
+        json!({"plan": plan, "mode": view.mode.label(), "machines": machines, "token": view.revision.0.0,
+            "version": view.revision.1, "leads": view.leads, "holder": self.parts.leases.holder(TASK),
+            "knows_what_is_out": view.started, "voter_without_memory": view.blank, "silent_poolers": view.silent_poolers})
         .to_string()
     }
 
@@ -710,9 +721,9 @@
         let (plan, call) = submitted.map_err(|words| bad(words.to_owned()))?;
         let heard = self.heard(now);
         let facts = self.facts(kind, &heard);
-        let never = self.work.borrow().possible(plan, &facts);
+        let never = self.work.borrow().check_feasible(plan, &facts);
         if let Err((at, why)) = never {
-            self.work.borrow_mut().forget_call(call);
+            self.work.borrow_mut().forget_command(call);
             let name = machines.get(at).map_or_else(String::new, |of| self.name(kind, *of));
             return Err((409, format!("{name} could never go out: {why}")));
         }
@@ -728,30 +739,33 @@
     /// With a status and words.
     pub(crate) async fn by_hand(
         self: &Rc<Self>,
-        verb: Verb,
+        verb: Command,
         machine: Option<&str>,
     ) -> Result<String, (u16, String)> {
         let now = clock::steady();
         let (call, given_up) = {
             let mut work = self.work.borrow_mut();
             let no_plan = (404, "there is no plan".to_owned());
-            let (plan, record) = work.acts_on().ok_or(no_plan)?;
+            let (plan, record) = work.current_plan().ok_or(no_plan)?;
             let mut at = 0;
             if let Some(name) = machine {
                 let mark = match plan.kind {
-                    Kind::Servers => stands_for(name),
-                    Kind::Poolers => name.parse().map_err(|_| (400, "poolers have numbers".to_owned()))?,
+                    MachineKind::Servers => stands_for(name),
+                    MachineKind::Poolers => {
+                        name.parse().map_err(|_| (400, "poolers have numbers".to_owned()))?
+                    }
                 };
                 let found = plan.machines.iter().position(|of| *of == mark);
                 at = found.ok_or_else(|| (404, format!("{name} is not in the plan")))?;
             }
             let id = record.plan;
-            let missing = work.view(now).machines.get(at).map(|of| of.missing.clone()).unwrap_or_default();
-            let call = work.call(now, verb, id, at as u16);
+            let missing =
+                work.view(now).machines.get(at).map(|of| of.unconfirmed.clone()).unwrap_or_default();
+            let call = work.queue_command(now, verb, id, at as u16);
             (call.ok_or((503, "too many calls are waiting".to_owned()))?, missing)
         };
         self.outcome(call).await?;
-        if verb == Verb::Force {
+        if verb == Command::Force {
             let name = machine.unwrap_or("");
             let lost = if given_up.is_empty() {
                 "the limits are not kept for it".to_owned()
@@ -768,18 +782,18 @@
         let end = std::time::Instant::now() + CALL;
         self.turn();
         while std::time::Instant::now() < end {
-            let said = self.work.borrow_mut().said(call);
+            let said = self.work.borrow_mut().take_result(call);
             let no = |status: u16, words: &str| Err((status, words.to_owned()));
             match said {
-                Some(Said::Done) => return Ok(()),
-                Some(Said::NotNow) => return no(409, "not in this state"),
-                Some(Said::Busy) => return no(409, "another plan is under way"),
-                Some(Said::Unknown) => return no(404, "there is no such plan or machine"),
-                Some(Said::Never) => return no(409, "the limits can never be met"),
-                Some(Said::NotHolder) | None => Timer::after(LOOK).await,
+                Some(CommandResult::Done) => return Ok(()),
+                Some(CommandResult::InvalidState) => return no(409, "not in this state"),
+                Some(CommandResult::Busy) => return no(409, "another plan is under way"),
+                Some(CommandResult::NotFound) => return no(404, "there is no such plan or machine"),
+                Some(CommandResult::Infeasible) => return no(409, "the limits can never be met"),
+                Some(CommandResult::NotHolder) | None => Timer::after(LOOK).await,
             };
         }
-        self.work.borrow_mut().forget_call(call);
+        self.work.borrow_mut().forget_command(call);
         Err((503, "nobody who could has answered yet: ask what became of it, and again".to_owned()))
     }
 }
@@ -804,12 +818,12 @@
 }
 
 fn write_beside(plan: Option<&Plan>, record: &Record) -> Vec<u8> {
-    let place = |state: &State| State::ALL.iter().position(|of| of == state).unwrap_or(0);
+    let place = |state: &MachineState| MachineState::ALL.iter().position(|of| of == state).unwrap_or(0);
     let beside = Beside {
         token: record.token.0,
         version: record.version,
         mode: Mode::ALL.iter().position(|of| *of == record.mode).unwrap_or(0),
-        poolers: plan.is_some_and(|plan| plan.kind == Kind::Poolers),
+        poolers: plan.is_some_and(|plan| plan.kind == MachineKind::Poolers),
         nonce: plan.map_or(0, |plan| plan.nonce),
         machines: plan.map(|plan| plan.machines.clone()).unwrap_or_default(),
         states: record.states.iter().map(place).collect(),
@@ -820,11 +834,12 @@
 /// Reads it whole, or not at all.
 fn read_beside(bytes: &[u8]) -> Option<(Option<Plan>, Record)> {
     let beside: Beside = serde_json::from_slice(bytes).ok()?;
-    if beside.machines.len() > MOST_MACHINES || beside.states.len() != beside.machines.len() {
+    if beside.machines.len() > MAX_MACHINES || beside.states.len() != beside.machines.len() {
         return None;
     }
-    let states: Option<Vec<State>> = beside.states.iter().map(|of| State::ALL.get(*of).copied()).collect();
-    let kind = if beside.poolers { Kind::Poolers } else { Kind::Servers };
+    let states: Option<Vec<MachineState>> =
+        beside.states.iter().map(|of| MachineState::ALL.get(*of).copied()).collect();
+    let kind = if beside.poolers { MachineKind::Poolers } else { MachineKind::Servers };
     let plan = Plan { kind, machines: beside.machines, nonce: beside.nonce };
     let plan = Some(plan).filter(|plan| !plan.machines.is_empty());
     let record = Record {
