--- a/crates/coordination/src/work/record.rs
+++ b/crates/coordination/src/work/record.rs
@@ -1,7 +1,7 @@
 //! A plan, which never changes, and its record, which says how far each machine is.
 
 use crate::lease::Token;
-use linnetdeal_core::membership::fnv;
+use linnetdeal_core::membership::fnv1a;
 
 /// No plan names more machines: its record has to fit into one datagram.
 pub const MAX_MACHINES: usize = 256;
@@ -43,7 +43,7 @@
     #[must_use]
     pub fn id(&self) -> PlanId {
         let head = [u8::from(self.kind == MachineKind::Poolers)].into_iter().chain(self.nonce.to_be_bytes());
-        PlanId(fnv(head.chain(self.machines.iter().flat_map(|of| of.to_be_bytes()))).max(1))
+        PlanId(fnv1a(head.chain(self.machines.iter().flat_map(|of| of.to_be_bytes()))).max(1))
     }
 }
 
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -11,13 +11,13 @@
 
 /// No more members than this are held. A registry whose deltas name ever new ones fills the memory no further; who is
 /// known already is heard as before.
-pub const MOST_MEMBERS: usize = 100_000;
+pub const MAX_MEMBERS: usize = 100_000;
 /// No more members than this may be out by hand.
-pub const MOST_BANS: usize = 10_000;
+pub const MAX_OPERATOR_DRAINS: usize = 10_000;
 
 /// FNV-1a, 64 bits.
 #[must_use]
-pub fn fnv(bytes: impl IntoIterator<Item = u8>) -> u64 {
+pub fn fnv1a(bytes: impl IntoIterator<Item = u8>) -> u64 {
     bytes.into_iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
     })
@@ -25,8 +25,8 @@
 
 /// What stands for a member's id where ids are too long to be told.
 #[must_use]
-pub fn stands_for(id: &str) -> u64 {
-    fnv(id.bytes())
+pub fn id_hash(id: &str) -> u64 {
+    fnv1a(id.bytes())
 }
 
 /// A source of claims, in the order in which the host numbers them.
@@ -35,7 +35,7 @@
 
 /// How new a claim is, by what the member said itself and not by when the claim arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Evidence {
+pub struct ClaimVersion {
     /// When the member last started, where the source tells. A later start outranks any stamp.
     pub started: Option<Time>,
     /// The stamp of the member's last change of itself (Eureka's `lastDirtyTimestamp`, in its own unit), or the number
@@ -43,14 +43,14 @@
     pub stamp: i64,
     /// The memory that tells it: a server of a registry, by number, and the lease that it holds, by its begin. Of one
     /// start and one stamp, the later word counts as newer if both come from one memory; `None` has none.
-    pub memory: Option<(usize, i64)>,
+    pub registry_lease: Option<(usize, i64)>,
     /// When that memory last changed it, by its own clock.
-    pub told: i64,
+    pub lease_updated: i64,
 }
 
 /// How one piece of evidence stands to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Age {
+pub enum Recency {
     /// It tells of something later.
     Newer,
     /// It tells of the same.
@@ -59,17 +59,18 @@
     Older,
 }
 
-impl Evidence {
+impl ClaimVersion {
     /// How `self` stands to `held`.
     #[must_use]
-    pub fn against(&self, held: &Self) -> Age {
+    pub fn compare(&self, held: &Self) -> Recency {
         let starts = self.started.zip(held.started).map(|(new, old)| new.cmp(&old));
-        let one_memory = self.memory.is_some() && self.memory == held.memory;
-        let words = if one_memory { self.told.cmp(&held.told) } else { std::cmp::Ordering::Equal };
+        let one_memory = self.registry_lease.is_some() && self.registry_lease == held.registry_lease;
+        let words =
+            if one_memory { self.lease_updated.cmp(&held.lease_updated) } else { std::cmp::Ordering::Equal };
         match starts.unwrap_or(std::cmp::Ordering::Equal).then(self.stamp.cmp(&held.stamp)).then(words) {
-            std::cmp::Ordering::Greater => Age::Newer,
-            std::cmp::Ordering::Equal => Age::Same,
-            std::cmp::Ordering::Less => Age::Older,
+            std::cmp::Ordering::Greater => Recency::Newer,
+            std::cmp::Ordering::Equal => Recency::Same,
+            std::cmp::Ordering::Less => Recency::Older,
         }
     }
 }
@@ -94,13 +95,13 @@
     /// Its state.
     pub state: ListState,
     /// How new all this is.
-    pub evidence: Evidence,
+    pub version: ClaimVersion,
 }
 
 /// News from a source.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
-    /// All that the source knows. `view` is how new its knowledge is, on the scale of [`Evidence::stamp`]: a member with
+pub enum SourceUpdate {
+    /// All that the source knows. `view` is how new its knowledge is, on the scale of [`ClaimVersion::stamp`]: a member with
     /// a later stamp that is not named was not known yet, which tells nothing.
     Full {
         /// The members.
@@ -114,7 +115,7 @@
 
 /// When a list that lacks members is taken for a sick source rather than for a smaller fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Doubt {
+pub struct ShrinkPolicy {
     /// The share of a source's members in service that one full list may lack and still be believed; at 1 only an empty
     /// list is doubted, over 1 nothing is.
     pub lost_share: f64,
@@ -122,14 +123,14 @@
     pub believe_after: Option<Span>,
 }
 
-impl Doubt {
+impl ShrinkPolicy {
     /// Believes all that it is told, as the platform's list asks for.
-    pub const NONE: Self = Self { lost_share: 2.0, believe_after: None };
+    pub const ACCEPT_ALL: Self = Self { lost_share: 2.0, believe_after: None };
 }
 
 /// What became of news.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Taken {
+pub struct UpdateOutcome {
     /// The entries that differ from before, as the module takes them.
     pub changed: Vec<Entry>,
     /// Members that were forgotten.
@@ -141,12 +142,12 @@
     /// Claims of one registration with two addresses: two members under one id.
     pub conflicts: usize,
     /// A list that was not believed: it lacked so many of so many.
-    pub doubted: Option<(usize, usize)>,
+    pub suspect_list: Option<(usize, usize)>,
 }
 
 /// A member as a host needs it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Known {
+pub struct MemberInfo {
     /// Where it listens.
     pub address: Option<SocketAddr>,
     /// Its state, all sources taken together.
@@ -167,7 +168,7 @@
 #[derive(Clone, Debug)]
 struct Held {
     claim: Claim,
-    /// It went by not being named in a list this new. Only a newer view brings it back, or newer evidence.
+    /// It went by not being named in a list this new. Only a newer view brings it back, or newer version.
     absent: Option<i64>,
     /// When this source last said so.
     since: Time,
@@ -177,13 +178,13 @@
 struct Record {
     /// In the order of the sources. There are one or two, and a map would take up ten times their size.
     held: Vec<(SourceId, Held)>,
-    known: Known,
+    known: MemberInfo,
     gone_since: Option<Time>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Source {
-    doubt: Doubt,
+    doubt: ShrinkPolicy,
     /// Since when it has told the doubted story.
     doubted: Option<Time>,
 }
@@ -239,76 +240,80 @@
     }
 
     /// Says how a source's full lists are doubted. Without it all is believed.
-    pub fn doubt(&mut self, source: SourceId, doubt: Doubt) {
+    pub fn set_shrink_policy(&mut self, source: SourceId, doubt: ShrinkPolicy) {
         self.sources.insert(source, Source { doubt, doubted: None });
     }
 
     /// A member that is known, gone ones included for as long as they are remembered.
     #[must_use]
-    pub fn get(&self, member: &MemberId) -> Option<&Known> {
+    pub fn get(&self, member: &MemberId) -> Option<&MemberInfo> {
         self.members.get(member).map(|record| &record.known)
     }
 
     /// All that are known, in the order of their ids.
-    pub fn iter(&self) -> impl Iterator<Item = (&MemberId, &Known)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&MemberId, &MemberInfo)> {
         self.members.iter().map(|(id, record)| (id, &record.known))
     }
 
     /// Takes a member out by hand, or ends that. Out, it drains whatever the sources say and however often it starts
     /// anew. Gives what that changes; `None` for one that nobody ever named, or if too many are out.
-    pub fn by_hand(&mut self, member: &MemberId, out: bool) -> Option<Taken> {
+    pub fn set_operator_drain(&mut self, member: &MemberId, out: bool) -> Option<UpdateOutcome> {
         if !self.members.contains_key(member) && !self.banned.contains(member) {
             return None;
         }
-        if out && self.banned.len() >= MOST_BANS && !self.banned.contains(member) {
+        if out && self.banned.len() >= MAX_OPERATOR_DRAINS && !self.banned.contains(member) {
             return None;
         }
         Some(self.ban(member, out))
     }
 
     /// The same for a call that another process of this pooler took, which knew the member; named here or not.
-    pub fn by_word(&mut self, member: &MemberId, out: bool) -> Taken {
-        if out && self.banned.len() >= MOST_BANS { Taken::default() } else { self.ban(member, out) }
+    pub fn adopt_operator_drain(&mut self, member: &MemberId, out: bool) -> UpdateOutcome {
+        if out && self.banned.len() >= MAX_OPERATOR_DRAINS {
+            UpdateOutcome::default()
+        } else {
+            self.ban(member, out)
+        }
     }
 
-    fn ban(&mut self, member: &MemberId, out: bool) -> Taken {
+    fn ban(&mut self, member: &MemberId, out: bool) -> UpdateOutcome {
         if out {
             self.banned.insert(member.clone());
         } else {
             self.banned.remove(member);
         }
-        let mut taken = Taken::default();
+        let mut taken = UpdateOutcome::default();
         self.show(member, &mut taken);
         taken
     }
 
     /// Says who is out by a plan from now on, all of them, by what stands for their ids; and who has come back from one `at` that
     /// time and is to be used as a cold one, whatever the sources say of its start.
-    pub fn plan(&mut self, out: &BTreeSet<u64>, back: &[(u64, Time)]) -> Taken {
+    pub fn apply_plan(&mut self, out: &BTreeSet<u64>, back: &[(u64, Time)]) -> UpdateOutcome {
         let mut touched: BTreeSet<u64> = self.planned.symmetric_difference(out).copied().collect();
         self.planned = out.clone();
-        if self.returned.len() + back.len() > MOST_BANS {
+        if self.returned.len() + back.len() > MAX_OPERATOR_DRAINS {
             self.returned.clear();
         }
         self.returned.extend(back.iter().copied());
         touched.extend(back.iter().map(|(of, _)| *of));
         let members: Vec<MemberId> =
-            self.members.keys().filter(|id| touched.contains(&stands_for(&id.0))).cloned().collect();
-        let mut taken = Taken::default();
+            self.members.keys().filter(|id| touched.contains(&id_hash(&id.0))).cloned().collect();
+        let mut taken = UpdateOutcome::default();
         members.iter().for_each(|member| self.show(member, &mut taken));
         taken
     }
 
     /// Whether a member would be in service if no plan had it out.
     #[must_use]
-    pub fn serves_but_for_plans(&self, member: &MemberId) -> bool {
+    pub fn in_service_without_plans(&self, member: &MemberId) -> bool {
         let of = self.members.get(member);
         of.is_some_and(|record| combine(&record.held).state == ListState::Healthy)
             && !self.banned.contains(member)
     }
 
     /// Tells of a member if what counts of it has changed.
-    fn show(&mut self, member: &MemberId, taken: &mut Taken) {
+    fn show(&mut self, member: &MemberId, taken: &mut UpdateOutcome) {
         let Some(known) = self.members.get(member).map(|record| self.settle(member, &record.held)) else {
             return;
         };
@@ -320,39 +325,39 @@
     }
 
     /// What counts of a member: what all sources say, and what was done by hand or by a plan.
-    fn settle(&self, member: &MemberId, held: &[(SourceId, Held)]) -> Known {
+    fn settle(&self, member: &MemberId, held: &[(SourceId, Held)]) -> MemberInfo {
         let known = with_ban(combine(held), self.banned.contains(member));
         if self.planned.is_empty() && self.returned.is_empty() {
             return known;
         }
-        let mark = stands_for(&member.0);
+        let mark = id_hash(&member.0);
         let returned = self.returned.get(&mark).copied();
-        Known { started: known.started.max(returned), ..with_ban(known, self.planned.contains(&mark)) }
+        MemberInfo { started: known.started.max(returned), ..with_ban(known, self.planned.contains(&mark)) }
     }
 
     /// Whether a claim from a list that is older than what is held would have somebody back who drains or is gone: that was
     /// told since, unless the claim shows a later start.
     #[must_use]
-    pub fn keeps_out(&self, claim: &Claim) -> bool {
+    pub fn would_revive(&self, claim: &Claim) -> bool {
         let out = self.get(&claim.member).filter(|known| known.state != ListState::Healthy);
         claim.state == ListState::Healthy && out.is_some_and(|known| claim.started <= known.started)
     }
 
     /// Who is out by hand.
-    pub fn banned(&self) -> impl Iterator<Item = &MemberId> {
+    pub fn operator_drained(&self) -> impl Iterator<Item = &MemberId> {
         self.banned.iter()
     }
 
     /// Takes what a source says. The cost goes with what it names, and for a full list with what is known.
-    pub fn take(&mut self, now: Time, source: SourceId, news: News) -> Taken {
-        let mut taken = Taken::default();
+    pub fn apply_update(&mut self, now: Time, source: SourceId, news: SourceUpdate) -> UpdateOutcome {
+        let mut taken = UpdateOutcome::default();
         match news {
-            News::Changes(claims) => {
+            SourceUpdate::Changes(claims) => {
                 for claim in claims {
                     self.claim(now, source, claim, None, &mut taken);
                 }
             }
-            News::Full { claims, view } => {
+            SourceUpdate::Full { claims, view } => {
                 let named: BTreeSet<MemberId> = claims.iter().map(|claim| claim.member.clone()).collect();
                 let (missing, lost, in_service) = self.missing(source, &named, view);
                 let sick = self.sick(now, source, lost, in_service, named.is_empty());
@@ -360,7 +365,7 @@
                     self.claim(now, source, claim, Some(view), &mut taken);
                 }
                 if sick {
-                    taken.doubted = Some((lost, in_service));
+                    taken.suspect_list = Some((lost, in_service));
                 } else {
                     for member in missing {
                         self.absent(now, source, member, view, &mut taken);
@@ -388,7 +393,7 @@
             }
             let serves = usize::from(held.claim.state == ListState::Healthy);
             in_service += serves;
-            if !named.contains(id) && held.claim.evidence.stamp <= view {
+            if !named.contains(id) && held.claim.version.stamp <= view {
                 lost += serves;
                 missing.push(id.clone());
             }
@@ -415,18 +420,25 @@
         !believed
     }
 
-    fn claim(&mut self, now: Time, source: SourceId, mut claim: Claim, view: Option<i64>, taken: &mut Taken) {
+    fn claim(
+        &mut self,
+        now: Time,
+        source: SourceId,
+        mut claim: Claim,
+        view: Option<i64>,
+        taken: &mut UpdateOutcome,
+    ) {
         let held = self.members.get(&claim.member).and_then(|record| record.of(source));
         if let Some(held) = held {
             let moved = claim.address.zip(held.claim.address).is_some_and(|(new, old)| new != old);
             let worse = rank(claim.state) > rank(held.claim.state);
             let better = rank(claim.state) < rank(held.claim.state);
             let back = held.absent.zip(view).is_some_and(|(absent, view)| view > absent);
-            let counts = match claim.evidence.against(&held.claim.evidence) {
-                Age::Newer => true,
+            let counts = match claim.version.compare(&held.claim.version) {
+                Recency::Newer => true,
                 // The same registration: it may only get worse, but for one that was merely not named.
-                Age::Same => !better || back,
-                Age::Older => false,
+                Recency::Same => !better || back,
+                Recency::Older => false,
             };
             if !counts {
                 taken.stale += 1;
@@ -434,7 +446,7 @@
                 return;
             }
             // Two members under one id, as far as can be seen: the one that was there first stays.
-            if moved && claim.evidence.against(&held.claim.evidence) == Age::Same {
+            if moved && claim.version.compare(&held.claim.version) == Recency::Same {
                 taken.conflicts += 1;
                 if !worse {
                     return;
@@ -444,7 +456,7 @@
             claim.address = claim.address.or(held.claim.address);
             claim.group = claim.group.or(held.claim.group);
         }
-        if self.members.len() >= MOST_MEMBERS && !self.members.contains_key(&claim.member) {
+        if self.members.len() >= MAX_MEMBERS && !self.members.contains_key(&claim.member) {
             taken.stale += 1;
             return;
         }
@@ -452,7 +464,14 @@
         self.hold(now, source, member, Held { claim, absent: None, since: now }, taken);
     }
 
-    fn absent(&mut self, now: Time, source: SourceId, member: MemberId, view: i64, taken: &mut Taken) {
+    fn absent(
+        &mut self,
+        now: Time,
+        source: SourceId,
+        member: MemberId,
+        view: i64,
+        taken: &mut UpdateOutcome,
+    ) {
         let held = self.members.get(&member).and_then(|record| record.of(source));
         if let Some(mut held) = held.cloned() {
             held.claim.state = ListState::Gone;
@@ -462,11 +481,14 @@
     }
 
     /// Holds what a source says, and tells if all sources taken together now say something else than before.
-    fn hold(&mut self, now: Time, source: SourceId, member: MemberId, held: Held, taken: &mut Taken) {
+    fn hold(&mut self, now: Time, source: SourceId, member: MemberId, held: Held, taken: &mut UpdateOutcome) {
         let entry = self.members.entry(member.clone());
         let new = matches!(entry, std::collections::btree_map::Entry::Vacant(_));
-        let record =
-            entry.or_insert_with(|| Record { held: Vec::new(), known: Known::default(), gone_since: None });
+        let record = entry.or_insert_with(|| Record {
+            held: Vec::new(),
+            known: MemberInfo::default(),
+            gone_since: None,
+        });
         record.set(source, held);
         let held = std::mem::take(&mut record.held);
         let known = self.settle(&member, &held);
@@ -489,7 +511,7 @@
         }
     }
 
-    fn forget(&mut self, now: Time, taken: &mut Taken) {
+    fn forget(&mut self, now: Time, taken: &mut UpdateOutcome) {
         while let Some((since, _)) = self.gone.first() {
             if now - *since < self.remembers && self.gone.len() <= self.most_gone {
                 return;
@@ -503,20 +525,20 @@
 }
 
 /// What the module is told of a member.
-fn told(member: MemberId, known: &Known) -> Entry {
-    let Known { state, group, zone, primary, started, .. } = known.clone();
+fn told(member: MemberId, known: &MemberInfo) -> Entry {
+    let MemberInfo { state, group, zone, primary, started, .. } = known.clone();
     Entry { member, group, state, primary, started, zone }
 }
 
 /// Out by hand outranks all that says that a member serves.
-fn with_ban(known: Known, banned: bool) -> Known {
+fn with_ban(known: MemberInfo, banned: bool) -> MemberInfo {
     let out = banned && known.state == ListState::Healthy;
-    Known { state: if out { ListState::Draining } else { known.state }, ..known }
+    MemberInfo { state: if out { ListState::Draining } else { known.state }, ..known }
 }
 
 /// What all sources say of a member, taken together. The worst of them counts, unless another source shows a start
 /// after it: who started anew is not who drained. What only one tells comes from the first source that tells it.
-fn combine(held: &[(SourceId, Held)]) -> Known {
+fn combine(held: &[(SourceId, Held)]) -> MemberInfo {
     let all = || held.iter().map(|(_, held)| held);
     let shown = |than: &Held| {
         let after = than.claim.started.unwrap_or(than.since);
@@ -525,7 +547,7 @@
     let counted = || all().filter(|one| one.claim.state == ListState::Healthy || !shown(one));
     let state =
         counted().map(|one| one.claim.state).max_by_key(|state| rank(*state)).unwrap_or(ListState::Gone);
-    Known {
+    MemberInfo {
         address: counted().find_map(|one| one.claim.address).or(all().find_map(|one| one.claim.address)),
         state,
         group: all().find_map(|one| one.claim.group).unwrap_or_default(),
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -26,7 +26,7 @@
         primary: false,
         started,
         state,
-        evidence: Evidence { started, stamp, ..Evidence::default() },
+        version: ClaimVersion { started, stamp, ..ClaimVersion::default() },
     }
 }
 
@@ -36,7 +36,10 @@
 
 fn members() -> Membership {
     let mut members = Membership::new(Span::millis(60_000), 100);
-    members.doubt(REGISTRY, Doubt { lost_share: 0.5, believe_after: Some(Span::millis(10_000)) });
+    members.set_shrink_policy(
+        REGISTRY,
+        ShrinkPolicy { lost_share: 0.5, believe_after: Some(Span::millis(10_000)) },
+    );
     members
 }
 
@@ -44,12 +47,12 @@
     members.get(&id(at)).map(|known| known.state)
 }
 
-fn changes(members: &mut Membership, at_ms: i64, claims: Vec<Claim>) -> Taken {
-    members.take(Time(at_ms * 1_000), REGISTRY, News::Changes(claims))
+fn changes(members: &mut Membership, at_ms: i64, claims: Vec<Claim>) -> UpdateOutcome {
+    members.apply_update(Time(at_ms * 1_000), REGISTRY, SourceUpdate::Changes(claims))
 }
 
-fn full(members: &mut Membership, at_ms: i64, view: i64, claims: Vec<Claim>) -> Taken {
-    members.take(Time(at_ms * 1_000), REGISTRY, News::Full { claims, view })
+fn full(members: &mut Membership, at_ms: i64, view: i64, claims: Vec<Claim>) -> UpdateOutcome {
+    members.apply_update(Time(at_ms * 1_000), REGISTRY, SourceUpdate::Full { claims, view })
 }
 
 #[test]
@@ -108,22 +111,22 @@
     let mut members = members();
     full(&mut members, 0, 9, (1..=8).map(|at| up(at, 9)).collect());
     let taken = full(&mut members, 1, 9, (1..=3).map(|at| up(at, 9)).collect());
-    assert_eq!((taken.doubted, taken.changed.len()), (Some((5, 8)), 0), "five of eight");
-    assert_eq!(full(&mut members, 2, 0, Vec::new()).doubted, Some((0, 8)), "nothing at all is no list");
-    assert_eq!(full(&mut members, 3, 9, Vec::new()).doubted, Some((8, 8)));
+    assert_eq!((taken.suspect_list, taken.changed.len()), (Some((5, 8)), 0), "five of eight");
+    assert_eq!(full(&mut members, 2, 0, Vec::new()).suspect_list, Some((0, 8)), "nothing at all is no list");
+    assert_eq!(full(&mut members, 3, 9, Vec::new()).suspect_list, Some((8, 8)));
     // A registry that fills up again is doubted until it names all; a named drain counts always.
     let mut named: Vec<Claim> = (1..=7).map(|at| up(at, 9)).collect();
     named[0] = claim(1, ListState::Draining, None, 9);
-    assert_eq!(full(&mut members, 4, 9, named).doubted, Some((1, 8)));
+    assert_eq!(full(&mut members, 4, 9, named).suspect_list, Some((1, 8)));
     assert_eq!(state(&members, 1), Some(ListState::Draining));
     full(&mut members, 4, 9, (1..=8).map(|at| up(at, 9)).collect());
     // From then on a smaller fleet is believed again.
-    assert_eq!(full(&mut members, 4, 9, (1..=5).map(|at| up(at, 9)).collect()).doubted, None);
+    assert_eq!(full(&mut members, 4, 9, (1..=5).map(|at| up(at, 9)).collect()).suspect_list, None);
     assert_eq!(members.iter().filter(|(_, known)| known.state == ListState::Healthy).count(), 4);
     // The same doubted story for ten seconds is believed.
-    assert_eq!(full(&mut members, 5, 9, Vec::new()).doubted, Some((4, 4)));
-    assert_eq!(full(&mut members, 9_000, 9, Vec::new()).doubted, Some((4, 4)));
-    assert_eq!(full(&mut members, 10_005, 9, Vec::new()).doubted, None);
+    assert_eq!(full(&mut members, 5, 9, Vec::new()).suspect_list, Some((4, 4)));
+    assert_eq!(full(&mut members, 9_000, 9, Vec::new()).suspect_list, Some((4, 4)));
+    assert_eq!(full(&mut members, 10_005, 9, Vec::new()).suspect_list, None);
     assert!(members.iter().all(|(_, known)| known.state == ListState::Gone));
 }
 
@@ -143,7 +146,7 @@
 fn the_worst_of_two_sources_counts_until_a_later_start_is_shown() {
     let mut members = members();
     let told = |members: &mut Membership, at_ms: i64, source, claim| {
-        members.take(Time(at_ms * 1_000), source, News::Changes(vec![claim]))
+        members.apply_update(Time(at_ms * 1_000), source, SourceUpdate::Changes(vec![claim]))
     };
     told(&mut members, 10, LIST, up(1, 1));
     told(&mut members, 11, REGISTRY, up(1, 500));
@@ -162,7 +165,7 @@
 fn the_later_word_of_one_memory_counts_and_of_another_does_not() {
     let word = |state, memory, told| {
         let mut one = claim(1, state, None, 7);
-        (one.evidence.memory, one.evidence.told) = (memory, told);
+        (one.version.registry_lease, one.version.lease_updated) = (memory, told);
         one
     };
     // Another server, another lease, no memory, and an earlier word of the same bring nobody back.
@@ -192,8 +195,8 @@
 #[test]
 fn ever_new_members_fill_no_more_than_agreed_and_drains_still_count() {
     let mut members = members();
-    let taken = changes(&mut members, 0, (0..MOST_MEMBERS + 5).map(|at| up(at, 1)).collect());
-    assert_eq!((taken.changed.len(), taken.stale, members.iter().count()), (MOST_MEMBERS, 5, MOST_MEMBERS));
+    let taken = changes(&mut members, 0, (0..MAX_MEMBERS + 5).map(|at| up(at, 1)).collect());
+    assert_eq!((taken.changed.len(), taken.stale, members.iter().count()), (MAX_MEMBERS, 5, MAX_MEMBERS));
     changes(&mut members, 1, vec![claim(7, ListState::Draining, None, 2)]);
     assert_eq!(state(&members, 7), Some(ListState::Draining));
 }
@@ -224,13 +227,13 @@
         (0..4_usize, 0..3_usize, 0..6_i64, any::<bool>(), 0..2_u8), 1..60))
     {
         let mut members = Membership::new(Span::millis(1_000_000), 2);
-        members.doubt(REGISTRY, Doubt { lost_share: 0.5, believe_after: None });
+        members.set_shrink_policy(REGISTRY, ShrinkPolicy { lost_share: 0.5, believe_after: None });
         let (mut ups, mut drains) = (BTreeMap::new(), BTreeMap::new());
         let mut told: BTreeMap<MemberId, ListState> = BTreeMap::new();
         for (now, (at, of, stamp, whole, source)) in steps.into_iter().enumerate() {
             let one = claim(at, STATES[of], None, stamp);
-            let news = if whole { News::Full { claims: vec![one], view: stamp } } else { News::Changes(vec![one]) };
-            let taken = members.take(Time(now as i64), SourceId(source), news);
+            let news = if whole { SourceUpdate::Full { claims: vec![one], view: stamp } } else { SourceUpdate::Changes(vec![one]) };
+            let taken = members.apply_update(Time(now as i64), SourceId(source), news);
             let newest = |of: &mut BTreeMap<(u8, usize), i64>| {
                 let held = of.entry((source, at)).or_insert(stamp);
                 *held = (*held).max(stamp);
@@ -263,11 +266,14 @@
 #[test]
 fn who_is_out_by_hand_stays_out_whatever_is_listed_until_called_back() {
     let mut members = members();
-    assert!(members.by_hand(&id(1), true).is_none(), "nobody ever listed it");
+    assert!(members.set_operator_drain(&id(1), true).is_none(), "nobody ever listed it");
     changes(&mut members, 0, vec![up(1, 1), up(2, 1)]);
-    let out = members.by_hand(&id(1), true).unwrap();
+    let out = members.set_operator_drain(&id(1), true).unwrap();
     assert!(matches!(&out.changed[..], [entry] if entry.state == ListState::Draining));
-    assert!(members.by_hand(&id(1), true).unwrap().changed.is_empty(), "once more changes nothing");
+    assert!(
+        members.set_operator_drain(&id(1), true).unwrap().changed.is_empty(),
+        "once more changes nothing"
+    );
     // It starts anew, is gone, forgotten, and listed again.
     changes(&mut members, 5, vec![claim(1, ListState::Healthy, Some(4), 2)]);
     assert_eq!(state(&members, 1), Some(ListState::Draining));
@@ -277,16 +283,16 @@
     changes(&mut members, 90_001, vec![claim(1, ListState::Healthy, Some(80), 5)]);
     assert_eq!(state(&members, 1), Some(ListState::Draining));
 
-    let back = members.by_hand(&id(1), false).unwrap();
+    let back = members.set_operator_drain(&id(1), false).unwrap();
     let cold = |entry: &Entry| entry.state == ListState::Healthy && entry.started == Some(Time(80));
     assert!(matches!(&back.changed[..], [entry] if cold(entry)), "as the list says");
-    assert!(members.by_hand(&id(2), false).unwrap().changed.is_empty());
+    assert!(members.set_operator_drain(&id(2), false).unwrap().changed.is_empty());
 
     let mut next = self::members();
-    for at in 0..MOST_BANS + 5 {
-        next.by_word(&id(at), true);
+    for at in 0..MAX_OPERATOR_DRAINS + 5 {
+        next.adopt_operator_drain(&id(at), true);
     }
-    assert_eq!(next.banned().count(), MOST_BANS);
+    assert_eq!(next.operator_drained().count(), MAX_OPERATOR_DRAINS);
     changes(&mut next, 0, vec![up(1, 1)]);
     assert_eq!(state(&next, 1), Some(ListState::Draining), "it holds over a change of process");
 }
--- a/crates/daemon/src/members.rs
+++ b/crates/daemon/src/members.rs
@@ -1,7 +1,7 @@
 //! `linnetdeal members`: whom a pooler with this operator's file would believe to be a member now.
 
 use crate::{End, registry};
-use linnetdeal_core::membership::{Membership, News, SourceId, Taken};
+use linnetdeal_core::membership::{Membership, SourceId, SourceUpdate, UpdateOutcome};
 use linnetdeal_core::{ListState, Span, Time};
 use linnetdeal_operator::Operator;
 use linnetdeal_registry::follow::{Counters, Follower, Sink};
@@ -22,8 +22,8 @@
         Time(i64::try_from(now.as_micros()).unwrap_or(i64::MAX))
     }
 
-    fn tell(&self, news: News) -> Taken {
-        self.0.borrow_mut().take(self.now(), SourceId(0), news)
+    fn tell(&self, news: SourceUpdate) -> UpdateOutcome {
+        self.0.borrow_mut().apply_update(self.now(), SourceId(0), news)
     }
 
     fn log(&self, line: &dyn fmt::Display) {
--- a/crates/daemon/src/registry.rs
+++ b/crates/daemon/src/registry.rs
@@ -1,6 +1,6 @@
 //! A registry beside the pooler: from the operator's file to what follows it.
 
-use linnetdeal_core::membership::{Doubt, News, Taken};
+use linnetdeal_core::membership::{ShrinkPolicy, SourceUpdate, UpdateOutcome};
 use linnetdeal_core::{ListState, Span, Time};
 use linnetdeal_net::Pooler;
 use linnetdeal_net::members::{Feed, REGISTRY};
@@ -83,7 +83,10 @@
             secure_port: settings.secure_port,
             lifts: if settings.lifts_overrides { Lifts::Override } else { Lifts::Registration },
         },
-        doubt: Doubt { lost_share: settings.lost_share, believe_after: settings.believe_after.map(span) },
+        doubt: ShrinkPolicy {
+            lost_share: settings.lost_share,
+            believe_after: settings.believe_after.map(span),
+        },
         list,
         own,
     })
@@ -110,7 +113,7 @@
         self.feed.now()
     }
 
-    fn tell(&self, news: News) -> Taken {
+    fn tell(&self, news: SourceUpdate) -> UpdateOutcome {
         let taken = self.feed.tell(REGISTRY, news);
         // It can serve once it knows somebody to serve from.
         let serves = taken.changed.iter().any(|entry| entry.state == ListState::Healthy);
--- a/crates/daemon/src/work.rs
+++ b/crates/daemon/src/work.rs
@@ -3,7 +3,7 @@
 use crate::End;
 use linnetdeal_coordination::lease::{TaskId, TaskSetup, Token};
 use linnetdeal_coordination::work::*;
-use linnetdeal_core::membership::stands_for;
+use linnetdeal_core::membership::id_hash;
 use linnetdeal_core::{ListState, Span, Time};
 use linnetdeal_net::config::{Config, span_of};
 use linnetdeal_net::leases::Wanted;
@@ -85,7 +85,7 @@
     for of in listed() {
         let claim = of.claim(0);
         facts.machines.push(MachineInfo {
-            machine: stands_for(&of.instance_id),
+            machine: id_hash(&of.instance_id),
             group: claim.group.map_or(0, |group| u16::try_from(group.0).unwrap_or(u16::MAX)),
             zone: zone_mark(&claim.zone),
             capacity: capacity(&claim.machine),
@@ -110,10 +110,9 @@
         limits(settings, if kind == MachineKind::Servers { settings.servers } else { settings.poolers });
     let name = |machine: u64| match kind {
         MachineKind::Poolers => format!("pooler {machine}"),
-        MachineKind::Servers => servers
-            .iter()
-            .find(|of| stands_for(&of.id) == machine)
-            .map_or_else(String::new, |of| of.id.clone()),
+        MachineKind::Servers => {
+            servers.iter().find(|of| id_hash(&of.id) == machine).map_or_else(String::new, |of| of.id.clone())
+        }
     };
     let plan = Plan { kind, machines, nonce: 0 };
     if let Err((at, why)) = check_feasible(&plan, &facts, &limits) {
--- a/crates/fleet/src/sim.rs
+++ b/crates/fleet/src/sim.rs
@@ -11,7 +11,7 @@
 use crate::service::Service;
 use crate::traffic::{Drawn, Plan, Traffic, plans};
 use hdrhistogram::Histogram;
-use linnetdeal_core::membership::{Claim, Doubt, Evidence, Membership, News, SourceId};
+use linnetdeal_core::membership::{Claim, ClaimVersion, Membership, ShrinkPolicy, SourceId, SourceUpdate};
 use linnetdeal_core::*;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -437,8 +437,8 @@
             }
         }
         let mut members = Membership::new(Span::millis(900_000), 16_384);
-        members.doubt(SourceId(0), Doubt::NONE);
-        let taken = members.take(self.now, SourceId(0), News::Full { claims, view: 0 });
+        members.set_shrink_policy(SourceId(0), ShrinkPolicy::ACCEPT_ALL);
+        let taken = members.apply_update(self.now, SourceId(0), SourceUpdate::Full { claims, view: 0 });
         let pooler = &mut self.poolers[router as usize];
         pooler.members = members;
         (pooler.watch, pooler.seen) = (false, 0);
@@ -470,7 +470,7 @@
             primary: change.primary && self.plan.list.roles,
             started: change.started,
             state: change.state,
-            evidence: Evidence { stamp: change.number, ..Evidence::default() },
+            version: ClaimVersion { stamp: change.number, ..ClaimVersion::default() },
         }
     }
 
@@ -988,7 +988,11 @@
         self.record(What::Told, router, change.server, 0, i64::from(up), started.0);
         let claim = self.claim(change);
         let now = self.now;
-        let taken = self.poolers[router as usize].members.take(now, SourceId(0), News::Changes(vec![claim]));
+        let taken = self.poolers[router as usize].members.apply_update(
+            now,
+            SourceId(0),
+            SourceUpdate::Changes(vec![claim]),
+        );
         if !taken.changed.is_empty() {
             self.feed(router, linnetdeal_core::Event::List(Listing::Changes(taken.changed)));
         }
--- a/crates/net/src/config.rs
+++ b/crates/net/src/config.rs
@@ -1,7 +1,7 @@
 //! What the daemon is told: its configuration and the lists of discovery, decoded into plain types.
 //! Keys that mean nothing here are ignored.
 
-use linnetdeal_core::membership::{Claim, Evidence, News};
+use linnetdeal_core::membership::{Claim, ClaimVersion, SourceUpdate};
 use linnetdeal_core::settings::{Pairs, Unused, span_from_ms};
 use linnetdeal_core::*;
 use serde::Deserialize;
@@ -372,7 +372,7 @@
             started: self.started_at_ms.filter(|ms| *ms > 0.0).map(|ms| Time(span_from_ms(ms).0)),
             zone: self.zone.clone(),
             machine: self.machine_type.clone(),
-            evidence: Evidence { stamp: number, ..Evidence::default() },
+            version: ClaimVersion { stamp: number, ..ClaimVersion::default() },
         }
     }
 }
@@ -380,8 +380,12 @@
 impl ServerList {
     /// What the list says, as the message of this number. The platform's messages come in order and are believed.
     #[must_use]
-    pub fn news(&self, number: i64, whole: bool) -> News {
+    pub fn news(&self, number: i64, whole: bool) -> SourceUpdate {
         let claims = self.instances.iter().map(|server| server.claim(number)).collect();
-        if whole || self.reset { News::Full { claims, view: number } } else { News::Changes(claims) }
+        if whole || self.reset {
+            SourceUpdate::Full { claims, view: number }
+        } else {
+            SourceUpdate::Changes(claims)
+        }
     }
 }
--- a/crates/net/src/leases.rs
+++ b/crates/net/src/leases.rs
@@ -544,5 +544,5 @@
 pub fn life(seed: u64) -> u64 {
     let text =
         format!("{seed}/{}/{}/{:?}", std::process::id(), clock::steady().0, std::time::SystemTime::now());
-    linnetdeal_core::membership::fnv(text.bytes())
+    linnetdeal_core::membership::fnv1a(text.bytes())
 }
--- a/crates/net/src/members.rs
+++ b/crates/net/src/members.rs
@@ -1,7 +1,9 @@
 //! Who the members are at this moment, by all sources that there are, and the way in for what these tell.
 
 use crate::driver::Driver;
-use linnetdeal_core::membership::{Claim, Doubt, Known, Membership, News, SourceId, Taken};
+use linnetdeal_core::membership::{
+    Claim, MemberInfo, Membership, ShrinkPolicy, SourceId, SourceUpdate, UpdateOutcome,
+};
 use linnetdeal_core::succession::Changes;
 use linnetdeal_core::*;
 use std::cell::RefCell;
@@ -45,7 +47,7 @@
     /// Whether a member would take new work if no plan had it out.
     #[must_use]
     pub fn serves_but_for_plans(&self, member: &MemberId) -> bool {
-        self.0.borrow().serves_but_for_plans(member)
+        self.0.borrow().in_service_without_plans(member)
     }
 
     /// Whether a member takes new work.
@@ -56,7 +58,7 @@
 
     /// All that are known, by id.
     #[must_use]
-    pub fn all(&self) -> Vec<(MemberId, Known)> {
+    pub fn all(&self) -> Vec<(MemberId, MemberInfo)> {
         self.0.borrow().iter().map(|(id, known)| (id.clone(), known.clone())).collect()
     }
 }
@@ -77,8 +79,8 @@
     }
 
     /// Says how a source's full lists are doubted.
-    pub fn doubt(&self, source: SourceId, doubt: Doubt) {
-        self.members.0.borrow_mut().doubt(source, doubt);
+    pub fn doubt(&self, source: SourceId, doubt: ShrinkPolicy) {
+        self.members.0.borrow_mut().set_shrink_policy(source, doubt);
     }
 
     /// The time on the clock that sources and module share: Unix, in microseconds.
@@ -90,7 +92,7 @@
     /// Takes a member out by hand, or ends that; false for one that was never listed.
     #[must_use]
     pub fn by_hand(&self, member: &MemberId, out: bool) -> bool {
-        let taken = self.members.0.borrow_mut().by_hand(member, out);
+        let taken = self.members.0.borrow_mut().set_operator_drain(member, out);
         let known = taken.is_some();
         self.changed(taken.unwrap_or_default().changed);
         known
@@ -99,7 +101,7 @@
     /// Says who is out by a plan from now on, and who has come back from one.
     pub fn by_plan(&self, out: &BTreeSet<u64>, back: &[u64]) {
         let back: Vec<_> = back.iter().map(|of| (*of, self.now())).collect();
-        let taken = self.members.0.borrow_mut().plan(out, &back);
+        let taken = self.members.0.borrow_mut().apply_plan(out, &back);
         self.changed(taken.changed);
     }
 
@@ -112,7 +114,7 @@
                 member.0,
                 if out { "out" } else { "back" }
             );
-            let taken = self.members.0.borrow_mut().by_word(member, out);
+            let taken = self.members.0.borrow_mut().adopt_operator_drain(member, out);
             self.changed(taken.changed);
         }
     }
@@ -132,18 +134,18 @@
     /// Who is out by hand.
     #[must_use]
     pub fn banned(&self) -> Vec<MemberId> {
-        self.members.0.borrow().banned().cloned().collect()
+        self.members.0.borrow().operator_drained().cloned().collect()
     }
 
     /// Whether a claim from an older list would have somebody back who is out.
     #[must_use]
     pub fn keeps_out(&self, claim: &Claim) -> bool {
-        self.members.0.borrow().keeps_out(claim)
+        self.members.0.borrow().would_revive(claim)
     }
 
     /// Takes news in and passes what it changes to the module at once.
-    pub fn tell(&self, source: SourceId, news: News) -> Taken {
-        let taken = self.members.0.borrow_mut().take(self.now(), source, news);
+    pub fn tell(&self, source: SourceId, news: SourceUpdate) -> UpdateOutcome {
+        let taken = self.members.0.borrow_mut().apply_update(self.now(), source, news);
         self.changed(taken.changed.clone());
         if !taken.forgotten.is_empty() {
             self.driver.feed(Event::List(Listing::Forgotten(taken.forgotten.clone())));
--- a/crates/net/src/succession.rs
+++ b/crates/net/src/succession.rs
@@ -3,7 +3,7 @@
 
 use async_io::Timer;
 use linnetdeal_core::MemberId;
-use linnetdeal_core::membership::MOST_BANS;
+use linnetdeal_core::membership::MAX_OPERATOR_DRAINS;
 use linnetdeal_core::succession::{Bans, Changes};
 use rustix::fs::{FlockOperation, flock};
 use std::cell::{Cell, RefCell};
@@ -28,7 +28,7 @@
 /// A folder that changed less long ago may have changed once more within one tick of the file system's clock.
 const SETTLED: Duration = Duration::from_secs(1);
 /// More files than there may be bans, with room for strange ones, are not all read.
-const MOST_FILES: usize = MOST_BANS + 100;
+const MOST_FILES: usize = MAX_OPERATOR_DRAINS + 100;
 /// An id that is longer, in bytes, has no name of a file.
 pub const LONGEST_ID: usize = 120;
 
--- a/crates/net/src/work.rs
+++ b/crates/net/src/work.rs
@@ -18,7 +18,7 @@
 use hyper::{Request, Response};
 use linnetdeal_coordination::lease::{TaskId, Token};
 use linnetdeal_coordination::work::*;
-use linnetdeal_core::membership::stands_for;
+use linnetdeal_core::membership::id_hash;
 use linnetdeal_core::{GroupId, ListState, MemberId, Span, Time};
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -151,18 +151,16 @@
                 if let Some(id) = of.ids.iter().find(|id| !servers.iter().any(|server| server.id == **id)) {
                     return Err(format!("no server of the id {id} is listed"));
                 }
-                let mut machines: Vec<u64> = of.ids.iter().map(|id| stands_for(id)).collect();
+                let mut machines: Vec<u64> = of.ids.iter().map(|id| id_hash(id)).collect();
                 if of.ids.is_empty() {
                     let fits = |server: &&Choosable| {
                         of.zone.as_ref().is_none_or(|zone| *zone == server.zone)
                             && of.machine.as_ref().is_none_or(|machine| *machine == server.machine)
                     };
-                    machines = servers.iter().filter(fits).map(|server| stands_for(&server.id)).collect();
+                    machines = servers.iter().filter(fits).map(|server| id_hash(&server.id)).collect();
                 }
                 let twins = servers.iter().any(|one| {
-                    servers
-                        .iter()
-                        .any(|other| one.id != other.id && stands_for(&one.id) == stands_for(&other.id))
+                    servers.iter().any(|other| one.id != other.id && id_hash(&one.id) == id_hash(&other.id))
                 });
                 match machines.is_empty() {
                     _ if twins => Err("two servers' ids can't be told apart in a datagram".to_owned()),
@@ -188,7 +186,7 @@
 #[must_use]
 pub fn zone_mark(zone: &str) -> u16 {
     // Of a short word only some bits differ.
-    let mark = stands_for(zone);
+    let mark = id_hash(zone);
     (mark ^ mark >> 16 ^ mark >> 32 ^ mark >> 48) as u16
 }
 
@@ -360,7 +358,7 @@
                     // What was heard of it before says nothing now; who leads takes it for dead until it answers.
                     let leads = work.view(clock::steady()).leads;
                     let members = self.parts.members.all();
-                    let back = members.into_iter().filter(|(id, _)| back.contains(&stands_for(&id.0)));
+                    let back = members.into_iter().filter(|(id, _)| back.contains(&id_hash(&id.0)));
                     self.parts.pool.with_stats(|stats| {
                         for (id, _) in back {
                             stats.failed.remove(&id);
@@ -399,7 +397,7 @@
             return format!("pooler {machine}");
         }
         let members = self.parts.members.all();
-        let known = members.iter().find(|(id, _)| stands_for(&id.0) == machine);
+        let known = members.iter().find(|(id, _)| id_hash(&id.0) == machine);
         known.map_or_else(|| format!("{machine:016x}"), |(id, _)| id.0.to_string())
     }
 
@@ -433,7 +431,7 @@
             match plan.kind {
                 MachineKind::Servers => members
                     .iter()
-                    .filter(|(id, _)| stands_for(&id.0) == machine)
+                    .filter(|(id, _)| id_hash(&id.0) == machine)
                     .all(|(id, _)| self.parts.pool.has_no_connections(id)),
                 MachineKind::Poolers => {
                     machine == u64::from(self.wanted.setup.me.number)
@@ -450,7 +448,7 @@
     fn failing(&self) -> Vec<u64> {
         let failing = |stats: &mut crate::upstream::SendStats| {
             let failed = stats.failed.iter().filter(|(_, times)| **times >= FAILED);
-            failed.map(|(member, _)| stands_for(&member.0)).collect::<Vec<_>>()
+            failed.map(|(member, _)| id_hash(&member.0)).collect::<Vec<_>>()
         };
         self.parts.pool.with_stats(failing).unwrap_or_default()
     }
@@ -525,7 +523,7 @@
         let group = |of: GroupId| u16::try_from(of.0).unwrap_or(u16::MAX);
         let (mut machines, mut gone) = (Vec::new(), BTreeSet::new());
         for (id, known) in self.parts.members.all() {
-            let machine = stands_for(&id.0);
+            let machine = id_hash(&id.0);
             if known.state == ListState::Gone {
                 gone.insert(machine);
                 continue;
@@ -588,12 +586,12 @@
         let members = self.parts.members.all();
         let groups: BTreeSet<GroupId> = members
             .iter()
-            .filter(|(id, _)| handing.contains(&stands_for(&id.0)))
+            .filter(|(id, _)| handing.contains(&id_hash(&id.0)))
             .map(|(_, of)| of.group)
             .collect();
         // This pooler may send nothing there, and would hear of no new primary, and of none that is back.
         for (id, known) in &members {
-            let asked = groups.contains(&known.group) || warming.contains(&stands_for(&id.0));
+            let asked = groups.contains(&known.group) || warming.contains(&id_hash(&id.0));
             if asked && known.state == ListState::Healthy {
                 let (driver, pool, id) = (self.parts.driver.clone(), self.parts.pool.clone(), id.clone());
                 let ask = async move { drop(crate::probes::probe(&driver, &pool, id).await) };
@@ -602,7 +600,7 @@
         }
         let Some((address, path)) = self.wanted.handover.clone() else { return };
         for (id, known) in members {
-            if handing.contains(&stands_for(&id.0)) {
+            if handing.contains(&id_hash(&id.0)) {
                 let (own, path) = (self.clone(), path.clone());
                 let task = async move {
                     let call = own.call(address, &path, token, &id, known.group);
@@ -750,7 +748,7 @@
             let mut at = 0;
             if let Some(name) = machine {
                 let mark = match plan.kind {
-                    MachineKind::Servers => stands_for(name),
+                    MachineKind::Servers => id_hash(name),
                     MachineKind::Poolers => {
                         name.parse().map_err(|_| (400, "poolers have numbers".to_owned()))?
                     }
--- a/crates/registry/src/eureka/mapping.rs
+++ b/crates/registry/src/eureka/mapping.rs
@@ -3,7 +3,7 @@
 
 use super::model::{ActionType, Instance, Status};
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
-use linnetdeal_core::membership::{Claim, Evidence};
+use linnetdeal_core::membership::{Claim, ClaimVersion};
 use linnetdeal_core::{GroupId, ListState, MemberId, Time};
 use prefix_trie::PrefixMap;
 use std::collections::BTreeSet;
@@ -123,7 +123,7 @@
         let ready =
             !matches!(instance.status, Status::Starting | Status::Unknown) || state == ListState::Gone;
         let stamp = instance.dirty_ms.saturating_mul(2).saturating_add(i64::from(ready));
-        let memory = (self.lifts == Lifts::Override).then_some((server, instance.registered_ms));
+        let registry_lease = (self.lifts == Lifts::Override).then_some((server, instance.registered_ms));
         Ok(Claim {
             member: MemberId(Arc::from(instance.id.as_str())),
             address: place.map(|(address, _)| address),
@@ -133,7 +133,7 @@
             primary: meta(&self.role_key).is_some_and(|role| role == self.primary),
             started,
             state,
-            evidence: Evidence { started, stamp, memory, told: instance.updated_ms },
+            version: ClaimVersion { started, stamp, registry_lease, lease_updated: instance.updated_ms },
         })
     }
 
--- a/crates/registry/src/eureka/reading.rs
+++ b/crates/registry/src/eureka/reading.rs
@@ -6,7 +6,7 @@
 use super::model::{Instance, ModelError};
 use super::poller::Ask;
 use linnetdeal_core::ListState;
-use linnetdeal_core::membership::{Claim, Evidence, News};
+use linnetdeal_core::membership::{Claim, ClaimVersion, SourceUpdate};
 use std::sync::Arc;
 
 /// No more instances than this are taken from one body, so that the smallest ones a body can hold don't fill the memory.
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct Read {
     /// What it says of members.
-    pub news: News,
+    pub news: SourceUpdate,
     /// The registry's own hash code, where it gives one.
     pub hash_code: Option<String>,
     /// Instances in all, of all applications.
@@ -113,7 +113,7 @@
         }
         // Who stands in it and could not be read must not count as missing.
         let view = if read.unreadable > 0 { i64::MIN } else { view };
-        let news = if whole { News::Full { claims, view } } else { News::Changes(claims) };
+        let news = if whole { SourceUpdate::Full { claims, view } } else { SourceUpdate::Changes(claims) };
         let Counts { hash_code, instances, unreadable, refused, outside, named } = read;
         Ok(Read { news, hash_code, instances, unreadable, refused, outside, named })
     }
@@ -169,7 +169,7 @@
                     primary: false,
                     started: None,
                     state: ListState::Draining,
-                    evidence: Evidence { stamp, ..Evidence::default() },
+                    version: ClaimVersion { stamp, ..ClaimVersion::default() },
                 });
             }
         }
--- a/crates/registry/src/follow.rs
+++ b/crates/registry/src/follow.rs
@@ -12,7 +12,7 @@
 use async_io::Timer;
 use event_listener::Event;
 use futures_lite::future::or;
-use linnetdeal_core::membership::{Doubt, News, Taken};
+use linnetdeal_core::membership::{ShrinkPolicy, SourceUpdate, UpdateOutcome};
 use linnetdeal_core::{Span, Time};
 use std::cell::Cell;
 use std::fmt;
@@ -25,7 +25,7 @@
     /// The time, Unix in microseconds, never running backwards.
     fn now(&self) -> Time;
     /// Takes news in.
-    fn tell(&self, news: News) -> Taken;
+    fn tell(&self, news: SourceUpdate) -> UpdateOutcome;
     /// A line for the people on call.
     fn log(&self, line: &dyn fmt::Display);
 }
@@ -61,7 +61,7 @@
     /// How instances become members.
     pub mapping: Mapping,
     /// When a list is not believed.
-    pub doubt: Doubt,
+    pub doubt: ShrinkPolicy,
     /// The whole list is asked for by this path, such as `/apps`.
     pub list: String,
     /// What this pooler says of itself, if anything.
@@ -167,7 +167,7 @@
     /// # Errors
     ///
     /// When no answer came that can be used; it will be asked again in time.
-    pub async fn ask(&mut self) -> Result<Taken, CallError> {
+    pub async fn ask(&mut self) -> Result<UpdateOutcome, CallError> {
         let (at, ask) = self.poller.ask(self.sink.now());
         match self.read(at, ask).await {
             Ok(read) => {
@@ -226,13 +226,13 @@
         reading.ok_or(CallError::Type(String::new()))?.finish(mirror).map_err(body)
     }
 
-    fn taken(&mut self, at: usize, ask: Ask, read: Read, adds_up: bool) -> Taken {
+    fn taken(&mut self, at: usize, ask: Ask, read: Read, adds_up: bool) -> UpdateOutcome {
         let (instances, hash_code) = (read.instances, read.hash_code.unwrap_or_default());
         let taken = self.sink.tell(read.news);
         let counters = self.counters.clone();
         add(if ask == Ask::Full { &counters.fulls } else { &counters.deltas }, 1);
         add(&counters.mismatches, usize::from(!adds_up));
-        add(&counters.doubted, usize::from(taken.doubted.is_some()));
+        add(&counters.doubted, usize::from(taken.suspect_list.is_some()));
         add(&counters.stale, taken.stale);
         add(&counters.kept_out, taken.kept_out);
         add(&counters.conflicts, taken.conflicts);
@@ -246,7 +246,7 @@
             }
         }
         let name = self.registry.servers[at].name().to_owned();
-        if let Some((lost, of)) = taken.doubted {
+        if let Some((lost, of)) = taken.suspect_list {
             self.say(
                 Said::Sick,
                 &format_args!("registry: {name}: a list that lacks {lost} of {of} members is not believed; carrying on with what is known"),
--- a/crates/registry/tests/bodies.rs
+++ b/crates/registry/tests/bodies.rs
@@ -1,7 +1,7 @@
 //! Bodies as registries write them, cut anywhere; and bodies that are none.
 
 use linnetdeal_core::ListState;
-use linnetdeal_core::membership::News;
+use linnetdeal_core::membership::SourceUpdate;
 use linnetdeal_registry::eureka::body::{Body, BodyError, Format};
 use linnetdeal_registry::eureka::mapping::{Mapping, Networks, Refused};
 use linnetdeal_registry::eureka::mirror::Mirror;
@@ -70,12 +70,12 @@
     let (read, mirror) = read(format, text, cuts).unwrap();
     assert_eq!(read.hash_code.as_deref(), Some("OUT_OF_SERVICE_1_UP_1_"));
     assert_eq!(mirror.hash_code(), "OUT_OF_SERVICE_1_UP_1_");
-    let News::Full { claims, view } = read.news else { panic!("a whole list") };
+    let SourceUpdate::Full { claims, view } = read.news else { panic!("a whole list") };
     assert_eq!((view, read.instances, read.refused), (2 * 1_767_225_600_200 + 1, 2, 0));
     let one = &claims[0];
     assert_eq!((&*one.member.0, one.state, one.primary), ("s-1", ListState::Healthy, true));
     assert_eq!((one.address.unwrap().to_string(), one.group.unwrap().0), ("10.1.0.4:6543".to_owned(), 2));
-    assert_eq!((one.zone.as_str(), one.evidence.stamp), ("adum", 2 * 1_767_225_600_123 + 1));
+    assert_eq!((one.zone.as_str(), one.version.stamp), ("adum", 2 * 1_767_225_600_123 + 1));
     assert_eq!((claims[1].state, claims[1].group.unwrap().0), (ListState::Draining, 7));
 }
 
@@ -180,7 +180,7 @@
     assert_eq!((read.instances, read.unreadable), (2, 1));
     assert_eq!(read.named, ["instance 's-9': lastDirtyTimestamp is 'soon'"]);
     // Nobody counts as missing from it: the one that could not be read may be anybody.
-    assert!(matches!(read.news, News::Full { claims, view: i64::MIN } if claims.len() == 1));
+    assert!(matches!(read.news, SourceUpdate::Full { claims, view: i64::MIN } if claims.len() == 1));
 }
 
 #[test]
@@ -189,7 +189,7 @@
     let body = format!(r#"{{"application":{{"instance":[{outside}]}}}}"#);
     let (read, _) = read(Format::Json, body.as_bytes(), &[]).unwrap();
     assert_eq!((read.refused, read.outside), (1, 1));
-    let News::Full { claims, .. } = read.news else { panic!("a whole list") };
+    let SourceUpdate::Full { claims, .. } = read.news else { panic!("a whole list") };
     assert_eq!((claims[0].state, claims[0].address), (ListState::Draining, None));
     let instance = |text: &str| Instance::from_json(text.as_bytes()).unwrap();
     let refused = |text: &str| mapping().claim(&instance(text), 0).unwrap_err();
@@ -214,7 +214,7 @@
     let stamp = |status: &str| {
         let instance =
             Instance::from_json(ONE.replace("\"UP\"", &format!("\"{status}\"")).as_bytes()).unwrap();
-        mapping().claim(&instance, 0).unwrap().evidence.stamp
+        mapping().claim(&instance, 0).unwrap().version.stamp
     };
     assert!(stamp("STARTING") < stamp("UP") && stamp("UP") == stamp("DOWN"));
     assert_eq!(Status::named("whatever"), Status::Unknown);
