--- a/crates/core/src/choice/retune.rs
+++ b/crates/core/src/choice/retune.rs
@@ -12,10 +12,10 @@
     /// Goes by these settings from now on; their classes are those of [`crate::retune::merge`]. Open requests
     /// keep their classes and the attempts that they might have. What is known of members stays.
     pub fn update_settings(&mut self, settings: Settings) {
-        let new = settings.classes.iter().skip(self.pace.len());
-        self.pace.extend(new.map(|class| LatencyEstimate::initial(class.aim)));
-        self.classes.resize(settings.classes.len(), Counts::default());
-        self.tenants.resize(settings.tenants.len(), Counts::default());
+        let new = settings.classes.iter().skip(self.latencies.len());
+        self.latencies.extend(new.map(|class| LatencyEstimate::initial(class.aim)));
+        self.class_worth.resize(settings.classes.len(), DecayingCounts::default());
+        self.tenant_worth.resize(settings.tenants.len(), DecayingCounts::default());
         self.peers.set_enabled(settings.peers);
         self.settings = Settings { changes: self.settings.changes, ..settings };
     }
--- a/crates/core/src/handover/record.rs
+++ b/crates/core/src/handover/record.rs
@@ -6,11 +6,11 @@
 use std::fmt;
 
 /// So many turns are kept for each group.
-pub const KEPT: usize = 48;
+pub const MAX_TRANSITIONS: usize = 48;
 
 /// A turn.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct Transition {
     /// When.
     pub at: Time,
     /// The state before.
@@ -26,35 +26,36 @@
 /// The latest turns, the oldest first.
 #[derive(Clone, Default)]
 pub struct Record {
-    lines: VecDeque<Line>,
-    all: u64,
+    transitions: VecDeque<Transition>,
+    total: u64,
 }
 
 impl Record {
     /// One more. The same again at the same member is counted, and not kept.
-    pub fn add(&mut self, line: Line) {
-        self.all += 1;
-        let again = |last: &Line| {
-            (last.from, last.to, last.why) == (line.from, line.to, line.why) && last.member == line.member
+    pub fn add(&mut self, transition: Transition) {
+        self.total += 1;
+        let repeats = |last: &Transition| {
+            (last.from, last.to, last.why) == (transition.from, transition.to, transition.why)
+                && last.member == transition.member
         };
-        if self.lines.back().is_some_and(again) {
+        if self.transitions.back().is_some_and(repeats) {
             return;
         }
-        if self.lines.len() == KEPT {
-            self.lines.pop_front();
+        if self.transitions.len() == MAX_TRANSITIONS {
+            self.transitions.pop_front();
         }
-        self.lines.push_back(line);
+        self.transitions.push_back(transition);
     }
 
     /// What is kept.
-    pub fn lines(&self) -> impl Iterator<Item = &Line> {
-        self.lines.iter()
+    pub fn transitions(&self) -> impl Iterator<Item = &Transition> {
+        self.transitions.iter()
     }
 
     /// How many turns there were.
     #[must_use]
-    pub fn all(&self) -> u64 {
-        self.all
+    pub fn total(&self) -> u64 {
+        self.total
     }
 }
 
@@ -67,8 +68,8 @@
 
 impl fmt::Display for Record {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} turns", self.all)?;
-        for Line { at, from, to, why, member } in &self.lines {
+        write!(f, "{} turns", self.total)?;
+        for Transition { at, from, to, why, member } in &self.transitions {
             let member = member.as_ref().map_or("-", |member| &member.0);
             write!(f, "; {} us {from:?} -> {to:?} by {why:?} at {member}", at.0)?;
         }
--- a/crates/core/tests/handover.rs
+++ b/crates/core/tests/handover.rs
@@ -1,6 +1,6 @@
 //! The search for a new primary: whom it asks, how often, and what it costs the members.
 
-use linnetdeal_core::handover::{Seek, Standing};
+use linnetdeal_core::handover::{MemberView, PrimarySearch};
 use linnetdeal_core::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -20,25 +20,25 @@
         Self { ids, asked: vec![Time(-10_000_000); positions.len()], positions }
     }
 
-    fn standing(&self, at: usize) -> Standing {
-        Standing {
+    fn standing(&self, at: usize) -> MemberView {
+        MemberView {
             member: self.ids[at].clone(),
             position: self.positions[at],
-            asked: self.asked[at],
-            before: at == 0,
-            listed: false,
+            last_probe: self.asked[at],
+            was_primary: at == 0,
+            listed_as_primary: false,
             suspect: false,
-            free: true,
-            tried: false,
+            has_room: true,
+            write_in_flight: false,
         }
     }
 
     /// Has it asked for so long, every 10 ms; gives when each was asked, in ms.
-    fn seek(&mut self, seek: &mut Seek, fleet: u32, from_ms: i64, for_ms: i64) -> Vec<Vec<i64>> {
+    fn seek(&mut self, seek: &mut PrimarySearch, fleet: u32, from_ms: i64, for_ms: i64) -> Vec<Vec<i64>> {
         let mut asked = vec![Vec::new(); self.ids.len()];
         for ms in (from_ms..from_ms + for_ms).step_by(10) {
-            let family: Vec<Standing> = (0..self.ids.len()).map(|at| self.standing(at)).collect();
-            for member in seek.ask(Time(ms * 1_000), fleet, false, &family) {
+            let family: Vec<MemberView> = (0..self.ids.len()).map(|at| self.standing(at)).collect();
+            for member in seek.probe_targets(Time(ms * 1_000), fleet, false, &family) {
                 let at = self.ids.iter().position(|id| *id == member).unwrap();
                 self.asked[at] = Time(ms * 1_000);
                 asked[at].push(ms);
@@ -55,7 +55,7 @@
 #[test]
 fn the_heir_is_asked_all_the_time_and_the_others_seldom() {
     let mut family = Family::new(&[5_000, 4_980, 4_990, 4_970, 4_900]);
-    let asked = family.seek(&mut Seek::default(), 5, 10_000, 5_000);
+    let asked = family.seek(&mut PrimarySearch::default(), 5, 10_000, 5_000);
     assert!(widest(&asked[2]) <= 110, "the heir: {:?}", asked[2]);
     let others: usize = [0, 1, 3, 4].iter().map(|at| asked[*at].len()).sum();
     assert!((16..=48).contains(&others), "{others} probes of the four others in 5 s");
@@ -68,17 +68,17 @@
 #[test]
 fn all_are_asked_alike_where_no_few_are_ahead() {
     let mut family = Family::new(&[5_000, 4_990, 4_990, 4_990, 4_990]);
-    let asked = family.seek(&mut Seek::default(), 5, 10_000, 5_000);
+    let asked = family.seek(&mut PrimarySearch::default(), 5, 10_000, 5_000);
     assert!(asked.iter().all(|of| (5..=14).contains(&of.len())), "{asked:?}");
     // Two that are level are both asked.
     let mut family = Family::new(&[5_000, 4_990, 4_991, 4_900, 4_900]);
-    let asked = family.seek(&mut Seek::default(), 5, 10_000, 5_000);
+    let asked = family.seek(&mut PrimarySearch::default(), 5, 10_000, 5_000);
     assert!(widest(&asked[1]) <= 110 && widest(&asked[2]) <= 110);
 }
 
 #[test]
 fn a_search_that_rested_begins_anew_with_all() {
-    let (mut family, mut seek) = (Family::new(&[5_000, 4_980, 4_990]), Seek::default());
+    let (mut family, mut seek) = (Family::new(&[5_000, 4_980, 4_990]), PrimarySearch::default());
     family.seek(&mut seek, 1, 10_000, 3_000);
     let asked = family.seek(&mut seek, 1, 60_000, 200);
     assert!(asked.iter().all(|of| of.first() == Some(&60_000)), "{asked:?}");
@@ -87,9 +87,9 @@
 
 #[test]
 fn nobody_to_ask_is_no_trouble() {
-    assert!(Seek::default().ask(Time(0), 1, false, &[]).is_empty());
-    assert_eq!(Seek::interval(0, false), Span::millis(100));
-    assert_eq!(Seek::interval(u32::MAX, true), Span::millis(1_000));
+    assert!(PrimarySearch::default().probe_targets(Time(0), 1, false, &[]).is_empty());
+    assert_eq!(PrimarySearch::interval(0, false), Span::millis(100));
+    assert_eq!(PrimarySearch::interval(u32::MAX, true), Span::millis(1_000));
 }
 
 proptest! {
@@ -100,7 +100,7 @@
     #[test]
     fn the_members_are_not_asked_more_than_agreed(positions in prop::collection::vec(0..5_000_i64, 1..9), fleet in 1..600_u32) {
         let mut family = Family::new(&positions);
-        let asked = family.seek(&mut Seek::default(), fleet, 10_000, 10_000);
+        let asked = family.seek(&mut PrimarySearch::default(), fleet, 10_000, 10_000);
         let most = 100.0_f64.max(f64::from(fleet));
         for of in &asked {
             let rate = of.len() as f64 / 10.0 * f64::from(fleet);
--- a/crates/core/tests/primary.rs
+++ b/crates/core/tests/primary.rs
@@ -11,149 +11,163 @@
     Time(1_000_000_000 + ms * 1_000)
 }
 
-fn standing(at: usize, position: i64) -> Standing {
-    Standing {
+fn standing(at: usize, position: i64) -> MemberView {
+    MemberView {
         member: member(at),
         position: ms(position),
-        asked: Time(0),
-        before: false,
-        listed: false,
+        last_probe: Time(0),
+        was_primary: false,
+        listed_as_primary: false,
         suspect: false,
-        free: true,
-        tried: false,
+        has_room: true,
+        write_in_flight: false,
     }
 }
 
 /// A group whose primary is the first of three, and was shown at 0 ms.
-fn settled() -> (Change, Vec<Standing>, Lengths) {
-    let (mut change, mut lengths) = (Change::default(), Lengths::default());
+fn settled() -> (PrimaryTracker, Vec<MemberView>, ChangeDurations) {
+    let (mut change, mut lengths) = (PrimaryTracker::default(), ChangeDurations::default());
     let mut family: Vec<_> = (1..=3).map(|at| standing(at, -10 * at as i64)).collect();
-    change.point(ms(0), &member(1), Evidence::Shown);
-    change.look(ms(0), Some(ms(0)), false, 0, &mut lengths);
+    change.set_mark(ms(0), &member(1), Evidence::Shown);
+    change.update(ms(0), Some(ms(0)), false, 0, &mut lengths);
     assert_eq!(change.phase(), Phase::Settled);
-    family[0].before = true;
+    family[0].was_primary = true;
     (change, family, lengths)
 }
 
-fn place(change: &mut Change, at: i64, family: &[Standing], shown: bool, walked: u32) -> Option<Way> {
-    change.place(ms(at), family, shown, walked, &settings())
+fn place(
+    change: &mut PrimaryTracker,
+    at: i64,
+    family: &[MemberView],
+    shown: bool,
+    walk_steps: u32,
+) -> Option<WritePlacement> {
+    change.place(ms(at), family, shown, walk_steps, &settings())
 }
 
 #[test]
 fn a_drain_that_is_told_needs_no_walk_and_tries_who_has_most_of_the_log() {
     let (mut change, family, mut lengths) = settled();
-    change.look(ms(10), Some(ms(10)), true, 0, &mut lengths);
+    change.update(ms(10), Some(ms(10)), true, 0, &mut lengths);
     assert_eq!(change.phase(), Phase::Without);
     let left = &family[1..];
     assert!(
-        matches!(place(&mut change, 10, left, false, 0), Some(Way::Wait(Some(to), _)) if to == member(2))
+        matches!(place(&mut change, 10, left, false, 0), Some(WritePlacement::Wait(Some(to), _)) if to == member(2))
     );
     assert!(
-        matches!(place(&mut change, 11, left, false, 0), Some(Way::Wait(Some(to), _)) if to == member(3))
+        matches!(place(&mut change, 11, left, false, 0), Some(WritePlacement::Wait(Some(to), _)) if to == member(3))
     );
-    assert!(matches!(place(&mut change, 12, left, false, 0), Some(Way::Wait(None, _))), "then with pauses");
     assert!(
-        matches!(place(&mut change, 60, left, false, 0), Some(Way::Wait(Some(to), _)) if to == member(2))
+        matches!(place(&mut change, 12, left, false, 0), Some(WritePlacement::Wait(None, _))),
+        "then with pauses"
     );
     assert!(
-        matches!(place(&mut change, 200, left, false, 9), Some(Way::Wait(None, _))),
+        matches!(place(&mut change, 60, left, false, 0), Some(WritePlacement::Wait(Some(to), _)) if to == member(2))
+    );
+    assert!(
+        matches!(place(&mut change, 200, left, false, 9), Some(WritePlacement::Wait(None, _))),
         "it has walked enough"
     );
-    change.point(ms(300), &member(2), Evidence::Shown);
-    change.look(ms(300), Some(ms(300)), false, 4, &mut lengths);
+    change.set_mark(ms(300), &member(2), Evidence::Shown);
+    change.update(ms(300), Some(ms(300)), false, 4, &mut lengths);
     assert_eq!((change.phase(), change.window()), (Phase::Found, 2.0));
-    let why: Vec<Evidence> = change.record.lines().map(|line| line.why).collect();
+    let why: Vec<Evidence> = change.record.transitions().map(|line| line.why).collect();
     assert_eq!(why, [Evidence::Shown, Evidence::Drain, Evidence::Shown]);
 }
 
 #[test]
 fn one_write_at_a_time_tries_an_heir() {
     let (mut change, mut family, mut lengths) = settled();
-    change.look(ms(10), Some(ms(10)), true, 0, &mut lengths);
-    family[2].tried = true;
-    assert!(matches!(place(&mut change, 10, &family[1..], false, 0), Some(Way::Wait(None, _))));
-    family[2].tried = false;
+    change.update(ms(10), Some(ms(10)), true, 0, &mut lengths);
+    family[2].write_in_flight = true;
+    assert!(matches!(place(&mut change, 10, &family[1..], false, 0), Some(WritePlacement::Wait(None, _))));
+    family[2].write_in_flight = false;
     family[1].suspect = true;
     assert!(
-        matches!(place(&mut change, 10, &family[1..], false, 0), Some(Way::Wait(Some(to), _)) if to == member(3))
+        matches!(place(&mut change, 10, &family[1..], false, 0), Some(WritePlacement::Wait(Some(to), _)) if to == member(3))
     );
 }
 
 #[test]
 fn proof_moves_the_mark_and_the_end_of_the_walk_holds() {
     let (mut change, family, _) = settled();
-    change.proved(ms(5), &member(1), Evidence::TurnedAway, &family);
+    change.write_not_run(ms(5), &member(1), Evidence::TurnedAway, &family);
     assert_eq!((change.phase(), change.mark()), (Phase::Doubted, Some(&member(2))));
-    change.proved(ms(6), &member(1), Evidence::TurnedAway, &family);
+    change.write_not_run(ms(6), &member(1), Evidence::TurnedAway, &family);
     assert_eq!(change.mark(), Some(&member(2)), "an old answer moves nothing more");
-    assert_eq!(place(&mut change, 7, &family, false, 1), Some(Way::Mark(member(2))));
-    assert!(matches!(place(&mut change, 8, &family, false, 3), Some(Way::Wait(None, _))));
+    assert_eq!(place(&mut change, 7, &family, false, 1), Some(WritePlacement::Mark(member(2))));
+    assert!(matches!(place(&mut change, 8, &family, false, 3), Some(WritePlacement::Wait(None, _))));
     assert_eq!(change.phase(), Phase::Without);
 }
 
 #[test]
 fn a_release_grows_with_each_answer_and_ends_when_nothing_waits() {
     let (mut change, _, mut lengths) = settled();
-    change.against(ms(10), Evidence::Walked);
-    change.point(ms(2_000), &member(3), Evidence::Shown);
-    change.look(ms(2_000), Some(ms(2_000)), false, 100, &mut lengths);
+    change.invalidate_mark(ms(10), Evidence::Walked);
+    change.set_mark(ms(2_000), &member(3), Evidence::Shown);
+    change.update(ms(2_000), Some(ms(2_000)), false, 100, &mut lengths);
     let mut windows = vec![change.window()];
     for at in 1..=4 {
-        change.judged(ms(2_000 + at), &member(2), Verdict::Ok);
-        change.judged(ms(2_000 + at), &member(3), Verdict::Ok);
+        change.record_outcome(ms(2_000 + at), &member(2), Verdict::Ok);
+        change.record_outcome(ms(2_000 + at), &member(3), Verdict::Ok);
         windows.push(change.window());
     }
     assert_eq!(windows, [2.0, 3.0, 4.0, 5.0, 6.0]);
     assert_eq!(change.phase(), Phase::Releasing);
-    change.look(ms(2_010), Some(ms(2_010)), false, 0, &mut lengths);
+    change.update(ms(2_010), Some(ms(2_010)), false, 0, &mut lengths);
     assert_eq!((change.phase(), change.window()), (Phase::Settled, f64::INFINITY));
 }
 
 #[test]
 fn what_a_slow_release_can_not_reach_in_time_is_told_so() {
     let (mut change, _, mut lengths) = settled();
-    change.against(ms(10), Evidence::Walked);
-    change.point(ms(2_000), &member(3), Evidence::Shown);
-    change.look(ms(2_000), Some(ms(2_000)), false, 100, &mut lengths);
-    let held = |at: u64| Held {
+    change.invalidate_mark(ms(10), Evidence::Walked);
+    change.set_mark(ms(2_000), &member(3), Evidence::Shown);
+    change.update(ms(2_000), Some(ms(2_000)), false, 100, &mut lengths);
+    let held = |at: u64| HeldRequest {
         id: RequestId(at),
         merit: 1.0,
         arrived: ms(at as i64),
         deadline: ms(4_000),
         session: None,
-        primary: at != 99,
+        needs_primary: at != 99,
         write: false,
-        walked: 0,
+        walk_steps: 0,
     };
-    let late = |change: &Change, now| {
-        change.order(ms(now), (0..100).map(held).collect(), &Lengths::default()).1.len()
+    let late = |change: &PrimaryTracker, now| {
+        change.release_order(ms(now), (0..100).map(held).collect(), &ChangeDurations::default()).1.len()
     };
     for at in 1..=10 {
         assert_eq!(late(&change, 2_000 + at * 50), 0, "its pace is not told yet");
-        change.judged(ms(2_000 + at * 50 + 40), &member(3), Verdict::Ok);
+        change.record_outcome(ms(2_000 + at * 50 + 40), &member(3), Verdict::Ok);
     }
     // Ten in 540 ms, so it may become 27 ms each: 55 until the deadline, and one that asks for no primary.
     assert_eq!(late(&change, 2_540), 44);
-    change.look(ms(2_540), Some(ms(2_540)), false, 100, &mut lengths);
-    assert_eq!(change.back(ms(2_540), &lengths), Some(Span::millis(2_700)), "when all of them would be done");
+    change.update(ms(2_540), Some(ms(2_540)), false, 100, &mut lengths);
+    assert_eq!(
+        change.expected_wait(ms(2_540), &lengths),
+        Some(Span::millis(2_700)),
+        "when all of them would be done"
+    );
 }
 
 #[test]
 fn of_many_held_writes_a_few_are_tried_and_all_are_told_when_their_time_is_over() {
     let (mut change, _, _) = settled();
-    change.against(ms(10), Evidence::Walked);
-    let held = |at: u64| Held {
+    change.invalidate_mark(ms(10), Evidence::Walked);
+    let held = |at: u64| HeldRequest {
         id: RequestId(at),
         merit: 1.0,
         arrived: ms(at as i64),
         deadline: ms(if at == 900 { 5_020 } else { 9_000 }),
         session: None,
-        primary: true,
+        needs_primary: true,
         write: true,
-        walked: u32::from(at < 500),
+        walk_steps: u32::from(at < 500),
     };
-    let lengths = Lengths::new([None, Some(Expected { least: Span::millis(100), usual: Span::millis(200) })]);
-    let (go, late) = change.order(ms(5_000), (0..1_000).map(held).collect(), &lengths);
+    let lengths =
+        ChangeDurations::new([None, Some(Expected { least: Span::millis(100), usual: Span::millis(200) })]);
+    let (go, late) = change.release_order(ms(5_000), (0..1_000).map(held).collect(), &lengths);
     let first: Vec<_> = (500..516).chain([900]).map(RequestId).collect();
     assert_eq!((go, late.len()), (first, 0), "those that may walk, and who is out of time");
 }
@@ -162,14 +176,17 @@
 fn the_same_primary_again_is_no_change() {
     let (mut change, _, mut lengths) = settled();
     for round in 0..5 {
-        change.against(ms(round * 100 + 10), Evidence::Silent);
+        change.invalidate_mark(ms(round * 100 + 10), Evidence::Silent);
         assert!(
-            !change.look(ms(round * 100 + 90), Some(ms(round * 100 + 90)), false, 9, &mut lengths),
+            !change.update(ms(round * 100 + 90), Some(ms(round * 100 + 90)), false, 9, &mut lengths),
             "nothing to tell"
         );
         assert_eq!((change.phase(), change.window()), (Phase::Settled, f64::INFINITY));
     }
-    assert_eq!((lengths.least(Kind::Unplanned), change.back(ms(600), &lengths)), (None, None));
+    assert_eq!(
+        (lengths.minimum(ChangeKind::Unplanned), change.expected_wait(ms(600), &lengths)),
+        (None, None)
+    );
 }
 
 #[test]
@@ -178,45 +195,49 @@
     let mut at = 0;
     for (round, took) in [3_000, 4_000, 5_000].into_iter().enumerate() {
         at += 10_000;
-        change.against(ms(at), Evidence::Walked);
-        assert_eq!(lengths.least(Kind::Unplanned).is_some(), round >= 2, "two say enough");
-        change.point(ms(at + took), &member(2 + round % 2), Evidence::Shown);
-        change.look(ms(at + took), Some(ms(at + took)), false, 0, &mut lengths);
+        change.invalidate_mark(ms(at), Evidence::Walked);
+        assert_eq!(lengths.minimum(ChangeKind::Unplanned).is_some(), round >= 2, "two say enough");
+        change.set_mark(ms(at + took), &member(2 + round % 2), Evidence::Shown);
+        change.update(ms(at + took), Some(ms(at + took)), false, 0, &mut lengths);
     }
-    assert_eq!(lengths.least(Kind::Unplanned), Some(Span::millis(2_400)));
-    assert_eq!(lengths.least(Kind::Planned), None);
-    change.against(ms(50_000), Evidence::Walked);
-    assert!(change.in_vain(ms(52_000), &lengths) && !change.in_vain(ms(52_500), &lengths));
-    assert_eq!(change.back(ms(51_000), &lengths), Some(Span::millis(4_000)));
-    assert_eq!(change.back(ms(60_000), &lengths), Some(Span(0)), "it is late; nobody knows for how long");
+    assert_eq!(lengths.minimum(ChangeKind::Unplanned), Some(Span::millis(2_400)));
+    assert_eq!(lengths.minimum(ChangeKind::Planned), None);
+    change.invalidate_mark(ms(50_000), Evidence::Walked);
+    assert!(change.outlasts(ms(52_000), &lengths) && !change.outlasts(ms(52_500), &lengths));
+    assert_eq!(change.expected_wait(ms(51_000), &lengths), Some(Span::millis(4_000)));
+    assert_eq!(
+        change.expected_wait(ms(60_000), &lengths),
+        Some(Span(0)),
+        "it is late; nobody knows for how long"
+    );
 }
 
 #[test]
 fn what_an_operator_says_counts_until_enough_was_seen() {
     let says = Expected { least: Span::millis(2_800), usual: Span::millis(5_000) };
-    let mut lengths = Lengths::new([None, Some(says)]);
+    let mut lengths = ChangeDurations::new([None, Some(says)]);
     assert_eq!(
-        (lengths.least(Kind::Planned), lengths.least(Kind::Unplanned)),
+        (lengths.minimum(ChangeKind::Planned), lengths.minimum(ChangeKind::Unplanned)),
         (None, Some(Span::millis(2_800)))
     );
-    lengths.learn(Kind::Unplanned, Span::millis(1_000));
-    assert_eq!(lengths.usual(Kind::Unplanned), Some(Span::millis(5_000)));
-    lengths.learn(Kind::Unplanned, Span::millis(2_000));
-    assert_eq!(lengths.least(Kind::Unplanned), Some(Span::millis(800)));
+    lengths.observe(ChangeKind::Unplanned, Span::millis(1_000));
+    assert_eq!(lengths.typical(ChangeKind::Unplanned), Some(Span::millis(5_000)));
+    lengths.observe(ChangeKind::Unplanned, Span::millis(2_000));
+    assert_eq!(lengths.minimum(ChangeKind::Unplanned), Some(Span::millis(800)));
     for _ in 0..1_000 {
-        lengths.learn(Kind::Unplanned, Span::millis(7_000));
+        lengths.observe(ChangeKind::Unplanned, Span::millis(7_000));
     }
-    assert_eq!(lengths.least(Kind::Unplanned), Some(Span::millis(5_600)), "old ones are forgotten");
+    assert_eq!(lengths.minimum(ChangeKind::Unplanned), Some(Span::millis(5_600)), "old ones are forgotten");
 }
 
 #[test]
 fn the_record_is_bounded_and_tells_turn_by_turn() {
     let (mut change, _, mut lengths) = settled();
     for round in 0..1_000 {
-        change.against(ms(round * 10), Evidence::Silent);
-        change.look(ms(round * 10 + 5), Some(ms(round * 10 + 5)), false, 0, &mut lengths);
+        change.invalidate_mark(ms(round * 10), Evidence::Silent);
+        change.update(ms(round * 10 + 5), Some(ms(round * 10 + 5)), false, 0, &mut lengths);
     }
-    assert_eq!((change.record.lines().count(), change.record.all()), (48, 2_001));
+    assert_eq!((change.record.transitions().count(), change.record.total()), (48, 2_001));
     assert!(
         change.record.to_string().contains("Settled -> Doubted by Silent at 10.0.0.1:7000"),
         "{}",
@@ -336,17 +357,17 @@
     /// with an earlier deadline and none.
     #[test]
     fn a_release_is_by_deadline_and_each_session_in_its_order(asked in prop::collection::vec((0..4_u64, 1..60_i64), 0..40)) {
-        let mut held: Vec<Held> = asked.iter().enumerate().map(|(at, (session, left))| Held {
+        let mut held: Vec<HeldRequest> = asked.iter().enumerate().map(|(at, (session, left))| HeldRequest {
             id: RequestId(at as u64),
             merit: 1.0,
             arrived: ms(at as i64),
             deadline: ms(at as i64 + left),
             session: (*session > 0).then_some(SessionKey(*session)),
-            primary: true,
+            needs_primary: true,
             write: false,
-            walked: 0,
+            walk_steps: 0,
         }).collect();
-        order(&mut held, Phase::Releasing);
+        sort_held(&mut held, Phase::Releasing);
         for (at, one) in held.iter().enumerate() {
             for later in &held[at + 1..] {
                 if one.session.is_some() && one.session == later.session {
@@ -357,7 +378,7 @@
                 }
             }
         }
-        order(&mut held, Phase::Settled);
+        sort_held(&mut held, Phase::Settled);
         prop_assert!(held.is_sorted_by_key(|one| one.arrived), "else by arrival");
     }
 
@@ -370,27 +391,27 @@
         for (what, who, after) in steps {
             now += after;
             match what {
-                0 => change.proved(ms(now), &member(who), Evidence::TurnedAway, &family),
-                1 => change.against(ms(now), Evidence::Silent),
-                2 => drop(change.look(ms(now), None, true, 3, &mut lengths)),
+                0 => change.write_not_run(ms(now), &member(who), Evidence::TurnedAway, &family),
+                1 => change.invalidate_mark(ms(now), Evidence::Silent),
+                2 => drop(change.update(ms(now), None, true, 3, &mut lengths)),
                 3 => {
-                    change.point(ms(now), &member(who), Evidence::Shown);
-                    change.look(ms(now), Some(ms(now)), false, 3, &mut lengths);
+                    change.set_mark(ms(now), &member(who), Evidence::Shown);
+                    change.update(ms(now), Some(ms(now)), false, 3, &mut lengths);
                 }
-                4 => change.judged(ms(now), &member(who), Verdict::Ok),
+                4 => change.record_outcome(ms(now), &member(who), Verdict::Ok),
                 5 => family[who - 1].suspect ^= true,
-                6 => family[who - 1].before ^= true,
+                6 => family[who - 1].was_primary ^= true,
                 _ => match place(&mut change, now, &family, false, u32::from(what == 8)) {
-                    Some(Way::Mark(mark)) => prop_assert_eq!(Some(&mark), change.mark()),
-                    Some(Way::Wait(Some(to), _)) => {
+                    Some(WritePlacement::Mark(mark)) => prop_assert_eq!(Some(&mark), change.mark()),
+                    Some(WritePlacement::Wait(Some(to), _)) => {
                         let of = family.iter().find(|of| of.member == to).expect("a member");
-                        prop_assert!(!of.before && !of.suspect);
+                        prop_assert!(!of.was_primary && !of.suspect);
                     }
                     _ => {}
                 },
             }
-            prop_assert!(change.mark().is_some() && change.record.lines().count() <= 48 && change.window() >= 2.0);
-            prop_assert!(change.lost().is_none() || !matches!(change.phase(), Phase::Found | Phase::Releasing));
+            prop_assert!(change.mark().is_some() && change.record.transitions().count() <= 48 && change.window() >= 2.0);
+            prop_assert!(change.lost_since().is_none() || !matches!(change.phase(), Phase::Found | Phase::Releasing));
         }
     }
 }
