--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -125,7 +125,8 @@
         return Err(End::config("name a configuration, as GW_CONFIG or as the only argument"));
     };
     // From the first moment: a configuration may be announced while the first one is being read.
-    let signals = linnetdeal_net::signals::keep().map_err(|error| End::other(format!("signals: {error}")))?;
+    let signals =
+        linnetdeal_net::signals::install().map_err(|error| End::other(format!("signals: {error}")))?;
     let operator = match &files.operator {
         None => Operator::default(),
         Some(path) => Operator::load(path).map_err(End::config)?,
--- a/crates/net/src/counters.rs
+++ b/crates/net/src/counters.rs
@@ -1,4 +1,4 @@
-//! What the pooler took in, sent and answered.
+//! Counters of clients, requests, attempts and answers.
 
 use linnetdeal_core::Verdict;
 use linnetdeal_core::guard::SendDenied;
@@ -6,17 +6,17 @@
 use std::fmt;
 use std::rc::Rc;
 
-/// A count that only grows.
+/// A counter that only increases; it saturates.
 #[derive(Debug, Default)]
 pub struct Count(Cell<u64>);
 
 impl Count {
-    /// One more.
+    /// Adds one.
     pub fn add(&self) {
         self.0.set(self.0.get().saturating_add(1));
     }
 
-    /// How many so far.
+    /// The current value.
     #[must_use]
     pub fn get(&self) -> u64 {
         self.0.get()
@@ -29,104 +29,104 @@
     }
 }
 
-/// All counts since the start.
+/// All counters since the start of the process.
 #[derive(Debug, Default)]
 pub struct Counters {
     /// Client connections accepted.
     pub clients: Count,
-    /// Client connections turned away for want of room.
+    /// Client connections refused because all connection slots were taken.
     pub crowded_out: Count,
-    /// Requests taken.
+    /// Requests accepted.
     pub taken: Count,
-    /// Statements that were no request and got an error.
+    /// Statements that were not requests and were answered with an error.
     pub rejected: Count,
-    /// Attempts handed to the upstream side.
+    /// Attempts passed to the connection pool.
     pub sent: Count,
-    /// Requests answered with a value.
+    /// Requests answered successfully.
     pub served: Count,
     /// Requests refused.
     pub refused: Count,
-    /// Requests failed.
+    /// Requests that failed.
     pub failed: Count,
-    /// Requests whose client left first.
+    /// Requests whose client disconnected before the answer.
     pub gone: Count,
-    /// Connections opened to servers.
+    /// Connection attempts to servers.
     pub dials: Count,
-    /// Connections closed for what came behind an answer.
+    /// Server connections closed because unexpected data followed an answer.
     pub unsettled: Count,
-    /// Times that a connection had to wait for room in the own budget.
+    /// Times a connection had to wait because the process's budget of descriptors was used up.
     pub short: Count,
     /// Probes sent.
     pub probes: Count,
-    /// Datagrams sent to other poolers; one to the address of all counts once.
+    /// Datagrams sent to other poolers; one sent to the address of all poolers counts once.
     pub told: Count,
-    /// Datagrams of other poolers.
+    /// Datagrams received from other poolers.
     pub heard: Count,
-    /// Datagrams of anybody else.
+    /// Datagrams received from unknown addresses.
     pub strangers: Count,
-    /// Configurations read again.
+    /// Configuration reloads.
     pub reloads: Count,
-    /// Watches of discovery opened.
+    /// Discovery watches opened.
     pub watches: Count,
-    /// Waits for signals that failed.
+    /// Failed reads of the signal pipe.
     pub signal_errors: Count,
     outcomes: [Count; 11],
     denials: [Count; 7],
     closes: [Count; 10],
 }
 
-/// Why a client's connection was closed.
+/// Why a client connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client closed it, or said that it ends.
+    /// The client closed it, with or without a termination message.
     ClientLeft,
-    /// It broke.
+    /// The connection broke.
     Broken,
-    /// What came on it is no message of the protocol.
+    /// The client violated the protocol.
     Protocol,
-    /// A command, or the taking of an answer, took too long.
+    /// The client took too long to send a command or to read an answer.
     Slow,
-    /// Too many commands were no use.
+    /// Too many commands were invalid.
     Errors,
-    /// All places were taken when it came.
+    /// All connection slots were taken when it was accepted.
     NoRoom,
-    /// It was idle and made room for others.
+    /// It was idle and closed to free its slot for another client.
     MadeRoom,
     /// The process ends.
     ProcessEnds,
-    /// The people on call have emptied the pooler.
+    /// The pooler was drained by an operator or a maintenance plan.
     Emptied,
-    /// A newer process takes the client over.
+    /// A newer process takes over the clients.
     HandedOver,
 }
 
 impl CloseReason {
-    /// Whether nobody was there any more.
+    /// Whether the client was no longer connected.
     #[must_use]
     pub fn is_client_disconnect(self) -> bool {
         matches!(self, Self::ClientLeft | Self::Broken)
     }
 }
 
-/// What is shown on request and at the end: the counters, and what others count beside them.
+/// Logged on request and at exit: the counters, and the entries that other components have registered.
 #[derive(Default)]
 pub struct StatusLog {
     /// The counters.
     pub counters: Rc<Counters>,
-    beside: RefCell<Vec<Rc<dyn fmt::Display>>>,
+    entries: RefCell<Vec<Rc<dyn fmt::Display>>>,
 }
 
 impl StatusLog {
-    /// Has this shown as well.
-    pub fn add(&self, what: Rc<dyn fmt::Display>) {
-        self.beside.borrow_mut().push(what);
+    /// Registers a further entry.
+    pub fn add(&self, entry: Rc<dyn fmt::Display>) {
+        self.entries.borrow_mut().push(entry);
     }
 
-    /// Writes all to the log, a line each.
+    /// Logs the counters and all entries, one line each.
     pub fn log(&self) {
         tracing::info!("{}", self.counters);
-        for what in self.beside.borrow().iter() {
-            tracing::info!("{what}");
+        for entry in self.entries.borrow().iter() {
+            tracing::info!("{entry}");
         }
     }
 }
@@ -169,28 +169,28 @@
 ];
 
 impl Counters {
-    /// Counts a client's connection that was closed.
+    /// Counts a closed client connection.
     pub fn closed(&self, why: CloseReason) {
-        for ((of, _), count) in CLOSES.iter().zip(&self.closes) {
-            if *of == why {
+        for ((key, _), count) in CLOSES.iter().zip(&self.closes) {
+            if *key == why {
                 count.add();
             }
         }
     }
 
-    /// Counts an attempt that the guard did not let begin.
+    /// Counts an attempt that the send guard denied.
     pub fn denied(&self, why: SendDenied) {
-        for ((of, _), count) in DENIALS.iter().zip(&self.denials) {
-            if *of == why {
+        for ((key, _), count) in DENIALS.iter().zip(&self.denials) {
+            if *key == why {
                 count.add();
             }
         }
     }
 
-    /// Counts the end of an attempt.
+    /// Counts the outcome of an attempt.
     pub fn outcome(&self, verdict: Verdict) {
-        for ((of, _), count) in VERDICTS.iter().zip(&self.outcomes) {
-            if *of == verdict {
+        for ((key, _), count) in VERDICTS.iter().zip(&self.outcomes) {
+            if *key == verdict {
                 count.add();
             }
         }
@@ -199,7 +199,7 @@
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let named = [
+        let labeled = [
             ("clients", &self.clients),
             ("crowded_out", &self.crowded_out),
             ("taken", &self.taken),
@@ -221,7 +221,7 @@
             ("signal_errors", &self.signal_errors),
         ];
         write!(f, "counters")?;
-        for (name, count) in named {
+        for (name, count) in labeled {
             write!(f, " {name}={}", count.0.get())?;
         }
         for ((_, name), count) in VERDICTS.iter().zip(&self.outcomes) {
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -1,40 +1,40 @@
-//! As much of HTTP/1.1 as a chunked answer of one JSON object a line needs. No I/O.
+//! A minimal HTTP/1.1 response parser, sufficient for a streamed body of JSON objects. Does no I/O.
 
-/// A head or a chunk longer than this is not read on.
-const LONGEST: usize = 4 * 1024 * 1024;
+/// Maximum size of a response head or of a chunk, in bytes.
+const MAX_PART_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why an answer can't be followed.
+/// Why a response can't be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// A status other than 200.
+    /// The status is not 200.
     #[error("status {0}")]
     Status(String),
-    /// Not what HTTP has.
+    /// The named part of the response violates HTTP.
     #[error("malformed {0}")]
     Malformed(&'static str),
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// The body comes in chunks.
+    /// Whether the body uses the chunked transfer encoding.
     pub chunked: bool,
-    /// The bytes that it takes up.
+    /// Size of the head in bytes, the empty line included.
     pub size: usize,
 }
 
-fn line_end(data: &[u8]) -> Option<usize> {
-    data.windows(2).position(|two| two == b"\r\n")
+fn find_line_end(data: &[u8]) -> Option<usize> {
+    data.windows(2).position(|pair| pair == b"\r\n")
 }
 
-/// The head at the front of `data`; `None` while it is not all there.
+/// Parses the response head at the start of `data`; `None` while it is incomplete.
 ///
 /// # Errors
 ///
-/// When the status is not 200, or there is no end to the head.
+/// When the status is not 200, or the head is not UTF-8 or exceeds the size limit.
 pub fn head(data: &[u8]) -> Result<Option<Head>, HttpError> {
-    let Some(end) = data.windows(4).position(|four| four == b"\r\n\r\n") else {
-        return if data.len() > LONGEST { Err(HttpError::Malformed("head")) } else { Ok(None) };
+    let Some(end) = data.windows(4).position(|window| window == b"\r\n\r\n") else {
+        return if data.len() > MAX_PART_BYTES { Err(HttpError::Malformed("head")) } else { Ok(None) };
     };
     let text = std::str::from_utf8(&data[..end]).map_err(|_| HttpError::Malformed("head"))?;
     let mut lines = text.split("\r\n");
@@ -48,25 +48,27 @@
     Ok(Some(Head { chunked, size: end + 4 }))
 }
 
-/// The first chunk in `data` and the bytes that it takes up; `None` while it is not all there. An empty one
-/// ends the body.
+/// Parses the first chunk of `data`: its content, and the bytes that it occupies with its framing. `None` while it is
+/// incomplete. An empty chunk ends the body.
 ///
 /// # Errors
 ///
-/// When its size is unreadable or too large.
+/// When the chunk size is malformed or exceeds the limit, or the chunk has no line end.
 pub fn chunk(data: &[u8]) -> Result<Option<(&[u8], usize)>, HttpError> {
-    let bad = HttpError::Malformed("chunk");
-    let Some(end) = line_end(&data[..data.len().min(64)]) else {
-        return if data.len() < 64 { Ok(None) } else { Err(bad) };
+    let malformed = HttpError::Malformed("chunk");
+    let Some(end) = find_line_end(&data[..data.len().min(64)]) else {
+        return if data.len() < 64 { Ok(None) } else { Err(malformed) };
     };
-    let digits = std::str::from_utf8(&data[..end]).map_err(|_| bad.clone())?;
+    let digits = std::str::from_utf8(&data[..end]).map_err(|_| malformed.clone())?;
     let digits = digits.split(';').next().unwrap_or("").trim();
-    let length =
-        usize::from_str_radix(digits, 16).ok().filter(|length| *length <= LONGEST).ok_or(bad.clone())?;
-    let from = end + 2;
-    let Some(rest) = data.get(from..from + length + 2) else { return Ok(None) };
+    let length = usize::from_str_radix(digits, 16)
+        .ok()
+        .filter(|length| *length <= MAX_PART_BYTES)
+        .ok_or(malformed.clone())?;
+    let start = end + 2;
+    let Some(rest) = data.get(start..start + length + 2) else { return Ok(None) };
     if !rest.ends_with(b"\r\n") {
-        return Err(bad);
+        return Err(malformed);
     }
-    Ok(Some((&rest[..length], from + length + 2)))
+    Ok(Some((&rest[..length], start + length + 2)))
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -79,7 +79,7 @@
 pub struct Pooler {
     executor: Rc<LocalExecutor<'static>>,
     life: Rc<Lifecycle>,
-    shown: Rc<StatusLog>,
+    status_log: Rc<StatusLog>,
     feed: Feed,
     driver: Rc<Driver>,
     name: String,
@@ -100,8 +100,8 @@
         work: Option<WorkWanted>,
         signals: Signals,
     ) -> Result<Self, RunError> {
-        let (shown, life) = (Rc::new(StatusLog::default()), Rc::new(Lifecycle::default()));
-        let counters = shown.counters.clone();
+        let (status_log, life) = (Rc::new(StatusLog::default()), Rc::new(Lifecycle::default()));
+        let counters = status_log.counters.clone();
         let members = Rc::new(Members::default());
         let executor = Rc::new(LocalExecutor::new());
         let (probes, wanted) = async_channel::unbounded();
@@ -150,15 +150,15 @@
             };
             opened.inspect_err(failed).ok().map(Rc::new)
         });
-        shown.add(in_doubt.clone());
-        shown.add(Rc::new(InvariantsReport(driver.clone())));
-        shown.add(driver.clone());
+        status_log.add(in_doubt.clone());
+        status_log.add(Rc::new(InvariantsReport(driver.clone())));
+        status_log.add(driver.clone());
         if leases.is_some() && config.peers.is_none() {
             tracing::warn!("leases are off: the platform lets poolers not talk, or names not all of them");
         }
         let leases = leases.filter(|_| config.peers.is_some()).map(|wanted| {
             let leases = Rc::new(Leases::new(wanted.setup));
-            shown.add(leases.clone());
+            status_log.add(leases.clone());
             for call in wanted.calls {
                 executor.spawn(leases.clone().acts(executor.clone(), call)).detach();
             }
@@ -194,7 +194,7 @@
             executor: executor.clone(),
             life: life.clone(),
             slots: slots.clone(),
-            shown: shown.clone(),
+            status_log: status_log.clone(),
             source: source.clone(),
             config_file,
             shared: shared.clone(),
@@ -244,7 +244,7 @@
         };
         let listener = listener.map_err(|error| RunError::Listen(config.listen, error))?;
         let listening = listener.get_ref().local_addr().unwrap_or(config.listen);
-        signals::listen(&Rc::new(handler), signals);
+        signals::spawn_handler(&Rc::new(handler), signals);
         start.signals_handled = true;
         let (a, b, c) = (driver.clone(), pool.clone(), pool.clone());
         executor.spawn(async move { a.run_wakes().await }).detach();
@@ -325,7 +325,7 @@
                 frontend::run(Rc::new(context), listener, handed.is_some()).await;
             })
             .detach();
-        Ok(Self { executor, life, shown, feed, driver: driver_of_start, name: config.name, listening })
+        Ok(Self { executor, life, status_log, feed, driver: driver_of_start, name: config.name, listening })
     }
 
     /// The way in for what a further source of members tells.
@@ -353,7 +353,7 @@
 
     /// Has this shown beside the counters, on request and at the end.
     pub fn show(&self, what: Rc<dyn Display>) {
-        self.shown.add(what);
+        self.status_log.add(what);
     }
 
     /// Serves until it has drained after a signal, and then does the `last` thing.
@@ -364,6 +364,6 @@
             last.await;
         }));
         self.driver.check(|now, invariants| invariants.process_ended(now));
-        self.shown.log();
+        self.status_log.log();
     }
 }
--- a/crates/net/src/lifecycle.rs
+++ b/crates/net/src/lifecycle.rs
@@ -1,26 +1,26 @@
-//! How far the life of a pooler has come. Stages come in this order, each once; only who gave its place to a newer process that
-//! died before the end takes clients again.
+//! The lifecycle of a pooler process. The stages are reached in the order of the fields, each once. The exception is a process that
+//! handed its clients over to a newer process which then died: it accepts clients again.
 
 use crate::flag::{Flag, Switch};
 use std::cell::Cell;
 
-/// The stages of a pooler's end.
+/// The stages of shutting down a pooler.
 #[derive(Debug, Default)]
 pub struct Lifecycle {
-    /// It has been told to end: it serves on, but wants nothing new for longer than that.
+    /// Shutdown was requested: the process still serves, but takes on nothing that would outlast the drain.
     pub draining: Flag,
-    /// While a newer process takes the clients: each answer ends its connection.
+    /// On while a newer process takes over the clients: each connection is closed after its next answer.
     pub handing_over_clients: Switch,
-    /// Idle clients are closed.
+    /// Idle client connections are closed.
     pub closing_idle: Flag,
-    /// Nobody is accepted any more.
+    /// On while no connections are accepted.
     pub accept_paused: Switch,
-    /// What is open gets its answer now.
+    /// Open requests are answered at once.
     pub terminating: Flag,
-    /// All is done.
+    /// The process may exit.
     pub terminated: Flag,
-    /// The people on call have emptied it, and not ended that.
+    /// Whether an operator has drained the pooler and not resumed it.
     pub drained_by_operator: Cell<bool>,
-    /// Emptied by hand or by a plan; unlike the rest this ends when it is resumed.
+    /// On while the pooler is drained by an operator or a maintenance plan; unlike the stages it ends on resume.
     pub drained: Switch,
 }
--- a/crates/net/src/objects.rs
+++ b/crates/net/src/objects.rs
@@ -1,87 +1,87 @@
-//! JSON objects that follow one another in a stream: one a line, or each over several lines. No I/O.
+//! Splits a stream of concatenated JSON objects, each on one line or spread over several. Does no I/O.
 
-/// A longer text is no list.
+/// Maximum size of one object, in bytes.
 pub const MAX_OBJECT_BYTES: usize = 8 * 1024 * 1024;
 
-/// Why a text can't be cut into objects.
+/// Why a stream can't be split into objects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SplitError {
-    /// Something that neither opens an object nor separates two.
-    #[error("'{0}' between two objects")]
+    /// A character between two objects that is neither white space nor an opening brace.
+    #[error("unexpected '{0}' between two objects")]
     UnexpectedCharacter(char),
-    /// A line ends within a quoted text: the rest of the object is missing.
-    #[error("a line's end within a quoted text")]
+    /// A line break within a string: the rest of the object is missing.
+    #[error("line break within a string")]
     LineEndInString,
-    /// It goes on for too long.
-    #[error("an object without an end")]
+    /// The object exceeds [`MAX_OBJECT_BYTES`].
+    #[error("object too long")]
     TooLong,
 }
 
-/// What has come whole.
+/// A complete item of the stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamItem {
-    /// An object's text; whether it is right inside is for its reader to say.
+    /// The text of an object. Only its brackets and strings were checked, not its syntax.
     Object(Vec<u8>),
-    /// The end of a line between two objects.
+    /// A line break between two objects.
     LineEnd,
 }
 
-/// Cuts a stream into objects, looking at each byte once.
+/// Splits a stream into objects; each byte is examined once.
 #[derive(Debug, Default)]
 pub struct ObjectSplitter {
-    text: Vec<u8>,
-    /// So many bytes have been looked at.
-    seen: usize,
-    /// ObjectSplitter and lists that are open.
+    buffered: Vec<u8>,
+    /// Number of bytes at the start of `buffered` that have been examined.
+    examined: usize,
+    /// Nesting depth of objects and arrays.
     depth: usize,
-    quoted: bool,
+    in_string: bool,
     escaped: bool,
 }
 
 impl ObjectSplitter {
-    /// Takes in what has come.
+    /// Appends received bytes.
     pub fn push_bytes(&mut self, bytes: &[u8]) {
-        self.text.extend_from_slice(bytes);
+        self.buffered.extend_from_slice(bytes);
     }
 
-    /// The next thing that is whole.
+    /// Returns the next complete item; `None` while more bytes are needed.
     ///
     /// # Errors
     ///
-    /// When what comes is no object, or one without an end.
+    /// When the stream holds something other than objects, a broken string, or an object that is too long.
     pub fn next_item(&mut self) -> Result<Option<StreamItem>, SplitError> {
-        while let Some(byte) = self.text.get(self.seen).copied() {
-            self.seen += 1;
+        while let Some(byte) = self.buffered.get(self.examined).copied() {
+            self.examined += 1;
             match byte {
                 _ if self.escaped => self.escaped = false,
-                b'\n' if self.quoted => return Err(SplitError::LineEndInString),
-                b'\\' if self.quoted => self.escaped = true,
-                b'"' if self.depth > 0 => self.quoted = !self.quoted,
-                _ if self.quoted => {}
+                b'\n' if self.in_string => return Err(SplitError::LineEndInString),
+                b'\\' if self.in_string => self.escaped = true,
+                b'"' if self.depth > 0 => self.in_string = !self.in_string,
+                _ if self.in_string => {}
                 b'{' => self.depth += 1,
                 b'[' if self.depth > 0 => self.depth += 1,
                 b'}' | b']' if self.depth > 0 => {
                     self.depth -= 1;
                     if self.depth == 0 {
-                        return Ok(Some(StreamItem::Object(self.take_out())));
+                        return Ok(Some(StreamItem::Object(self.take_examined())));
                     }
                 }
                 _ if self.depth > 0 => {}
                 b'\n' => {
-                    self.take_out();
+                    self.take_examined();
                     return Ok(Some(StreamItem::LineEnd));
                 }
                 b' ' | b'\t' | b'\r' => {}
                 other => return Err(SplitError::UnexpectedCharacter(char::from(other))),
             }
         }
-        if self.text.len() > MAX_OBJECT_BYTES { Err(SplitError::TooLong) } else { Ok(None) }
+        if self.buffered.len() > MAX_OBJECT_BYTES { Err(SplitError::TooLong) } else { Ok(None) }
     }
 
-    /// Takes out what has been looked at.
-    fn take_out(&mut self) -> Vec<u8> {
-        let rest = self.text.split_off(self.seen);
-        self.seen = 0;
-        std::mem::replace(&mut self.text, rest)
+    /// Removes the examined bytes and returns them.
+    fn take_examined(&mut self) -> Vec<u8> {
+        let rest = self.buffered.split_off(self.examined);
+        self.examined = 0;
+        std::mem::replace(&mut self.buffered, rest)
     }
 }
--- a/crates/net/src/operator_api.rs
+++ b/crates/net/src/operator_api.rs
@@ -5,7 +5,7 @@
 use crate::leases::Leases;
 use crate::lifecycle::Lifecycle;
 use crate::members::Feed;
-use crate::succession::{LONGEST_ID, SharedState};
+use crate::succession::{MAX_ID_BYTES, SharedState};
 use crate::work::Works;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -205,7 +205,7 @@
     }
 
     fn server(&self, id: &str, out: bool) -> (StatusCode, String) {
-        let known = id.len() <= LONGEST_ID && self.feed.by_hand(&MemberId(Arc::from(id)), out);
+        let known = id.len() <= MAX_ID_BYTES && self.feed.by_hand(&MemberId(Arc::from(id)), out);
         if !known {
             return (StatusCode::NOT_FOUND, "no server of this id was ever listed".to_owned());
         }
--- a/crates/net/src/probes.rs
+++ b/crates/net/src/probes.rs
@@ -1,4 +1,5 @@
-//! Probes, as the module asks for them: each on its own, so that a silent member holds up no other.
+//! Health probes requested by the router. Each runs as a task of its own, so that a member that does not answer
+//! delays no other probe.
 
 use crate::driver::Driver;
 use crate::upstream::Pool;
@@ -7,20 +8,20 @@
 use linnetdeal_core::{Event, MemberId};
 use std::rc::Rc;
 
-/// Carries out the probes that are asked for. Runs as long as the module does.
+/// Sends the requested probes until the channel of requests is closed.
 pub async fn run(
     executor: Rc<LocalExecutor<'static>>,
     driver: Rc<Driver>,
     pool: Rc<Pool>,
-    wanted: Receiver<MemberId>,
+    requests: Receiver<MemberId>,
 ) {
-    while let Ok(member) = wanted.recv().await {
+    while let Ok(member) = requests.recv().await {
         let (driver, pool) = (driver.clone(), pool.clone());
         executor.spawn(async move { drop(probe(&driver, &pool, member).await) }).detach();
     }
 }
 
-/// Asks a member once, and hands what it says to the module.
+/// Probes a member once, passes the result to the router and returns the load report.
 pub(crate) async fn probe(driver: &Driver, pool: &Pool, member: MemberId) -> Option<Vec<f64>> {
     let sent = driver.clock.now();
     driver.counters.probes.add();
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGTERM or SIGINT drains the pooler, SIGHUP reads the configuration again, SIGUSR1 prints the counters.
+//! Signal handling: SIGTERM and SIGINT drain the pooler, SIGHUP reloads the configuration, SIGUSR1 logs the counters.
 
 use crate::classes::Classes;
 use crate::config::{Config, duration, span_of};
@@ -23,111 +23,119 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-const LOOK: Duration = Duration::from_millis(10);
-/// Bytes that wake who waits for signals are read so many at a time.
-const WAKES: usize = 64;
-/// The least time in which last answers are written.
-const LAST_WORDS: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Size of the buffer for the pipe's wake-up bytes.
+const WAKE_BUFFER_BYTES: usize = 64;
+/// Minimum time for writing the final answers.
+const MIN_FINAL_ANSWER_TIME: Duration = Duration::from_millis(100);
 
-/// What signals act on.
+/// What the signals act on.
 pub(crate) struct Handler {
-    /// What carries the tasks.
+    /// Runs the tasks.
     pub(crate) executor: Rc<LocalExecutor<'static>>,
-    /// How far the pooler's life has come.
+    /// The stages of the shutdown.
     pub(crate) life: Rc<Lifecycle>,
-    /// The clients' seats: who is still there.
+    /// The slots of client connections, with the number still connected.
     pub(crate) slots: Rc<ConnectionSlots>,
-    /// What is counted.
-    pub(crate) shown: Rc<StatusLog>,
-    /// Where the platform's list is followed.
+    /// The counters, and everything else that is logged on request.
+    pub(crate) status_log: Rc<StatusLog>,
+    /// The discovery endpoint being followed.
     pub(crate) source: Rc<Source>,
-    /// Where the configuration was read, and is read again.
+    /// The path of the configuration, for reloads.
     pub(crate) config_file: PathBuf,
-    /// What is shared with a process that takes this one's place.
+    /// State shared with a process that succeeds this one.
     pub(crate) shared: Option<Rc<SharedState>>,
-    /// The classes, by the present settings.
+    /// The request classes of the current settings.
     pub(crate) classes: Rc<Classes>,
-    /// The tenants, by the present settings.
+    /// The tenants of the current settings.
     pub(crate) tenants: Rc<Tenants>,
-    /// The module.
+    /// Runs the router.
     pub(crate) driver: Rc<Driver>,
     /// The connections to servers.
     pub(crate) pool: Rc<Pool>,
 }
 
-/// What a signal asks for.
+/// The action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asked {
-    /// To read the configuration again.
+enum Action {
+    /// Reload the configuration.
     Reload,
-    /// To print what is counted.
-    Show,
-    /// To end.
-    End,
+    /// Log the counters.
+    LogCounters,
+    /// Drain and exit.
+    Shutdown,
 }
 
-/// Signals that are kept until they are handled. Each raises a flag; the bytes of the pipe only wake who looks at the flags, so
-/// that nothing rests on how many of them are read at once, or whether reading fails.
+/// Received signals that have not been handled yet. Each signal sets a flag. The bytes in the pipe only wake the task that checks the
+/// flags, so it does not matter how many bytes one read returns, or whether it fails.
 #[derive(Debug)]
 pub struct Signals {
-    wakes: Async<UnixStream>,
-    raised: Vec<(Asked, Arc<AtomicBool>)>,
+    wake_receiver: Async<UnixStream>,
+    raised: Vec<(Action, Arc<AtomicBool>)>,
 }
 
-/// Keeps signals from here on, to be handled once the pooler is there: before that each of them would end the process.
+/// Registers the signal handlers. Signals received from now on are kept until the pooler handles them; without a handler each of them
+/// would terminate the process.
 ///
 /// # Errors
 ///
-/// When signals can't be had.
-pub fn keep() -> io::Result<Signals> {
-    let (wakes, wake) = UnixStream::pair()?;
+/// When a handler can't be registered or the pipe can't be created.
+pub fn install() -> io::Result<Signals> {
+    let (wake_receiver, wake_sender) = UnixStream::pair()?;
     let mut raised = Vec::new();
-    for (signal, asked) in
-        [(SIGHUP, Asked::Reload), (SIGUSR1, Asked::Show), (SIGTERM, Asked::End), (SIGINT, Asked::End)]
-    {
+    for (signal, action) in [
+        (SIGHUP, Action::Reload),
+        (SIGUSR1, Action::LogCounters),
+        (SIGTERM, Action::Shutdown),
+        (SIGINT, Action::Shutdown),
+    ] {
         let flag = Arc::new(AtomicBool::new(false));
-        // The flag first: whoever is woken finds it up.
+        // The flag is registered before the pipe, so that it is set by the time the task wakes up.
         signal_hook::flag::register(signal, flag.clone())?;
-        signal_hook::low_level::pipe::register(signal, wake.try_clone()?)?;
-        raised.push((asked, flag));
+        signal_hook::low_level::pipe::register(signal, wake_sender.try_clone()?)?;
+        raised.push((action, flag));
     }
-    Ok(Signals { wakes: Async::new(wakes)?, raised })
+    Ok(Signals { wake_receiver: Async::new(wake_receiver)?, raised })
 }
 
 impl Signals {
-    /// The next thing that was asked for. What was asked for twice before it was looked at is done once.
-    async fn next(&self, counters: &Counters) -> Asked {
+    /// Waits for the next requested action. Requests for the same action that arrive before it is taken are merged into one.
+    async fn next(&self, counters: &Counters) -> Action {
         loop {
             let raised = self.raised.iter().find(|(_, flag)| flag.swap(false, Ordering::SeqCst));
-            if let Some((asked, _)) = raised {
-                return *asked;
+            if let Some((action, _)) = raised {
+                return *action;
             }
-            match self.wakes.read_with(|mut wakes| wakes.read(&mut [0; WAKES])).await {
+            match self
+                .wake_receiver
+                .read_with(|mut wake_receiver| wake_receiver.read(&mut [0; WAKE_BUFFER_BYTES]))
+                .await
+            {
                 Ok(1..) => {}
-                Err(_) if mutants::is_active(Mutant::SignalErrorEnds) => return Asked::End,
-                // The flags are looked at all the same, a little later.
+                Err(_) if mutants::is_active(Mutant::SignalErrorEnds) => return Action::Shutdown,
+                // The flags are checked regardless, after a short pause.
                 Ok(0) | Err(_) => {
                     counters.signal_errors.add();
-                    Timer::after(LOOK).await;
+                    Timer::after(POLL_INTERVAL).await;
                 }
             }
         }
     }
 }
 
-/// Handles signals until the pooler has drained.
-pub(crate) fn listen(handler: &Rc<Handler>, signals: Signals) {
-    let listener = handler.clone();
+/// Starts the task that handles signals.
+pub(crate) fn spawn_handler(handler: &Rc<Handler>, signals: Signals) {
+    let context = handler.clone();
     let task = async move {
         let mut draining = false;
         loop {
-            match signals.next(&listener.shown.counters).await {
-                Asked::Show => listener.shown.log(),
-                Asked::Reload => reload(&listener),
-                Asked::End if std::mem::replace(&mut draining, true) => {}
-                Asked::End => {
-                    let handler = listener.clone();
-                    listener.executor.spawn(async move { drain(&handler).await }).detach();
+            match signals.next(&context.status_log.counters).await {
+                Action::LogCounters => context.status_log.log(),
+                Action::Reload => reload(&context),
+                Action::Shutdown if std::mem::replace(&mut draining, true) => {}
+                Action::Shutdown => {
+                    let handler = context.clone();
+                    context.executor.spawn(async move { drain(&handler).await }).detach();
                 }
             }
         }
@@ -135,8 +143,8 @@
     handler.executor.spawn(task).detach();
 }
 
-/// Reads the configuration again, goes by its settings in one step and follows discovery where it says. Addresses and limits
-/// hold from the next start; the list that is held, the connections and the open requests stay as they are. A file that can't be used changes nothing.
+/// Reloads the configuration: applies its settings in one step and follows discovery at its address. Listening addresses and limits
+/// take effect at the next start only. The list of servers, connections and open requests are kept. An unusable file changes nothing.
 fn reload(handler: &Handler) {
     match Config::load(&handler.config_file) {
         Ok(config) => {
@@ -145,14 +153,14 @@
             let (fleet, drain_grace) = (settings.fleet, settings.drain_grace);
             if !handler.driver.retune(settings, &handler.classes, &handler.tenants, longest) {
                 tracing::warn!(
-                    "configuration kept as it was: more classes or tenants than can be held beside the earlier ones"
+                    "configuration kept as it was: too many classes or tenants in addition to those of earlier settings"
                 );
                 return;
             }
-            // In the same step: what reports hold is read by the names that the module counts by.
+            // Done in the same step, since load reports are decoded by the field names that the router uses.
             handler.pool.set_host_settings(host);
             handler.source.retune(fleet, drain_grace);
-            handler.shown.counters.reloads.add();
+            handler.status_log.counters.reloads.add();
             tracing::info!("configuration read again, discovery at {:?}", config.discovery);
             handler.source.follow(config.discovery);
         }
@@ -160,33 +168,33 @@
     }
 }
 
-/// Leaves by the plan: serves on while there is time, and ends when no client is left.
+/// Drains the pooler on schedule: it keeps serving for a while, and ends early once no client is connected.
 async fn drain(handler: &Handler) {
     let started = Instant::now();
     let life = &handler.life;
-    let taken = handler.shared.as_ref().is_some_and(|shared| shared.is_superseded());
-    let plan = Leaving::plan(span_of(handler.classes.longest_deadline()), taken);
+    let superseded = handler.shared.as_ref().is_some_and(|shared| shared.is_superseded());
+    let plan = Leaving::plan(span_of(handler.classes.longest_deadline()), superseded);
     life.draining.raise();
     let clients = handler.slots.in_use();
     tracing::info!(
         "draining with {clients} clients connected{}",
-        if taken { ", for a newer process" } else { "" }
+        if superseded { ", for a newer process" } else { "" }
     );
-    if taken && leave_place(handler, &plan, started).await {
+    if superseded && wait_for_successor(handler, &plan, started).await {
         let life = &handler.life;
         tracing::warn!("the newer process is gone: clients are taken again");
         life.handing_over_clients.set_on(false);
         life.accept_paused.set_on(false);
-        // As one that has no newer one, except that it has no more time than before.
+        // Continues as a process without a successor, but with the same start of the schedule.
         let alone = Leaving::plan(span_of(handler.classes.longest_deadline()), false);
-        stages(handler, &alone, started).await;
+        run_stages(handler, &alone, started).await;
         return;
     }
-    stages(handler, &plan, started).await;
+    run_stages(handler, &plan, started).await;
 }
 
-/// Leaves the clients to the newer process until they are gone; true if that died meanwhile.
-async fn leave_place(handler: &Handler, plan: &Leaving, started: Instant) -> bool {
+/// Leaves new clients to the newer process until the idle ones are to be closed. Returns true if the newer process died meanwhile.
+async fn wait_for_successor(handler: &Handler, plan: &Leaving, started: Instant) -> bool {
     let life = &handler.life;
     life.handing_over_clients.set_on(true);
     life.accept_paused.set_on(true);
@@ -194,19 +202,19 @@
         if handler.shared.as_ref().is_some_and(|shared| shared.successor_is_dead()) {
             return true;
         }
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
     }
     false
 }
 
-/// The steps that are still to be taken, in their order.
-async fn stages(handler: &Handler, plan: &Leaving, started: Instant) {
+/// Goes through the remaining stages of the schedule in order.
+async fn run_stages(handler: &Handler, plan: &Leaving, started: Instant) {
     let life = &handler.life;
     let mut steps = vec![(plan.closing, None), (plan.deaf, Some(&life.accept_paused))];
-    steps.sort_by_key(|(at, _)| *at);
-    for (at, switch) in steps {
-        if let Some(wait) = duration(at).checked_sub(started.elapsed()) {
-            Timer::after(wait).await;
+    steps.sort_by_key(|(due, _)| *due);
+    for (due, switch) in steps {
+        if let Some(delay) = duration(due).checked_sub(started.elapsed()) {
+            Timer::after(delay).await;
         }
         match switch {
             Some(switch) => switch.set_on(true),
@@ -216,10 +224,10 @@
     let mut until = duration(plan.ending);
     for stage in [&life.terminating, &life.terminated] {
         while handler.slots.in_use() > 0 && started.elapsed() < until {
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
         }
         stage.raise();
-        // What is open is answered now. Should this process have stood still past all of it, the answers still get some time.
-        until = duration(plan.ended).max(started.elapsed() + LAST_WORDS);
+        // Open requests are answered now. If the process was stopped past the deadline, the answers still get a minimum of time.
+        until = duration(plan.ended).max(started.elapsed() + MIN_FINAL_ANSWER_TIME);
     }
 }
--- a/crates/net/src/succession.rs
+++ b/crates/net/src/succession.rs
@@ -1,5 +1,6 @@
-//! The facts that a process shares with the one that takes its place, as files of `$TMPDIR`: each stands or does not, so that
-//! none can be torn and no change of the other process is lost. `core/succession.rs` says what they mean.
+//! State that a process shares with the process that succeeds it, kept as files in `$TMPDIR`. A fact is expressed by whether a file
+//! exists, so that no fact can be half written and no change by the other process is lost. `core/succession.rs` defines the facts'
+//! meaning.
 
 use async_io::Timer;
 use linnetdeal_core::MemberId;
@@ -15,135 +16,149 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-/// An empty file for each server that is out by hand, named by its id in hexadecimal digits.
-const OUT: &str = "linnetdeal.out";
-/// Names the newest process.
-const NEWEST: &str = "linnetdeal.newest";
-/// Each process holds a lock on a file of its own for as long as it lives; the system takes it away however the process ends.
-const ALIVE: &str = "linnetdeal.alive";
-/// What processes of this pooler know to be out by a plan.
-const WORK: &str = "linnetdeal.work";
-/// How often it is looked; nothing new goes to a server 0.25 s after the other process has said yes to a call.
-const LOOK: Duration = Duration::from_millis(50);
-/// A folder that changed less long ago may have changed once more within one tick of the file system's clock.
-const SETTLED: Duration = Duration::from_secs(1);
-/// More files than there may be bans, with room for strange ones, are not all read.
-const MOST_FILES: usize = MAX_OPERATOR_DRAINS + 100;
-/// An id that is longer, in bytes, has no name of a file.
-pub const LONGEST_ID: usize = 120;
-
-/// What is shared, as this process sees it.
+/// Folder with an empty file for each server disabled by an operator, named by the server's id in hexadecimal digits.
+const DISABLED_DIR: &str = "linnetdeal.out";
+/// File that names the newest process.
+const NEWEST_FILE: &str = "linnetdeal.newest";
+/// Prefix of the lock files. Each process locks a file of its own while it lives; the system releases the lock however the process
+/// ends.
+const LOCK_PREFIX: &str = "linnetdeal.alive";
+/// Prefix of the files that hold the maintenance record known to the processes of this pooler.
+const WORK_PREFIX: &str = "linnetdeal.work";
+/// Interval between reads of the disabled servers. No new request may go to a server later than 0.25 s after the other process has
+/// confirmed that it is disabled.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// A folder modified more recently than this may have been modified again within the same tick of the file system's clock, so its
+/// modification time does not prove that nothing changed.
+const SETTLE_TIME: Duration = Duration::from_secs(1);
+/// Limit on the files read from a folder: the maximum number of disabled servers, with room for foreign files.
+const MAX_FILES: usize = MAX_OPERATOR_DRAINS + 100;
+/// Maximum length of a server's id, in bytes, that fits into a file name as hexadecimal digits.
+pub const MAX_ID_BYTES: usize = 120;
+
+/// The shared state, as this process sees it.
 #[derive(Debug)]
 pub struct SharedState {
     folder: PathBuf,
-    own: String,
+    own_name: String,
     bans: RefCell<Bans>,
-    seen: Cell<Option<SystemTime>>,
-    seen_work: Cell<Option<SystemTime>>,
-    /// The own lock, while this lives.
-    alive: RefCell<Option<File>>,
+    disabled_seen: Cell<Option<SystemTime>>,
+    work_seen: Cell<Option<SystemTime>>,
+    /// This process's lock file, held open while the process lives.
+    own_lock: RefCell<Option<File>>,
 }
 
 impl SharedState {
-    /// Opens the part of `folder` that holds it.
+    /// Opens the shared state in `folder`, creating its subfolder.
     ///
     /// # Errors
     ///
-    /// When it can't be made.
+    /// When the subfolder can't be created.
     pub fn open(folder: &Path) -> io::Result<Self> {
-        std::fs::create_dir_all(folder.join(OUT))?;
+        std::fs::create_dir_all(folder.join(DISABLED_DIR))?;
         let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        let own = format!("{}-{}", std::process::id(), now.as_nanos());
-        let (bans, seen, alive) = (RefCell::default(), Cell::new(None), RefCell::default());
-        Ok(Self { folder: folder.to_owned(), own, bans, seen, seen_work: Cell::new(None), alive })
+        let own_name = format!("{}-{}", std::process::id(), now.as_nanos());
+        let (bans, disabled_seen, own_lock) = (RefCell::default(), Cell::new(None), RefCell::default());
+        Ok(Self {
+            folder: folder.to_owned(),
+            own_name,
+            bans,
+            disabled_seen,
+            work_seen: Cell::new(None),
+            own_lock,
+        })
     }
 
-    /// Says that this process is the newest.
+    /// Registers this process as the newest one, and takes its lock.
     ///
     /// # Errors
     ///
-    /// When it can't be written.
+    /// When a file can't be read, written or locked.
     pub fn register_as_newest(&self) -> io::Result<()> {
-        // What processes before left behind goes; a lock that is held is a living one's.
-        for entry in std::fs::read_dir(&self.folder)?.take(MOST_FILES).flatten() {
-            let of = entry.file_name();
-            if of.to_str().is_some_and(|name| name.starts_with(ALIVE)) && lock(&entry.path()).is_ok() {
+        // Removes lock files left behind by ended processes. A live process holds the lock on its file.
+        for entry in std::fs::read_dir(&self.folder)?.take(MAX_FILES).flatten() {
+            let lock_name = entry.file_name();
+            if lock_name.to_str().is_some_and(|name| name.starts_with(LOCK_PREFIX))
+                && try_lock(&entry.path()).is_ok()
+            {
                 let _ = std::fs::remove_file(entry.path());
             }
         }
-        // Others only look whether they can have it; one that starts at the same moment may have taken it for left behind.
-        let path = self.alive_file(&self.own);
-        *self.alive.borrow_mut() = loop {
-            let own = File::options().create(true).append(true).open(&path)?;
-            flock(&own, FlockOperation::LockExclusive)?;
+        // Another process that starts at the same moment may test this lock, find it free and remove the file. The loop ends once the
+        // locked file is the one that the path names.
+        let path = self.lock_path(&self.own_name);
+        *self.own_lock.borrow_mut() = loop {
+            let lock_file = File::options().create(true).append(true).open(&path)?;
+            flock(&lock_file, FlockOperation::LockExclusive)?;
             if std::fs::metadata(&path)
-                .is_ok_and(|there| own.metadata().is_ok_and(|held| there.ino() == held.ino()))
+                .is_ok_and(|current| lock_file.metadata().is_ok_and(|held| current.ino() == held.ino()))
             {
-                break Some(own);
+                break Some(lock_file);
             }
         };
-        let beside = self.folder.join(format!("{NEWEST}.{}", self.own));
-        std::fs::write(&beside, &self.own)?;
-        std::fs::rename(&beside, self.folder.join(NEWEST))
+        let temporary = self.folder.join(format!("{NEWEST_FILE}.{}", self.own_name));
+        std::fs::write(&temporary, &self.own_name)?;
+        std::fs::rename(&temporary, self.folder.join(NEWEST_FILE))
     }
 
-    /// Whether a newer process has said so since, and lives. What can't be read says nothing.
+    /// Whether a newer process has registered and is alive. Returns false when the file can't be read.
     #[must_use]
     pub fn is_superseded(&self) -> bool {
-        let newest = std::fs::read(self.folder.join(NEWEST));
-        newest.is_ok_and(|newest| !newest.is_empty() && newest != self.own.as_bytes())
+        let newest = std::fs::read(self.folder.join(NEWEST_FILE));
+        newest.is_ok_and(|newest| !newest.is_empty() && newest != self.own_name.as_bytes())
             && !self.successor_is_dead()
     }
 
-    fn alive_file(&self, of: &str) -> PathBuf {
-        self.folder.join(format!("{ALIVE}.{of}"))
+    fn lock_path(&self, owner: &str) -> PathBuf {
+        self.folder.join(format!("{LOCK_PREFIX}.{owner}"))
     }
 
-    /// Whether the process that has taken this one's place is dead. One that hangs is not: nothing tells that from one that
-    /// is slow.
+    /// Whether the process that succeeded this one is dead. A hung process does not count as dead, since it can't be told from a
+    /// slow one.
     #[must_use]
     pub fn successor_is_dead(&self) -> bool {
-        let Ok(newest) = std::fs::read_to_string(self.folder.join(NEWEST)) else { return false };
-        if newest.is_empty() || newest == self.own {
+        let Ok(newest) = std::fs::read_to_string(self.folder.join(NEWEST_FILE)) else { return false };
+        if newest.is_empty() || newest == self.own_name {
             return false;
         }
-        let file = File::open(self.alive_file(&newest));
+        let file = File::open(self.lock_path(&newest));
         file.is_ok_and(|file| flock(&file, FlockOperation::NonBlockingLockExclusive).is_ok())
     }
 
-    /// Whether no other process of this pooler lives, and this one has its lock.
+    /// Whether this process holds its lock and no other process of this pooler is alive.
     #[must_use]
     pub fn is_alone(&self) -> bool {
-        if self.alive.borrow().is_none() {
+        if self.own_lock.borrow().is_none() {
             return false;
         }
         let Ok(files) = std::fs::read_dir(&self.folder) else { return false };
-        let own = self.alive_file(&self.own);
+        let own_path = self.lock_path(&self.own_name);
         files.flatten().all(|file| {
-            let of = file.file_name();
-            let other = of.to_str().is_some_and(|name| name.starts_with(ALIVE)) && file.path() != own;
-            !other || lock(&file.path()).is_ok()
+            let lock_name = file.file_name();
+            let other = lock_name.to_str().is_some_and(|name| name.starts_with(LOCK_PREFIX))
+                && file.path() != own_path;
+            !other || try_lock(&file.path()).is_ok()
         })
     }
 
-    /// Whether another process of this pooler lives.
+    /// Whether this process holds its lock and another process of this pooler is alive.
     #[must_use]
     pub fn has_other_process(&self) -> bool {
-        self.alive.borrow().is_some() && !self.is_alone()
+        self.own_lock.borrow().is_some() && !self.is_alone()
     }
 
-    /// Writes down what this process knows to be out by a plan, of this age. Each age has a file of its own: to replace one by
-    /// renaming makes some file systems wait for the disk, and all requests with them.
+    /// Stores the maintenance record that this process knows, under its version. Each version has a file of its own, because on some
+    /// file systems replacing a file by rename waits for the disk, and with it all requests would wait.
     ///
     /// # Errors
     ///
-    /// When the file system refuses.
-    pub fn write_work(&self, age: (u64, u32), bytes: &[u8]) -> io::Result<()> {
-        let path = self.folder.join(format!("{WORK}.{:016x}.{:08x}", age.0, age.1));
+    /// When a file system operation fails.
+    pub fn write_work(&self, version: (u64, u32), bytes: &[u8]) -> io::Result<()> {
+        let path = self.folder.join(format!("{WORK_PREFIX}.{:016x}.{:08x}", version.0, version.1));
         std::fs::write(&path, bytes)?;
-        // What is older says nothing more, whichever process wrote it.
-        for older in self.work_files()?.filter(|file| *file < path) {
-            let _ = std::fs::remove_file(older);
+        // Older versions are obsolete, whichever process wrote them.
+        for obsolete in self.work_files()?.filter(|file| *file < path) {
+            let _ = std::fs::remove_file(obsolete);
         }
         Ok(())
     }
@@ -151,74 +166,74 @@
     fn work_files(&self) -> io::Result<impl Iterator<Item = PathBuf>> {
         let files = std::fs::read_dir(&self.folder)?.flatten().map(|file| file.path());
         Ok(files.filter(|path| {
-            path.file_name().and_then(|name| name.to_str()).is_some_and(|name| name.starts_with(WORK))
+            path.file_name().and_then(|name| name.to_str()).is_some_and(|name| name.starts_with(WORK_PREFIX))
         }))
     }
 
-    /// The newest that some process of this pooler has written down of that, if it has changed since this was asked. What is
-    /// half written is not to be read yet, by whoever reads it.
+    /// Returns the newest maintenance record stored by any process of this pooler; `None` if the folder is unchanged since the last
+    /// call. The bytes may be half written: the caller has to detect that.
     #[must_use]
     pub fn read_work(&self) -> Option<Vec<u8>> {
         let modified = std::fs::metadata(&self.folder).ok()?.modified().ok()?;
-        if self.seen_work.get() == Some(modified) && modified.elapsed().is_ok_and(|age| age > SETTLED) {
+        if self.work_seen.get() == Some(modified) && modified.elapsed().is_ok_and(|age| age > SETTLE_TIME) {
             return None;
         }
-        self.seen_work.set(Some(modified));
+        self.work_seen.set(Some(modified));
         std::fs::read(self.work_files().ok()?.max()?).ok()
     }
 
-    /// Writes down that a server is out by hand, or takes that away.
+    /// Records that an operator has disabled a server, or has enabled it again.
     ///
     /// # Errors
     ///
-    /// When the file system refuses; the call holds in this process all the same.
-    pub fn set_disabled(&self, member: &MemberId, out: bool) -> io::Result<()> {
-        let digits: String = member.0.bytes().map(|byte| format!("{byte:02x}")).collect();
-        let file = self.folder.join(OUT).join(digits);
-        if out {
+    /// When a file system operation fails. The change still applies in this process.
+    pub fn set_disabled(&self, member: &MemberId, disabled: bool) -> io::Result<()> {
+        let hex: String = member.0.bytes().map(|byte| format!("{byte:02x}")).collect();
+        let file = self.folder.join(DISABLED_DIR).join(hex);
+        if disabled {
             std::fs::write(file, "")?;
         } else if let Err(error) = std::fs::remove_file(file) {
-            // One call back is enough, and a second one changes nothing.
+            // Enabling a server twice is no error.
             if error.kind() != io::ErrorKind::NotFound {
                 return Err(error);
             }
         }
-        self.bans.borrow_mut().set(member, out);
+        self.bans.borrow_mut().set(member, disabled);
         Ok(())
     }
 
-    /// What the other process has changed, and how many files there are none of this program's.
+    /// Returns the changes made by the other process, and the number of files whose name is no server id.
     ///
     /// # Errors
     ///
-    /// When the folder can't be read, or holds more than this program puts there; who is out stays out.
+    /// When the folder can't be read or holds more files than this program creates. Disabled servers stay disabled then.
     pub fn poll_disabled(&self) -> io::Result<(Changes, usize)> {
-        let folder = self.folder.join(OUT);
+        let folder = self.folder.join(DISABLED_DIR);
         let modified = std::fs::metadata(&folder)?.modified()?;
-        let old = modified.elapsed().is_ok_and(|age| age > SETTLED);
-        if old && self.seen.replace(Some(modified)) == Some(modified) {
+        let settled = modified.elapsed().is_ok_and(|age| age > SETTLE_TIME);
+        if settled && self.disabled_seen.replace(Some(modified)) == Some(modified) {
             return Ok(Default::default());
         }
-        let (mut found, mut strange) = (BTreeSet::new(), 0);
+        let (mut found, mut foreign) = (BTreeSet::new(), 0);
         for entry in std::fs::read_dir(folder)? {
-            if found.len() + strange >= MOST_FILES {
+            if found.len() + foreign >= MAX_FILES {
                 return Err(io::Error::new(
                     io::ErrorKind::InvalidData,
-                    "too many files among those of the servers out",
+                    "too many files in the folder of disabled servers",
                 ));
             }
-            match entry?.file_name().to_str().and_then(id) {
+            match entry?.file_name().to_str().and_then(decode_id) {
                 Some(id) => drop(found.insert(id)),
-                None => strange += 1,
+                None => foreign += 1,
             }
         }
-        Ok((self.bans.borrow_mut().look(found), strange))
+        Ok((self.bans.borrow_mut().look(found), foreign))
     }
 
-    /// Looks for ever, and hands on what the other process has changed.
+    /// Polls for changes made by the other process and passes them to `take`; never returns.
     pub async fn follow(&self, mut take: impl FnMut(Changes)) {
         loop {
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
             if let Ok((changes, _)) = self.poll_disabled() {
                 take(changes);
             }
@@ -226,15 +241,15 @@
     }
 }
 
-fn lock(path: &Path) -> io::Result<File> {
+fn try_lock(path: &Path) -> io::Result<File> {
     let file = File::open(path)?;
     flock(&file, FlockOperation::NonBlockingLockExclusive)?;
     Ok(file)
 }
 
-/// The id that a file is named by.
-fn id(name: &str) -> Option<MemberId> {
-    let digit = |at: usize| name.get(at..at + 2).and_then(|two| u8::from_str_radix(two, 16).ok());
+/// Decodes a server's id from a file name.
+fn decode_id(name: &str) -> Option<MemberId> {
+    let digit = |index: usize| name.get(index..index + 2).and_then(|pair| u8::from_str_radix(pair, 16).ok());
     let bytes: Option<Vec<u8>> = (0..name.len()).step_by(2).map(digit).collect();
     let text = String::from_utf8(bytes.filter(|bytes| !bytes.is_empty())?).ok()?;
     Some(MemberId(Arc::from(text.as_str())))
