--- a/crates/net/src/buffer.rs
+++ b/crates/net/src/buffer.rs
@@ -6,32 +6,32 @@
 use std::net::TcpStream;
 use std::ops::Range;
 
-const FIRST: usize = 2 * 1024;
+const INITIAL_SIZE: usize = 2 * 1024;
 /// So many pieces are written with one call; a request has five.
-const AT_ONCE: usize = 8;
+const MAX_SLICES: usize = 8;
 /// An idle buffer keeps no more than this.
-const KEPT: usize = 4 * 1024;
+const MAX_IDLE_SIZE: usize = 4 * 1024;
 
 /// Bytes that were read and not yet used up.
 #[derive(Debug, Default)]
 pub struct ReadBuffer {
     bytes: Vec<u8>,
-    from: usize,
-    to: usize,
+    start: usize,
+    end: usize,
 }
 
 impl ReadBuffer {
     /// What has been read and not used up.
     #[must_use]
     pub fn data(&self) -> &[u8] {
-        &self.bytes[self.from..self.to]
+        &self.bytes[self.start..self.end]
     }
 
     /// Uses up so many bytes.
     pub fn consume(&mut self, count: usize) {
-        self.from = (self.from + count).min(self.to);
-        if self.from == self.to {
-            (self.from, self.to) = (0, 0);
+        self.start = (self.start + count).min(self.end);
+        if self.start == self.end {
+            (self.start, self.end) = (0, 0);
         }
     }
 
@@ -42,9 +42,9 @@
     /// When reading fails.
     pub async fn fill(&mut self, stream: &Async<TcpStream>) -> io::Result<usize> {
         self.make_room();
-        let room = &mut self.bytes[self.to..];
-        let count = stream.read_with(|mut stream| retried(|| stream.read(room))).await?;
-        self.to += count;
+        let room = &mut self.bytes[self.end..];
+        let count = stream.read_with(|mut stream| retry_interrupted(|| stream.read(room))).await?;
+        self.end += count;
         Ok(count)
     }
 
@@ -53,21 +53,21 @@
     /// # Errors
     ///
     /// When reading fails, or nothing is there.
-    pub fn fill_now(&mut self, mut stream: &TcpStream) -> io::Result<usize> {
+    pub fn try_fill(&mut self, mut stream: &TcpStream) -> io::Result<usize> {
         self.make_room();
-        let room = &mut self.bytes[self.to..];
-        let count = retried(|| stream.read(room))?;
-        self.to += count;
+        let room = &mut self.bytes[self.end..];
+        let count = retry_interrupted(|| stream.read(room))?;
+        self.end += count;
         Ok(count)
     }
 
     fn make_room(&mut self) {
-        if self.to == self.bytes.len() {
-            if self.from > 0 {
-                self.bytes.copy_within(self.from..self.to, 0);
-                (self.from, self.to) = (0, self.to - self.from);
+        if self.end == self.bytes.len() {
+            if self.start > 0 {
+                self.bytes.copy_within(self.start..self.end, 0);
+                (self.start, self.end) = (0, self.end - self.start);
             } else {
-                self.bytes.resize((2 * self.bytes.len()).max(FIRST), 0);
+                self.bytes.resize((2 * self.bytes.len()).max(INITIAL_SIZE), 0);
             }
         }
     }
@@ -75,12 +75,12 @@
     /// Takes the first `count` bytes out with the buffer that they stand in, so that they outlive further
     /// reading uncopied. Only what was read beyond them is copied.
     pub fn detach(&mut self, count: usize) -> (Vec<u8>, Range<usize>) {
-        let taken = self.from..(self.from + count).min(self.to);
-        let rest = self.bytes[taken.end..self.to].to_vec();
-        (self.from, self.to) = (0, rest.len());
+        let taken = self.start..(self.start + count).min(self.end);
+        let rest = self.bytes[taken.end..self.end].to_vec();
+        (self.start, self.end) = (0, rest.len());
         let mut bytes = std::mem::replace(&mut self.bytes, rest);
         // A large value may be held for seconds, beside hundreds of others: not in a buffer twice its size.
-        if bytes.len() - taken.end > KEPT {
+        if bytes.len() - taken.end > MAX_IDLE_SIZE {
             bytes.truncate(taken.end);
             bytes.shrink_to_fit();
         }
@@ -88,33 +88,33 @@
     }
 
     /// Takes a detached buffer back for further use, unless it is large.
-    pub fn give_back(&mut self, bytes: Vec<u8>) {
-        if self.bytes.is_empty() && bytes.len() <= KEPT {
+    pub fn reuse(&mut self, bytes: Vec<u8>) {
+        if self.bytes.is_empty() && bytes.len() <= MAX_IDLE_SIZE {
             self.bytes = bytes;
         }
     }
 
     /// Makes room for so many bytes where there is nothing.
     pub fn grow(&mut self, size: usize) {
-        if self.from == self.to && self.bytes.len() < size {
+        if self.start == self.end && self.bytes.len() < size {
             self.bytes.resize(size, 0);
         }
     }
 
     /// Takes out what is there, up to `most` bytes of it, and leaves the buffer's memory for what comes.
-    pub fn piece(&mut self, most: usize) -> &[u8] {
-        let end = self.to.min(self.from + most);
-        let piece = self.from..end;
-        self.from = end;
-        if self.from == self.to {
-            (self.from, self.to) = (0, 0);
+    pub fn take_up_to(&mut self, max_count: usize) -> &[u8] {
+        let end = self.end.min(self.start + max_count);
+        let piece = self.start..end;
+        self.start = end;
+        if self.start == self.end {
+            (self.start, self.end) = (0, 0);
         }
         &self.bytes[piece]
     }
 
     /// Lets go of a large buffer while there is nothing in it.
-    pub fn rest(&mut self) {
-        if self.from == self.to && self.bytes.len() > KEPT {
+    pub fn release_if_empty(&mut self) {
+        if self.start == self.end && self.bytes.len() > MAX_IDLE_SIZE {
             *self = Self::default();
         }
     }
@@ -125,8 +125,8 @@
 /// # Errors
 ///
 /// When reading fails.
-pub async fn discard(stream: &Async<TcpStream>, scratch: &RefCell<Vec<u8>>) -> io::Result<usize> {
-    stream.read_with(|mut stream| retried(|| stream.read(&mut scratch.borrow_mut()))).await
+pub async fn read_and_discard(stream: &Async<TcpStream>, scratch: &RefCell<Vec<u8>>) -> io::Result<usize> {
+    stream.read_with(|mut stream| retry_interrupted(|| stream.read(&mut scratch.borrow_mut()))).await
 }
 
 /// Writes all pieces, one after another, in as few calls as the system allows.
@@ -179,13 +179,13 @@
 ///
 /// When writing fails, would have to wait, or the other side takes nothing more.
 pub fn write_now(mut stream: &TcpStream, pieces: &[&[u8]], written: &Cell<usize>) -> io::Result<()> {
-    let mut skipped = written.get();
-    let mut slices = [IoSlice::new(&[]); AT_ONCE];
+    let mut already_written = written.get();
+    let mut slices = [IoSlice::new(&[]); MAX_SLICES];
     let mut used = 0;
     for piece in pieces {
-        let rest = &piece[skipped.min(piece.len())..];
-        skipped -= piece.len() - rest.len();
-        if !rest.is_empty() && used < AT_ONCE {
+        let rest = &piece[already_written.min(piece.len())..];
+        already_written -= piece.len() - rest.len();
+        if !rest.is_empty() && used < MAX_SLICES {
             slices[used] = IoSlice::new(rest);
             used += 1;
         }
@@ -193,7 +193,7 @@
     if used == 0 {
         return Ok(());
     }
-    match retried(|| stream.write_vectored(&slices[..used]))? {
+    match retry_interrupted(|| stream.write_vectored(&slices[..used]))? {
         0 => Err(io::ErrorKind::WriteZero.into()),
         count => {
             written.set(written.get() + count);
@@ -203,7 +203,7 @@
 }
 
 /// What a call of the system gives that a signal does not interrupt: nothing has happened when one does.
-fn retried<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
--- a/crates/net/src/classes.rs
+++ b/crates/net/src/classes.rs
@@ -16,8 +16,8 @@
 impl Classes {
     /// Those of one version of the settings take the place of the ones before.
     pub fn set(&self, all: &[Class], present: Vec<ClassId>, longest_deadline: Duration, second_copies: bool) {
-        let plain = all.iter().map(|class| (class.name.clone(), class.need, class.effect));
-        *self.all.borrow_mut() = plain.collect();
+        let entries = all.iter().map(|class| (class.name.clone(), class.need, class.effect));
+        *self.all.borrow_mut() = entries.collect();
         *self.present.borrow_mut() = present;
         self.longest_deadline.set(longest_deadline);
         self.second_copies.set(second_copies);
@@ -27,7 +27,11 @@
     #[must_use]
     pub fn named(&self, name: &str) -> Option<ClassId> {
         let all = self.all.borrow();
-        self.present.borrow().iter().copied().find(|id| all.get(id.0).is_some_and(|(own, ..)| own == name))
+        self.present
+            .borrow()
+            .iter()
+            .copied()
+            .find(|id| all.get(id.0).is_some_and(|(class_name, ..)| class_name == name))
     }
 
     /// Name, need and effect of one, be it of an earlier version.
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -37,64 +37,64 @@
 #[must_use]
 pub fn steady() -> Time {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-    bend::steady(Time(now.tv_sec * 1_000_000 + now.tv_nsec / 1_000))
+    skew::steady(Time(now.tv_sec * 1_000_000 + now.tv_nsec / 1_000))
 }
 
 /// The wall clock, in ms since 1970. It may be wrong, and may go back.
 #[must_use]
 pub fn wall_ms() -> u64 {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    bend::wall(u64::try_from(unix.as_millis()).unwrap_or(u64::MAX))
+    skew::wall(u64::try_from(unix.as_millis()).unwrap_or(u64::MAX))
 }
 
 /// Clocks that run wrong, for the lab: `LINNETDEAL_BEND` holds `rate=0.95`, `jump=3000:500` (after 3 s, 0.5 s on) or
 /// `wall=-3600000` (an hour behind), apart by commas. A release build has none of it.
 #[cfg(debug_assertions)]
-mod bend {
+mod skew {
     use linnetdeal_core::Time;
     use std::sync::OnceLock;
 
     #[derive(Default)]
-    struct Bend {
+    struct Skew {
         rate: Option<f64>,
         jump: (i64, i64),
         wall: i64,
     }
 
-    fn bend() -> &'static Bend {
-        static BEND: OnceLock<Bend> = OnceLock::new();
-        BEND.get_or_init(|| {
-            let mut bend = Bend::default();
+    fn configured() -> &'static Skew {
+        static SKEW: OnceLock<Skew> = OnceLock::new();
+        SKEW.get_or_init(|| {
+            let mut skew = Skew::default();
             for part in std::env::var("LINNETDEAL_BEND").unwrap_or_default().split(',') {
                 match part.split_once('=') {
-                    Some(("rate", of)) => bend.rate = of.parse().ok(),
-                    Some(("wall", of)) => bend.wall = of.parse().unwrap_or(0),
-                    Some(("jump", of)) => {
-                        let (after, by) = of.split_once(':').unwrap_or((of, "0"));
-                        bend.jump = (after.parse().unwrap_or(0), by.parse().unwrap_or(0));
+                    Some(("rate", value)) => skew.rate = value.parse().ok(),
+                    Some(("wall", value)) => skew.wall = value.parse().unwrap_or(0),
+                    Some(("jump", value)) => {
+                        let (after, by) = value.split_once(':').unwrap_or((value, "0"));
+                        skew.jump = (after.parse().unwrap_or(0), by.parse().unwrap_or(0));
                     }
                     _ => {}
                 }
             }
-            bend
+            skew
         })
     }
 
     pub fn steady(now: Time) -> Time {
         static FIRST: OnceLock<i64> = OnceLock::new();
         let first = *FIRST.get_or_init(|| now.0);
-        let (bend, since) = (bend(), now.0 - first);
-        let jumped = if since >= bend.jump.0 * 1_000 { bend.jump.1 * 1_000 } else { 0 };
-        Time(first + (since as f64 * bend.rate.unwrap_or(1.0)) as i64 + jumped)
+        let (skew, since) = (configured(), now.0 - first);
+        let jumped = if since >= skew.jump.0 * 1_000 { skew.jump.1 * 1_000 } else { 0 };
+        Time(first + (since as f64 * skew.rate.unwrap_or(1.0)) as i64 + jumped)
     }
 
     pub fn wall(now: u64) -> u64 {
-        now.saturating_add_signed(bend().wall)
+        now.saturating_add_signed(configured().wall)
     }
 }
 
 #[cfg(not(debug_assertions))]
-mod bend {
+mod skew {
     use linnetdeal_core::Time;
 
     pub fn steady(now: Time) -> Time {
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -12,28 +12,28 @@
 use std::time::{Duration, Instant};
 
 /// An empty query. Its answer shows that the connection lives, and that nothing else was to come before.
-pub(crate) const MARK: &[u8] = b"Q\0\0\0\x05\0";
+pub(crate) const PING_QUERY: &[u8] = b"Q\0\0\0\x05\0";
 
 /// How many connections there may be, and are.
 #[derive(Debug)]
 pub(crate) struct Budget {
     pub(crate) used: Cell<usize>,
-    pub(crate) most: usize,
-    pub(crate) freed: Event,
+    pub(crate) max: usize,
+    pub(crate) released: Event,
 }
 
 /// What is open or under way at a member: connections, and attempts that may still open one.
 #[derive(Debug)]
-pub(crate) struct Presence(Rc<Cell<usize>>);
+pub(crate) struct MemberUse(Rc<Cell<usize>>);
 
-impl Presence {
-    pub(crate) fn at(count: &Rc<Cell<usize>>) -> Self {
+impl MemberUse {
+    pub(crate) fn new(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self(count.clone())
     }
 }
 
-impl Drop for Presence {
+impl Drop for MemberUse {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -43,50 +43,50 @@
 #[derive(Debug)]
 pub(crate) struct Permit {
     budget: Rc<Budget>,
-    _presence: Presence,
+    _member_use: MemberUse,
 }
 
 impl Permit {
     /// Takes one of the budget, for a connection to where `presence` is.
-    pub(crate) fn take(budget: &Rc<Budget>, presence: Presence) -> Self {
+    pub(crate) fn take(budget: &Rc<Budget>, member_use: MemberUse) -> Self {
         budget.used.set(budget.used.get() + 1);
-        Self { budget: budget.clone(), _presence: presence }
+        Self { budget: budget.clone(), _member_use: member_use }
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
         self.budget.used.set(self.budget.used.get() - 1);
-        self.budget.freed.notify(1);
+        self.budget.released.notify(1);
     }
 }
 
 /// Why no answer came.
-pub(crate) enum Lost {
+pub(crate) enum ExchangeError {
     /// No descriptor or port was to be had here.
-    Short,
+    LocalShortage,
     /// A call of this machine's system failed for a moment.
-    Momentary,
+    LocalTransient,
     /// Nobody listens.
-    Down,
+    ConnectRefused,
     /// Nobody answers.
-    Silent,
+    NoResponse,
     /// The connection broke: somebody was there.
     Broken,
     /// The member is not to be sent anything new.
-    Withdrawn,
+    MemberWithdrawn,
     /// The server said no before the query.
-    Said(Code),
+    ServerError(Code),
 }
 
-impl From<io::Error> for Lost {
+impl From<io::Error> for ExchangeError {
     /// What this machine ran out of says nothing of the member.
     fn from(error: io::Error) -> Self {
-        if is_shortage(&error) { Self::Short } else { Self::Broken }
+        if is_shortage(&error) { Self::LocalShortage } else { Self::Broken }
     }
 }
 
-impl From<PgError> for Lost {
+impl From<PgError> for ExchangeError {
     fn from(_: PgError) -> Self {
         Self::Broken
     }
@@ -102,23 +102,23 @@
     pub(crate) idle_since: Instant,
     /// What brings one more answer is known to bring nothing else: an empty query behind the last request was
     /// answered, or none was sent yet.
-    pub(crate) alone: bool,
+    pub(crate) boundary_verified: bool,
     /// Empty queries whose answers have not come.
-    owed: u8,
+    pending_pings: u8,
     /// The first of them has had its EmptyQueryResponse.
-    half: bool,
+    ping_response_seen: bool,
     _permit: Permit,
 }
 
 /// What a look at an idle connection shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Look {
+pub(crate) enum IdleState {
     /// It can carry a request, or will when what it owes has come.
-    Good,
+    Usable,
     /// It has ended, is too old, or leads to where the member no longer listens.
-    Over,
+    Closed,
     /// It brought what was nobody's.
-    Noise,
+    UnexpectedData,
 }
 
 impl Connection {
@@ -130,47 +130,56 @@
         permit: Permit,
     ) -> Self {
         let idle_since = Instant::now();
-        Self { stream, address, buffer, idle_since, alone: true, owed: 0, half: false, _permit: permit }
+        Self {
+            stream,
+            address,
+            buffer,
+            idle_since,
+            boundary_verified: true,
+            pending_pings: 0,
+            ping_response_seen: false,
+            _permit: permit,
+        }
     }
 
     /// Whether it can carry a request: to where the member listens, open, and with nothing unread. Takes in what has
     /// come of what it owes.
-    pub(crate) fn look(&mut self, address: Option<SocketAddr>, longest: Duration) -> Look {
-        if address != Some(self.address) || self.idle_since.elapsed() >= longest {
-            return Look::Over;
+    pub(crate) fn check_idle(&mut self, address: Option<SocketAddr>, max_idle: Duration) -> IdleState {
+        if address != Some(self.address) || self.idle_since.elapsed() >= max_idle {
+            return IdleState::Closed;
         }
-        if self.owed > 0 {
-            match self.buffer.fill_now(self.stream.get_ref()) {
-                Ok(0) => return Look::Over,
-                Ok(_) if self.take().is_err() => return Look::Noise,
+        if self.pending_pings > 0 {
+            match self.buffer.try_fill(self.stream.get_ref()) {
+                Ok(0) => return IdleState::Closed,
+                Ok(_) if self.consume_ping_answers().is_err() => return IdleState::UnexpectedData,
                 Ok(_) => {}
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Look::Good,
-                Err(_) => return Look::Over,
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return IdleState::Usable,
+                Err(_) => return IdleState::Closed,
             }
         }
         // The end of the stream may stand right behind what came.
         match self.stream.get_ref().peek(&mut [0]) {
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Look::Good,
-            Err(_) | Ok(0) => Look::Over,
-            Ok(_) if self.owed > 0 => Look::Good,
-            Ok(_) => Look::Noise,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => IdleState::Usable,
+            Err(_) | Ok(0) => IdleState::Closed,
+            Ok(_) if self.pending_pings > 0 => IdleState::Usable,
+            Ok(_) => IdleState::UnexpectedData,
         }
     }
 
     /// An empty query was written behind a request.
-    pub(crate) fn marked(&mut self) {
-        self.owed += 1;
-        self.alone = false;
+    pub(crate) fn sent_with_ping(&mut self) {
+        self.pending_pings += 1;
+        self.boundary_verified = false;
     }
 
     /// The request that is sent on it next has none behind it.
-    pub(crate) fn unmarked(&mut self) {
-        self.alone = false;
+    pub(crate) fn sent_without_ping(&mut self) {
+        self.boundary_verified = false;
     }
 
     /// Whether nothing is outstanding.
-    pub(crate) fn rests(&self) -> bool {
-        self.owed == 0
+    pub(crate) fn is_settled(&self) -> bool {
+        self.pending_pings == 0
     }
 
     /// Takes from the buffer what is there of the answers that it owes; false while there is more to come.
@@ -178,39 +187,39 @@
     /// # Errors
     ///
     /// When anything else comes before them or behind them.
-    pub(crate) fn take(&mut self) -> Result<bool, Lost> {
-        self.alone |= self.owed > 0;
-        while self.owed > 0 {
+    pub(crate) fn consume_ping_answers(&mut self) -> Result<bool, ExchangeError> {
+        self.boundary_verified |= self.pending_pings > 0;
+        while self.pending_pings > 0 {
             let Some(message) = pg::server_message(self.buffer.data())? else { return Ok(false) };
             let size = message.size;
             match message.tag {
-                b'I' if !self.half => self.half = true,
-                b'S' | b'N' if self.half => {}
-                b'Z' if self.half && pg::ready(message.body) => {
-                    self.half = false;
-                    self.owed -= 1;
+                b'I' if !self.ping_response_seen => self.ping_response_seen = true,
+                b'S' | b'N' if self.ping_response_seen => {}
+                b'Z' if self.ping_response_seen && pg::is_ready_for_query(message.body) => {
+                    self.ping_response_seen = false;
+                    self.pending_pings -= 1;
                 }
-                _ => return Err(Lost::Broken),
+                _ => return Err(ExchangeError::Broken),
             }
             self.buffer.consume(size);
         }
-        if self.buffer.data().is_empty() { Ok(true) } else { Err(Lost::Broken) }
+        if self.buffer.data().is_empty() { Ok(true) } else { Err(ExchangeError::Broken) }
     }
 
     /// Waits for what it owes.
-    pub(crate) async fn rest(&mut self) -> Result<(), Lost> {
-        while !self.take()? {
+    pub(crate) async fn settle(&mut self) -> Result<(), ExchangeError> {
+        while !self.consume_ping_answers()? {
             if self.buffer.fill(&self.stream).await? == 0 {
-                return Err(Lost::Broken);
+                return Err(ExchangeError::Broken);
             }
         }
         Ok(())
     }
 
     /// Has an empty query answered, with nothing before the answer and nothing behind it.
-    pub(crate) async fn ask(&mut self) -> Result<(), Lost> {
-        write_all(&self.stream, &[MARK]).await?;
-        self.owed += 1;
-        self.rest().await
+    pub(crate) async fn ping(&mut self) -> Result<(), ExchangeError> {
+        write_all(&self.stream, &[PING_QUERY]).await?;
+        self.pending_pings += 1;
+        self.settle().await
     }
 }
--- a/crates/net/src/connection_slots.rs
+++ b/crates/net/src/connection_slots.rs
@@ -8,7 +8,7 @@
 
 use super::flag::Flag;
 use async_io::Timer;
-use event_listener::Event as Bell;
+use event_listener::Event;
 use futures_lite::future::or;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,59 +20,59 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionRank {
     /// It was told that its connection ends.
-    Parting,
+    Closing,
     /// It has asked nothing yet.
-    Silent,
+    New,
     /// It is between two requests.
     Idle,
 }
 
 impl EvictionRank {
     /// One that came to its seat more lately may be about to send.
-    const fn least(self) -> Duration {
+    const fn min_age(self) -> Duration {
         match self {
-            Self::Parting | Self::Silent => Duration::from_millis(5),
+            Self::Closing | Self::New => Duration::from_millis(5),
             Self::Idle => Duration::from_millis(20),
         }
     }
 }
 
-type At = (EvictionRank, Instant, u64);
+type EvictionKey = (EvictionRank, Instant, u64);
 
 /// All seats.
 #[derive(Debug)]
 pub struct ConnectionSlots {
-    most: usize,
+    max_slots: usize,
     /// For clients that are accepted only to be refused.
-    spare: usize,
-    most_silent: usize,
+    reject_reserve: usize,
+    max_new: usize,
     /// Clients that have asked, busy ones included, beyond which the idle make room.
-    most_known: usize,
+    max_established: usize,
     in_use: Cell<usize>,
-    number: Cell<u64>,
-    freed: Bell,
+    last_id: Cell<u64>,
+    released: Event,
     /// Who can be asked to go.
-    waiting: RefCell<BTreeMap<At, Rc<Flag>>>,
-    silent: Cell<usize>,
+    evictable: RefCell<BTreeMap<EvictionKey, Rc<Flag>>>,
+    new_clients: Cell<usize>,
     /// Nobody came before.
-    started: Instant,
+    created_at: Instant,
 }
 
 impl ConnectionSlots {
     /// So many seats, a few more for those that are refused, and so many for clients that have asked.
     #[must_use]
-    pub fn new(most: usize, spare: usize, most_known: usize) -> Self {
+    pub fn new(max_slots: usize, reject_reserve: usize, max_established: usize) -> Self {
         Self {
-            most,
-            spare,
-            most_silent: (most / 4).max(1),
-            most_known,
+            max_slots,
+            reject_reserve,
+            max_new: (max_slots / 4).max(1),
+            max_established,
             in_use: Cell::new(0),
-            number: Cell::new(0),
-            freed: Bell::new(),
-            waiting: RefCell::default(),
-            silent: Cell::new(0),
-            started: Instant::now(),
+            last_id: Cell::new(0),
+            released: Event::new(),
+            evictable: RefCell::default(),
+            new_clients: Cell::new(0),
+            created_at: Instant::now(),
         }
     }
 
@@ -84,107 +84,112 @@
 
     /// Whether a client that comes now finds a seat.
     #[must_use]
-    pub fn has_room(&self) -> bool {
-        self.in_use.get() < self.most
+    pub fn has_free_slot(&self) -> bool {
+        self.in_use.get() < self.max_slots
     }
 
     /// Waits until one more client can be accepted, others being asked to make room if need be. False if it
     /// can only be refused: all who sit there are being served.
-    pub async fn room(&self) -> bool {
+    pub async fn wait_for_room(&self) -> bool {
         loop {
-            let unknown = self.waiting.borrow().range(..(EvictionRank::Idle, self.started, 0)).count();
-            if self.in_use.get().saturating_sub(unknown) >= self.most_known {
-                self.ask_one_to_go(EvictionRank::Idle..=EvictionRank::Idle);
+            let not_established =
+                self.evictable.borrow().range(..(EvictionRank::Idle, self.created_at, 0)).count();
+            if self.in_use.get().saturating_sub(not_established) >= self.max_established {
+                self.evict_one(EvictionRank::Idle..=EvictionRank::Idle);
             }
-            let crowd = self.silent.get() >= self.most_silent;
-            let full = self.in_use.get() >= self.most;
-            if !(crowd || full)
-                || self.ask_one_to_go(
-                    EvictionRank::Parting..=if full { EvictionRank::Idle } else { EvictionRank::Silent },
+            let too_many_new = self.new_clients.get() >= self.max_new;
+            let full = self.in_use.get() >= self.max_slots;
+            if !(too_many_new || full)
+                || self.evict_one(
+                    EvictionRank::Closing..=if full { EvictionRank::Idle } else { EvictionRank::New },
                 )
             {
                 return true;
             }
             // The crowd is too young to be told from clients that are about to send.
-            if !crowd && self.in_use.get() < self.most + self.spare {
+            if !too_many_new && self.in_use.get() < self.max_slots + self.reject_reserve {
                 return false;
             }
-            let freed = self.freed.listen();
-            or(freed, async {
-                let _ = Timer::after(EvictionRank::Silent.least()).await;
+            let released = self.released.listen();
+            or(released, async {
+                let _ = Timer::after(EvictionRank::New.min_age()).await;
             })
             .await;
         }
     }
 
     /// Asks one client of these ranks to make room; false if nobody can be asked.
-    pub fn ask_one_to_go(&self, ranks: RangeInclusive<EvictionRank>) -> bool {
-        let waiting = self.waiting.borrow();
-        let ranks = [EvictionRank::Parting, EvictionRank::Silent, EvictionRank::Idle]
+    pub fn evict_one(&self, ranks: RangeInclusive<EvictionRank>) -> bool {
+        let evictable = self.evictable.borrow();
+        let ranks = [EvictionRank::Closing, EvictionRank::New, EvictionRank::Idle]
             .into_iter()
             .filter(|rank| ranks.contains(rank));
         let oldest = |rank| {
-            waiting.range((rank, self.started, 0)..).next().map(|(at, _)| *at).filter(|at| at.0 == rank)
+            evictable
+                .range((rank, self.created_at, 0)..)
+                .next()
+                .map(|(key, _)| *key)
+                .filter(|key| key.0 == rank)
         };
-        let old_enough = |at: &At| at.1.elapsed() >= at.0.least();
-        let Some(at) = ranks.filter_map(oldest).find(old_enough) else { return false };
-        drop(waiting);
-        if let Some(flag) = self.leave(at) {
+        let old_enough = |key: &EvictionKey| key.1.elapsed() >= key.0.min_age();
+        let Some(key) = ranks.filter_map(oldest).find(old_enough) else { return false };
+        drop(evictable);
+        if let Some(flag) = self.remove_evictable(key) {
             self.in_use.set(self.in_use.get() - 1);
             flag.raise();
         }
         true
     }
 
-    fn leave(&self, at: At) -> Option<Rc<Flag>> {
-        let flag = self.waiting.borrow_mut().remove(&at);
-        if flag.is_some() && at.0 == EvictionRank::Silent {
-            self.silent.set(self.silent.get() - 1);
+    fn remove_evictable(&self, key: EvictionKey) -> Option<Rc<Flag>> {
+        let flag = self.evictable.borrow_mut().remove(&key);
+        if flag.is_some() && key.0 == EvictionRank::New {
+            self.new_clients.set(self.new_clients.get() - 1);
         }
         flag
     }
 
     /// Takes a seat for a new client.
-    pub fn take(&self) -> ConnectionSlot<'_> {
-        self.number.set(self.number.get() + 1);
+    pub fn acquire(&self) -> ConnectionSlot<'_> {
+        self.last_id.set(self.last_id.get() + 1);
         self.in_use.set(self.in_use.get() + 1);
-        ConnectionSlot { seats: self, number: self.number.get(), asked: Cell::new(false) }
+        ConnectionSlot { slots: self, id: self.last_id.get(), evicted: Cell::new(false) }
     }
 }
 
 /// A client's seat, given up when it is dropped.
 #[derive(Debug)]
 pub struct ConnectionSlot<'a> {
-    seats: &'a ConnectionSlots,
-    number: u64,
+    slots: &'a ConnectionSlots,
+    id: u64,
     /// Its client has been asked to go: the seat counts no longer.
-    asked: Cell<bool>,
+    evicted: Cell<bool>,
 }
 
 impl ConnectionSlot<'_> {
     /// Does `work` in a state in which the client can be asked to make room; `None` if it was, and `work` had
     /// not ended by then. What has ended goes before: a client whose request can be read stays.
-    pub async fn yielding<T>(
+    pub async fn run_evictable<T>(
         &self,
         rank: EvictionRank,
         since: Instant,
         work: impl Future<Output = T>,
     ) -> Option<T> {
-        let (flag, at) = (Rc::new(Flag::default()), (rank, since, self.number));
-        self.seats.waiting.borrow_mut().insert(at, flag.clone());
-        if rank == EvictionRank::Silent {
-            self.seats.silent.set(self.seats.silent.get() + 1);
+        let (flag, key) = (Rc::new(Flag::default()), (rank, since, self.id));
+        self.slots.evictable.borrow_mut().insert(key, flag.clone());
+        if rank == EvictionRank::New {
+            self.slots.new_clients.set(self.slots.new_clients.get() + 1);
         }
-        let wait = Wait { seat: self, at, flag };
+        let guard = EvictableGuard { slot: self, key, flag };
         let done = or(async { Some(work.await) }, async {
-            wait.flag.raised().await;
+            guard.flag.raised().await;
             None
         });
         let done = done.await;
-        drop(wait);
-        if done.is_some() && self.asked.replace(false) {
+        drop(guard);
+        if done.is_some() && self.evicted.replace(false) {
             // It stays after all.
-            self.seats.in_use.set(self.seats.in_use.get() + 1);
+            self.slots.in_use.set(self.slots.in_use.get() + 1);
         }
         done
     }
@@ -192,23 +197,23 @@
 
 impl Drop for ConnectionSlot<'_> {
     fn drop(&mut self) {
-        if !self.asked.get() {
-            self.seats.in_use.set(self.seats.in_use.get() - 1);
+        if !self.evicted.get() {
+            self.slots.in_use.set(self.slots.in_use.get() - 1);
         }
-        self.seats.freed.notify(1);
+        self.slots.released.notify(1);
     }
 }
 
 /// A client that can be asked to go.
-struct Wait<'a> {
-    seat: &'a ConnectionSlot<'a>,
-    at: At,
+struct EvictableGuard<'a> {
+    slot: &'a ConnectionSlot<'a>,
+    key: EvictionKey,
     flag: Rc<Flag>,
 }
 
-impl Drop for Wait<'_> {
+impl Drop for EvictableGuard<'_> {
     fn drop(&mut self) {
-        self.seat.seats.leave(self.at);
-        self.seat.asked.set(self.flag.is_up());
+        self.slot.slots.remove_evictable(self.key);
+        self.slot.evicted.set(self.flag.is_up());
     }
 }
--- a/crates/net/src/discovery.rs
+++ b/crates/net/src/discovery.rs
@@ -231,7 +231,7 @@
                 }
             }
         }
-        buffer.rest();
+        buffer.release_if_empty();
         if by(end, buffer.fill(&stream)).await? == 0 {
             return Ok(());
         }
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -97,7 +97,7 @@
     pub fn feed(&self, event: Event) {
         // With these lines of all poolers a day is counted over the whole fleet; see docs/design/fleet-scale.md.
         tracing::debug!(target: "events", "{event:?}");
-        self.stall.moved();
+        self.stall.record_activity();
         self.track_members(&event);
         let mut actions = self.actions.take();
         self.router.borrow_mut().handle(self.clock.now(), event, &mut actions);
--- a/crates/net/src/frontend.rs
+++ b/crates/net/src/frontend.rs
@@ -1,10 +1,10 @@
 //! Clients: connections are accepted within a budget, and each has a task that reads its commands in order.
 
 use super::arrivals::Arrivals;
-use super::buffer::{ReadBuffer, discard, write_all};
+use super::buffer::{ReadBuffer, read_and_discard, write_all};
 use super::connection_slots::{ConnectionSlot, ConnectionSlots, EvictionRank};
 use super::pg::write::{self, Severity};
-use super::pg::{self, Asks, PgError, Startup};
+use super::pg::{self, PgError, Startup, StatementKind};
 use super::request::{AbortReason, AbortSource, ClientRequest, FinalAnswer, serve};
 use super::system_errors::is_shortage;
 use super::upstream::{Pool, Reply, Statement};
@@ -123,7 +123,7 @@
 pub(crate) async fn run(context: Rc<FrontendContext>, listener: Async<TcpListener>, kept: bool) {
     loop {
         let accepted = async {
-            let room = context.slots.room().await;
+            let room = context.slots.wait_for_room().await;
             Some(listener.accept().await.map(|(stream, _)| (stream, room)))
         };
         let deaf = async {
@@ -135,7 +135,7 @@
             None => return,
             Some(Ok((stream, room))) => {
                 // It may have been waited for long since all seats were taken.
-                let room = room || context.slots.has_room();
+                let room = room || context.slots.has_free_slot();
                 admit(&context, stream, room);
                 // A flood of connections holds up nobody who is already here.
                 yield_now().await;
@@ -144,7 +144,7 @@
             Some(Err(error)) if is_shortage(&error) => {
                 context.counters.short.add();
                 if !context.pool.close_one_idle() {
-                    context.slots.ask_one_to_go(EvictionRank::Parting..=EvictionRank::Idle);
+                    context.slots.evict_one(EvictionRank::Closing..=EvictionRank::Idle);
                 }
                 Timer::after(SHORT_PAUSE).await;
             }
@@ -164,14 +164,14 @@
     }
     let owner = context.clone();
     let task = async move {
-        let seat = owner.slots.take();
+        let slot = owner.slots.acquire();
         let mut client = Client {
             context: &owner,
             // Closed before the seat counts as free.
             stream,
             buffer: ReadBuffer::default(),
             arrivals: Arrivals::default(),
-            seat,
+            slot,
             stage: Stage::Startup,
             since: Instant::now(),
             errors: 0,
@@ -219,7 +219,7 @@
     stream: Async<TcpStream>,
     buffer: ReadBuffer,
     arrivals: Arrivals,
-    seat: ConnectionSlot<'a>,
+    slot: ConnectionSlot<'a>,
     stage: Stage,
     /// When it came to its seat, or last had an answer.
     since: Instant,
@@ -263,7 +263,7 @@
     /// would reset the connection, and the words might be lost with it.
     async fn part(&mut self, code: &str, words: &str, detail: Option<&str>) -> Result<(), ClientError> {
         let mut out = Vec::new();
-        write::error(&mut out, Severity::Fatal, code, words, detail);
+        write::error_response(&mut out, Severity::Fatal, code, words, detail);
         self.send(&[&out]).await?;
         self.stream.get_ref().shutdown(Shutdown::Write)?;
         self.buffer = ReadBuffer::default();
@@ -306,7 +306,7 @@
         }
         self.stage = Stage::Silent;
         let mut out = Vec::with_capacity(256);
-        write::welcome(&mut out, std::process::id(), 0);
+        write::session_start(&mut out, std::process::id(), 0);
         self.send(&[&out]).await?;
         Ok(true)
     }
@@ -322,7 +322,7 @@
                 continue;
             };
             let (tag, size) = (message.tag, message.size);
-            let arrived = self.arrivals.of(self.buffer.data().len() - size);
+            let arrived = self.arrivals.arrival_time(self.buffer.data().len() - size);
             // After an error in the extended protocol all is skipped up to Sync.
             if skipping && tag != b'S' && tag != b'X' {
                 self.buffer.consume(size);
@@ -334,7 +334,7 @@
                 Command::Answered => {
                     skipping &= tag != b'S';
                     if matches!(tag, b'Q' | b'S') {
-                        write::ready(&mut out);
+                        write::ready_for_query(&mut out);
                     }
                     if self.parts() {
                         return self.last(&[&out]).await;
@@ -350,10 +350,10 @@
                         self.closes.set(CloseReason::Errors);
                         return self.part(code, &words, None).await;
                     }
-                    write::error(&mut out, Severity::Error, code, &words, None);
+                    write::error_response(&mut out, Severity::Error, code, &words, None);
                     skipping = tag != b'Q';
                     if !skipping {
-                        write::ready(&mut out);
+                        write::ready_for_query(&mut out);
                     }
                     self.send(&[&out]).await?;
                     let rest = async {
@@ -361,7 +361,7 @@
                     };
                     if !may_close {
                         rest.await;
-                    } else if self.seat.yielding(EvictionRank::Silent, self.since, rest).await.is_none() {
+                    } else if self.slot.run_evictable(EvictionRank::New, self.since, rest).await.is_none() {
                         self.closes.set(CloseReason::MadeRoom);
                         return Ok(());
                     }
@@ -388,9 +388,9 @@
     /// Reads more; false if there will be none, or the client has to go: it makes room, took too long for a
     /// command, or the process ends. What is readable goes before all that.
     async fn more(&mut self) -> Result<bool, ClientError> {
-        let Self { context, stream, buffer, arrivals, seat, stage, since, .. } = self;
+        let Self { context, stream, buffer, arrivals, slot, stage, since, .. } = self;
         let between = buffer.data().is_empty() && *stage != Stage::Startup;
-        buffer.rest();
+        buffer.release_if_empty();
         // The first bytes of a command that has begun came just now; they don't grant more time again.
         let limit = match *stage {
             Stage::Known if between => None,
@@ -398,7 +398,7 @@
         };
         let read = async {
             let count = buffer.fill(stream).await?;
-            arrivals.came(count, context.driver.clock.now());
+            arrivals.record(count, context.driver.clock.now());
             Ok(if count > 0 { Read::More } else { Read::End(CloseReason::ClientLeft) })
         };
         let late = async {
@@ -423,9 +423,9 @@
             Ok(Read::End(CloseReason::Emptied))
         };
         let ending = or(ending, emptied);
-        let rank = if *stage == Stage::Known { EvictionRank::Idle } else { EvictionRank::Silent };
+        let rank = if *stage == Stage::Known { EvictionRank::Idle } else { EvictionRank::New };
         let done: Option<Result<Read, ClientError>> =
-            seat.yielding(rank, *since, or(read, or(late, ending))).await;
+            slot.run_evictable(rank, *since, or(read, or(late, ending))).await;
         if between && *stage == Stage::Known {
             *since = Instant::now();
         }
@@ -443,8 +443,8 @@
         let (mut data, mut requests_unanswered) = (self.buffer.data(), 0);
         while let Ok(Some(message)) = pg::message(data) {
             let statement = (message.tag == b'Q').then(|| pg::query_text(message.body).ok()).flatten();
-            let asks = statement.map(pg::request);
-            requests_unanswered += usize::from(matches!(asks, Some(Ok(Asks::Request(_)))));
+            let asks = statement.map(pg::parse_statement);
+            requests_unanswered += usize::from(matches!(asks, Some(Ok(StatementKind::Request(_)))));
             data = &data[message.size..];
         }
         CloseFacts { requests_unanswered, client_left: false }
@@ -479,12 +479,12 @@
         match message.tag {
             b'Q' => {
                 let statement = pg::query_text(message.body)?;
-                match pg::request(statement) {
-                    Ok(Asks::Request(comment)) => {
+                match pg::parse_statement(statement) {
+                    Ok(StatementKind::Request(comment)) => {
                         let asked = self.context.asked(statement, &comment, arrived);
                         let open = OpenId::enter(self.context, comment.id);
                         if let (Some(asked), Some(open)) = (asked, open) {
-                            let wait = comment.wait_at.clone();
+                            let wait = comment.timeout_range.clone();
                             let effect = self.context.classes.get(asked.class).map(|(.., effect)| effect);
                             let once = effect != Some(Effect::Safe) && effect != Some(Effect::Keyed);
                             let (bytes, at) = self.buffer.detach(size);
@@ -497,12 +497,12 @@
                         }
                         rejected = Some(("42601", "no class of this site, or an id in use".to_owned()));
                     }
-                    Ok(Asks::Nothing) if self.context.life.drained.on_since().is_some() => {
+                    Ok(StatementKind::Empty) if self.context.life.drained.on_since().is_some() => {
                         rejected = Some(("57P03", "drained by hand".to_owned()));
                     }
-                    Ok(Asks::Nothing) => write::empty_query(out),
-                    Ok(Asks::Session(command)) => write::complete(out, command),
-                    Ok(Asks::Unknown) => {
+                    Ok(StatementKind::Empty) => write::empty_query_response(out),
+                    Ok(StatementKind::SessionCommand(command)) => write::command_complete(out, command),
+                    Ok(StatementKind::Unsupported) => {
                         rejected = Some(("0A000", "only requests with their comment are routed".to_owned()));
                     }
                     Err(error) => rejected = Some(("42601", error.to_string())),
@@ -536,7 +536,7 @@
         {
             context.in_doubt.add(id, &class, Some(member.clone()), context.driver.clock.now());
         }
-        self.buffer.give_back(asked.query.bytes);
+        self.buffer.reuse(asked.query.bytes);
         let how = match &answer {
             FinalAnswer::Served(_) => Some(Answer::Served),
             FinalAnswer::Refused(_) => Some(Answer::Refused),
@@ -573,29 +573,35 @@
                     self.send(&[&piece]).await?;
                     yield_now().await;
                 }
-                write::ready(out);
+                write::ready_for_query(out);
                 self.finish(&[out]).await
             }
             FinalAnswer::Served(reply) => {
-                write::ready(out);
+                write::ready_for_query(out);
                 let pieces: Vec<&[u8]> = reply.pieces().chain([out.as_slice()]).collect();
                 self.finish(&pieces).await
             }
             FinalAnswer::Refused(retry_after) => {
                 let ms = retry_after.map(|after| after.0.max(0).unsigned_abs().div_ceil(1_000).to_string());
-                write::error(
+                write::error_response(
                     out,
                     Severity::Error,
                     "53300",
                     "refused, nothing is harmed by a retry",
                     ms.as_deref(),
                 );
-                write::ready(out);
+                write::ready_for_query(out);
                 self.finish(&[out]).await
             }
             FinalAnswer::Failed { .. } => {
-                write::error(out, Severity::Error, "08007", "no answer; it may have been carried out", None);
-                write::ready(out);
+                write::error_response(
+                    out,
+                    Severity::Error,
+                    "08007",
+                    "no answer; it may have been carried out",
+                    None,
+                );
+                write::ready_for_query(out);
                 self.finish(&[out]).await
             }
         }
@@ -638,7 +644,7 @@
     async fn linger(&self) {
         let rest = async {
             // One that sends at full speed holds up nobody else.
-            while matches!(discard(&self.stream, &self.context.scratch).await, Ok(1..)) {
+            while matches!(read_and_discard(&self.stream, &self.context.scratch).await, Ok(1..)) {
                 yield_now().await;
             }
         };
@@ -646,7 +652,7 @@
             Timer::after(PARTING).await;
         };
         let work = or(rest, or(enough, self.context.life.terminating.raised()));
-        self.seat.yielding(EvictionRank::Parting, Instant::now(), work).await;
+        self.slot.run_evictable(EvictionRank::Closing, Instant::now(), work).await;
     }
 }
 
@@ -669,8 +675,8 @@
     fn has_left(&self) -> bool {
         while !self.is_ahead() {
             let (buffer, arrivals) = &mut *self.read.borrow_mut();
-            match buffer.fill_now(self.stream.get_ref()) {
-                Ok(count @ 1..) => arrivals.came(count, self.driver.clock.now()),
+            match buffer.try_fill(self.stream.get_ref()) {
+                Ok(count @ 1..) => arrivals.record(count, self.driver.clock.now()),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Ok(0) | Err(_) => return true,
@@ -754,7 +760,7 @@
         let class = self.classes.named(comment.class)?;
         let longest = Span(i64::try_from(self.classes.longest_deadline().as_micros()).unwrap_or(i64::MAX));
         let keyed = matches!(self.classes.get(class)?.1, Need::Write | Need::Session);
-        let session = pg::key(statement).filter(|_| keyed).map(|key| {
+        let session = pg::quoted_key(statement).filter(|_| keyed).map(|key| {
             let mut hasher = DefaultHasher::new();
             key.hash(&mut hasher);
             SessionKey(hasher.finish())
@@ -763,10 +769,10 @@
             class,
             tenant: comment.tenant.and_then(|name| self.tenants.named(name)),
             session,
-            group: GroupId(comment.cluster),
+            group: GroupId(comment.group),
             deadline: arrived.unwrap_or_else(|| self.driver.clock.now())
-                + Span((comment.wait_ms * 1_000.0) as i64).min(longest),
-            last_write: comment.after_ms.map(|ms| Time((ms * 1_000.0) as i64)),
+                + Span((comment.timeout_ms * 1_000.0) as i64).min(longest),
+            last_write: comment.last_commit_ms.map(|ms| Time((ms * 1_000.0) as i64)),
             retry: comment.retry,
             copies_allowed: self.classes.may_be_copied(class),
             effect: self.classes.get(class)?.2,
--- a/crates/net/src/in_doubt.rs
+++ b/crates/net/src/in_doubt.rs
@@ -7,44 +7,44 @@
 use std::fmt;
 
 /// So many of the latest are kept.
-const KEPT: usize = 256;
+const MAX_KEPT: usize = 256;
 /// An id is kept up to this length.
-const LONGEST_ID: usize = 64;
+const MAX_ID_LEN: usize = 64;
 
 #[derive(Debug)]
-struct Doubt {
+struct InDoubtWrite {
     id: Box<str>,
     class: Box<str>,
     member: Option<MemberId>,
-    at: Time,
+    given_up_at: Time,
 }
 
 /// The writes in doubt since the start, the latest of them by name.
 #[derive(Debug, Default)]
 pub struct InDoubtWrites {
-    all: Cell<u64>,
-    latest: RefCell<VecDeque<Doubt>>,
+    total: Cell<u64>,
+    latest: RefCell<VecDeque<InDoubtWrite>>,
 }
 
 impl InDoubtWrites {
     /// One more: the client's id, its class, the member that may have run it, and when that was given up.
-    pub fn add(&self, id: &str, class: &str, member: Option<MemberId>, at: Time) {
-        self.all.set(self.all.get().saturating_add(1));
+    pub fn add(&self, id: &str, class: &str, member: Option<MemberId>, given_up_at: Time) {
+        self.total.set(self.total.get().saturating_add(1));
         let mut latest = self.latest.borrow_mut();
-        if latest.len() == KEPT {
+        if latest.len() == MAX_KEPT {
             latest.pop_front();
         }
-        let id: String = id.chars().take(LONGEST_ID).collect();
-        latest.push_back(Doubt { id: id.into(), class: class.into(), member, at });
+        let id: String = id.chars().take(MAX_ID_LEN).collect();
+        latest.push_back(InDoubtWrite { id: id.into(), class: class.into(), member, given_up_at });
     }
 }
 
 impl fmt::Display for InDoubtWrites {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "in doubt: {} since the start", self.all.get())?;
-        for Doubt { id, class, member, at } in self.latest.borrow().iter().rev() {
+        write!(f, "in doubt: {} since the start", self.total.get())?;
+        for InDoubtWrite { id, class, member, given_up_at } in self.latest.borrow().iter().rev() {
             let member = member.as_ref().map_or("-", |member| &member.0);
-            write!(f, "; {class} id={id} at {member}, {} ms", at.0 / 1_000)?;
+            write!(f, "; {class} id={id} at {member}, {} ms", given_up_at.0 / 1_000)?;
         }
         Ok(())
     }
--- a/crates/net/src/mutants.rs
+++ b/crates/net/src/mutants.rs
@@ -37,8 +37,8 @@
 #[cfg(debug_assertions)]
 #[must_use]
 pub fn is_active(mutant: Mutant) -> bool {
-    static CALLED: std::sync::OnceLock<Option<String>> = std::sync::OnceLock::new();
-    CALLED.get_or_init(|| std::env::var("LINNETDEAL_MUTANT").ok()).as_deref() == Some(mutant.name())
+    static REQUESTED: std::sync::OnceLock<Option<String>> = std::sync::OnceLock::new();
+    REQUESTED.get_or_init(|| std::env::var("LINNETDEAL_MUTANT").ok()).as_deref() == Some(mutant.name())
 }
 
 /// Whether this variant was called for.
--- a/crates/net/src/pg/backend.rs
+++ b/crates/net/src/pg/backend.rs
@@ -1,10 +1,10 @@
 //! What a server sends.
 
-use super::{LONGEST_STREAMED, LONGEST_VALUE, Message, PgError, bounded, text};
+use super::{MAX_STREAMED_VALUE_SIZE, MAX_VALUE_SIZE, Message, PgError, bounded, text};
 use linnetdeal_core::{Field, Note, Role, Time};
 
 /// No position of a log is a Unix time in seconds beyond this.
-const LATEST_POSITION: f64 = 1e11;
+const MAX_POSITION_S: f64 = 1e11;
 
 /// The SQLSTATE of an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,10 +25,10 @@
 ///
 /// When they don't hold together or there is no code of five bytes.
 pub fn error_fields(body: &[u8]) -> Result<ErrorFields, PgError> {
-    let bad = PgError::Malformed("error fields");
+    let malformed = PgError::Malformed("error fields");
     let (mut code, mut fatal, mut rest) = (None, false, body);
     while let Some((&field, after)) = rest.split_first().filter(|(field, _)| **field != 0) {
-        let end = after.iter().position(|byte| *byte == 0).ok_or(bad)?;
+        let end = after.iter().position(|byte| *byte == 0).ok_or(malformed)?;
         match (field, &after[..end]) {
             (b'C', text) => code = text.try_into().ok().map(Code),
             (b'S' | b'V', b"FATAL" | b"PANIC") => fatal = true,
@@ -36,7 +36,7 @@
         }
         rest = &after[end + 1..];
     }
-    code.map(|code| ErrorFields { code, fatal }).ok_or(bad)
+    code.map(|code| ErrorFields { code, fatal }).ok_or(malformed)
 }
 
 /// The first message in `data` from a server; `None` while it is not all there. What no answer has is known
@@ -47,15 +47,15 @@
 /// When it is of no kind that a server sends here, or its length is not one that its kind has.
 pub fn server_message(data: &[u8]) -> Result<Option<Message<'_>>, PgError> {
     let Some(&tag) = data.first() else { return Ok(None) };
-    let long = |length: usize| (LONGEST_VALUE + 11..=LONGEST_STREAMED + 10).contains(&length);
+    let is_large = |length: usize| (MAX_VALUE_SIZE + 11..=MAX_STREAMED_VALUE_SIZE + 10).contains(&length);
     let length =
         data.get(1..5).and_then(|word| word.first_chunk()).map(|word| u32::from_be_bytes(*word) as usize);
     // Whether it is a row that is passed on in pieces shows in its whole head, which may come in pieces itself.
-    if tag == b'D' && data.len() < 11 && length.is_some_and(long) {
+    if tag == b'D' && data.len() < 11 && length.is_some_and(is_large) {
         return Ok(None);
     }
-    let most = match tag {
-        b'D' => LONGEST_VALUE + 10,
+    let max_length = match tag {
+        b'D' => MAX_VALUE_SIZE + 10,
         b'E' | b'N' | b'A' => 8 * 1024,
         b'S' | b'T' => 1_024,
         b'R' | b'K' | b'C' => 256,
@@ -63,7 +63,7 @@
         b'I' => 4,
         _ => return Err(PgError::Malformed("message type")),
     };
-    bounded(data, most)
+    bounded(data, max_length)
 }
 
 /// The size of the message at the front of `data`, if it is a row of one value that is too long to be held: it is known from
@@ -72,7 +72,7 @@
 pub fn large_row(data: &[u8]) -> Option<usize> {
     let (&[b'D', a, b, c, d, 0, 1, e, f, g, h], _) = data.split_first_chunk::<11>()? else { return None };
     let [length, value] = [[a, b, c, d], [e, f, g, h]].map(|word| u32::from_be_bytes(word) as usize);
-    let large = (LONGEST_VALUE + 1..=LONGEST_STREAMED).contains(&value) && length == value + 10;
+    let large = (MAX_VALUE_SIZE + 1..=MAX_STREAMED_VALUE_SIZE).contains(&value) && length == value + 10;
     large.then_some(1 + length)
 }
 
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
     stage: Stage,
-    notes: Notes,
+    status: StatusParameters,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -97,11 +97,11 @@
 
 /// What a message is in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum AnswerPart {
     /// A message of the value, to be passed on; the row's value is the last so many bytes of it.
     Value(usize),
     /// Nothing to pass on.
-    Aside,
+    Ignored,
     /// The end of the connection comes with it.
     Fatal,
     /// The answer is over.
@@ -114,26 +114,28 @@
     /// # Errors
     ///
     /// When it has no place there, or does not hold together: the answer is spoilt.
-    pub fn take(&mut self, message: &Message<'_>) -> Result<Part, PgError> {
-        let (body, part) = (message.body, Part::Value(0));
+    pub fn take(&mut self, message: &Message<'_>) -> Result<AnswerPart, PgError> {
+        let (body, part) = (message.body, AnswerPart::Value(0));
         let (stage, part) = match (self.stage, message.tag) {
-            (Stage::Start, b'T') if one_column(body) => (Stage::Described, part),
+            (Stage::Start, b'T') if describes_one_column(body) => (Stage::Described, part),
             (Stage::Described, b'D') => {
                 let value = row_value(body)?.ok_or(PgError::Malformed("row"))?;
-                (Stage::Row, Part::Value(value.len()))
+                (Stage::Row, AnswerPart::Value(value.len()))
             }
-            (Stage::Row, b'C') if is_tag(body) => (Stage::Complete, part),
+            (Stage::Row, b'C') if is_command_tag(body) => (Stage::Complete, part),
             (Stage::Start, b'E') => {
                 let fields = error_fields(body)?;
-                (Stage::Failed(fields), if fields.fatal { Part::Fatal } else { Part::Aside })
+                (Stage::Failed(fields), if fields.fatal { AnswerPart::Fatal } else { AnswerPart::Ignored })
+            }
+            (Stage::Complete | Stage::Failed(_), b'Z') if is_ready_for_query(body) => {
+                (Stage::Ready, AnswerPart::Ready)
             }
-            (Stage::Complete | Stage::Failed(_), b'Z') if ready(body) => (Stage::Ready, Part::Ready),
             (stage, b'S') => {
                 let (name, value) = parameter(body)?;
-                self.notes.take(name, value);
-                (stage, Part::Aside)
+                self.status.record(name, value);
+                (stage, AnswerPart::Ignored)
             }
-            (stage, b'N' | b'A') => (stage, Part::Aside),
+            (stage, b'N' | b'A') => (stage, AnswerPart::Ignored),
             _ => return Err(PgError::Malformed("answer")),
         };
         if stage != Stage::Ready {
@@ -144,44 +146,44 @@
 
     /// Whether a row comes next.
     #[must_use]
-    pub fn described(&self) -> bool {
+    pub fn expects_row(&self) -> bool {
         self.stage == Stage::Described
     }
 
     /// The row has been passed on by other means.
     pub fn skip_row(&mut self) {
-        if self.described() {
+        if self.expects_row() {
             self.stage = Stage::Row;
         }
     }
 
     /// Whether the value, or the error, is all there.
     #[must_use]
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         matches!(self.stage, Stage::Complete | Stage::Failed(_))
     }
 
     /// The code of the error that it is, if it is one.
     #[must_use]
-    pub fn failed(&self) -> Option<Code> {
+    pub fn error_code(&self) -> Option<Code> {
         if let Stage::Failed(fields) = self.stage { Some(fields.code) } else { None }
     }
 
     /// What came beside it.
     #[must_use]
-    pub fn into_notes(self) -> Notes {
-        self.notes
+    pub fn into_status(self) -> StatusParameters {
+        self.status
     }
 }
 
 /// Whether a RowDescription describes one column.
-fn one_column(body: &[u8]) -> bool {
+fn describes_one_column(body: &[u8]) -> bool {
     let Some((&[0, 1], rest)) = body.split_first_chunk::<2>() else { return false };
     text(rest, "column").is_ok_and(|(_, rest)| rest.len() == 18)
 }
 
 /// Whether the body of a CommandComplete is one.
-fn is_tag(body: &[u8]) -> bool {
+fn is_command_tag(body: &[u8]) -> bool {
     text(body, "tag").is_ok_and(|(tag, rest)| {
         rest.is_empty() && !tag.is_empty() && tag.bytes().all(|byte| byte == b' ' || byte.is_ascii_graphic())
     })
@@ -202,7 +204,7 @@
 
 /// Whether the body of a ReadyForQuery is one.
 #[must_use]
-pub fn ready(body: &[u8]) -> bool {
+pub fn is_ready_for_query(body: &[u8]) -> bool {
     matches!(body, [b'I' | b'T' | b'E'])
 }
 
@@ -212,28 +214,28 @@
 ///
 /// When it is no row of just one column.
 pub fn row_value(body: &[u8]) -> Result<Option<&[u8]>, PgError> {
-    let bad = PgError::Malformed("row");
-    let Some((&[0, 1], rest)) = body.split_first_chunk::<2>() else { return Err(bad) };
-    let Some((size, value)) = rest.split_first_chunk::<4>() else { return Err(bad) };
+    let malformed = PgError::Malformed("row");
+    let Some((&[0, 1], rest)) = body.split_first_chunk::<2>() else { return Err(malformed) };
+    let Some((size, value)) = rest.split_first_chunk::<4>() else { return Err(malformed) };
     match i32::from_be_bytes(*size) {
         -1 if value.is_empty() => Ok(None),
         size if usize::try_from(size) == Ok(value.len()) => Ok(Some(value)),
-        _ => Err(bad),
+        _ => Err(malformed),
     }
 }
 
 /// What the ParameterStatus messages beside an answer tell of its server.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Notes {
+pub struct StatusParameters {
     role: Option<Role>,
     position: Option<Time>,
     /// The load report, by name.
     gauges: Option<String>,
 }
 
-impl Notes {
+impl StatusParameters {
     /// Takes one parameter; those that mean nothing here are passed over.
-    pub fn take(&mut self, name: &str, value: &str) {
+    pub fn record(&mut self, name: &str, value: &str) {
         match (name, value) {
             ("part", "master") => self.role = Some(Role::Primary),
             ("part", "replica") => self.role = Some(Role::Replica),
@@ -250,32 +252,32 @@
     /// The note, if the server said anything of its role or position.
     #[must_use]
     pub fn note(&self) -> Option<Note> {
-        let told = self.role.is_some() || self.position.is_some();
-        told.then_some(Note { role: self.role, position: self.position })
+        let known = self.role.is_some() || self.position.is_some();
+        known.then_some(Note { role: self.role, position: self.position })
     }
 
     /// The load report that came along, in the order of `fields`.
     #[must_use]
     pub fn report(&self, fields: &[(String, Field)]) -> Option<Vec<f64>> {
-        self.gauges.as_deref().and_then(|gauges| report(gauges, fields))
+        self.gauges.as_deref().and_then(|gauges| load_report(gauges, fields))
     }
 }
 
 /// A load report such as `inflight=7,util=0.61` in the order of `fields`. One that lacks a field, has it twice or
 /// gives it a value that it can't have is no report, and changes nothing.
 #[must_use]
-pub fn report(gauges: &str, fields: &[(String, Field)]) -> Option<Vec<f64>> {
+pub fn load_report(gauges: &str, fields: &[(String, Field)]) -> Option<Vec<f64>> {
     let pairs: Option<Vec<_>> = gauges.split(',').map(|pair| pair.trim().split_once('=')).collect();
     let pairs = pairs?;
     let value = |(name, field): &(String, Field)| {
-        let mut found = pairs.iter().filter(|(at, _)| at.trim() == name).map(|(_, text)| text.trim());
+        let mut found = pairs.iter().filter(|(key, _)| key.trim() == name).map(|(_, text)| text.trim());
         let value: f64 = found.next().filter(|_| found.next().is_none())?.parse().ok()?;
-        let can_be = match field {
-            Field::Position => value < LATEST_POSITION,
+        let in_range = match field {
+            Field::Position => value < MAX_POSITION_S,
             Field::Primary => value == 0.0 || value == 1.0,
             Field::Other => true,
         };
-        Some(value).filter(|value| can_be && value.is_finite() && *value >= 0.0)
+        Some(value).filter(|value| in_range && value.is_finite() && *value >= 0.0)
     };
     let values: Option<Vec<f64>> = fields.iter().map(value).collect();
     values.filter(|values| !values.is_empty())
--- a/crates/net/src/pg/comment.rs
+++ b/crates/net/src/pg/comment.rs
@@ -4,7 +4,7 @@
 use std::ops::Range;
 
 /// The longest id that a request may have.
-const LONGEST_ID: usize = 64;
+const MAX_ID_LEN: usize = 64;
 
 /// What the comment of a request says.
 #[derive(Clone, Debug, PartialEq)]
@@ -18,26 +18,26 @@
     /// Its client marks it as a retry.
     pub retry: bool,
     /// How long the client waits, in milliseconds.
-    pub wait_ms: f64,
+    pub timeout_ms: f64,
     /// Where that number stands in the statement: it is rewritten for each attempt.
-    pub wait_at: Range<usize>,
+    pub timeout_range: Range<usize>,
     /// The group.
-    pub cluster: i64,
+    pub group: i64,
     /// The time of the session's last commit, Unix time in milliseconds, where clients carry it.
-    pub after_ms: Option<f64>,
+    pub last_commit_ms: Option<f64>,
 }
 
 /// What a statement asks of the pooler.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Asks<'a> {
+pub enum StatementKind<'a> {
     /// Nothing at all.
-    Nothing,
+    Empty,
     /// A change of the session's own state, which has no effect here: the command's tag.
-    Session(&'static str),
+    SessionCommand(&'static str),
     /// A request to route.
     Request(Comment<'a>),
     /// Anything else, which is not served.
-    Unknown,
+    Unsupported,
 }
 
 /// Reads a statement.
@@ -45,17 +45,17 @@
 /// # Errors
 ///
 /// When it has a comment of a request that lacks a part or has an unreadable one.
-pub fn request(statement: &str) -> Result<Asks<'_>, PgError> {
-    let bare = statement.trim_matches(|c: char| c.is_ascii_whitespace() || c == ';');
-    if bare.is_empty() {
-        return Ok(Asks::Nothing);
+pub fn parse_statement(statement: &str) -> Result<StatementKind<'_>, PgError> {
+    let trimmed = statement.trim_matches(|c: char| c.is_ascii_whitespace() || c == ';');
+    if trimmed.is_empty() {
+        return Ok(StatementKind::Empty);
     }
     if let Some(inner) = comment_at(statement) {
-        return comment(statement, inner).map(Asks::Request);
+        return comment(statement, inner).map(StatementKind::Request);
     }
-    let word = bare.split(|c: char| !c.is_ascii_alphabetic()).next().unwrap_or("");
-    let own = ["SET", "RESET", "DISCARD"].into_iter().find(|own| word.eq_ignore_ascii_case(own));
-    Ok(own.map_or(Asks::Unknown, Asks::Session))
+    let word = trimmed.split(|c: char| !c.is_ascii_alphabetic()).next().unwrap_or("");
+    let command = ["SET", "RESET", "DISCARD"].into_iter().find(|command| word.eq_ignore_ascii_case(command));
+    Ok(command.map_or(StatementKind::Unsupported, StatementKind::SessionCommand))
 }
 
 /// Where the inside of the comment at the end stands.
@@ -67,7 +67,7 @@
 }
 
 fn comment(statement: &str, inner: Range<usize>) -> Result<Comment<'_>, PgError> {
-    let (mut id, mut class, mut wait, mut cluster, mut after_ms) = (None, None, None, None, None);
+    let (mut id, mut class, mut timeout, mut cluster, mut last_commit_ms) = (None, None, None, None, None);
     let (mut tenant, mut retry) = (None, false);
     let mut at = inner.start;
     for pair in statement[inner].split(',') {
@@ -80,31 +80,32 @@
             "c" => class = Some(value),
             "t" => tenant = Some(value),
             "r" => retry = value == "1",
-            "d" => wait = Some((value, from..from + value.len())),
+            "d" => timeout = Some((value, from..from + value.len())),
             "cluster" => cluster = Some(value),
-            "after" => after_ms = value.parse().ok(),
+            "after" => last_commit_ms = value.parse().ok(),
             _ => {}
         }
     }
     let missing = PgError::Malformed("request comment");
-    let (wait, wait_at) = wait.ok_or(missing)?;
+    let (timeout, timeout_range) = timeout.ok_or(missing)?;
     // No sign, no exponent, no 'inf' or 'nan', all of which the standard library would read.
-    let plain = wait.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
-    let wait_ms = wait.parse().ok().filter(|ms| plain && (0.0..1e9).contains(ms)).ok_or(missing)?;
+    let is_decimal = timeout.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+    let timeout_ms =
+        timeout.parse().ok().filter(|ms| is_decimal && (0.0..1e9).contains(ms)).ok_or(missing)?;
     let cluster = cluster.map_or(Ok(0), str::parse).map_err(|_| missing)?;
     let (id, class) = (id.ok_or(missing)?, class.ok_or(missing)?);
-    Ok(Comment { id, class, tenant, retry, wait_ms, wait_at, cluster, after_ms })
+    Ok(Comment { id, class, tenant, retry, timeout_ms, timeout_range, group: cluster, last_commit_ms })
 }
 
 /// Whether a client's id of a request can be one.
 fn is_id(id: &str) -> bool {
-    (1..=LONGEST_ID).contains(&id.len())
+    (1..=MAX_ID_LEN).contains(&id.len())
         && id.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-')
 }
 
 /// The first quoted text of a statement, without its quotes; a doubled quote in it stays doubled.
 #[must_use]
-pub fn key(statement: &str) -> Option<&str> {
+pub fn quoted_key(statement: &str) -> Option<&str> {
     let start = statement.find('\'')? + 1;
     let inside = &statement[start..];
     let mut quotes = inside.match_indices('\'').map(|(at, _)| at);
--- a/crates/net/src/pg/frontend.rs
+++ b/crates/net/src/pg/frontend.rs
@@ -1,6 +1,6 @@
 //! What a client sends.
 
-use super::{LONGEST_STARTUP, PgError, length, text};
+use super::{MAX_STARTUP_SIZE, PgError, length, text};
 
 /// The message that opens a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
 ///
 /// When its length or version is impossible.
 pub fn startup(data: &[u8]) -> Result<Option<(Startup, usize)>, PgError> {
-    let Some(size) = length(data, LONGEST_STARTUP)? else { return Ok(None) };
+    let Some(size) = length(data, MAX_STARTUP_SIZE)? else { return Ok(None) };
     let Some(body) = data.get(4..size) else { return Ok(None) };
     let Some(&[a, b, c, d]) = body.first_chunk::<4>() else {
         return Err(PgError::Malformed("startup message"));
--- a/crates/net/src/pg/mod.rs
+++ b/crates/net/src/pg/mod.rs
@@ -7,20 +7,20 @@
 pub mod write;
 
 pub use backend::{
-    Answer, Code, ErrorFields, Notes, Part, error_fields, large_row, parameter, ready, report, row_value,
-    server_message,
+    Answer, AnswerPart, Code, ErrorFields, StatusParameters, error_fields, is_ready_for_query, large_row,
+    load_report, parameter, row_value, server_message,
 };
-pub use comment::{Asks, Comment, key, request};
+pub use comment::{Comment, StatementKind, parse_statement, quoted_key};
 pub use frontend::{Startup, query_text, startup};
 
 /// The longest value.
-pub const LONGEST_VALUE: usize = 64 * 1024;
+pub const MAX_VALUE_SIZE: usize = 64 * 1024;
 /// The longest value that is passed on in pieces as it comes, never held whole.
-pub const LONGEST_STREAMED: usize = 4 * 1024 * 1024;
+pub const MAX_STREAMED_VALUE_SIZE: usize = 4 * 1024 * 1024;
 /// The longest message taken from a client: a value doubles as hex digits in a statement.
-pub const LONGEST: usize = 2 * LONGEST_VALUE + 4 * 1024;
+pub const MAX_MESSAGE_SIZE: usize = 2 * MAX_VALUE_SIZE + 4 * 1024;
 /// The longest startup message, as PostgreSQL has it.
-pub const LONGEST_STARTUP: usize = 10_000;
+pub const MAX_STARTUP_SIZE: usize = 10_000;
 
 /// Why a stream of messages can't be followed any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
@@ -51,24 +51,24 @@
 ///
 /// # Errors
 ///
-/// When the length is impossible or over [`LONGEST`].
+/// When the length is impossible or over [`MAX_MESSAGE_SIZE`].
 pub fn message(data: &[u8]) -> Result<Option<Message<'_>>, PgError> {
-    bounded(data, LONGEST)
+    bounded(data, MAX_MESSAGE_SIZE)
 }
 
 /// The first message in `data`, if its length is no more than this.
-fn bounded(data: &[u8], most: usize) -> Result<Option<Message<'_>>, PgError> {
+fn bounded(data: &[u8], max_length: usize) -> Result<Option<Message<'_>>, PgError> {
     let Some((&tag, rest)) = data.split_first() else { return Ok(None) };
-    let Some(length) = length(rest, most)? else { return Ok(None) };
+    let Some(length) = length(rest, max_length)? else { return Ok(None) };
     let body = rest.get(4..length);
     Ok(body.map(|body| Message { tag, body, size: 1 + length }))
 }
 
 /// The length word at the front, which counts itself.
-fn length(data: &[u8], most: usize) -> Result<Option<usize>, PgError> {
+fn length(data: &[u8], max_length: usize) -> Result<Option<usize>, PgError> {
     let Some(word) = data.first_chunk::<4>().map(|word| u32::from_be_bytes(*word)) else { return Ok(None) };
     let length = usize::try_from(word).unwrap_or(usize::MAX);
-    if (4..=most).contains(&length) { Ok(Some(length)) } else { Err(PgError::Length(word)) }
+    if (4..=max_length).contains(&length) { Ok(Some(length)) } else { Err(PgError::Length(word)) }
 }
 
 /// Splits off a text that ends with a zero byte.
--- a/crates/net/src/pg/write.rs
+++ b/crates/net/src/pg/write.rs
@@ -25,7 +25,7 @@
 }
 
 /// The answer to a startup message: welcome, and ready.
-pub fn welcome(out: &mut Vec<u8>, process: u32, secret: u32) {
+pub fn session_start(out: &mut Vec<u8>, process: u32, secret: u32) {
     message(out, b'R', |out| out.extend_from_slice(&0_u32.to_be_bytes()));
     let parameters = [
         ("server_version", "15.0 (linnetdeal)"),
@@ -45,29 +45,35 @@
         out.extend_from_slice(&process.to_be_bytes());
         out.extend_from_slice(&secret.to_be_bytes());
     });
-    ready(out);
+    ready_for_query(out);
 }
 
 /// ReadyForQuery, outside a transaction.
-pub fn ready(out: &mut Vec<u8>) {
+pub fn ready_for_query(out: &mut Vec<u8>) {
     message(out, b'Z', |out| out.push(b'I'));
 }
 
 /// EmptyQueryResponse.
-pub fn empty_query(out: &mut Vec<u8>) {
+pub fn empty_query_response(out: &mut Vec<u8>) {
     message(out, b'I', |_| {});
 }
 
 /// CommandComplete.
-pub fn complete(out: &mut Vec<u8>, tag: &str) {
+pub fn command_complete(out: &mut Vec<u8>, tag: &str) {
     message(out, b'C', |out| text(out, tag));
 }
 
 /// ErrorResponse; `detail` is its field D.
-pub fn error(out: &mut Vec<u8>, severity: Severity, code: &str, words: &str, detail: Option<&str>) {
+pub fn error_response(
+    out: &mut Vec<u8>,
+    severity: Severity,
+    code: &str,
+    error_message: &str,
+    detail: Option<&str>,
+) {
     let severity = if severity == Severity::Fatal { "FATAL" } else { "ERROR" };
     message(out, b'E', |out| {
-        for (field, value) in [(b'S', severity), (b'V', severity), (b'C', code), (b'M', words)] {
+        for (field, value) in [(b'S', severity), (b'V', severity), (b'C', code), (b'M', error_message)] {
             out.push(field);
             text(out, value);
         }
@@ -84,8 +90,8 @@
     let at = out.len();
     out.extend_from_slice(&[0; 4]);
     out.extend_from_slice(&(3_u32 << 16).to_be_bytes());
-    for word in ["user", user, "database", database] {
-        text(out, word);
+    for field in ["user", user, "database", database] {
+        text(out, field);
     }
     out.push(0);
     let length = u32::try_from(out.len() - at).unwrap_or(u32::MAX);
--- a/crates/net/src/timer_queue.rs
+++ b/crates/net/src/timer_queue.rs
@@ -20,32 +20,32 @@
 #[derive(Debug, Default)]
 pub struct TimerQueue {
     due: RefCell<BTreeMap<Key, Waker>>,
-    last: Cell<u64>,
+    last_id: Cell<u64>,
     /// When the timer rings.
-    rings: Cell<Option<Instant>>,
-    sooner: Event,
+    armed_for: Cell<Option<Instant>>,
+    rearm: Event,
 }
 
 impl TimerQueue {
     /// Ends at `when`, or a little later.
-    pub fn at(&self, when: Instant) -> Timeout<'_> {
-        self.last.set(self.last.get() + 1);
-        Timeout { timers: self, key: (when, self.last.get()), set: false }
+    pub fn wait_until(&self, deadline: Instant) -> Timeout<'_> {
+        self.last_id.set(self.last_id.get() + 1);
+        Timeout { timers: self, key: (deadline, self.last_id.get()), registered: false }
     }
 
     /// Wakes those whose time has come. Runs for ever.
     pub async fn run(&self) {
         loop {
-            let sooner = self.sooner.listen();
+            let rearm = self.rearm.listen();
             let first = self.due.borrow().first_key_value().map(|(key, _)| key.0);
-            self.rings.set(first);
+            self.armed_for.set(first);
             match first {
-                None => sooner.await,
+                None => rearm.await,
                 Some(at) => {
-                    let rings = async {
+                    let timer_fires = async {
                         Timer::at(at).await;
                     };
-                    or(rings, sooner).await;
+                    or(timer_fires, rearm).await;
                 }
             }
             let later = self.due.borrow_mut().split_off(&(Instant::now(), u64::MAX));
@@ -56,15 +56,15 @@
 
     /// How many limits are being waited for.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn pending(&self) -> usize {
         self.due.borrow().len()
     }
 
-    fn set(&self, key: Key, waker: Waker) {
+    fn register(&self, key: Key, waker: Waker) {
         self.due.borrow_mut().insert(key, waker);
-        if self.rings.get().is_none_or(|at| key.0 < at) {
-            self.rings.set(Some(key.0));
-            self.sooner.notify(1);
+        if self.armed_for.get().is_none_or(|at| key.0 < at) {
+            self.armed_for.set(Some(key.0));
+            self.rearm.notify(1);
         }
     }
 }
@@ -74,7 +74,7 @@
 pub struct Timeout<'a> {
     timers: &'a TimerQueue,
     key: Key,
-    set: bool,
+    registered: bool,
 }
 
 impl Future for Timeout<'_> {
@@ -84,10 +84,11 @@
         if Instant::now() >= self.key.0 {
             return Poll::Ready(());
         }
-        let known = self.timers.due.borrow().get(&self.key).is_some_and(|of| of.will_wake(context.waker()));
-        if !known {
-            self.timers.set(self.key, context.waker().clone());
-            self.set = true;
+        let up_to_date =
+            self.timers.due.borrow().get(&self.key).is_some_and(|waker| waker.will_wake(context.waker()));
+        if !up_to_date {
+            self.timers.register(self.key, context.waker().clone());
+            self.registered = true;
         }
         Poll::Pending
     }
@@ -95,7 +96,7 @@
 
 impl Drop for Timeout<'_> {
     fn drop(&mut self) {
-        if self.set {
+        if self.registered {
             self.timers.due.borrow_mut().remove(&self.key);
         }
     }
--- a/crates/net/src/upstream.rs
+++ b/crates/net/src/upstream.rs
@@ -1,12 +1,12 @@
 //! Connections to servers: opened when none is free, reused last in first out, within a budget.
 
 use super::buffer::{ReadBuffer, write_all, write_now, write_rest};
-use super::connection::{Budget, Connection, Look, Lost, MARK, Permit, Presence};
+use super::connection::{Budget, Connection, ExchangeError, IdleState, MemberUse, PING_QUERY, Permit};
 use super::counters::Counters;
 use super::members::Members;
-use super::pg::{self, Code, Notes, Part};
+use super::pg::{self, AnswerPart, Code, StatusParameters};
 use super::request::{AttemptResult, SendGate, Transport};
-use super::system_errors::{is_momentary, is_shortage};
+use super::system_errors::{is_shortage, is_transient};
 use super::timer_queue::TimerQueue;
 use crate::config::{HostSettings, span_of};
 use crate::mutants::{self, Mutant};
@@ -44,7 +44,7 @@
 /// A large answer that brings nothing for so long has ended.
 const SILENT: Duration = Duration::from_secs(10);
 /// More than this no answer takes up, notices and all.
-const LONGEST_ANSWER: usize = 2 * pg::LONGEST_VALUE;
+const LONGEST_ANSWER: usize = 2 * pg::MAX_VALUE_SIZE;
 /// What a server sends too much comes just behind an answer, and must not be taken for the next: a connection
 /// rests for this long after one while there are others.
 const RESTED: Duration = Duration::from_millis(20);
@@ -104,11 +104,11 @@
 async fn bounded<T>(
     timers: &TimerQueue,
     longest: Duration,
-    work: impl Future<Output = Result<T, Lost>>,
-) -> Result<T, Lost> {
+    work: impl Future<Output = Result<T, ExchangeError>>,
+) -> Result<T, ExchangeError> {
     let limit = async {
-        timers.at(Instant::now() + longest).await;
-        Err(Lost::Silent)
+        timers.wait_until(Instant::now() + longest).await;
+        Err(ExchangeError::NoResponse)
     };
     or(work, limit).await
 }
@@ -218,7 +218,7 @@
 /// What was read up to ReadyForQuery, or until the server ended the connection.
 struct Exchange {
     verdict: Verdict,
-    notes: Notes,
+    notes: StatusParameters,
     /// The answer's messages in the buffer.
     pieces: Vec<Range<usize>>,
     /// The answer and what of its row is to come, if that is too long to be held; the buffer ends within it.
@@ -267,7 +267,7 @@
         stall: Rc<StallDetector>,
         most: usize,
     ) -> Self {
-        let budget = Rc::new(Budget { used: Cell::new(0), most, freed: Event::new() });
+        let budget = Rc::new(Budget { used: Cell::new(0), max: most, released: Event::new() });
         Self {
             members,
             counters,
@@ -299,8 +299,8 @@
         self.present.borrow().get(member).is_none_or(|count| count.get() == 0)
     }
 
-    fn present(&self, member: &MemberId) -> Presence {
-        Presence::at(self.present.borrow_mut().entry(member.clone()).or_default())
+    fn present(&self, member: &MemberId) -> MemberUse {
+        MemberUse::new(self.present.borrow_mut().entry(member.clone()).or_default())
     }
 
     fn note(&self, member: &MemberId, sent: bool, verdict: Verdict) {
@@ -339,7 +339,7 @@
         let longest = self.longest_idle();
         self.idle.borrow_mut().retain(|member, connections| {
             let address = self.members.address(member).filter(|_| self.members.in_service(member));
-            connections.retain_mut(|one| one.look(address, longest) == Look::Good);
+            connections.retain_mut(|one| one.check_idle(address, longest) == IdleState::Usable);
             !connections.is_empty()
         });
     }
@@ -377,8 +377,8 @@
         if !self.members.in_service(member) {
             return;
         }
-        match connection.take() {
-            Ok(true) => connection.buffer.rest(),
+        match connection.consume_ping_answers() {
+            Ok(true) => connection.buffer.release_if_empty(),
             Ok(false) => {}
             Err(_) => return self.doubt(member, Reuse::Asked),
         }
@@ -401,10 +401,10 @@
         loop {
             let rested = connections.iter().rposition(|one| one.idle_since.elapsed() >= RESTED);
             let mut connection = connections.remove(rested.unwrap_or(0))?;
-            match connection.look(address, self.longest_idle()) {
-                Look::Good => return Some(connection),
-                Look::Over => {}
-                Look::Noise => self.doubt(member, Reuse::Asked),
+            match connection.check_idle(address, self.longest_idle()) {
+                IdleState::Usable => return Some(connection),
+                IdleState::Closed => {}
+                IdleState::UnexpectedData => self.doubt(member, Reuse::Asked),
             }
         }
     }
@@ -412,10 +412,10 @@
     /// Room for one more connection, made by closing an idle one if need be. It waits while there is none:
     /// the own shortage must not look like the member's failure.
     async fn permit(&self, member: &MemberId) -> Permit {
-        while self.budget.used.get() >= self.budget.most && !self.close_one_idle() {
+        while self.budget.used.get() >= self.budget.max && !self.close_one_idle() {
             self.counters.short.add();
-            let freed = self.budget.freed.listen();
-            or(freed, async {
+            let released = self.budget.released.listen();
+            or(released, async {
                 let _ = Timer::after(SHORT_PAUSE).await;
             })
             .await;
@@ -429,7 +429,7 @@
         member: &MemberId,
         once: bool,
         stage: &Cell<Stage>,
-    ) -> Result<(Connection, Option<Reuse>), Lost> {
+    ) -> Result<(Connection, Option<Reuse>), ExchangeError> {
         let mut failures = 0;
         loop {
             for _ in 0..MOST_ASKED {
@@ -438,20 +438,20 @@
                 let rested = span_of(connection.idle_since.elapsed());
                 let mut reuse = self.trust.borrow().reuse(member, self.now(), rested, once);
                 // Nothing told yet that its last answer came alone.
-                if connection.rests() && !connection.alone {
+                if connection.is_settled() && !connection.boundary_verified {
                     reuse = Reuse::Asked;
                 }
                 let settled = match reuse {
-                    Reuse::AtOnce if connection.rests() => Ok(()),
-                    Reuse::AtOnce => bounded(&self.timers, ASKED_WAIT, connection.rest()).await,
-                    Reuse::Asked => bounded(&self.timers, ASKED_WAIT, connection.ask()).await,
+                    Reuse::AtOnce if connection.is_settled() => Ok(()),
+                    Reuse::AtOnce => bounded(&self.timers, ASKED_WAIT, connection.settle()).await,
+                    Reuse::Asked => bounded(&self.timers, ASKED_WAIT, connection.ping()).await,
                 };
                 if settled.is_ok() {
                     return Ok((connection, Some(reuse)));
                 }
                 // It has ended, fell silent, or brought what was nobody's: it is closed, with nothing sent on it.
                 self.doubt(member, Reuse::Asked);
-                if matches!(settled, Err(Lost::Silent)) {
+                if matches!(settled, Err(ExchangeError::NoResponse)) {
                     break;
                 }
             }
@@ -459,40 +459,40 @@
             let permit = self.permit(member).await;
             // Room may have been long in coming: who was taken out meanwhile is not called either.
             if !self.members.in_service(member) {
-                return Err(Lost::Withdrawn);
+                return Err(ExchangeError::MemberWithdrawn);
             }
             stage.set(Stage::Dialing);
             let dial_timeout = self.host.borrow().dial_timeout;
             match bounded(&self.timers, dial_timeout, self.dial(member, permit)).await {
                 // The system is out of something though the budget is not: wait, and let an idle one go.
-                Err(Lost::Short) => {
+                Err(ExchangeError::LocalShortage) => {
                     stage.set(Stage::Waiting);
                     self.counters.short.add();
                     self.close_one_idle();
                     Timer::after(SHORT_PAUSE).await;
                 }
-                Err(Lost::Momentary) if failures < MOST_MOMENTARY => {
+                Err(ExchangeError::LocalTransient) if failures < MOST_MOMENTARY => {
                     failures += 1;
                     stage.set(Stage::Waiting);
                     self.counters.short.add();
                     Timer::after(SHORT_PAUSE).await;
                 }
                 // It lasts: as far as this machine can tell, nobody is there.
-                Err(Lost::Momentary) => return Err(Lost::Silent),
+                Err(ExchangeError::LocalTransient) => return Err(ExchangeError::NoResponse),
                 other => return other.map(|connection| (connection, None)),
             }
         }
     }
 
-    async fn dial(&self, member: &MemberId, permit: Permit) -> Result<Connection, Lost> {
-        let address = self.members.address(member).ok_or(Lost::Down)?;
+    async fn dial(&self, member: &MemberId, permit: Permit) -> Result<Connection, ExchangeError> {
+        let address = self.members.address(member).ok_or(ExchangeError::ConnectRefused)?;
         self.counters.dials.add();
         let stream = Async::<TcpStream>::connect(address).await.map_err(|error| match error.kind() {
-            io::ErrorKind::ConnectionReset => Lost::Broken,
-            io::ErrorKind::ConnectionRefused => Lost::Down,
-            _ if is_shortage(&error) => Lost::Short,
-            _ if is_momentary(&error) => Lost::Momentary,
-            _ => Lost::Silent,
+            io::ErrorKind::ConnectionReset => ExchangeError::Broken,
+            io::ErrorKind::ConnectionRefused => ExchangeError::ConnectRefused,
+            _ if is_shortage(&error) => ExchangeError::LocalShortage,
+            _ if is_transient(&error) => ExchangeError::LocalTransient,
+            _ => ExchangeError::NoResponse,
         })?;
         stream.get_ref().set_nodelay(true)?;
         let mut hello = Vec::with_capacity(64);
@@ -503,8 +503,8 @@
             while let Some(message) = pg::server_message(buffer.data())? {
                 let (tag, size) = (message.tag, message.size);
                 match tag {
-                    b'E' => return Err(Lost::Said(pg::error_fields(message.body)?.code)),
-                    b'R' if message.body != [0; 4] => return Err(Lost::Broken),
+                    b'E' => return Err(ExchangeError::ServerError(pg::error_fields(message.body)?.code)),
+                    b'R' if message.body != [0; 4] => return Err(ExchangeError::Broken),
                     _ => {}
                 }
                 buffer.consume(size);
@@ -513,7 +513,7 @@
                 }
             }
             if buffer.fill(&stream).await? == 0 {
-                return Err(Lost::Broken);
+                return Err(ExchangeError::Broken);
             }
         }
     }
@@ -525,19 +525,19 @@
         query: &Query<'_>,
         course: &Course,
         gate: &dyn SendGate,
-    ) -> Result<(Connection, Exchange), Lost> {
+    ) -> Result<(Connection, Exchange), ExchangeError> {
         let Course { stage, kept, .. } = course;
         // Who has been taken out since is not even called: work may begin there as soon as nothing is under way.
         if !self.members.in_service(member) {
-            return Err(Lost::Withdrawn);
+            return Err(ExchangeError::MemberWithdrawn);
         }
         let (mut connection, reuse) = self.connection(member, query.runs_once(), stage).await?;
         // What came while the process stood still is taken first: it may say that the member is withdrawn. The connection may
         // have ended meanwhile.
-        if self.stall.just_ended() {
+        if self.stall.just_resumed() {
             yield_now().await;
-            if connection.look(self.members.address(member), self.longest_idle()) != Look::Good {
-                return Err(Lost::Broken);
+            if connection.check_idle(self.members.address(member), self.longest_idle()) != IdleState::Usable {
+                return Err(ExchangeError::Broken);
             }
         }
         stage.set(Stage::Writing);
@@ -545,9 +545,9 @@
         // that nothing but one answer came.
         let marks = self.trust.borrow().marks(member, self.now());
         if marks {
-            connection.marked();
+            connection.sent_with_ping();
         } else {
-            connection.unmarked();
+            connection.sent_without_ping();
         }
         self.write_query(&connection, member, query, marks, course, gate).await?;
         stage.set(Stage::Sent);
@@ -571,15 +571,16 @@
         marks: bool,
         course: &Course,
         gate: &dyn SendGate,
-    ) -> Result<(), Lost> {
+    ) -> Result<(), ExchangeError> {
         let Course { written, .. } = course;
         loop {
-            let told = gate.admit(self.members.in_service(member)).map_err(|_| Lost::Withdrawn)?;
+            let told =
+                gate.admit(self.members.in_service(member)).map_err(|_| ExchangeError::MemberWithdrawn)?;
             let message = query.message(told);
             course.size.set(message.size());
             let mut pieces = message.pieces();
             if marks {
-                pieces.push(MARK);
+                pieces.push(PING_QUERY);
             }
             match write_now(connection.stream.get_ref(), &pieces, written) {
                 Ok(()) => {
@@ -606,7 +607,7 @@
         let _present = self.present(member);
         let answer = async { Some(self.exchange(member, query, &course, gate).await) };
         let limit = async {
-            self.timers.at(until).await;
+            self.timers.wait_until(until).await;
             None
         };
         let ended = or(answer, limit).await;
@@ -615,20 +616,22 @@
         }
         match (ended, course.stage()) {
             (Some(Ok(done)), _) => Ok(done),
-            (Some(Err(Lost::Said(code))), _) => Err(refused_session(code)),
+            (Some(Err(ExchangeError::ServerError(code))), _) => Err(refused_session(code)),
             // Nothing was sent, and nothing is known of the member.
-            (Some(Err(Lost::Withdrawn)), _) | (None, Stage::Waiting) => Err(Verdict::Moot),
+            (Some(Err(ExchangeError::MemberWithdrawn)), _) | (None, Stage::Waiting) => Err(Verdict::Moot),
             (None, Stage::Sent) => Err(Verdict::Timeout),
             // Silence for less than the dial's own limit: nothing was sent, and it may be this connection's alone.
             (None, Stage::Dialing) => Err(Verdict::Broken),
             (Some(Err(_)), Stage::Sent) => Err(lost_answer()),
-            (None, Stage::Writing) | (Some(Err(Lost::Down)), _) => Err(Verdict::ConnectFailed),
-            (Some(Err(Lost::Silent)), _) => Err(Verdict::Unreachable),
+            (None, Stage::Writing) | (Some(Err(ExchangeError::ConnectRefused)), _) => {
+                Err(Verdict::ConnectFailed)
+            }
+            (Some(Err(ExchangeError::NoResponse)), _) => Err(Verdict::Unreachable),
             (Some(Err(_)), _) => Err(Verdict::Broken),
         }
     }
 
-    /// Asks a member for its load report.
+    /// StatementKind a member for its load report.
     pub async fn probe(&self, member: &MemberId) -> (Verdict, Option<Vec<f64>>) {
         let until = Instant::now() + PROBE_WAIT;
         match self.within(until, member, &Query::Probe, &ProbeGate { until }).await {
@@ -640,7 +643,7 @@
                 self.note(member, false, exchange.verdict);
                 let value = exchange.value.and_then(|at| connection.buffer.data().get(at));
                 let text = value.and_then(|value| std::str::from_utf8(value).ok());
-                let report = text.and_then(|text| pg::report(text, &self.host.borrow().report));
+                let report = text.and_then(|text| pg::load_report(text, &self.host.borrow().report));
                 if exchange.ready {
                     connection.buffer.consume(exchange.size);
                     self.put_back(member, connection);
@@ -665,7 +668,7 @@
             loop {
                 let buffer = &mut rest.connection.buffer;
                 if rest.left > 0 && !buffer.data().is_empty() {
-                    let piece = buffer.piece(rest.left).to_vec();
+                    let piece = buffer.take_up_to(rest.left).to_vec();
                     rest.left -= piece.len();
                     return Ok(Some(piece));
                 }
@@ -678,11 +681,11 @@
                         };
                         let size = message.size;
                         let part = rest.answer.take(&message).map_err(|_| cut())?;
-                        if matches!(part, Part::Value(_)) {
+                        if matches!(part, AnswerPart::Value(_)) {
                             tail.extend_from_slice(&buffer.data()[..size]);
                         }
                         buffer.consume(size);
-                        if part == Part::Ready {
+                        if part == AnswerPart::Ready {
                             rest.over = true;
                             break;
                         }
@@ -696,7 +699,7 @@
                 }
                 buffer.grow(PIECE);
                 if buffer.fill(&rest.connection.stream).await? == 0 {
-                    return if rest.answer.whole() { Ok(None) } else { Err(cut()) };
+                    return if rest.answer.is_complete() { Ok(None) } else { Err(cut()) };
                 }
             }
         };
@@ -778,24 +781,24 @@
 
 /// Reads one answer up to ReadyForQuery; what was whole before the connection ended counts. A spoilt one may
 /// have run, like one that never came.
-async fn read_answer(stream: &Async<TcpStream>, buffer: &mut ReadBuffer) -> Result<Exchange, Lost> {
+async fn read_answer(stream: &Async<TcpStream>, buffer: &mut ReadBuffer) -> Result<Exchange, ExchangeError> {
     let mut answer = pg::Answer::default();
     let mut pieces: Vec<Range<usize>> = Vec::new();
     let (mut value, mut at, mut ready) = (None, 0, false);
     'reading: loop {
         loop {
-            if let Some(row) = pg::large_row(&buffer.data()[at..]).filter(|_| answer.described()) {
+            if let Some(row) = pg::large_row(&buffer.data()[at..]).filter(|_| answer.expects_row()) {
                 let (end, all) = (at + row, buffer.data().len());
                 pieces.push(at..all.min(end));
                 let (large, size) = (Some((answer, end.saturating_sub(all))), all.min(end));
-                let notes = Notes::default();
+                let notes = StatusParameters::default();
                 return Ok(Exchange { verdict: Verdict::Ok, notes, pieces, large, value, size, ready });
             }
             let Some(message) = pg::server_message(&buffer.data()[at..])? else { break };
             let piece = at..at + message.size;
             at = piece.end;
             match answer.take(&message)? {
-                Part::Value(size) => {
+                AnswerPart::Value(size) => {
                     if message.tag == b'D' {
                         value = Some(at - size..at);
                     }
@@ -804,9 +807,9 @@
                         None => pieces.push(piece),
                     }
                 }
-                Part::Aside => {}
-                Part::Fatal => break 'reading,
-                Part::Ready => {
+                AnswerPart::Ignored => {}
+                AnswerPart::Fatal => break 'reading,
+                AnswerPart::Ready => {
                     ready = true;
                     break 'reading;
                 }
@@ -814,16 +817,16 @@
         }
         // More than any answer has means that the stream makes no sense; it is not kept in memory.
         if buffer.data().len() > LONGEST_ANSWER {
-            return Err(Lost::Broken);
+            return Err(ExchangeError::Broken);
         }
         match buffer.fill(stream).await {
             Ok(1..) => {}
-            Ok(0) | Err(_) if answer.whole() => break,
-            _ => return Err(Lost::Broken),
+            Ok(0) | Err(_) if answer.is_complete() => break,
+            _ => return Err(ExchangeError::Broken),
         }
     }
-    let verdict = answer.failed().map_or(Verdict::Ok, verdict);
-    Ok(Exchange { verdict, notes: answer.into_notes(), pieces, large: None, value, size: at, ready })
+    let verdict = answer.error_code().map_or(Verdict::Ok, verdict);
+    Ok(Exchange { verdict, notes: answer.into_status(), pieces, large: None, value, size: at, ready })
 }
 
 #[cfg(test)]
--- a/crates/net/tests/parsers.rs
+++ b/crates/net/tests/parsers.rs
@@ -19,7 +19,7 @@
             let _ = pg::Answer::default().take(&message);
         }
         let text = String::from_utf8_lossy(&data);
-        let _ = (pg::request(&text), pg::key(&text), pg::report(&text, &[]));
+        let _ = (pg::parse_statement(&text), pg::quoted_key(&text), pg::load_report(&text, &[]));
     }
 
     #[test]
@@ -49,16 +49,16 @@
         let ended = tags.chars().map(|tag| {
             let body = body(tag);
             let part = answer.take(&pg::Message { tag: tag as u8, body: &body, size: 5 + body.len() });
-            passed += usize::from(matches!(part, Ok(pg::Part::Value(_))));
+            passed += usize::from(matches!(part, Ok(pg::AnswerPart::Value(_))));
             part
         });
         // Up to what spoils or ends it.
-        let ended = ended.take_while(Result::is_ok).map(Result::unwrap).find(|part| *part == pg::Part::Ready);
+        let ended = ended.take_while(Result::is_ok).map(Result::unwrap).find(|part| *part == pg::AnswerPart::Ready);
         let own: String = tags.chars().filter(|tag| !"SN".contains(*tag)).collect();
         let good = own.starts_with("TDCZ") || own.starts_with("EZ");
         prop_assert_eq!(ended.is_some(), good, "{}", tags);
         if good {
-            prop_assert_eq!((passed, answer.failed().is_none()), if own.starts_with('T') { (3, true) } else { (0, false) });
+            prop_assert_eq!((passed, answer.error_code().is_none()), if own.starts_with('T') { (3, true) } else { (0, false) });
         }
     }
 
@@ -66,24 +66,24 @@
     fn a_load_report_that_can_not_be_is_none(gauges in "(x0=(1767225600.5|inf|1e99|-1|)|x1=(0|1|2|nan)|x2=1|noise){1}(,(x1=(0|1|7)|x0=5))?") {
         let fields = [("x0".to_owned(), Field::Position), ("x1".to_owned(), Field::Primary)];
         let good = ["x0=1767225600.5,x1=0", "x0=1767225600.5,x1=1", "x1=0,x0=5", "x1=1,x0=5"];
-        prop_assert_eq!(pg::report(&gauges, &fields).is_some(), good.contains(&gauges.as_str()), "{}", gauges);
+        prop_assert_eq!(pg::load_report(&gauges, &fields).is_some(), good.contains(&gauges.as_str()), "{}", gauges);
     }
 
     #[test]
     fn a_request_comment_gives_the_place_of_its_wait(wait in 0_u32..100_000, key in "[a-z'é/*]{0,12}") {
         let key = key.replace('\'', "''");
         let statement = format!("SELECT content FROM kv WHERE name = '{key}' /* id=9b, c=menu,d={wait}, cluster=2 */");
-        let Ok(pg::Asks::Request(comment)) = pg::request(&statement) else { panic!("{statement}") };
-        prop_assert_eq!(&statement[comment.wait_at.clone()], wait.to_string());
-        prop_assert_eq!((comment.class, comment.cluster, comment.after_ms), ("menu", 2, None));
-        prop_assert_eq!(pg::key(&statement), Some(key.as_str()));
+        let Ok(pg::StatementKind::Request(comment)) = pg::parse_statement(&statement) else { panic!("{statement}") };
+        prop_assert_eq!(&statement[comment.timeout_range.clone()], wait.to_string());
+        prop_assert_eq!((comment.class, comment.group, comment.last_commit_ms), ("menu", 2, None));
+        prop_assert_eq!(pg::quoted_key(&statement), Some(key.as_str()));
     }
 }
 
 #[test]
 fn a_request_comment_tells_whose_it_is_and_what_its_client_marks_as_a_retry() {
-    let told = |more: &str| match pg::request(&format!("SELECT 1 /* id=9b,c=menu{more},d=480 */")) {
-        Ok(pg::Asks::Request(comment)) => (comment.tenant.map(str::to_owned), comment.retry),
+    let told = |more: &str| match pg::parse_statement(&format!("SELECT 1 /* id=9b,c=menu{more},d=480 */")) {
+        Ok(pg::StatementKind::Request(comment)) => (comment.tenant.map(str::to_owned), comment.retry),
         other => panic!("{other:?}"),
     };
     assert_eq!(told(""), (None, false));
--- a/crates/net/tests/timer_queue.rs
+++ b/crates/net/tests/timer_queue.rs
@@ -30,14 +30,14 @@
         let (timers, order) = (&timers, &order);
         async move {
             let at = now + Duration::from_millis(ms);
-            timers.at(at).await;
+            timers.wait_until(at).await;
             assert!(Instant::now() >= at, "{ms}");
             order.borrow_mut().push(ms);
         }
     };
     // The hour is set first, and the timer with it.
     let hour = async {
-        timers.at(now + AN_HOUR).await;
+        timers.wait_until(now + AN_HOUR).await;
     };
     let work = zip(one(60), zip(one(20), one(40)));
     with(
@@ -50,7 +50,7 @@
         ),
     );
     assert_eq!(*order.borrow(), [20, 40, 60]);
-    assert_eq!(timers.waiting(), 0);
+    assert_eq!(timers.pending(), 0);
 }
 
 #[test]
@@ -58,22 +58,22 @@
     let timers = TimerQueue::default();
     let at = Instant::now() + AN_HOUR;
     with(&timers, async {
-        let mut many: Vec<_> = (0..100).map(|_| timers.at(at)).collect();
-        assert_eq!(timers.waiting(), 0, "set only once they are waited for");
+        let mut many: Vec<_> = (0..100).map(|_| timers.wait_until(at)).collect();
+        assert_eq!(timers.pending(), 0, "set only once they are waited for");
         for one in &mut many {
             assert!(poll_once(one).await.is_none());
         }
-        assert_eq!(timers.waiting(), 100);
+        assert_eq!(timers.pending(), 100);
         drop(many);
-        assert_eq!(timers.waiting(), 0);
+        assert_eq!(timers.pending(), 0);
         // One that follows is told all the same.
-        timers.at(Instant::now() + Duration::from_millis(10)).await;
+        timers.wait_until(Instant::now() + Duration::from_millis(10)).await;
     });
 }
 
 #[test]
 fn a_time_that_is_over_ends_at_once() {
     let timers = TimerQueue::default();
-    assert!(block_on(poll_once(timers.at(Instant::now()))).is_some());
-    assert_eq!(timers.waiting(), 0);
+    assert!(block_on(poll_once(timers.wait_until(Instant::now()))).is_some());
+    assert_eq!(timers.pending(), 0);
 }
