--- a/crates/daemon/tests/crossings.rs
+++ b/crates/daemon/tests/crossings.rs
@@ -518,7 +518,7 @@
         tell.send(()).unwrap();
         told.recv().unwrap();
         let mut out = Vec::new();
-        write::welcome(&mut out, 1, 1);
+        write::session_start(&mut out, 1, 1);
         wire.put(&out);
         end.send(()).unwrap();
         wire.message().is_some()
--- a/crates/daemon/tests/peers/mod.rs
+++ b/crates/daemon/tests/peers/mod.rs
@@ -98,20 +98,20 @@
         row.extend_from_slice(&u32::try_from(value.len()).unwrap().to_be_bytes());
         row.extend_from_slice(value);
         message(&mut out, b'D', &row);
-        write::complete(&mut out, "SELECT 1");
+        write::command_complete(&mut out, "SELECT 1");
         for (name, value) in [("part", part), ("caught_up_to", caught_up_to)] {
             message(&mut out, b'S', format!("{name}\0{value}\0").as_bytes());
         }
-        write::ready(&mut out);
+        write::ready_for_query(&mut out);
         out.extend_from_slice(more);
         self.put(&out);
     }
 
     pub fn error(&mut self, code: &str, part: &str) {
         let mut out = Vec::new();
-        write::error(&mut out, write::Severity::Error, code, "scripted", None);
+        write::error_response(&mut out, write::Severity::Error, code, "scripted", None);
         message(&mut out, b'S', format!("part\0{part}\0").as_bytes());
-        write::ready(&mut out);
+        write::ready_for_query(&mut out);
         self.put(&out);
     }
 
@@ -200,8 +200,8 @@
         Self::start(id, door, move |wire, statement| {
             if statement.is_empty() {
                 let mut out = Vec::new();
-                write::empty_query(&mut out);
-                write::ready(&mut out);
+                write::empty_query_response(&mut out);
+                write::ready_for_query(&mut out);
                 wire.put(&out);
                 return true;
             }
@@ -225,7 +225,7 @@
                 }
                 scripts.0();
                 let mut out = Vec::new();
-                write::welcome(&mut out, 1, 1);
+                write::session_start(&mut out, 1, 1);
                 wire.put(&out);
                 while let Some((b'Q', body)) = wire.message() {
                     let statement = pg::query_text(&body).unwrap();
--- a/crates/lab/src/boxes.rs
+++ b/crates/lab/src/boxes.rs
@@ -145,7 +145,7 @@
             if !greeted {
                 if let Ok(Some((_, size))) = pg::startup(&read) {
                     read.drain(..size);
-                    write::welcome(&mut out, 1, 1);
+                    write::session_start(&mut out, 1, 1);
                     greeted = true;
                 }
             } else if let Ok(Some(message)) = pg::message(&read) {
@@ -193,37 +193,37 @@
     ) {
         let primary = self.primary.load(Ordering::SeqCst);
         if statement.is_empty() {
-            write::empty_query(out);
-            write::ready(out);
+            write::empty_query_response(out);
+            write::ready_for_query(out);
             return;
         }
         if statement.starts_with("SHOW") {
             let (seconds, role) = (self.position(log) as f64 / 1_000.0, u8::from(primary));
             say::row(out, format!("x0={seconds:.3},x1={role}").as_bytes(), primary, self.position(log));
-            write::ready(out);
+            write::ready_for_query(out);
             return;
         }
         lock(ledger).sent(&self.name, first);
         let id = field(statement, "id").unwrap_or("");
         if statement.starts_with("INSERT") {
             if !primary {
-                write::error(out, write::Severity::Error, "25006", "read only", None);
+                write::error_response(out, write::Severity::Error, "25006", "read only", None);
                 say::notes(out, primary, self.position(log));
-                write::ready(out);
+                write::ready_for_query(out);
                 return;
             }
             std::thread::sleep(work);
             lock(ledger).ran(id);
             let commit = log.commit();
             say::row(out, format!("{id} {commit}").as_bytes(), primary, commit);
-            write::ready(out);
+            write::ready_for_query(out);
             return;
         }
         // What a read sees is what the box has when the read begins.
         let position = self.position(log);
         std::thread::sleep(work);
         say::row(out, format!("{id} {position}").as_bytes(), primary, position);
-        write::ready(out);
+        write::ready_for_query(out);
     }
 }
 
--- a/crates/lab/src/family.rs
+++ b/crates/lab/src/family.rs
@@ -301,7 +301,7 @@
                         return self.end(at, &stream);
                     }
                     read.drain(..size);
-                    write::welcome(&mut out, 1, 1);
+                    write::session_start(&mut out, 1, 1);
                     greeted = true;
                 }
             } else if read.first() == Some(&b'Q')
@@ -345,8 +345,8 @@
     /// Answers a statement; `None` if the box dies with it, after what is in `out`.
     fn statement(&self, at: usize, statement: &str, out: &mut Vec<u8>) -> Option<()> {
         if statement.is_empty() {
-            write::empty_query(out);
-            write::ready(out);
+            write::empty_query_response(out);
+            write::ready_for_query(out);
             return Some(());
         }
         let (primary, claims, draining, position) = {
@@ -362,21 +362,21 @@
             let role = u8::from(primary && !draining);
             let value = format!("x0={:.3},x1={role}", position as f64 / 1_000.0);
             row(out, value.as_bytes(), primary, position);
-            write::ready(out);
+            write::ready_for_query(out);
             return Some(());
         }
         let id = field(statement, "id").unwrap_or("").to_owned();
         if !statement.starts_with("INSERT") {
             self.work(at);
             row(out, format!("{id} {position}").as_bytes(), primary, position);
-            write::ready(out);
+            write::ready_for_query(out);
             return Some(());
         }
         if draining || !primary {
             let code = if draining { "53300" } else { "25006" };
-            write::error(out, write::Severity::Error, code, "not here", None);
+            write::error_response(out, write::Severity::Error, code, "not here", None);
             notes(out, primary, position);
-            write::ready(out);
+            write::ready_for_query(out);
             return Some(());
         }
         if claims {
@@ -415,7 +415,7 @@
         if dies(Step::BeforeReady) {
             return None;
         }
-        write::ready(out);
+        write::ready_for_query(out);
         Some(())
     }
 }
--- a/crates/lab/src/rehearsal.rs
+++ b/crates/lab/src/rehearsal.rs
@@ -571,7 +571,7 @@
                 let position = commit.0.div_euclid(1_000) + 1;
                 let mut bytes = Vec::new();
                 say::row(&mut bytes, format!("{id} {}", commit.0).as_bytes(), true, position);
-                write::ready(&mut bytes);
+                write::ready_for_query(&mut bytes);
                 self.later(router, server, Event::Write { conn, bytes, over: Some(request) });
             }
             Event::Told { router, change } => {
@@ -678,10 +678,10 @@
         let now = self.shared.clock.now();
         let mut bytes = Vec::new();
         match what {
-            Asked::Hello => write::welcome(&mut bytes, 1, 1),
+            Asked::Hello => write::session_start(&mut bytes, 1, 1),
             Asked::Nothing => {
-                write::empty_query(&mut bytes);
-                write::ready(&mut bytes);
+                write::empty_query_response(&mut bytes);
+                write::ready_for_query(&mut bytes);
             }
             Asked::Report => {
                 let [position, primary, _] = self.fleet.report(server, now).unwrap_or_default();
@@ -745,7 +745,7 @@
 fn answer(out: &mut Vec<u8>, value: &[u8], note: Note) {
     let position = note.position.map_or(0, |at| at.0 / 1_000);
     say::row(out, value, note.role == Some(Role::Primary), position);
-    write::ready(out);
+    write::ready_for_query(out);
 }
 
 fn refusal(out: &mut Vec<u8>, verdict: Verdict, note: Note) {
@@ -754,10 +754,10 @@
         Verdict::Miss => ("25006", "read only"),
         _ => ("XX000", "lost its role"),
     };
-    write::error(out, write::Severity::Error, code, words, None);
+    write::error_response(out, write::Severity::Error, code, words, None);
     let position = note.position.map_or(0, |at| at.0 / 1_000);
     say::notes(out, note.role == Some(Role::Primary), position);
-    write::ready(out);
+    write::ready_for_query(out);
 }
 
 /// A box's port for a pooler. While the box is gone nobody listens there.
--- a/crates/lab/src/say.rs
+++ b/crates/lab/src/say.rs
@@ -23,6 +23,6 @@
     row.extend_from_slice(&u32::try_from(value.len()).unwrap_or(0).to_be_bytes());
     row.extend_from_slice(value);
     message(out, b'D', &row);
-    write::complete(out, "SELECT 1");
+    write::command_complete(out, "SELECT 1");
     notes(out, primary, position);
 }
--- a/crates/lab/src/soak/servers.rs
+++ b/crates/lab/src/soak/servers.rs
@@ -132,7 +132,7 @@
             if !greeted {
                 if let Ok(Some((_, size))) = pg::startup(&read) {
                     read.drain(..size);
-                    write::welcome(&mut out, 1, 1);
+                    write::session_start(&mut out, 1, 1);
                     greeted = true;
                 }
             } else if let Ok(Some(message)) = pg::message(&read) {
@@ -157,8 +157,8 @@
 
     async fn statement(&self, world: &World, statement: &str, out: &mut Vec<u8>) {
         if statement.is_empty() {
-            write::empty_query(out);
-            return write::ready(out);
+            write::empty_query_response(out);
+            return write::ready_for_query(out);
         }
         let mode = self.mode();
         if mode == Mode::Hangs {
@@ -168,10 +168,10 @@
         if statement.starts_with("SHOW") {
             let (seconds, role) = (self.position() as f64 / 1_000.0, u8::from(self.primary));
             say::row(out, format!("x0={seconds:.3},x1={role}").as_bytes(), self.primary, self.position());
-            return write::ready(out);
+            return write::ready_for_query(out);
         }
         self.request(world, statement, mode, out).await;
-        write::ready(out);
+        write::ready_for_query(out);
     }
 
     async fn request(&self, world: &World, statement: &str, mode: Mode, out: &mut Vec<u8>) {
@@ -216,7 +216,7 @@
     }
 
     fn error(&self, out: &mut Vec<u8>, code: &str) {
-        write::error(out, write::Severity::Error, code, "as the soak has it", None);
+        write::error_response(out, write::Severity::Error, code, "as the soak has it", None);
         say::notes(out, self.primary, self.position());
     }
 }
