--- a/crates/coordination/src/lease/message.rs
+++ b/crates/coordination/src/lease/message.rs
@@ -1,7 +1,9 @@
-//! Datagrams of the leases: read whole or refused whole, and only from who knows the installation's key.
+//! Datagrams of the lease protocol. A datagram is accepted as a whole or rejected as a whole, and only if it is
+//! signed with a key of the installation.
 //!
-//! Header: magic, form, site (4), version of the operator's file's leases (4), sender (2), its life (8), number (8). Behind the
-//! body stand 16 bytes of HMAC-SHA-256 over all before them. Numbers are big-endian.
+//! Header: magic (1), format (1), site (4), version of the voter set (4), sender's number (2), sender's
+//! incarnation (8), sequence number (8). The body follows, and then the first 16 bytes of an HMAC-SHA-256 over
+//! everything before. Numbers are big-endian.
 
 use super::{Answer, Holder, PoolerInstance, TaskId, Token};
 use crate::work;
@@ -9,40 +11,40 @@
 use linnetdeal_core::Span;
 use sha2::Sha256;
 
-/// No datagram is longer, in bytes.
-pub const LONGEST: usize = 256;
-/// The first byte, which no other datagram between poolers has.
+/// Maximum length of a datagram in bytes.
+pub const MAX_DATAGRAM_BYTES: usize = 256;
+/// First byte of each datagram; tells it from the other datagrams that poolers exchange.
 pub const MAGIC: u8 = 0xA7;
-const FORM: u8 = 1;
-const HEADER: usize = 28;
-const CODE: usize = 16;
-const ENTRY: usize = 26;
-const POSITION: usize = 13;
-/// Tasks that one datagram tells of.
-const MOST_SEEN: usize = (LONGEST - HEADER - CODE - 6) / ENTRY;
-/// Positions that one datagram tells of.
-const MOST_POSITIONS: usize = (LONGEST - HEADER - CODE - 5) / POSITION;
-/// Stands for nobody.
-const NOBODY: u16 = u16::MAX;
+const FORMAT: u8 = 1;
+const HEADER_LEN: usize = 28;
+const MAC_LEN: usize = 16;
+const HELD_TASK_LEN: usize = 26;
+const POSITION_LEN: usize = 13;
+/// Maximum number of held tasks in one datagram.
+const MAX_HELD_TASKS: usize = (MAX_DATAGRAM_BYTES - HEADER_LEN - MAC_LEN - 6) / HELD_TASK_LEN;
+/// Maximum number of positions in one datagram.
+const MAX_POSITIONS: usize = (MAX_DATAGRAM_BYTES - HEADER_LEN - MAC_LEN - 5) / POSITION_LEN;
+/// Pooler number that stands for no pooler.
+const NO_POOLER: u16 = u16::MAX;
 
-/// A key that all poolers of an installation share.
+/// Signing key that all poolers of an installation share.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key(Vec<u8>);
 
 impl Key {
-    /// Fewer bytes can be guessed.
-    pub const SHORTEST: usize = 16;
+    /// Minimum length of a key: a shorter one could be guessed.
+    pub const MIN_BYTES: usize = 16;
 
-    /// A key of these bytes; none where they are too few.
+    /// A key of these bytes, or `None` if there are fewer than [`Key::MIN_BYTES`].
     #[must_use]
     pub fn new(bytes: &[u8]) -> Option<Self> {
-        (bytes.len() >= Self::SHORTEST).then(|| Self(bytes.to_vec()))
+        (bytes.len() >= Self::MIN_BYTES).then(|| Self(bytes.to_vec()))
     }
 
     fn mac(&self, bytes: &[u8]) -> Hmac<Sha256> {
         let mut mac = match Hmac::<Sha256>::new_from_slice(&self.0) {
             Ok(mac) => mac,
-            // HMAC takes keys of any length.
+            // HMAC accepts keys of any length.
             Err(_) => unreachable!("HMAC refused a key"),
         };
         mac.update(bytes);
@@ -56,174 +58,175 @@
     }
 }
 
-/// Why a datagram is refused.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DatagramError {
-    /// It is cut, too long or not of this form.
+    /// It is truncated, too long or not in this format.
     #[error("malformed")]
     Malformed,
-    /// Of another installation, or with unlike terms or drift.
+    /// It is from another installation, or from a pooler with different terms or drift.
     #[error("of another site")]
     SiteMismatch,
-    /// By another version of the voters.
+    /// The sender uses another version of the voter set.
     #[error("of version {0}")]
     VersionMismatch(u32),
-    /// Altered, or from somebody without the key.
+    /// It was altered, or signed with an unknown key.
     #[error("not authentic")]
     BadSignature,
-    /// Its sender is not the one who it says.
+    /// The sender's number does not match the address it came from.
     #[error("from a stranger")]
     SenderMismatch,
-    /// It was heard before, or is too old to tell.
+    /// It was received before, or is too old to tell.
     #[error("replayed")]
     Replayed,
-    /// Its sender has been answered more often than it may be.
+    /// Its sender exceeded the rate limit.
     #[error("too many")]
     RateLimited,
 }
 
-/// What one pooler tells another.
+/// Contents of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Body {
-    /// Could I have the task?
-    Ask {
+    /// Asks whether a claim would be granted.
+    Query {
         /// The task.
         task: TaskId,
-        /// The round.
+        /// The sender's round.
         round: u32,
-        /// The highest token that the sender knows of.
+        /// The highest token known to the sender.
         known: Token,
     },
-    /// Grant me the task.
+    /// Asks to be granted the task.
     Claim {
         /// The task.
         task: TaskId,
-        /// The round.
+        /// The sender's round.
         round: u32,
-        /// With this token.
+        /// The token claimed.
         token: Token,
-        /// For so long.
+        /// The term claimed.
         term: Span,
     },
-    /// The answer to either.
+    /// Answers a query or a claim.
     Answer {
         /// The task.
         task: TaskId,
-        /// The round.
+        /// The round that is answered.
         round: u32,
-        /// The life that asked: rounds begin anew in each, and two processes of one name hear each other's answers.
-        life: u64,
+        /// The incarnation that asked: each one numbers its rounds from the start, and two processes of one
+        /// name receive each other's answers.
+        incarnation: u64,
         /// The answer.
         answer: Answer,
     },
-    /// I am done with the task.
+    /// Gives the task up.
     Release {
         /// The task.
         task: TaskId,
-        /// The token.
+        /// The token it was held with.
         token: Token,
-        /// Who is to have it next, and for how long it was granted.
-        heir: Option<(u16, Span)>,
+        /// The pooler that is to have it next, and the term that it had been granted for.
+        successor: Option<(u16, Span)>,
     },
-    /// Who has what, from the task behind this one?
-    Look {
-        /// The round.
+    /// Asks which tasks have holders.
+    ListHeld {
+        /// The sender's round.
         round: u32,
-        /// The task.
+        /// Only tasks after this one, in the order of task ids.
         after: Option<TaskId>,
     },
-    /// The answer to that.
-    Seen {
-        /// The round.
+    /// Answers [`Body::ListHeld`].
+    HeldTasks {
+        /// The round that is answered.
         round: u32,
-        /// There is more behind these.
+        /// More tasks follow after these.
         more: bool,
         /// Tasks with their holders.
-        tasks: Vec<Seen>,
+        tasks: Vec<HeldTask>,
     },
-    /// Whoever holds the task has asked members of the fleet for their positions.
+    /// Positions that the holder of the task read from members.
     Positions {
         /// The task.
         task: TaskId,
-        /// What they said.
+        /// What the members reported.
         positions: Vec<Position>,
     },
-    /// Of machines out for work.
+    /// A message of the maintenance plan.
     Work(work::Message),
-    /// You are to have the task that I have just released.
+    /// Offers the receiver a task that the sender has just released.
     Offer {
         /// The task.
         task: TaskId,
-        /// The token that it was held with.
+        /// The token it was held with.
         token: Token,
     },
 }
 
-/// What a member said of itself. A position only grows: it is no less at any later time, so that this is true however late it
-/// comes, if it was true.
+/// What a member reported of itself. A position never decreases, so that a late report is still true as a lower
+/// bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
-    /// What stands for the member's id.
+    /// Hash of the member's id.
     pub member: TaskId,
     /// Its position, in microseconds since 1970.
     pub position: i64,
-    /// It called itself the primary.
+    /// Whether it reported to be the primary.
     pub primary: bool,
 }
 
 /// A task with its holder.
-pub type Seen = (TaskId, Holder);
+pub type HeldTask = (TaskId, Holder);
 
 impl Body {
-    /// How many tasks fit into one answer.
-    pub const MOST_SEEN: usize = MOST_SEEN;
-    /// How many positions do.
-    pub const MOST_POSITIONS: usize = MOST_POSITIONS;
+    /// Maximum number of tasks in one [`Body::HeldTasks`].
+    pub const MAX_HELD_TASKS: usize = MAX_HELD_TASKS;
+    /// Maximum number of positions in one [`Body::Positions`].
+    pub const MAX_POSITIONS: usize = MAX_POSITIONS;
 }
 
-/// A datagram.
+/// A datagram without its signature.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Letter {
-    /// What all who talk have in common.
+pub struct Datagram {
+    /// Hash of what all poolers of an installation have in common: its name, the longest term and the drift.
     pub site: u32,
-    /// The version of the voters.
+    /// Version of the voter set.
     pub version: u32,
-    /// Who sent it.
+    /// The sending process.
     pub sender: PoolerInstance,
-    /// Its number among the sender's.
+    /// Sequence number among the datagrams of the sender.
     pub number: u64,
-    /// What it says.
+    /// The contents.
     pub body: Body,
 }
 
-fn ms(span: Span) -> u32 {
+fn millis_u32(span: Span) -> u32 {
     u32::try_from(span.0.max(0) / 1_000).unwrap_or(u32::MAX)
 }
 
-fn put_holder(out: &mut Vec<u8>, holder: Option<Holder>) {
-    let none = Holder {
-        instance: PoolerInstance { number: NOBODY, incarnation: 0 },
+fn write_holder(out: &mut Vec<u8>, holder: Option<Holder>) {
+    let no_holder = Holder {
+        instance: PoolerInstance { number: NO_POOLER, incarnation: 0 },
         token: Token(0),
         remaining: Span(0),
     };
-    let holder = holder.unwrap_or(none);
+    let holder = holder.unwrap_or(no_holder);
     out.extend(holder.instance.number.to_be_bytes());
     out.extend(holder.instance.incarnation.to_be_bytes());
     out.extend(holder.token.0.to_be_bytes());
-    out.extend(ms(holder.remaining).to_be_bytes());
+    out.extend(millis_u32(holder.remaining).to_be_bytes());
 }
 
-/// Writes a letter, no longer than [`LONGEST`].
+/// Encodes and signs a datagram; the result is no longer than [`MAX_DATAGRAM_BYTES`].
 #[must_use]
-pub fn seal(letter: &Letter, key: &Key) -> Vec<u8> {
-    let mut out = vec![MAGIC, FORM];
-    out.extend(letter.site.to_be_bytes());
-    out.extend(letter.version.to_be_bytes());
-    out.extend(letter.sender.number.to_be_bytes());
-    out.extend(letter.sender.incarnation.to_be_bytes());
-    out.extend(letter.number.to_be_bytes());
-    match &letter.body {
-        Body::Ask { task, round, known } => {
+pub fn encode(datagram: &Datagram, key: &Key) -> Vec<u8> {
+    let mut out = vec![MAGIC, FORMAT];
+    out.extend(datagram.site.to_be_bytes());
+    out.extend(datagram.version.to_be_bytes());
+    out.extend(datagram.sender.number.to_be_bytes());
+    out.extend(datagram.sender.incarnation.to_be_bytes());
+    out.extend(datagram.number.to_be_bytes());
+    match &datagram.body {
+        Body::Query { task, round, known } => {
             out.push(1);
             out.extend(task.0.to_be_bytes());
             out.extend(round.to_be_bytes());
@@ -234,109 +237,111 @@
             out.extend(task.0.to_be_bytes());
             out.extend(round.to_be_bytes());
             out.extend(token.0.to_be_bytes());
-            out.extend(ms(*term).to_be_bytes());
+            out.extend(millis_u32(*term).to_be_bytes());
         }
-        Body::Answer { task, round, life, answer } => {
+        Body::Answer { task, round, incarnation, answer } => {
             out.push(3);
             out.extend(task.0.to_be_bytes());
             out.extend(round.to_be_bytes());
-            out.extend(life.to_be_bytes());
+            out.extend(incarnation.to_be_bytes());
             out.push(u8::from(answer.granted));
             out.extend(answer.floor.0.to_be_bytes());
-            put_holder(&mut out, answer.holder);
+            write_holder(&mut out, answer.holder);
         }
-        Body::Release { task, token, heir } => {
+        Body::Release { task, token, successor } => {
             out.push(4);
             out.extend(task.0.to_be_bytes());
             out.extend(token.0.to_be_bytes());
-            let (number, term) = heir.unwrap_or((NOBODY, Span(0)));
+            let (number, term) = successor.unwrap_or((NO_POOLER, Span(0)));
             out.extend(number.to_be_bytes());
-            out.extend(ms(term).to_be_bytes());
+            out.extend(millis_u32(term).to_be_bytes());
         }
-        Body::Look { round, after } => {
+        Body::ListHeld { round, after } => {
             out.push(5);
             out.extend(round.to_be_bytes());
             out.push(u8::from(after.is_some()));
             out.extend(after.unwrap_or_default().0.to_be_bytes());
         }
-        Body::Seen { round, more, tasks } => {
+        Body::HeldTasks { round, more, tasks } => {
             out.push(6);
             out.extend(round.to_be_bytes());
             out.push(u8::from(*more));
-            for (task, holder) in tasks.iter().take(MOST_SEEN) {
+            for (task, holder) in tasks.iter().take(MAX_HELD_TASKS) {
                 out.extend(task.0.to_be_bytes());
-                put_holder(&mut out, Some(*holder));
+                write_holder(&mut out, Some(*holder));
             }
         }
         Body::Positions { task, positions } => {
             out.push(8);
             out.extend(task.0.to_be_bytes());
-            for of in positions.iter().take(MOST_POSITIONS) {
-                out.extend(of.member.0.to_be_bytes());
-                out.extend(of.position.to_be_bytes());
-                out.push(u8::from(of.primary));
+            for entry in positions.iter().take(MAX_POSITIONS) {
+                out.extend(entry.member.0.to_be_bytes());
+                out.extend(entry.position.to_be_bytes());
+                out.push(u8::from(entry.primary));
             }
         }
-        Body::Work(note) => work::put(&mut out, note),
+        Body::Work(message) => work::encode(&mut out, message),
         Body::Offer { task, token } => {
             out.push(7);
             out.extend(task.0.to_be_bytes());
             out.extend(token.0.to_be_bytes());
         }
     }
-    sign(out, key)
+    append_mac(out, key)
 }
 
-/// Puts the code of a key behind some bytes.
+/// Appends the truncated HMAC of `payload`.
 #[must_use]
-pub fn sign(mut text: Vec<u8>, key: &Key) -> Vec<u8> {
-    let code = key.mac(&text).finalize().into_bytes();
-    text.extend_from_slice(&code[..CODE]);
-    text
+pub fn append_mac(mut payload: Vec<u8>, key: &Key) -> Vec<u8> {
+    let tag = key.mac(&payload).finalize().into_bytes();
+    payload.extend_from_slice(&tag[..MAC_LEN]);
+    payload
 }
 
-/// Reads a letter that one of the `keys` vouches for. Whose it is and whether it is new is the reader's matter.
+/// Decodes a datagram that is signed with one of `keys`. Checking the sender and rejecting replays is left to
+/// the caller.
 ///
 /// # Errors
 ///
-/// When anything about it is wrong; nothing of it counts then.
-pub fn open(bytes: &[u8], keys: &[Key]) -> Result<Letter, DatagramError> {
-    if bytes.len() < HEADER + CODE || bytes.len() > LONGEST || bytes[..2] != [MAGIC, FORM] {
+/// When it is malformed or its signature is wrong; nothing of it may be used then.
+pub fn decode(bytes: &[u8], keys: &[Key]) -> Result<Datagram, DatagramError> {
+    if bytes.len() < HEADER_LEN + MAC_LEN || bytes.len() > MAX_DATAGRAM_BYTES || bytes[..2] != [MAGIC, FORMAT]
+    {
         return Err(DatagramError::Malformed);
     }
-    let (text, code) = bytes.split_at(bytes.len() - CODE);
-    if !keys.iter().any(|key| key.mac(text).verify_truncated_left(code).is_ok()) {
+    let (payload, tag) = bytes.split_at(bytes.len() - MAC_LEN);
+    if !keys.iter().any(|key| key.mac(payload).verify_truncated_left(tag).is_ok()) {
         return Err(DatagramError::BadSignature);
     }
-    let mut read = Reader(&text[2..]);
-    let letter = read.letter().ok_or(DatagramError::Malformed)?;
-    if read.0.is_empty() { Ok(letter) } else { Err(DatagramError::Malformed) }
+    let mut reader = Reader(&payload[2..]);
+    let datagram = reader.datagram().ok_or(DatagramError::Malformed)?;
+    if reader.0.is_empty() { Ok(datagram) } else { Err(DatagramError::Malformed) }
 }
 
-/// Bytes that are read from the front; `None` where there are too few, or they mean nothing.
+/// Reads from the front of a byte slice. The methods return `None` where bytes are missing or invalid.
 pub(crate) struct Reader<'b>(pub(crate) &'b [u8]);
 
 impl Reader<'_> {
-    pub(crate) fn take<const N: usize>(&mut self) -> Option<[u8; N]> {
+    pub(crate) fn read_bytes<const N: usize>(&mut self) -> Option<[u8; N]> {
         let (head, rest) = self.0.split_first_chunk::<N>()?;
         self.0 = rest;
         Some(*head)
     }
 
-    pub(crate) fn short(&mut self) -> Option<u16> {
-        Some(u16::from_be_bytes(self.take()?))
+    pub(crate) fn read_u16(&mut self) -> Option<u16> {
+        Some(u16::from_be_bytes(self.read_bytes()?))
     }
 
-    pub(crate) fn word(&mut self) -> Option<u32> {
-        Some(u32::from_be_bytes(self.take()?))
+    pub(crate) fn read_u32(&mut self) -> Option<u32> {
+        Some(u32::from_be_bytes(self.read_bytes()?))
     }
 
-    pub(crate) fn long(&mut self) -> Option<u64> {
-        Some(u64::from_be_bytes(self.take()?))
+    pub(crate) fn read_u64(&mut self) -> Option<u64> {
+        Some(u64::from_be_bytes(self.read_bytes()?))
     }
 
-    pub(crate) fn flag(&mut self) -> Option<bool> {
-        match self.take::<1>()? {
+    pub(crate) fn read_bool(&mut self) -> Option<bool> {
+        match self.read_bytes::<1>()? {
             [0] => Some(false),
             [1] => Some(true),
             _ => None,
@@ -344,70 +349,71 @@
     }
 
     fn span(&mut self) -> Option<Span> {
-        Some(Span::millis(i64::from(self.word()?)))
+        Some(Span::millis(i64::from(self.read_u32()?)))
     }
 
     fn task(&mut self) -> Option<TaskId> {
-        Some(TaskId(self.word()?))
+        Some(TaskId(self.read_u32()?))
     }
 
     pub(crate) fn token(&mut self) -> Option<Token> {
-        Some(Token(self.long()?))
+        Some(Token(self.read_u64()?))
     }
 
     fn holder(&mut self) -> Option<Option<Holder>> {
-        let instance = PoolerInstance { number: self.short()?, incarnation: self.long()? };
+        let instance = PoolerInstance { number: self.read_u16()?, incarnation: self.read_u64()? };
         let holder = Holder { instance, token: self.token()?, remaining: self.span()? };
-        Some((instance.number != NOBODY).then_some(holder))
+        Some((instance.number != NO_POOLER).then_some(holder))
     }
 
-    fn letter(&mut self) -> Option<Letter> {
-        let (site, version) = (self.word()?, self.word()?);
-        let sender = PoolerInstance { number: self.short()?, incarnation: self.long()? };
-        Some(Letter { site, version, sender, number: self.long()?, body: self.body()? })
+    fn datagram(&mut self) -> Option<Datagram> {
+        let (site, version) = (self.read_u32()?, self.read_u32()?);
+        let sender = PoolerInstance { number: self.read_u16()?, incarnation: self.read_u64()? };
+        Some(Datagram { site, version, sender, number: self.read_u64()?, body: self.body()? })
     }
 
     fn body(&mut self) -> Option<Body> {
-        Some(match self.take::<1>()?[0] {
-            1 => Body::Ask { task: self.task()?, round: self.word()?, known: self.token()? },
+        Some(match self.read_bytes::<1>()?[0] {
+            1 => Body::Query { task: self.task()?, round: self.read_u32()?, known: self.token()? },
             2 => Body::Claim {
                 task: self.task()?,
-                round: self.word()?,
+                round: self.read_u32()?,
                 token: self.token()?,
                 term: self.span()?,
             },
             3 => {
-                let (task, round, life) = (self.task()?, self.word()?, self.long()?);
-                let (granted, floor, holder) = (self.flag()?, self.token()?, self.holder()?);
-                Body::Answer { task, round, life, answer: Answer { granted, floor, holder } }
+                let (task, round, incarnation) = (self.task()?, self.read_u32()?, self.read_u64()?);
+                let (granted, floor, holder) = (self.read_bool()?, self.token()?, self.holder()?);
+                Body::Answer { task, round, incarnation, answer: Answer { granted, floor, holder } }
             }
             4 => {
-                let (task, token, number, term) = (self.task()?, self.token()?, self.short()?, self.span()?);
-                Body::Release { task, token, heir: (number != NOBODY).then_some((number, term)) }
+                let (task, token, number, term) =
+                    (self.task()?, self.token()?, self.read_u16()?, self.span()?);
+                Body::Release { task, token, successor: (number != NO_POOLER).then_some((number, term)) }
             }
             5 => {
-                let (round, is_after, task) = (self.word()?, self.flag()?, self.task()?);
-                Body::Look { round, after: is_after.then_some(task) }
+                let (round, has_after, task) = (self.read_u32()?, self.read_bool()?, self.task()?);
+                Body::ListHeld { round, after: has_after.then_some(task) }
             }
             6 => {
-                let (round, more) = (self.word()?, self.flag()?);
+                let (round, more) = (self.read_u32()?, self.read_bool()?);
                 let mut tasks = Vec::new();
                 while !self.0.is_empty() {
                     tasks.push((self.task()?, self.holder()??));
                 }
-                Body::Seen { round, more, tasks }
+                Body::HeldTasks { round, more, tasks }
             }
             8 => {
                 let task = self.task()?;
                 let mut positions = Vec::new();
                 while !self.0.is_empty() {
-                    let (member, position) = (self.task()?, i64::from_be_bytes(self.take()?));
-                    positions.push(Position { member, position, primary: self.flag()? });
+                    let (member, position) = (self.task()?, i64::from_be_bytes(self.read_bytes()?));
+                    positions.push(Position { member, position, primary: self.read_bool()? });
                 }
                 Body::Positions { task, positions }
             }
             7 => Body::Offer { task: self.task()?, token: self.token()? },
-            form => Body::Work(work::take(form, self)?),
+            kind => Body::Work(work::decode(kind, self)?),
         })
     }
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,5 +1,7 @@
-//! What many poolers settle among themselves while some of them are dead, stopped or cut off. Pure: bytes and times come in,
-//! bytes and times go out; `net/leases.rs` is the host.
+//! Protocols that the poolers of an installation run among themselves, and that tolerate poolers that are dead,
+//! stopped or partitioned: leases ([`lease`]) and the replicated record of a maintenance plan ([`work`]). The
+//! crate does no I/O: datagrams and timestamps go in, datagrams and deadlines come out. The host is
+//! `net/leases.rs`.
 
 pub mod lease;
 pub mod work;
--- a/crates/coordination/src/work/coordinator.rs
+++ b/crates/coordination/src/work/coordinator.rs
@@ -182,7 +182,7 @@
 /// One pooler.
 pub struct Coordinator<K> {
     setup: CoordinatorSetup,
-    council: VoterSet,
+    voter_set: VoterSet,
     voters: BTreeSet<u16>,
     store: Option<VoterStore<K>>,
     lead: Option<Lead<K>>,
@@ -223,12 +223,12 @@
     #[must_use]
     pub fn new(now: Time, setup: CoordinatorSetup) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(setup.seed ^ setup.me.incarnation ^ 0x776f_726b);
-        let council = VoterSet::new(setup.voters.clone(), setup.previous.clone());
-        let voters = council.asked();
+        let voter_set = VoterSet::new(setup.voters.clone(), setup.previous.clone());
+        let voters = voter_set.all_voters();
         let store =
             voters.contains(&setup.me.number).then(|| VoterStore::new(setup.me.number, rng.next_u32()));
         Self {
-            council,
+            voter_set,
             voters,
             store,
             lead: None,
@@ -788,7 +788,7 @@
             }
             Message::Stored { token, version, own, refused, promised } => {
                 let Some(lead) = &mut self.lead else { return };
-                lead.writer.stored(&self.council, from.number, (token, version), own, refused, promised);
+                lead.writer.stored(&self.voter_set, from.number, (token, version), own, refused, promised);
             }
             Message::Tell { record } => {
                 self.act_on(now, from.number, &record);
@@ -832,14 +832,14 @@
         record: Record,
     ) {
         if let Some(store) = &mut self.store {
-            store.seen(&self.council, from, round, blank, promised, &record);
+            store.seen(&self.voter_set, from, round, blank, promised, &record);
         }
         if !self.started && round == self.start.0 {
             self.start.1.insert(from, (blank, record.clone()));
             let voted: BTreeSet<u16> =
                 self.start.1.iter().filter(|(_, (blank, _))| !blank).map(|(of, _)| *of).collect();
             let own_known = self.store.as_ref().is_none_or(|store| !store.is_blank());
-            if self.council.decides::<FullLeaseRules>(&voted) && own_known {
+            if self.voter_set.is_quorum::<FullLeaseRules>(&voted) && own_known {
                 let newest = self.start.1.iter().max_by_key(|(_, (_, record))| record.revision());
                 let newest = newest.map(|(of, (_, record))| (*of, record.clone()));
                 self.started = true;
@@ -853,7 +853,7 @@
             }
         }
         if let Some(lead) = &mut self.lead {
-            lead.writer.seen(&self.council, from, (round, own), blank, promised, record);
+            lead.writer.seen(&self.voter_set, from, (round, own), blank, promised, record);
         }
     }
 
--- a/crates/coordination/src/work/mod.rs
+++ b/crates/coordination/src/work/mod.rs
@@ -16,5 +16,5 @@
     Message, Mode, PART, Plan, PlanId, Record,
 };
 pub use register::{FullRegisterRules, RegisterRules, VoterStore, Writer};
-pub use wire::MOST_VOTERS;
-pub(crate) use wire::{put, take};
+pub use wire::MAX_VOTERS;
+pub(crate) use wire::{decode, encode};
--- a/crates/coordination/src/work/register.rs
+++ b/crates/coordination/src/work/register.rs
@@ -47,8 +47,8 @@
 }
 
 /// The quorums of a council, by rules that are all in place.
-fn decides(council: &VoterSet, heard: &BTreeSet<u16>) -> bool {
-    council.decides::<crate::lease::FullLeaseRules>(heard)
+fn decides(voter_set: &VoterSet, heard: &BTreeSet<u16>) -> bool {
+    voter_set.is_quorum::<crate::lease::FullLeaseRules>(heard)
 }
 
 impl<K: RegisterRules> VoterStore<K> {
@@ -110,7 +110,7 @@
     /// An answer to what a blank one has asked.
     pub fn seen(
         &mut self,
-        council: &VoterSet,
+        voter_set: &VoterSet,
         from: u16,
         round: u32,
         blank: bool,
@@ -132,8 +132,8 @@
         };
         // A majority of all that does not count this one: it shares a voter with each that has stored anything. Or everybody: then
         // nothing more is to be had anywhere.
-        let everybody = council.asked().iter().all(|of| *of == self.me || self.heard.contains_key(of));
-        if decides(council, &others(false)) || everybody && !others(true).is_empty() {
+        let everybody = voter_set.all_voters().iter().all(|of| *of == self.me || self.heard.contains_key(of));
+        if decides(voter_set, &others(false)) || everybody && !others(true).is_empty() {
             self.blank = false;
             self.heard.clear();
         }
@@ -263,7 +263,7 @@
     /// An answer to a read.
     pub fn seen(
         &mut self,
-        council: &VoterSet,
+        voter_set: &VoterSet,
         from: u16,
         (round, own): (u32, u32),
         blank: bool,
@@ -285,7 +285,7 @@
         }
         self.numbers.insert(from, own);
         answers.insert(from, record);
-        if decides(council, &answers.keys().copied().collect()) {
+        if decides(voter_set, &answers.keys().copied().collect()) {
             let newest = answers.values().max_by_key(|record| record.revision()).cloned();
             self.record = newest.unwrap_or_default();
             self.phase = Phase::Settled;
@@ -295,7 +295,7 @@
     /// An answer to a write.
     pub fn stored(
         &mut self,
-        council: &VoterSet,
+        voter_set: &VoterSet,
         from: u16,
         (token, version): (Token, u32),
         own: u32,
@@ -333,7 +333,7 @@
             return;
         }
         acks.insert(from);
-        if decides(council, acks) {
+        if decides(voter_set, acks) {
             let record = record.clone();
             (self.record, self.phase, self.first) = (record, Phase::Settled, true);
         }
--- a/crates/coordination/src/work/wire.rs
+++ b/crates/coordination/src/work/wire.rs
@@ -9,10 +9,10 @@
 /// The form of the first of them; those before belong to leases.
 const FIRST: u8 = 16;
 /// Voters that a write names.
-pub const MOST_VOTERS: usize = 14;
+pub const MAX_VOTERS: usize = 14;
 
 /// Writes one.
-pub(crate) fn put(out: &mut Vec<u8>, note: &Message) {
+pub(crate) fn encode(out: &mut Vec<u8>, note: &Message) {
     match note {
         Message::Read { round, promise, own } => {
             out.push(FIRST);
@@ -30,7 +30,7 @@
         }
         Message::Write { numbers, record } => {
             out.push(FIRST + 2);
-            let numbers = &numbers[..numbers.len().min(MOST_VOTERS)];
+            let numbers = &numbers[..numbers.len().min(MAX_VOTERS)];
             out.push(numbers.len() as u8);
             numbers.iter().for_each(|number| out.extend(number.to_be_bytes()));
             put_record(out, record);
@@ -116,13 +116,13 @@
 }
 
 /// Reads one, to the end of what is there.
-pub(crate) fn take(form: u8, read: &mut Reader<'_>) -> Option<Message> {
+pub(crate) fn decode(form: u8, read: &mut Reader<'_>) -> Option<Message> {
     read.note(form.checked_sub(FIRST)?)
 }
 
 impl Reader<'_> {
     fn byte(&mut self) -> Option<u8> {
-        Some(self.take::<1>()?[0])
+        Some(self.read_bytes::<1>()?[0])
     }
 
     fn one<T: Copy>(&mut self, all: &[T]) -> Option<T> {
@@ -130,12 +130,12 @@
     }
 
     fn plan(&mut self) -> Option<PlanId> {
-        Some(PlanId(self.long()?))
+        Some(PlanId(self.read_u64()?))
     }
 
     fn record(&mut self) -> Option<Record> {
-        let (token, version, plan) = (self.token()?, self.word()?, self.plan()?);
-        let (mode, count) = (self.one(&Mode::ALL)?, usize::from(self.short()?));
+        let (token, version, plan) = (self.token()?, self.read_u32()?, self.plan()?);
+        let (mode, count) = (self.one(&Mode::ALL)?, usize::from(self.read_u16()?));
         if count > MAX_MACHINES {
             return None;
         }
@@ -153,8 +153,8 @@
     }
 
     fn said_word(&mut self) -> Option<Heartbeat> {
-        let (plan, token, version) = (self.plan()?, self.token()?, self.word()?);
-        let (blank, zone, size) = (self.flag()?, self.short()?, usize::from(self.byte()?));
+        let (plan, token, version) = (self.plan()?, self.token()?, self.read_u32()?);
+        let (blank, zone, size) = (self.read_bool()?, self.read_u16()?, usize::from(self.byte()?));
         if size > MAX_MACHINES / 8 || size > self.0.len() {
             return None;
         }
@@ -164,10 +164,14 @@
         if count > Heartbeat::MOST_FAILING {
             return None;
         }
-        let failing: Option<Vec<u64>> = (0..count).map(|_| self.long()).collect();
+        let failing: Option<Vec<u64>> = (0..count).map(|_| self.read_u64()).collect();
         let mut loads = Vec::new();
         while !self.0.is_empty() && loads.len() < Heartbeat::MOST_LOADS {
-            loads.push(GroupLoad { group: self.short()?, current: self.short()?, peak: self.short()? });
+            loads.push(GroupLoad {
+                group: self.read_u16()?,
+                current: self.read_u16()?,
+                peak: self.read_u16()?,
+            });
         }
         let clear = MachineSet::read(clear);
         Some(Heartbeat { plan, token, version, clear, blank, zone, failing: failing?, loads })
@@ -175,49 +179,49 @@
 
     fn note(&mut self, form: u8) -> Option<Message> {
         Some(match form {
-            0 => Message::Read { round: self.word()?, promise: self.token()?, own: self.word()? },
+            0 => Message::Read { round: self.read_u32()?, promise: self.token()?, own: self.read_u32()? },
             1 => Message::Seen {
-                round: self.word()?,
-                own: self.word()?,
-                blank: self.flag()?,
+                round: self.read_u32()?,
+                own: self.read_u32()?,
+                blank: self.read_bool()?,
                 promised: self.token()?,
                 record: self.record()?,
             },
             2 => {
                 let count = usize::from(self.byte()?);
-                if count > MOST_VOTERS {
+                if count > MAX_VOTERS {
                     return None;
                 }
-                let numbers: Option<Vec<u32>> = (0..count).map(|_| self.word()).collect();
+                let numbers: Option<Vec<u32>> = (0..count).map(|_| self.read_u32()).collect();
                 Message::Write { numbers: numbers?, record: self.record()? }
             }
             3 => Message::Stored {
                 token: self.token()?,
-                version: self.word()?,
-                own: self.word()?,
-                refused: self.flag()?,
+                version: self.read_u32()?,
+                own: self.read_u32()?,
+                refused: self.read_bool()?,
                 promised: self.token()?,
             },
             4 => Message::Tell { record: self.record()? },
             5 => Message::Heartbeat(self.said_word()?),
-            6 => Message::Wants { plan: self.plan()?, at: self.short()? },
+            6 => Message::Wants { plan: self.plan()?, at: self.read_u16()? },
             7 => {
-                let (plan, kind, nonce) = (self.plan()?, self.flag()?, self.long()?);
-                let (count, at) = (self.short()?, self.short()?);
+                let (plan, kind, nonce) = (self.plan()?, self.read_bool()?, self.read_u64()?);
+                let (count, at) = (self.read_u16()?, self.read_u16()?);
                 let kind = if kind { MachineKind::Poolers } else { MachineKind::Servers };
                 let mut machines = Vec::new();
                 while !self.0.is_empty() && machines.len() < PART {
-                    machines.push(self.long()?);
+                    machines.push(self.read_u64()?);
                 }
                 Message::Part { plan, kind, nonce, count, at, machines }
             }
             8 => Message::Call {
-                call: self.word()?,
+                call: self.read_u32()?,
                 verb: self.one(&Command::ALL)?,
                 plan: self.plan()?,
-                at: self.short()?,
+                at: self.read_u16()?,
             },
-            9 => Message::Reply { call: self.word()?, said: self.one(&CommandResult::ALL)? },
+            9 => Message::Reply { call: self.read_u32()?, said: self.one(&CommandResult::ALL)? },
             _ => return None,
         })
     }
--- a/crates/coordination/tests/register.rs
+++ b/crates/coordination/tests/register.rs
@@ -41,7 +41,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut dice = move |of: usize| rng.next_u64() as usize % of;
     let voters: BTreeSet<u16> = (0..count).collect();
-    let council = VoterSet::new(voters.clone(), vec![]);
+    let voter_set = VoterSet::new(voters.clone(), vec![]);
     let mut stores: Vec<VoterStore<K>> =
         (0..count).map(|me| VoterStore::new(me, 1_000 + u32::from(me))).collect();
     let mut drawn = 2_000;
@@ -50,7 +50,7 @@
     for me in 0..count {
         if let Some(Message::Read { round, .. }) = stores[usize::from(me)].ask(1) {
             for other in (0..count).filter(|other| *other != me) {
-                stores[usize::from(me)].seen(&council, other, round, true, Token(0), &Record::default());
+                stores[usize::from(me)].seen(&voter_set, other, round, true, Token(0), &Record::default());
             }
         }
     }
@@ -114,14 +114,14 @@
                     }
                     Message::Seen { round, own, blank, promised, record } if of_holder => {
                         let holder = &mut holders[who].writer;
-                        holder.seen(&council, voter, (round, own), blank, promised, record);
+                        holder.seen(&voter_set, voter, (round, own), blank, promised, record);
                     }
                     Message::Seen { round, blank, promised, record, .. } => {
-                        stores[who].seen(&council, voter, round, blank, promised, &record);
+                        stores[who].seen(&voter_set, voter, round, blank, promised, &record);
                     }
                     Message::Stored { token, version, own, refused, promised } => {
                         let holder = &mut holders[who];
-                        holder.writer.stored(&council, voter, (token, version), own, refused, promised);
+                        holder.writer.stored(&voter_set, voter, (token, version), own, refused, promised);
                         if let Some(age) = holder.writer.settled().map(Record::revision) {
                             stored += usize::from(age > holder.settled);
                             holder.settled = holder.settled.max(age);
@@ -145,11 +145,11 @@
 #[test]
 fn a_write_that_does_not_name_all_voters_is_refused() {
     let voters: BTreeSet<u16> = (0..3).collect();
-    let council = VoterSet::new(voters.clone(), vec![]);
+    let voter_set = VoterSet::new(voters.clone(), vec![]);
     let mut store: VoterStore<FullRegisterRules> = VoterStore::new(2, 1_002);
     store.ask(1);
     for other in [0, 1] {
-        store.seen(&council, other, 1, true, Token(0), &Record::default());
+        store.seen(&voter_set, other, 1, true, Token(0), &Record::default());
     }
     let record = Record { token: Token(5), version: 1, ..Record::default() };
     for (numbers, refuses) in [(&[7, 8][..], true), (&[7, 8, 1_002, 9], true), (&[7, 8, 1_002], false)] {
@@ -178,13 +178,13 @@
 /// the holder has a majority. Whether a later holder then misses what was stored.
 fn an_ack_from_before_a_restart<K: RegisterRules>() -> bool {
     let voters: BTreeSet<u16> = (0..3).collect();
-    let council = VoterSet::new(voters.clone(), vec![]);
+    let voter_set = VoterSet::new(voters.clone(), vec![]);
     let mut stores: Vec<VoterStore<K>> =
         (0..3).map(|me| VoterStore::new(me, 1_000 + u32::from(me))).collect();
     for me in 0..3 {
         stores[usize::from(me)].ask(1);
         for other in (0..3).filter(|other| *other != me) {
-            stores[usize::from(me)].seen(&council, other, 1, true, Token(0), &Record::default());
+            stores[usize::from(me)].seen(&voter_set, other, 1, true, Token(0), &Record::default());
         }
     }
     let read = |stores: &mut Vec<VoterStore<K>>, writer: &mut Writer<K>, of: &[u16]| {
@@ -192,7 +192,7 @@
             let (true, Message::Read { round, promise, own }) = (of.contains(&voter), note) else { continue };
             let answer = stores[usize::from(voter)].read(9, round, promise, own);
             let Message::Seen { round, own, blank, promised, record } = answer else { unreachable!() };
-            writer.seen(&council, voter, (round, own), blank, promised, record);
+            writer.seen(&voter_set, voter, (round, own), blank, promised, record);
         }
     };
     let write = |stores: &mut Vec<VoterStore<K>>, writer: &Writer<K>, to: u16| {
@@ -202,7 +202,7 @@
     };
     let take = |writer: &mut Writer<K>, from: u16, answer: Message| {
         let Message::Stored { token, version, own, refused, promised } = answer else { unreachable!() };
-        writer.stored(&council, from, (token, version), own, refused, promised);
+        writer.stored(&voter_set, from, (token, version), own, refused, promised);
     };
     let mut first: Writer<K> = Writer::new(Token(10), 0x8000_0001, voters.clone());
     read(&mut stores, &mut first, &[0, 1, 2]);
@@ -215,7 +215,7 @@
         let Message::Seen { blank, promised, record, .. } = stores[other].read(0, round, promise, own) else {
             unreachable!()
         };
-        stores[0].seen(&council, other as u16, round, blank, promised, &record);
+        stores[0].seen(&voter_set, other as u16, round, blank, promised, &record);
     }
     assert!(!stores[0].is_blank());
     take(&mut first, 0, late);
--- a/crates/coordination/tests/work.rs
+++ b/crates/coordination/tests/work.rs
@@ -1,7 +1,7 @@
 //! A plan carried out by a fleet of poolers in virtual time, with holders that die, letters that are lost and poolers that start anew;
 //! and the order of machines by itself.
 
-use linnetdeal_coordination::lease::{Body, Key, Letter, PoolerInstance, Token, open, seal};
+use linnetdeal_coordination::lease::{Body, Datagram, Key, PoolerInstance, Token, decode, encode};
 use linnetdeal_coordination::work::*;
 use linnetdeal_core::peers::To;
 use linnetdeal_core::{Span, Time};
@@ -355,7 +355,7 @@
             let own = LocalState { token, holder, clear, clear_revision, loads, ..LocalState::default() };
             pooler.work.tick(now, &own, &|_| facts.clone());
             let who = pooler.who;
-            sent.extend(pooler.work.take_messages().into_iter().map(|letter| (who, letter)));
+            sent.extend(pooler.work.take_messages().into_iter().map(|datagram| (who, datagram)));
         }
         // Out is what is worked on, and what most don't use; who was cut off learns late that one is back.
         let half = self.poolers.iter().flatten().count() / 2;
@@ -801,7 +801,7 @@
 }
 
 fn any_note() -> impl Strategy<Value = Message> {
-    let numbers = prop::collection::vec(any::<u32>(), 0..=MOST_VOTERS);
+    let numbers = prop::collection::vec(any::<u32>(), 0..=MAX_VOTERS);
     let word =
         (any::<[u64; 2]>(), any::<u32>(), prop::collection::btree_set(0..MAX_MACHINES, 0..40), any::<bool>());
     let rest = (
@@ -859,14 +859,14 @@
     fn letters_are_read_whole_or_refused(note in any_note(), cut in 0..300_usize, bytes in prop::collection::vec(any::<u8>(), 0..260)) {
         let key = Key::new(b"the key of this test").unwrap();
         let sender = PoolerInstance { number: 3, incarnation: 4 };
-        let letter = Letter { site: 1, version: 2, sender, number: 5, body: Body::Work(note) };
-        let sealed = seal(&letter, &key);
-        prop_assert!(sealed.len() <= linnetdeal_coordination::lease::LONGEST, "{} bytes", sealed.len());
-        prop_assert_eq!(open(&sealed, std::slice::from_ref(&key)), Ok(letter));
+        let datagram = Datagram { site: 1, version: 2, sender, number: 5, body: Body::Work(note) };
+        let encoded = encode(&datagram, &key);
+        prop_assert!(encoded.len() <= linnetdeal_coordination::lease::MAX_DATAGRAM_BYTES, "{} bytes", encoded.len());
+        prop_assert_eq!(decode(&encoded, std::slice::from_ref(&key)), Ok(datagram));
         // Whoever has the key and sends anything is refused or read, and ends nothing.
-        let short = sealed.len().saturating_sub(16).min(cut);
-        let _ = open(&linnetdeal_coordination::lease::sign(sealed[..short].to_vec(), &key), std::slice::from_ref(&key));
-        let strange = [&sealed[..28], &bytes[..]].concat();
-        let _ = open(&linnetdeal_coordination::lease::sign(strange, &key), &[key]);
+        let short = encoded.len().saturating_sub(16).min(cut);
+        let _ = decode(&linnetdeal_coordination::lease::append_mac(encoded[..short].to_vec(), &key), std::slice::from_ref(&key));
+        let strange = [&encoded[..28], &bytes[..]].concat();
+        let _ = decode(&linnetdeal_coordination::lease::append_mac(strange, &key), &[key]);
     }
 }
--- a/crates/daemon/src/leases.rs
+++ b/crates/daemon/src/leases.rs
@@ -13,7 +13,7 @@
     #[error("leases.keys: {0}: {1}")]
     Read(PathBuf, std::io::Error),
     /// It holds too little.
-    #[error("leases.keys: {0}: its first line has fewer than {least} bytes", least = Key::SHORTEST)]
+    #[error("leases.keys: {0}: its first line has fewer than {least} bytes", least = Key::MIN_BYTES)]
     Short(PathBuf),
     /// Two tasks look alike in a datagram.
     #[error("leases.tasks: {0} and {1} can't be told apart in a datagram, rename one")]
