--- a/crates/net/src/frontend.rs
+++ b/crates/net/src/frontend.rs
@@ -30,30 +30,30 @@
 use std::time::{Duration, Instant};
 
 /// Connections that wait to be accepted; a burst after a restart must not overflow it.
-const BACKLOG: i32 = 1_024;
+const LISTEN_BACKLOG: i32 = 1_024;
 /// How long accepting rests when descriptors have run out.
-const SHORT_PAUSE: Duration = Duration::from_millis(20);
+const SHORTAGE_PAUSE: Duration = Duration::from_millis(20);
 /// A client gets this long for its first command from when it was accepted, and for the rest of any command
 /// that has begun; and this long to take an answer. Connections without an open request may be closed after 2 s,
 /// and who sends nothing whole is pending_answer a close within 3 s of connecting, part of which it may wait in the backlog.
-const COMMAND_WAIT: Duration = Duration::from_secs(2);
-const WRITE_WAIT: Duration = Duration::from_secs(30);
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long a client that was told why its connection ends may go on writing: enough for 60 MB.
-const PARTING: Duration = Duration::from_secs(3);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Who sends what can't be served rests for so long after each error, and is told to go after so many: the
 /// same thing, sent again as soon as it was turned away, would keep others waiting.
-const REST: Duration = Duration::from_millis(50);
-const MOST_ERRORS: u32 = 8;
+const ERROR_DELAY: Duration = Duration::from_millis(50);
+const MAX_ERRORS: u32 = 8;
 /// A client may ask for each of TLS and GSS once, as PostgreSQL has it.
-const MOST_ENCRYPTION_REQUESTS: u32 = 2;
+const MAX_ENCRYPTION_REQUESTS: u32 = 2;
 /// Emptied by hand, it goes on as before for so long: the front asks ten times a second and stops 0.2 s after a no.
-const EMPTIED: Duration = Duration::from_millis(600);
+const DRAINED_GRACE: Duration = Duration::from_millis(600);
 /// What a client may send ahead while its request is out; beyond it nothing more is read until then, and its end, which
 /// stands behind what is not read, is asked for so often: a request whose client has left is not sent on 0.3 s later.
-const AHEAD: usize = 16 * 1024;
+const MAX_READ_AHEAD: usize = 16 * 1024;
 /// A broken variant forgets one answer in so many.
-const FORGOTTEN_EVERY: u64 = 50;
-const LOOK: Duration = Duration::from_millis(100);
+const FORGET_ANSWER_EVERY: u64 = 50;
+const HANGUP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Opens the listening socket.
 ///
@@ -62,7 +62,7 @@
 /// When the address can't be listened on.
 pub fn listen(address: std::net::SocketAddr) -> io::Result<Async<TcpListener>> {
     let listener = TcpListener::bind(address)?;
-    rustix::net::listen(&listener, BACKLOG)?;
+    rustix::net::listen(&listener, LISTEN_BACKLOG)?;
     Async::new(listener)
 }
 
@@ -80,15 +80,15 @@
     let missing =
         |error| io::Error::new(io::ErrorKind::InvalidInput, format!("descriptor {number}: {error}"));
     let listener = TcpListener::from(taken.map_err(missing)?);
-    let wrong = |words: &str| {
+    let not_listening = |words: &str| {
         let words = format!("descriptor {number} is no listening TCP socket: {words}");
         io::Error::new(io::ErrorKind::InvalidInput, words)
     };
-    listener.local_addr().map_err(|error| wrong(&error.to_string()))?;
+    listener.local_addr().map_err(|error| not_listening(&error.to_string()))?;
     match rustix::net::sockopt::socket_acceptconn(&listener) {
         Ok(true) => Async::new(listener),
-        Ok(false) => Err(wrong("nobody listens on it")),
-        Err(error) => Err(wrong(&error.to_string())),
+        Ok(false) => Err(not_listening("nobody listens on it")),
+        Err(error) => Err(not_listening(&error.to_string())),
     }
 }
 
@@ -120,18 +120,18 @@
 
 /// Accepts clients until the pooler turns deaf; again when it is needed after all, which it can be only where the platform holds
 /// the listening socket (`kept`). One of its own is closed, so that nobody waits in it.
-pub(crate) async fn run(context: Rc<FrontendContext>, listener: Async<TcpListener>, kept: bool) {
+pub(crate) async fn run(context: Rc<FrontendContext>, listener: Async<TcpListener>, inherited: bool) {
     loop {
         let accepted = async {
             let room = context.slots.wait_for_room().await;
             Some(listener.accept().await.map(|(stream, _)| (stream, room)))
         };
-        let deaf = async {
+        let accept_paused = async {
             context.life.accept_paused.wait_on().await;
             None
         };
-        match or(accepted, deaf).await {
-            None if kept => context.life.accept_paused.wait_off().await,
+        match or(accepted, accept_paused).await {
+            None if inherited => context.life.accept_paused.wait_off().await,
             None => return,
             Some(Ok((stream, room))) => {
                 // It may have been waited for long since all seats were taken.
@@ -146,7 +146,7 @@
                 if !context.pool.close_one_idle() {
                     context.slots.evict_one(EvictionRank::Closing..=EvictionRank::Idle);
                 }
-                Timer::after(SHORT_PAUSE).await;
+                Timer::after(SHORTAGE_PAUSE).await;
             }
             // The client gave up before it was accepted; should it be something that lasts, it must not spin.
             Some(Err(_)) => {
@@ -175,7 +175,7 @@
             stage: Stage::Startup,
             since: Instant::now(),
             errors: 0,
-            closes: Cell::new(CloseReason::ClientLeft),
+            close_reason: Cell::new(CloseReason::ClientLeft),
         };
         // What went wrong on one client's connection concerns nobody else: it is closed.
         let ended = client.run(room).await;
@@ -196,7 +196,7 @@
 }
 
 /// What reading from a client gave.
-enum Read {
+enum ReadOutcome {
     /// More bytes.
     More,
     /// Nothing: the connection ends.
@@ -226,7 +226,7 @@
     /// Its commands that were no use.
     errors: u32,
     /// Why its connection ends, as far as is known by now.
-    closes: Cell<CloseReason>,
+    close_reason: Cell<CloseReason>,
 }
 
 /// What a command comes down to.
@@ -243,17 +243,17 @@
 
 impl Client<'_> {
     async fn run(&mut self, room: bool) -> Result<(), ClientError> {
-        let ended = match self.begin(room).await {
-            Ok(true) => self.commands().await,
+        let ended = match self.start_session(room).await {
+            Ok(true) => self.run_commands().await,
             other => other.map(drop),
         };
         match ended {
             Err(ClientError::Pg(error)) => {
                 self.context.counters.rejected.add();
-                self.closes.set(CloseReason::Protocol);
+                self.close_reason.set(CloseReason::Protocol);
                 // What makes no sense can't be told from requests any more.
                 self.buffer = ReadBuffer::default();
-                self.part("08P01", &error.to_string(), None).await
+                self.close_with_error("08P01", &error.to_string(), None).await
             }
             other => other,
         }
@@ -261,9 +261,14 @@
 
     /// Sends the last words on a connection, and reads what the client is still writing: to close before that
     /// would reset the connection, and the words might be lost with it.
-    async fn part(&mut self, code: &str, words: &str, detail: Option<&str>) -> Result<(), ClientError> {
+    async fn close_with_error(
+        &mut self,
+        code: &str,
+        message: &str,
+        detail: Option<&str>,
+    ) -> Result<(), ClientError> {
         let mut out = Vec::new();
-        write::error_response(&mut out, Severity::Fatal, code, words, detail);
+        write::error_response(&mut out, Severity::Fatal, code, message, detail);
         self.send(&[&out]).await?;
         self.stream.get_ref().shutdown(Shutdown::Write)?;
         self.buffer = ReadBuffer::default();
@@ -273,35 +278,35 @@
 
     async fn send(&self, pieces: &[&[u8]]) -> Result<(), ClientError> {
         let slow = async {
-            Timer::after(WRITE_WAIT).await;
+            Timer::after(WRITE_TIMEOUT).await;
             Err(ClientError::Slow)
         };
         or(async { Ok(write_all(&self.stream, pieces).await?) }, slow).await
     }
 
     /// The startup; false if there is no session after it.
-    async fn begin(&mut self, room: bool) -> Result<bool, ClientError> {
-        let mut wishes = 0;
+    async fn start_session(&mut self, room: bool) -> Result<bool, ClientError> {
+        let mut encryption_requests = 0;
         loop {
             if let Some((kind, size)) = pg::startup(self.buffer.data())? {
                 self.buffer.consume(size);
                 match kind {
-                    Startup::Encryption if wishes == MOST_ENCRYPTION_REQUESTS => {
+                    Startup::Encryption if encryption_requests == MAX_ENCRYPTION_REQUESTS => {
                         return Err(PgError::Malformed("encryption request").into());
                     }
                     Startup::Encryption => self.send(&[b"N"]).await?,
                     Startup::Cancel => return Ok(false),
                     Startup::Session => break,
                 }
-                wishes += 1;
-            } else if !self.more().await? {
+                encryption_requests += 1;
+            } else if !self.read_more().await? {
                 return Ok(false);
             }
         }
         if !room {
             self.context.counters.crowded_out.add();
-            self.closes.set(CloseReason::NoRoom);
-            self.part("53300", "too many clients", Some("250")).await?;
+            self.close_reason.set(CloseReason::NoRoom);
+            self.close_with_error("53300", "too many clients", Some("250")).await?;
             return Ok(false);
         }
         self.stage = Stage::Silent;
@@ -311,12 +316,12 @@
         Ok(true)
     }
 
-    async fn commands(&mut self) -> Result<(), ClientError> {
+    async fn run_commands(&mut self) -> Result<(), ClientError> {
         let mut skipping = false;
         let mut out = Vec::new();
         loop {
             let Some(message) = pg::message(self.buffer.data())? else {
-                if !self.more().await? {
+                if !self.read_more().await? {
                     return Ok(());
                 }
                 continue;
@@ -336,8 +341,8 @@
                     if matches!(tag, b'Q' | b'S') {
                         write::ready_for_query(&mut out);
                     }
-                    if self.parts() {
-                        return self.last(&[&out]).await;
+                    if self.should_hand_over() {
+                        return self.send_last(&[&out]).await;
                     }
                     self.send(&[&out]).await?;
                 }
@@ -346,9 +351,9 @@
                     self.errors += 1;
                     // A request that was read behind it is owed its answer first.
                     let may_close = self.close_facts().may_close();
-                    if self.errors >= MOST_ERRORS && may_close {
-                        self.closes.set(CloseReason::Errors);
-                        return self.part(code, &words, None).await;
+                    if self.errors >= MAX_ERRORS && may_close {
+                        self.close_reason.set(CloseReason::Errors);
+                        return self.close_with_error(code, &words, None).await;
                     }
                     write::error_response(&mut out, Severity::Error, code, &words, None);
                     skipping = tag != b'Q';
@@ -356,19 +361,19 @@
                         write::ready_for_query(&mut out);
                     }
                     self.send(&[&out]).await?;
-                    let rest = async {
-                        Timer::after(REST).await;
+                    let delay = async {
+                        Timer::after(ERROR_DELAY).await;
                     };
                     if !may_close {
-                        rest.await;
-                    } else if self.slot.run_evictable(EvictionRank::New, self.since, rest).await.is_none() {
-                        self.closes.set(CloseReason::MadeRoom);
+                        delay.await;
+                    } else if self.slot.run_evictable(EvictionRank::New, self.since, delay).await.is_none() {
+                        self.close_reason.set(CloseReason::MadeRoom);
                         return Ok(());
                     }
                 }
-                Command::Request(asked, open) => {
+                Command::Request(client_request, open) => {
                     self.stage = Stage::Known;
-                    if !self.request(asked, &open.id, &mut out).await? {
+                    if !self.serve_request(client_request, &open.id, &mut out).await? {
                         return Ok(());
                     }
                     drop(open);
@@ -387,52 +392,52 @@
 
     /// Reads more; false if there will be none, or the client has to go: it makes room, took too long for a
     /// command, or the process ends. What is readable goes before all that.
-    async fn more(&mut self) -> Result<bool, ClientError> {
+    async fn read_more(&mut self) -> Result<bool, ClientError> {
         let Self { context, stream, buffer, arrivals, slot, stage, since, .. } = self;
-        let between = buffer.data().is_empty() && *stage != Stage::Startup;
+        let between_commands = buffer.data().is_empty() && *stage != Stage::Startup;
         buffer.release_if_empty();
         // The first bytes of a command that has begun came just now; they don't grant more time again.
         let limit = match *stage {
-            Stage::Known if between => None,
-            _ => Some(*since + COMMAND_WAIT),
+            Stage::Known if between_commands => None,
+            _ => Some(*since + COMMAND_TIMEOUT),
         };
         let read = async {
             let count = buffer.fill(stream).await?;
             arrivals.record(count, context.driver.clock.now());
-            Ok(if count > 0 { Read::More } else { Read::End(CloseReason::ClientLeft) })
+            Ok(if count > 0 { ReadOutcome::More } else { ReadOutcome::End(CloseReason::ClientLeft) })
         };
         let late = async {
             match limit {
                 Some(at) => drop(Timer::at(at).await),
                 None => std::future::pending().await,
             }
-            Ok(Read::End(CloseReason::Slow))
+            Ok(ReadOutcome::End(CloseReason::Slow))
         };
         let ending = async {
-            let ends = if between { &context.life.closing_idle } else { &context.life.terminating };
-            ends.raised().await;
-            Ok(Read::End(CloseReason::ProcessEnds))
+            let flag = if between_commands { &context.life.closing_idle } else { &context.life.terminating };
+            flag.raised().await;
+            Ok(ReadOutcome::End(CloseReason::ProcessEnds))
         };
         // Emptied by hand: who is known here is let go once the front sends nobody more.
         let emptied = async {
-            if !between || *stage != Stage::Known {
+            if !between_commands || *stage != Stage::Known {
                 std::future::pending::<()>().await;
             }
             let since = context.life.drained.wait_on().await;
-            let _ = Timer::at(since + EMPTIED).await;
-            Ok(Read::End(CloseReason::Emptied))
+            let _ = Timer::at(since + DRAINED_GRACE).await;
+            Ok(ReadOutcome::End(CloseReason::Emptied))
         };
         let ending = or(ending, emptied);
         let rank = if *stage == Stage::Known { EvictionRank::Idle } else { EvictionRank::New };
-        let done: Option<Result<Read, ClientError>> =
+        let done: Option<Result<ReadOutcome, ClientError>> =
             slot.run_evictable(rank, *since, or(read, or(late, ending))).await;
-        if between && *stage == Stage::Known {
+        if between_commands && *stage == Stage::Known {
             *since = Instant::now();
         }
-        match done.unwrap_or(Ok(Read::End(CloseReason::MadeRoom)))? {
-            Read::More => Ok(true),
-            Read::End(why) => {
-                self.closes.set(why);
+        match done.unwrap_or(Ok(ReadOutcome::End(CloseReason::MadeRoom)))? {
+            ReadOutcome::More => Ok(true),
+            ReadOutcome::End(why) => {
+                self.close_reason.set(why);
                 Ok(false)
             }
         }
@@ -443,8 +448,8 @@
         let (mut data, mut requests_unanswered) = (self.buffer.data(), 0);
         while let Ok(Some(message)) = pg::message(data) {
             let statement = (message.tag == b'Q').then(|| pg::query_text(message.body).ok()).flatten();
-            let asks = statement.map(pg::parse_statement);
-            requests_unanswered += usize::from(matches!(asks, Some(Ok(StatementKind::Request(_)))));
+            let kind = statement.map(pg::parse_statement);
+            requests_unanswered += usize::from(matches!(kind, Some(Ok(StatementKind::Request(_)))));
             data = &data[message.size..];
         }
         CloseFacts { requests_unanswered, client_left: false }
@@ -453,7 +458,7 @@
     /// The connection is about to close: why is counted and logged, and whether all that was read has been answered.
     fn note_close(&self, ended: Result<(), ClientError>) {
         let closes = match &ended {
-            Ok(()) => self.closes.get(),
+            Ok(()) => self.close_reason.get(),
             Err(ClientError::Io(_)) => CloseReason::Broken,
             Err(ClientError::Pg(_)) => CloseReason::Protocol,
             Err(ClientError::Slow) => CloseReason::Slow,
@@ -481,17 +486,25 @@
                 let statement = pg::query_text(message.body)?;
                 match pg::parse_statement(statement) {
                     Ok(StatementKind::Request(comment)) => {
-                        let asked = self.context.asked(statement, &comment, arrived);
+                        let client_request = self.context.client_request(statement, &comment, arrived);
                         let open = OpenId::enter(self.context, comment.id);
-                        if let (Some(asked), Some(open)) = (asked, open) {
-                            let wait = comment.timeout_range.clone();
-                            let effect = self.context.classes.get(asked.class).map(|(.., effect)| effect);
-                            let once = effect != Some(Effect::Safe) && effect != Some(Effect::Keyed);
+                        if let (Some(client_request), Some(open)) = (client_request, open) {
+                            let timeout_range = comment.timeout_range.clone();
+                            let effect =
+                                self.context.classes.get(client_request.class).map(|(.., effect)| effect);
+                            let must_not_repeat =
+                                effect != Some(Effect::Safe) && effect != Some(Effect::Keyed);
                             let (bytes, at) = self.buffer.detach(size);
-                            let whole = at.start + 5..at.end;
-                            let wait = wait.start + whole.start..wait.end + whole.start;
+                            let range = at.start + 5..at.end;
+                            let timeout_range =
+                                timeout_range.start + range.start..timeout_range.end + range.start;
                             return Ok(Command::Request(
-                                asked.with(Statement { bytes, whole, wait, once }),
+                                client_request.with_query(Statement {
+                                    bytes,
+                                    range,
+                                    timeout_range,
+                                    must_not_repeat,
+                                }),
                                 open,
                             ));
                         }
@@ -521,22 +534,23 @@
     }
 
     /// Serves a request and writes its one answer; false if the connection ends with it.
-    async fn request(
+    async fn serve_request(
         &mut self,
-        asked: ClientRequest<Statement>,
+        client_request: ClientRequest<Statement>,
         id: &str,
         out: &mut Vec<u8>,
     ) -> Result<bool, ClientError> {
         let Self { context, stream, buffer, arrivals, .. } = self;
-        let read = RefCell::new((buffer, arrivals));
-        let asking = Asking { life: &context.life, driver: &context.driver, stream, read };
-        let (answer, pending_answer) = serve(&context.driver, &*context.pool, &asked, &asking).await;
+        let read_ahead = RefCell::new((buffer, arrivals));
+        let client_watch = ClientWatch { life: &context.life, driver: &context.driver, stream, read_ahead };
+        let (answer, pending_answer) =
+            serve(&context.driver, &*context.pool, &client_request, &client_watch).await;
         if let (FinalAnswer::Failed { member: Some(member) }, Some((class, Need::Write, _))) =
-            (&answer, context.classes.get(asked.class))
+            (&answer, context.classes.get(client_request.class))
         {
             context.in_doubt.add(id, &class, Some(member.clone()), context.driver.clock.now());
         }
-        self.buffer.reuse(asked.query.bytes);
+        self.buffer.reuse(client_request.query.bytes);
         let how = match &answer {
             FinalAnswer::Served(_) => Some(Answer::Served),
             FinalAnswer::Refused(_) => Some(Answer::Refused),
@@ -544,7 +558,7 @@
             FinalAnswer::Gone => None,
         };
         tracing::debug!(target: "requests", request = pending_answer.request().0, client_id = id, ?how, "final answer");
-        if how.is_some() && self.forgets() {
+        if how.is_some() && self.drops_answer() {
             return Ok(false);
         }
         let written = self.answer(answer, out).await;
@@ -557,19 +571,19 @@
     }
 
     /// Whether this is a request whose answer a broken variant forgets.
-    fn forgets(&self) -> bool {
+    fn drops_answer(&self) -> bool {
         let taken = self.context.counters.taken.get();
-        mutants::is_active(Mutant::ForgottenAnswer) && taken % FORGOTTEN_EVERY == 0
+        mutants::is_active(Mutant::ForgottenAnswer) && taken % FORGET_ANSWER_EVERY == 0
     }
 
     async fn answer(&self, answer: FinalAnswer<Reply>, out: &mut Vec<u8>) -> Result<bool, ClientError> {
         match answer {
             FinalAnswer::Gone => Ok(false),
             FinalAnswer::Served(mut reply) if reply.is_large() => {
-                let begun: Vec<&[u8]> = reply.pieces().collect();
-                self.send(&begun).await?;
+                let sent_so_far: Vec<&[u8]> = reply.pieces().collect();
+                self.send(&sent_so_far).await?;
                 // What can't be finished ends with the connection: the client sees that it is not whole.
-                while let Some(piece) = self.context.pool.more(&mut reply).await? {
+                while let Some(piece) = self.context.pool.next_chunk(&mut reply).await? {
                     self.send(&[&piece]).await?;
                     yield_now().await;
                 }
@@ -609,8 +623,8 @@
 
     /// Sends a final answer; false if the connection ends with it.
     async fn finish(&self, pieces: &[&[u8]]) -> Result<bool, ClientError> {
-        if self.parts() {
-            self.last(pieces).await?;
+        if self.should_hand_over() {
+            self.send_last(pieces).await?;
             return Ok(false);
         }
         self.send(pieces).await?;
@@ -618,17 +632,17 @@
     }
 
     /// Whether the client goes over to a newer process with the next answer: not while it has sent more already.
-    fn parts(&self) -> bool {
-        let nothing = |error: io::Error| error.kind() == io::ErrorKind::WouldBlock;
+    fn should_hand_over(&self) -> bool {
+        let would_block = |error: io::Error| error.kind() == io::ErrorKind::WouldBlock;
         self.context.life.handing_over_clients.is_on()
             && self.buffer.data().is_empty()
-            && self.stream.get_ref().peek(&mut [0]).is_err_and(nothing)
+            && self.stream.get_ref().peek(&mut [0]).is_err_and(would_block)
     }
 
     /// Sends the last answer on a connection, with the end of the connection in the same segment: the client can't have
     /// begun anything that this end would cross. What it sends all the same is read, since a reset would take the answer.
-    async fn last(&self, pieces: &[&[u8]]) -> Result<(), ClientError> {
-        self.closes.set(CloseReason::HandedOver);
+    async fn send_last(&self, pieces: &[&[u8]]) -> Result<(), ClientError> {
+        self.close_reason.set(CloseReason::HandedOver);
         let stream = self.stream.get_ref();
         // Without it the end may come in a segment of its own; the answer goes out all the same.
         if let Err(error) = rustix::net::sockopt::set_tcp_cork(stream, true) {
@@ -642,39 +656,39 @@
 
     /// Reads what the client still writes, until it has closed as well or enough time has passed.
     async fn linger(&self) {
-        let rest = async {
+        let discarded = async {
             // One that sends at full speed holds up nobody else.
             while matches!(read_and_discard(&self.stream, &self.context.scratch).await, Ok(1..)) {
                 yield_now().await;
             }
         };
         let enough = async {
-            Timer::after(PARTING).await;
+            Timer::after(LINGER_TIMEOUT).await;
         };
-        let work = or(rest, or(enough, self.context.life.terminating.raised()));
+        let work = or(discarded, or(enough, self.context.life.terminating.raised()));
         self.slot.run_evictable(EvictionRank::Closing, Instant::now(), work).await;
     }
 }
 
 /// A client with a request. What it sends ahead is kept, within bounds. One that has closed its side has left, as the
 /// protocol has it: that it still reads can't be seen.
-struct Asking<'a> {
+struct ClientWatch<'a> {
     life: &'a Lifecycle,
     stream: &'a Async<TcpStream>,
     driver: &'a Driver,
     /// What it sends ahead, and when that came. Not borrowed across a wait.
-    read: RefCell<(&'a mut ReadBuffer, &'a mut Arrivals)>,
+    read_ahead: RefCell<(&'a mut ReadBuffer, &'a mut Arrivals)>,
 }
 
-impl Asking<'_> {
+impl ClientWatch<'_> {
     /// Whether no more is read for now.
-    fn is_ahead(&self) -> bool {
-        self.read.borrow().0.data().len() >= AHEAD
+    fn read_ahead_full(&self) -> bool {
+        self.read_ahead.borrow().0.data().len() >= MAX_READ_AHEAD
     }
 
     fn has_left(&self) -> bool {
-        while !self.is_ahead() {
-            let (buffer, arrivals) = &mut *self.read.borrow_mut();
+        while !self.read_ahead_full() {
+            let (buffer, arrivals) = &mut *self.read_ahead.borrow_mut();
             match buffer.try_fill(self.stream.get_ref()) {
                 Ok(count @ 1..) => arrivals.record(count, self.driver.clock.now()),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
@@ -682,11 +696,11 @@
                 Ok(0) | Err(_) => return true,
             }
         }
-        hung_up(self.stream)
+        peer_closed(self.stream)
     }
 }
 
-impl AbortSource for Asking<'_> {
+impl AbortSource for ClientWatch<'_> {
     fn abort_reason(&self) -> Option<AbortReason> {
         if self.has_left() {
             return Some(AbortReason::ClientLeft);
@@ -700,9 +714,9 @@
                 return reason;
             }
             // What can't be waited for is given up: to look again at once would never end.
-            let more = async {
-                if self.is_ahead() {
-                    Timer::after(LOOK).await;
+            let readable = async {
+                if self.read_ahead_full() {
+                    Timer::after(HANGUP_POLL_INTERVAL).await;
                     return None;
                 }
                 self.stream.readable().await.is_err().then_some(AbortReason::ClientLeft)
@@ -711,7 +725,7 @@
                 self.life.terminating.raised().await;
                 None
             };
-            if let Some(reason) = or(more, ending).await {
+            if let Some(reason) = or(readable, ending).await {
                 return reason;
             }
         }
@@ -719,7 +733,7 @@
 }
 
 /// Whether the other side has ended the connection, whatever stands unread before its end.
-fn hung_up(stream: &Async<TcpStream>) -> bool {
+fn peer_closed(stream: &Async<TcpStream>) -> bool {
     use rustix::event::{PollFd, PollFlags, Timespec, poll};
     let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     let mut polled = [PollFd::new(stream, PollFlags::RDHUP)];
@@ -751,7 +765,7 @@
 impl FrontendContext {
     /// The request that a statement makes whose last byte came at this time; `None` if its class is unknown. Its client counts
     /// from there, however long it waited behind others of its connection.
-    fn asked(
+    fn client_request(
         &self,
         statement: &str,
         comment: &pg::Comment<'_>,
@@ -759,8 +773,8 @@
     ) -> Option<ClientRequest<()>> {
         let class = self.classes.named(comment.class)?;
         let longest = Span(i64::try_from(self.classes.longest_deadline().as_micros()).unwrap_or(i64::MAX));
-        let keyed = matches!(self.classes.get(class)?.1, Need::Write | Need::Session);
-        let session = pg::quoted_key(statement).filter(|_| keyed).map(|key| {
+        let has_session = matches!(self.classes.get(class)?.1, Need::Write | Need::Session);
+        let session = pg::quoted_key(statement).filter(|_| has_session).map(|key| {
             let mut hasher = DefaultHasher::new();
             key.hash(&mut hasher);
             SessionKey(hasher.finish())
@@ -782,7 +796,7 @@
 }
 
 impl ClientRequest<()> {
-    fn with(self, query: Statement) -> ClientRequest<Statement> {
+    fn with_query(self, query: Statement) -> ClientRequest<Statement> {
         let Self {
             class,
             tenant,
--- a/crates/net/src/pg/comment.rs
+++ b/crates/net/src/pg/comment.rs
@@ -67,7 +67,7 @@
 }
 
 fn comment(statement: &str, inner: Range<usize>) -> Result<Comment<'_>, PgError> {
-    let (mut id, mut class, mut timeout, mut cluster, mut last_commit_ms) = (None, None, None, None, None);
+    let (mut id, mut class, mut timeout, mut group, mut last_commit_ms) = (None, None, None, None, None);
     let (mut tenant, mut retry) = (None, false);
     let mut at = inner.start;
     for pair in statement[inner].split(',') {
@@ -81,7 +81,7 @@
             "t" => tenant = Some(value),
             "r" => retry = value == "1",
             "d" => timeout = Some((value, from..from + value.len())),
-            "cluster" => cluster = Some(value),
+            "cluster" => group = Some(value),
             "after" => last_commit_ms = value.parse().ok(),
             _ => {}
         }
@@ -92,9 +92,9 @@
     let is_decimal = timeout.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     let timeout_ms =
         timeout.parse().ok().filter(|ms| is_decimal && (0.0..1e9).contains(ms)).ok_or(missing)?;
-    let cluster = cluster.map_or(Ok(0), str::parse).map_err(|_| missing)?;
+    let group = group.map_or(Ok(0), str::parse).map_err(|_| missing)?;
     let (id, class) = (id.ok_or(missing)?, class.ok_or(missing)?);
-    Ok(Comment { id, class, tenant, retry, timeout_ms, timeout_range, group: cluster, last_commit_ms })
+    Ok(Comment { id, class, tenant, retry, timeout_ms, timeout_range, group, last_commit_ms })
 }
 
 /// Whether a client's id of a request can be one.
--- a/crates/net/src/upstream.rs
+++ b/crates/net/src/upstream.rs
@@ -31,27 +31,27 @@
 const PROBE: &[u8] = b"SHOW gauges\0";
 /// The part of the servers' idle limit after which an idle connection is dropped here: one that the server
 /// closes while a request is on its way would lose that request.
-const IDLE_PART: f64 = 2.0 / 3.0;
+const IDLE_FRACTION: f64 = 2.0 / 3.0;
 /// A probe's time limit.
-const PROBE_WAIT: Duration = Duration::from_millis(250);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long what waits for room looks away, should nobody tell it.
-const SHORT_PAUSE: Duration = Duration::from_millis(20);
+const SHORTAGE_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// A dial that this machine's system fails for a moment is tried again so often.
-const MOST_MOMENTARY: u32 = 5;
+const MAX_TRANSIENT_RETRIES: u32 = 5;
 
 /// So many bytes of a large answer are read at a time, and no more are held for each.
-const PIECE: usize = 32 * 1024;
+const STREAM_CHUNK_SIZE: usize = 32 * 1024;
 /// A large answer that brings nothing for so long has ended.
-const SILENT: Duration = Duration::from_secs(10);
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// More than this no answer takes up, notices and all.
-const LONGEST_ANSWER: usize = 2 * pg::MAX_VALUE_SIZE;
+const MAX_ANSWER_SIZE: usize = 2 * pg::MAX_VALUE_SIZE;
 /// What a server sends too much comes just behind an answer, and must not be taken for the next: a connection
 /// rests for this long after one while there are others.
-const RESTED: Duration = Duration::from_millis(20);
+const REUSE_DELAY: Duration = Duration::from_millis(20);
 /// After so many kept connections that did not, a new one is opened; and at once where one stays silent for so
 /// long, ten times what the farthest servers take: others may still answer.
-const MOST_ASKED: usize = 2;
-const ASKED_WAIT: Duration = Duration::from_millis(25);
+const MAX_REUSE_CHECKS: usize = 2;
+const REUSE_CHECK_TIMEOUT: Duration = Duration::from_millis(25);
 
 /// A statement of a client, in the buffer that it was read into. Only the wait is rewritten for an attempt.
 #[derive(Debug)]
@@ -59,11 +59,11 @@
     /// The buffer.
     pub bytes: Vec<u8>,
     /// The statement in it, with its zero byte.
-    pub whole: Range<usize>,
+    pub range: Range<usize>,
     /// The digits of the wait in it.
-    pub wait: Range<usize>,
+    pub timeout_range: Range<usize>,
     /// It must not run twice: what is lost of it can't be sent again.
-    pub once: bool,
+    pub must_not_repeat: bool,
 }
 
 /// A server's answer, in the buffer that it was read into.
@@ -72,26 +72,26 @@
     bytes: Vec<u8>,
     pieces: Vec<Range<usize>>,
     /// What is still to come of a large one, on the connection that brings it.
-    rest: Option<Rest>,
+    remainder: Option<LargeAnswer>,
 }
 
 /// A row that has begun, and all that follows it.
 #[derive(Debug)]
-struct Rest {
+struct LargeAnswer {
     member: MemberId,
     connection: Connection,
     answer: pg::Answer,
     /// Bytes of the row that are not read yet, or not taken out of the buffer.
-    left: usize,
+    row_bytes_left: usize,
     /// ReadyForQuery has come.
-    over: bool,
+    complete: bool,
 }
 
 impl Reply {
     /// Whether more of it is to come.
     #[must_use]
     pub fn is_large(&self) -> bool {
-        self.rest.is_some()
+        self.remainder.is_some()
     }
 
     /// The messages of the answer, from RowDescription to CommandComplete.
@@ -101,13 +101,13 @@
 }
 
 /// What `work` gives within a time limit.
-async fn bounded<T>(
+async fn with_timeout<T>(
     timers: &TimerQueue,
-    longest: Duration,
+    timeout: Duration,
     work: impl Future<Output = Result<T, ExchangeError>>,
 ) -> Result<T, ExchangeError> {
     let limit = async {
-        timers.wait_until(Instant::now() + longest).await;
+        timers.wait_until(Instant::now() + timeout).await;
         Err(ExchangeError::NoResponse)
     };
     or(work, limit).await
@@ -127,27 +127,27 @@
 }
 
 /// What is known of an attempt under way, also when it is given up.
-struct Course {
+struct AttemptProgress {
     stage: Cell<Stage>,
     /// It went at once on a kept connection and has had nothing of an answer.
-    kept: Cell<bool>,
+    unverified_reuse: Cell<bool>,
     /// Bytes of the statement, and bytes that the system has taken of it and of what goes behind it.
     size: Cell<usize>,
     written: Cell<usize>,
 }
 
-impl Default for Course {
+impl Default for AttemptProgress {
     fn default() -> Self {
         Self {
             stage: Cell::new(Stage::Waiting),
-            kept: Cell::new(false),
+            unverified_reuse: Cell::new(false),
             size: Cell::new(0),
             written: Cell::new(0),
         }
     }
 }
 
-impl Course {
+impl AttemptProgress {
     /// How far it has come. With its last byte out a statement may run, though what goes behind it was not written.
     fn stage(&self) -> Stage {
         let (stage, size) = (self.stage.get(), self.size.get());
@@ -168,36 +168,36 @@
 struct Message<'a> {
     head: [u8; 5],
     before: &'a [u8],
-    wait: String,
+    timeout: String,
     after: &'a [u8],
 }
 
 impl<'a> Query<'a> {
     /// It must not run twice.
-    fn runs_once(&self) -> bool {
-        matches!(self, Self::Statement(statement) if statement.once)
+    fn must_not_repeat(&self) -> bool {
+        matches!(self, Self::Statement(statement) if statement.must_not_repeat)
     }
 
-    fn message(&self, told: Duration) -> Message<'a> {
-        let (before, wait, after): (&[u8], String, &[u8]) = match self {
+    fn message(&self, attempt_timeout: Duration) -> Message<'a> {
+        let (before, timeout, after): (&[u8], String, &[u8]) = match self {
             Self::Probe => (PROBE, String::new(), b""),
-            Self::Statement(Statement { bytes, whole, wait, .. }) => {
-                let told = told.as_micros().div_ceil(1_000).max(1).to_string();
-                (&bytes[whole.start..wait.start], told, &bytes[wait.end..whole.end])
+            Self::Statement(Statement { bytes, range, timeout_range, .. }) => {
+                let digits = attempt_timeout.as_micros().div_ceil(1_000).max(1).to_string();
+                (&bytes[range.start..timeout_range.start], digits, &bytes[timeout_range.end..range.end])
             }
         };
-        let head = pg::write::query_head(before.len() + wait.len() + after.len());
-        Message { head, before, wait, after }
+        let head = pg::write::query_head(before.len() + timeout.len() + after.len());
+        Message { head, before, timeout, after }
     }
 }
 
 impl Message<'_> {
     fn size(&self) -> usize {
-        self.head.len() + self.before.len() + self.wait.len() + self.after.len()
+        self.head.len() + self.before.len() + self.timeout.len() + self.after.len()
     }
 
     fn pieces(&self) -> Vec<&[u8]> {
-        vec![&self.head, self.before, self.wait.as_bytes(), self.after]
+        vec![&self.head, self.before, self.timeout.as_bytes(), self.after]
     }
 }
 
@@ -208,8 +208,8 @@
 
 impl SendGate for ProbeGate {
     fn admit(&self, member_in_service: bool) -> Result<Duration, SendDenied> {
-        let left = self.until.saturating_duration_since(Instant::now());
-        if member_in_service { Ok(left) } else { Err(SendDenied::MemberWithdrawn) }
+        let remaining = self.until.saturating_duration_since(Instant::now());
+        if member_in_service { Ok(remaining) } else { Err(SendDenied::MemberWithdrawn) }
     }
 
     fn began(&self, _told: Duration) {}
@@ -243,7 +243,7 @@
     timers: TimerQueue,
     started: Instant,
     /// What is open or under way, by member.
-    present: RefCell<HashMap<MemberId, Rc<Cell<usize>>>>,
+    member_uses: RefCell<HashMap<MemberId, Rc<Cell<usize>>>>,
     /// Where somebody wants to know what is sent and what fails.
     stats: RefCell<Option<SendStats>>,
 }
@@ -265,9 +265,9 @@
         counters: Rc<Counters>,
         host: HostSettings,
         stall: Rc<StallDetector>,
-        most: usize,
+        max: usize,
     ) -> Self {
-        let budget = Rc::new(Budget { used: Cell::new(0), max: most, released: Event::new() });
+        let budget = Rc::new(Budget { used: Cell::new(0), max, released: Event::new() });
         Self {
             members,
             counters,
@@ -278,7 +278,7 @@
             trust: RefCell::default(),
             timers: TimerQueue::default(),
             started: Instant::now(),
-            present: RefCell::default(),
+            member_uses: RefCell::default(),
             stats: RefCell::default(),
         }
     }
@@ -289,21 +289,21 @@
     }
 
     /// What was counted.
-    pub(crate) fn with_stats<T>(&self, look: impl FnOnce(&mut SendStats) -> T) -> Option<T> {
-        self.stats.borrow_mut().as_mut().map(look)
+    pub(crate) fn with_stats<T>(&self, access: impl FnOnce(&mut SendStats) -> T) -> Option<T> {
+        self.stats.borrow_mut().as_mut().map(access)
     }
 
     /// Whether nothing is out, idle or being opened at a member.
     #[must_use]
     pub fn has_no_connections(&self, member: &MemberId) -> bool {
-        self.present.borrow().get(member).is_none_or(|count| count.get() == 0)
+        self.member_uses.borrow().get(member).is_none_or(|count| count.get() == 0)
     }
 
-    fn present(&self, member: &MemberId) -> MemberUse {
-        MemberUse::new(self.present.borrow_mut().entry(member.clone()).or_default())
+    fn member_use(&self, member: &MemberId) -> MemberUse {
+        MemberUse::new(self.member_uses.borrow_mut().entry(member.clone()).or_default())
     }
 
-    fn note(&self, member: &MemberId, sent: bool, verdict: Verdict) {
+    fn record_stats(&self, member: &MemberId, sent: bool, verdict: Verdict) {
         let mut stats = self.stats.borrow_mut();
         let Some(stats) = stats.as_mut() else { return };
         if sent {
@@ -330,16 +330,17 @@
         self.host.borrow().report.iter().map(|(_, field)| *field).collect()
     }
 
-    fn longest_idle(&self) -> Duration {
-        self.host.borrow().keepalive.mul_f64(IDLE_PART)
+    fn max_idle(&self) -> Duration {
+        self.host.borrow().keepalive.mul_f64(IDLE_FRACTION)
     }
 
     /// Closes idle connections that are of no more use.
     pub fn close_stale_idle(&self) {
-        let longest = self.longest_idle();
+        let max_idle = self.max_idle();
         self.idle.borrow_mut().retain(|member, connections| {
             let address = self.members.address(member).filter(|_| self.members.in_service(member));
-            connections.retain_mut(|one| one.check_idle(address, longest) == IdleState::Usable);
+            connections
+                .retain_mut(|connection| connection.check_idle(address, max_idle) == IdleState::Usable);
             !connections.is_empty()
         });
     }
@@ -350,7 +351,7 @@
             Timer::after(Duration::from_millis(500)).await;
             self.close_stale_idle();
             self.trust.borrow_mut().forget(self.now());
-            self.present.borrow_mut().retain(|_, count| Rc::strong_count(count) > 1);
+            self.member_uses.borrow_mut().retain(|_, count| Rc::strong_count(count) > 1);
             // Who is forgotten is not held here either.
             self.with_stats(|stats| stats.failed.retain(|member, _| self.members.group(member).is_some()));
         }
@@ -364,8 +365,11 @@
     /// Closes the connection that has been idle longest, if there is one.
     pub fn close_one_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.values_mut().filter(|of| !of.is_empty()).min_by_key(|of| of[0].idle_since);
-        oldest.is_some_and(|of| of.pop_front().is_some())
+        let oldest = idle
+            .values_mut()
+            .filter(|connections| !connections.is_empty())
+            .min_by_key(|connections| connections[0].idle_since);
+        oldest.is_some_and(|connections| connections.pop_front().is_some())
     }
 
     /// On the clock of [`Trust`], which only counts differences.
@@ -373,38 +377,39 @@
         Time(0) + span_of(self.started.elapsed())
     }
 
-    fn put_back(&self, member: &MemberId, mut connection: Connection) {
+    fn release(&self, member: &MemberId, mut connection: Connection) {
         if !self.members.in_service(member) {
             return;
         }
         match connection.consume_ping_answers() {
             Ok(true) => connection.buffer.release_if_empty(),
             Ok(false) => {}
-            Err(_) => return self.doubt(member, Reuse::Asked),
+            Err(_) => return self.record_unsettled(member, Reuse::Asked),
         }
         connection.idle_since = Instant::now();
         self.idle.borrow_mut().entry(member.clone()).or_default().push_back(connection);
     }
 
     /// A kept connection broke, fell silent or brought what was nobody's.
-    fn doubt(&self, member: &MemberId, used: Reuse) {
+    fn record_unsettled(&self, member: &MemberId, used: Reuse) {
         self.counters.unsettled.add();
         self.trust.borrow_mut().broke(member, self.now(), used);
     }
 
     /// A free connection; the latest used first, so that the others can grow old and go, but for those that
     /// have only just brought an answer.
-    fn free(&self, member: &MemberId) -> Option<Connection> {
+    fn take_idle(&self, member: &MemberId) -> Option<Connection> {
         let address = self.members.address(member);
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(member)?;
         loop {
-            let rested = connections.iter().rposition(|one| one.idle_since.elapsed() >= RESTED);
-            let mut connection = connections.remove(rested.unwrap_or(0))?;
-            match connection.check_idle(address, self.longest_idle()) {
+            let rested_index =
+                connections.iter().rposition(|connection| connection.idle_since.elapsed() >= REUSE_DELAY);
+            let mut connection = connections.remove(rested_index.unwrap_or(0))?;
+            match connection.check_idle(address, self.max_idle()) {
                 IdleState::Usable => return Some(connection),
                 IdleState::Closed => {}
-                IdleState::UnexpectedData => self.doubt(member, Reuse::Asked),
+                IdleState::UnexpectedData => self.record_unsettled(member, Reuse::Asked),
             }
         }
     }
@@ -416,41 +421,43 @@
             self.counters.short.add();
             let released = self.budget.released.listen();
             or(released, async {
-                let _ = Timer::after(SHORT_PAUSE).await;
+                let _ = Timer::after(SHORTAGE_RETRY_DELAY).await;
             })
             .await;
         }
-        Permit::take(&self.budget, self.present(member))
+        Permit::take(&self.budget, self.member_use(member))
     }
 
     /// A connection for one request, and how it was come by: `None` if it is a new one.
     async fn connection(
         &self,
         member: &MemberId,
-        once: bool,
+        must_not_repeat: bool,
         stage: &Cell<Stage>,
     ) -> Result<(Connection, Option<Reuse>), ExchangeError> {
         let mut failures = 0;
         loop {
-            for _ in 0..MOST_ASKED {
-                let Some(mut connection) = self.free(member) else { break };
+            for _ in 0..MAX_REUSE_CHECKS {
+                let Some(mut connection) = self.take_idle(member) else { break };
                 stage.set(Stage::Dialing);
-                let rested = span_of(connection.idle_since.elapsed());
-                let mut reuse = self.trust.borrow().reuse(member, self.now(), rested, once);
+                let idle_for = span_of(connection.idle_since.elapsed());
+                let mut reuse = self.trust.borrow().reuse(member, self.now(), idle_for, must_not_repeat);
                 // Nothing told yet that its last answer came alone.
                 if connection.is_settled() && !connection.boundary_verified {
                     reuse = Reuse::Asked;
                 }
                 let settled = match reuse {
                     Reuse::AtOnce if connection.is_settled() => Ok(()),
-                    Reuse::AtOnce => bounded(&self.timers, ASKED_WAIT, connection.settle()).await,
-                    Reuse::Asked => bounded(&self.timers, ASKED_WAIT, connection.ping()).await,
+                    Reuse::AtOnce => {
+                        with_timeout(&self.timers, REUSE_CHECK_TIMEOUT, connection.settle()).await
+                    }
+                    Reuse::Asked => with_timeout(&self.timers, REUSE_CHECK_TIMEOUT, connection.ping()).await,
                 };
                 if settled.is_ok() {
                     return Ok((connection, Some(reuse)));
                 }
                 // It has ended, fell silent, or brought what was nobody's: it is closed, with nothing sent on it.
-                self.doubt(member, Reuse::Asked);
+                self.record_unsettled(member, Reuse::Asked);
                 if matches!(settled, Err(ExchangeError::NoResponse)) {
                     break;
                 }
@@ -463,19 +470,19 @@
             }
             stage.set(Stage::Dialing);
             let dial_timeout = self.host.borrow().dial_timeout;
-            match bounded(&self.timers, dial_timeout, self.dial(member, permit)).await {
+            match with_timeout(&self.timers, dial_timeout, self.dial(member, permit)).await {
                 // The system is out of something though the budget is not: wait, and let an idle one go.
                 Err(ExchangeError::LocalShortage) => {
                     stage.set(Stage::Waiting);
                     self.counters.short.add();
                     self.close_one_idle();
-                    Timer::after(SHORT_PAUSE).await;
+                    Timer::after(SHORTAGE_RETRY_DELAY).await;
                 }
-                Err(ExchangeError::LocalTransient) if failures < MOST_MOMENTARY => {
+                Err(ExchangeError::LocalTransient) if failures < MAX_TRANSIENT_RETRIES => {
                     failures += 1;
                     stage.set(Stage::Waiting);
                     self.counters.short.add();
-                    Timer::after(SHORT_PAUSE).await;
+                    Timer::after(SHORTAGE_RETRY_DELAY).await;
                 }
                 // It lasts: as far as this machine can tell, nobody is there.
                 Err(ExchangeError::LocalTransient) => return Err(ExchangeError::NoResponse),
@@ -495,9 +502,9 @@
             _ => ExchangeError::NoResponse,
         })?;
         stream.get_ref().set_nodelay(true)?;
-        let mut hello = Vec::with_capacity(64);
-        pg::write::startup(&mut hello, USER, DATABASE);
-        write_all(&stream, &[&hello]).await?;
+        let mut startup = Vec::with_capacity(64);
+        pg::write::startup(&mut startup, USER, DATABASE);
+        write_all(&stream, &[&startup]).await?;
         let mut buffer = ReadBuffer::default();
         loop {
             while let Some(message) = pg::server_message(buffer.data())? {
@@ -523,39 +530,39 @@
         &self,
         member: &MemberId,
         query: &Query<'_>,
-        course: &Course,
+        progress: &AttemptProgress,
         gate: &dyn SendGate,
     ) -> Result<(Connection, Exchange), ExchangeError> {
-        let Course { stage, kept, .. } = course;
+        let AttemptProgress { stage, unverified_reuse, .. } = progress;
         // Who has been taken out since is not even called: work may begin there as soon as nothing is under way.
         if !self.members.in_service(member) {
             return Err(ExchangeError::MemberWithdrawn);
         }
-        let (mut connection, reuse) = self.connection(member, query.runs_once(), stage).await?;
+        let (mut connection, reuse) = self.connection(member, query.must_not_repeat(), stage).await?;
         // What came while the process stood still is taken first: it may say that the member is withdrawn. The connection may
         // have ended meanwhile.
         if self.stall.just_resumed() {
             yield_now().await;
-            if connection.check_idle(self.members.address(member), self.longest_idle()) != IdleState::Usable {
+            if connection.check_idle(self.members.address(member), self.max_idle()) != IdleState::Usable {
                 return Err(ExchangeError::Broken);
             }
         }
         stage.set(Stage::Writing);
         // Behind it goes an empty query whose answer nobody waits for: it shows, before the next request is sent,
         // that nothing but one answer came.
-        let marks = self.trust.borrow().marks(member, self.now());
-        if marks {
+        let with_ping = self.trust.borrow().marks(member, self.now());
+        if with_ping {
             connection.sent_with_ping();
         } else {
             connection.sent_without_ping();
         }
-        self.write_query(&connection, member, query, marks, course, gate).await?;
+        self.write_query(&connection, member, query, with_ping, progress, gate).await?;
         stage.set(Stage::Sent);
-        kept.set(reuse == Some(Reuse::AtOnce));
+        unverified_reuse.set(reuse == Some(Reuse::AtOnce));
         let exchange = read_answer(&connection.stream, &mut connection.buffer).await;
-        kept.set(kept.get() && connection.buffer.data().is_empty());
+        unverified_reuse.set(unverified_reuse.get() && connection.buffer.data().is_empty());
         let exchange = exchange?;
-        kept.set(false);
+        unverified_reuse.set(false);
         self.trust.borrow_mut().heard(member, self.now());
         Ok((connection, exchange))
     }
@@ -568,23 +575,23 @@
         connection: &Connection,
         member: &MemberId,
         query: &Query<'_>,
-        marks: bool,
-        course: &Course,
+        with_ping: bool,
+        progress: &AttemptProgress,
         gate: &dyn SendGate,
     ) -> Result<(), ExchangeError> {
-        let Course { written, .. } = course;
+        let AttemptProgress { written, .. } = progress;
         loop {
-            let told =
+            let timeout =
                 gate.admit(self.members.in_service(member)).map_err(|_| ExchangeError::MemberWithdrawn)?;
-            let message = query.message(told);
-            course.size.set(message.size());
+            let message = query.message(timeout);
+            progress.size.set(message.size());
             let mut pieces = message.pieces();
-            if marks {
+            if with_ping {
                 pieces.push(PING_QUERY);
             }
             match write_now(connection.stream.get_ref(), &pieces, written) {
                 Ok(()) => {
-                    gate.began(told);
+                    gate.began(timeout);
                     return Ok(write_rest(&connection.stream, &pieces, written).await?);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
@@ -596,33 +603,33 @@
     }
 
     /// [`Pool::exchange`] within a time limit, with its end told apart by how far it came.
-    async fn within(
+    async fn exchange_within(
         &self,
         until: Instant,
         member: &MemberId,
         query: &Query<'_>,
         gate: &dyn SendGate,
     ) -> Result<(Connection, Exchange), Verdict> {
-        let course = Course::default();
-        let _present = self.present(member);
-        let answer = async { Some(self.exchange(member, query, &course, gate).await) };
+        let progress = AttemptProgress::default();
+        let _member_use = self.member_use(member);
+        let answer = async { Some(self.exchange(member, query, &progress, gate).await) };
         let limit = async {
             self.timers.wait_until(until).await;
             None
         };
         let ended = or(answer, limit).await;
-        if course.kept.get() && !matches!(ended, Some(Ok(_))) {
-            self.doubt(member, Reuse::AtOnce);
+        if progress.unverified_reuse.get() && !matches!(ended, Some(Ok(_))) {
+            self.record_unsettled(member, Reuse::AtOnce);
         }
-        match (ended, course.stage()) {
-            (Some(Ok(done)), _) => Ok(done),
-            (Some(Err(ExchangeError::ServerError(code))), _) => Err(refused_session(code)),
+        match (ended, progress.stage()) {
+            (Some(Ok(exchange)), _) => Ok(exchange),
+            (Some(Err(ExchangeError::ServerError(code))), _) => Err(startup_error_verdict(code)),
             // Nothing was sent, and nothing is known of the member.
             (Some(Err(ExchangeError::MemberWithdrawn)), _) | (None, Stage::Waiting) => Err(Verdict::Moot),
             (None, Stage::Sent) => Err(Verdict::Timeout),
             // Silence for less than the dial's own limit: nothing was sent, and it may be this connection's alone.
             (None, Stage::Dialing) => Err(Verdict::Broken),
-            (Some(Err(_)), Stage::Sent) => Err(lost_answer()),
+            (Some(Err(_)), Stage::Sent) => Err(lost_answer_verdict()),
             (None, Stage::Writing) | (Some(Err(ExchangeError::ConnectRefused)), _) => {
                 Err(Verdict::ConnectFailed)
             }
@@ -633,20 +640,20 @@
 
     /// StatementKind a member for its load report.
     pub async fn probe(&self, member: &MemberId) -> (Verdict, Option<Vec<f64>>) {
-        let until = Instant::now() + PROBE_WAIT;
-        match self.within(until, member, &Query::Probe, &ProbeGate { until }).await {
+        let until = Instant::now() + PROBE_TIMEOUT;
+        match self.exchange_within(until, member, &Query::Probe, &ProbeGate { until }).await {
             Err(verdict) => {
-                self.note(member, false, verdict);
+                self.record_stats(member, false, verdict);
                 (verdict, None)
             }
             Ok((mut connection, exchange)) => {
-                self.note(member, false, exchange.verdict);
-                let value = exchange.value.and_then(|at| connection.buffer.data().get(at));
+                self.record_stats(member, false, exchange.verdict);
+                let value = exchange.value.and_then(|range| connection.buffer.data().get(range));
                 let text = value.and_then(|value| std::str::from_utf8(value).ok());
                 let report = text.and_then(|text| pg::load_report(text, &self.host.borrow().report));
                 if exchange.ready {
                     connection.buffer.consume(exchange.size);
-                    self.put_back(member, connection);
+                    self.release(member, connection);
                 }
                 (exchange.verdict, report)
             }
@@ -661,56 +668,57 @@
     /// # Errors
     ///
     /// When it ends too soon, is spoilt or falls silent: what was passed on is not whole.
-    pub async fn more(&self, reply: &mut Reply) -> io::Result<Option<Vec<u8>>> {
-        let cut = || io::Error::from(io::ErrorKind::UnexpectedEof);
-        let Some(rest) = reply.rest.as_mut() else { return Ok(None) };
+    pub async fn next_chunk(&self, reply: &mut Reply) -> io::Result<Option<Vec<u8>>> {
+        let truncated = || io::Error::from(io::ErrorKind::UnexpectedEof);
+        let Some(remainder) = reply.remainder.as_mut() else { return Ok(None) };
         let work = async {
             loop {
-                let buffer = &mut rest.connection.buffer;
-                if rest.left > 0 && !buffer.data().is_empty() {
-                    let piece = buffer.take_up_to(rest.left).to_vec();
-                    rest.left -= piece.len();
+                let buffer = &mut remainder.connection.buffer;
+                if remainder.row_bytes_left > 0 && !buffer.data().is_empty() {
+                    let piece = buffer.take_up_to(remainder.row_bytes_left).to_vec();
+                    remainder.row_bytes_left -= piece.len();
                     return Ok(Some(piece));
                 }
-                if rest.left == 0 {
-                    rest.answer.skip_row();
+                if remainder.row_bytes_left == 0 {
+                    remainder.answer.skip_row();
                     let mut tail = Vec::new();
-                    while !rest.over {
-                        let Some(message) = pg::server_message(buffer.data()).map_err(|_| cut())? else {
+                    while !remainder.complete {
+                        let Some(message) = pg::server_message(buffer.data()).map_err(|_| truncated())?
+                        else {
                             break;
                         };
                         let size = message.size;
-                        let part = rest.answer.take(&message).map_err(|_| cut())?;
+                        let part = remainder.answer.take(&message).map_err(|_| truncated())?;
                         if matches!(part, AnswerPart::Value(_)) {
                             tail.extend_from_slice(&buffer.data()[..size]);
                         }
                         buffer.consume(size);
                         if part == AnswerPart::Ready {
-                            rest.over = true;
+                            remainder.complete = true;
                             break;
                         }
                     }
                     if !tail.is_empty() {
                         return Ok(Some(tail));
                     }
-                    if rest.over {
+                    if remainder.complete {
                         return Ok(None);
                     }
                 }
-                buffer.grow(PIECE);
-                if buffer.fill(&rest.connection.stream).await? == 0 {
-                    return if rest.answer.is_complete() { Ok(None) } else { Err(cut()) };
+                buffer.grow(STREAM_CHUNK_SIZE);
+                if buffer.fill(&remainder.connection.stream).await? == 0 {
+                    return if remainder.answer.is_complete() { Ok(None) } else { Err(truncated()) };
                 }
             }
         };
-        let silent = async {
-            Timer::after(SILENT).await;
+        let idle_timeout = async {
+            Timer::after(STREAM_IDLE_TIMEOUT).await;
             Err(io::ErrorKind::TimedOut.into())
         };
-        let piece = or(work, silent).await;
+        let piece = or(work, idle_timeout).await;
         if matches!(piece, Ok(None)) {
-            if let Some(Rest { member, connection, .. }) = reply.rest.take() {
-                self.put_back(&member, connection);
+            if let Some(LargeAnswer { member, connection, .. }) = reply.remainder.take() {
+                self.release(&member, connection);
             }
         }
         piece
@@ -728,26 +736,32 @@
         until: Instant,
         gate: &dyn SendGate,
     ) -> AttemptResult<Reply> {
-        match self.within(until, member, &Query::Statement(query), gate).await {
+        match self.exchange_within(until, member, &Query::Statement(query), gate).await {
             Err(verdict) => {
-                self.note(member, true, verdict);
+                self.record_stats(member, true, verdict);
                 AttemptResult::without_answer(verdict)
             }
             Ok((mut connection, exchange)) => {
-                self.note(member, true, exchange.verdict);
+                self.record_stats(member, true, exchange.verdict);
                 let Exchange { verdict, notes, pieces, large, size, ready, .. } = exchange;
                 let mut reply = (verdict == Verdict::Ok).then(|| {
-                    let (bytes, at) = connection.buffer.detach(size);
-                    let moved = |piece: Range<usize>| piece.start + at.start..piece.end + at.start;
-                    Reply { bytes, pieces: pieces.into_iter().map(moved).collect(), rest: None }
+                    let (bytes, range) = connection.buffer.detach(size);
+                    let moved = |piece: Range<usize>| piece.start + range.start..piece.end + range.start;
+                    Reply { bytes, pieces: pieces.into_iter().map(moved).collect(), remainder: None }
                 });
                 if reply.is_none() {
                     connection.buffer.consume(size);
                 }
-                if let Some((reply, (answer, left))) = reply.as_mut().zip(large) {
-                    reply.rest = Some(Rest { member: member.clone(), connection, answer, left, over: false });
+                if let Some((reply, (answer, row_bytes_left))) = reply.as_mut().zip(large) {
+                    reply.remainder = Some(LargeAnswer {
+                        member: member.clone(),
+                        connection,
+                        answer,
+                        row_bytes_left,
+                        complete: false,
+                    });
                 } else if ready {
-                    self.put_back(member, connection);
+                    self.release(member, connection);
                 }
                 AttemptResult {
                     verdict,
@@ -761,17 +775,17 @@
 }
 
 /// What an error tells that came in place of a session: no statement was sent.
-fn refused_session(code: Code) -> Verdict {
-    if &code.0 == b"57P03" { Verdict::Full } else { verdict(code) }
+fn startup_error_verdict(code: Code) -> Verdict {
+    if &code.0 == b"57P03" { Verdict::Full } else { error_verdict(code) }
 }
 
 /// The end of an attempt whose answer was lost once all of it was written: it may have run.
-fn lost_answer() -> Verdict {
+fn lost_answer_verdict() -> Verdict {
     if mutants::is_active(Mutant::LostAnswerNeverRan) { Verdict::ConnectFailed } else { Verdict::Reset }
 }
 
 /// What a server's error in answer to a statement tells: only these codes prove that nothing ran.
-fn verdict(code: Code) -> Verdict {
+fn error_verdict(code: Code) -> Verdict {
     match &code.0 {
         b"53300" => Verdict::Full,
         b"25006" | b"72000" => Verdict::Miss,
@@ -816,7 +830,7 @@
             }
         }
         // More than any answer has means that the stream makes no sense; it is not kept in memory.
-        if buffer.data().len() > LONGEST_ANSWER {
+        if buffer.data().len() > MAX_ANSWER_SIZE {
             return Err(ExchangeError::Broken);
         }
         match buffer.fill(stream).await {
@@ -825,7 +839,7 @@
             _ => return Err(ExchangeError::Broken),
         }
     }
-    let verdict = answer.error_code().map_or(Verdict::Ok, verdict);
+    let verdict = answer.error_code().map_or(Verdict::Ok, error_verdict);
     Ok(Exchange { verdict, notes: answer.into_status(), pieces, large: None, value, size: at, ready })
 }
 
@@ -837,16 +851,16 @@
     /// taken for never run would be sent again, and run twice.
     #[test]
     fn a_statement_may_run_from_its_last_byte_on_whatever_goes_behind_it() {
-        let course = Course::default();
-        assert_eq!(course.stage(), Stage::Waiting);
-        course.stage.set(Stage::Writing);
-        assert_eq!(course.stage(), Stage::Writing, "nothing is known of its size yet");
-        course.size.set(100);
+        let progress = AttemptProgress::default();
+        assert_eq!(progress.stage(), Stage::Waiting);
+        progress.stage.set(Stage::Writing);
+        assert_eq!(progress.stage(), Stage::Writing, "nothing is known of its size yet");
+        progress.size.set(100);
         for (written, stage) in
             [(0, Stage::Writing), (99, Stage::Writing), (100, Stage::Sent), (103, Stage::Sent)]
         {
-            course.written.set(written);
-            assert_eq!(course.stage(), stage, "{written} of 100");
+            progress.written.set(written);
+            assert_eq!(progress.stage(), stage, "{written} of 100");
         }
     }
 }
