--- a/crates/core/src/choice.rs
+++ b/crates/core/src/choice.rs
@@ -1,11 +1,14 @@
-//! Every decision of linnetdeal. The types, events and actions stand in `interface.rs`.
+//! Every routing decision: which member serves a request, when it is retried, hedged, held, shed or refused.
+//! The types, events and actions are defined in `interface.rs`, the state in `state.rs`.
 //!
-//! Map: tuned values; `Router::handle`; the list; placing; outcomes; evidence of role and position; the one
-//! notion of a *valid* member (`judge`, `load`, `suspect`, `room`); crowding; probes; the sweep.
+//! The file is ordered as follows: tuning constants, [`Router::handle`], the list of members, placement of
+//! requests, outcomes of attempts, evidence of roles and positions, member health (`record_verdict`, `load`,
+//! `is_suspect`, `has_room`), overload and load shedding, probes, timers and the release of held requests.
 //!
-//! The mechanism is Wu and Kemme's: a read goes to a random member of those fresh enough; only when that
-//! one's load is over the threshold do the next `FORWARD_STEPS` in sorted order get a look, else the first pick
-//! serves. A write goes to the marked primary, walks on proof that nothing ran, and is then held.
+//! The mechanism is that of Wu and Kemme: a read goes to a random pick among the members that are fresh enough.
+//! Only if the load of that pick is over the threshold are the next `FORWARD_STEPS` members in sorted order
+//! considered; if they are over it too, the first pick serves. A write goes to the marked primary, moves on to
+//! the next member on proof that it did not run, and is held once it has tried as many members as it may.
 
 mod retune;
 
@@ -20,81 +23,103 @@
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A member is valid while its load is under this multiple of the pool's mean; 1.0 tried, no difference.
+/// A member is preferred for a read while its load is at most this multiple of the pool's mean load.
 const THRESHOLD: f64 = 1.2;
-/// How many members after the first pick are looked at (the paper's m); 4 tried, no difference.
+/// Number of members considered after the random pick (m in the paper).
 const FORWARD_STEPS: usize = 2;
-/// How often held requests are looked over, and how late a wake tells of an own stall.
+/// Interval at which held requests are reconsidered.
 const TICK_INTERVAL: Span = Span::millis(10);
+/// A wake-up that arrives later than this shows that this process itself was paused.
 const PROCESS_PAUSE: Span = Span::millis(60);
-/// How long a refused read, or a reading of a lag, is held against a member that checks its reads; and after
-/// how long a report that is as old as what is known counts as a new reading.
+/// How long a read refused as too far behind, or an observed lag, counts against a member that checks its reads.
 const LAG_OBSERVATION_TTL: Span = Span::millis(1_000);
+/// A report that repeats the known position counts as a new observation after this time.
 const REPORT_REFRESH_AGE: Span = Span::millis(500);
-/// Deviations above the mean of a class's answers, and the least part of its aim, after which another attempt
-/// is made: work that varies by chance takes 4 of them once in 50 times, 8 once in 1,000. After fewer one is
-/// overdue; a member is silent after so many times that (1 tried).
+/// An attempt is repeated or hedged after the class's mean latency plus this many deviations. With exponentially
+/// distributed service times one answer in 50 takes longer than 4 deviations, and one in 1,000 longer than 8.
 const ATTEMPT_TIMEOUT_DEVIATIONS: f64 = 8.0;
+/// Lower bound of that time, as a fraction of the class's latency objective.
 const MIN_ATTEMPT_TIMEOUT: f64 = 0.3;
+/// Deviations above the mean from which the time without an answer is measured; see `SILENCE_FACTOR`.
 const OVERDUE_DEVIATIONS: f64 = 4.0;
+/// An attempt is overdue, and its member possibly silent, after this multiple of that time.
 const SILENCE_FACTOR: f64 = 2.0;
-/// Deviations above the mean that a read must have left to be worth sending (1 to 3 tried) before its aim, or
-/// its deadline if late it is worth this part or nobody else wants the room. Asked of what waited and, from
-/// this crowding (0.35 lost 0.02), of part of the new: else no answer would show its end.
+/// A read is sent only if the mean latency plus this many deviations still fits into its useful time: until its
+/// latency objective, or until its deadline if a late answer is worth enough or nobody else wants the capacity.
 const FEASIBILITY_DEVIATIONS: f64 = 1.5;
+/// Where replicas are overloaded, a class whose late answers are worth less than this fraction is not served late.
 const MIN_LATE_WORTH: f64 = 0.5;
+/// Requests that waited are always checked for feasibility. From this overload on, part of the new ones is checked
+/// too; a lower value sheds requests that would still be answered in time.
 const FEASIBILITY_OVERLOAD: f64 = 0.525;
+/// The fraction of new requests that is checked then. The others are sent unchecked, since without any answers
+/// nothing would show that the overload has ended.
 const FEASIBILITY_CHECKED_SHARE: f64 = 0.8;
-/// A class's usual time counts for no more than this part of the aim when a member is found too slow for it.
+/// A class's usual latency counts for at most this fraction of the objective when a member is judged too slow.
 const MAX_USUAL_SHARE_OF_AIM: f64 = 0.5;
-/// The part of its time that a read waits for a member; refused later, its client has no time to come back.
+/// The fraction of its time for which an unsent request may be held. Refused any later, its client would have too
+/// little time left to retry.
 const MAX_HELD_SHARE: f64 = 0.4;
-/// Illness (0 well, 1 dead): where ejection starts, the part of the way to 1 that failures add, and what an
-/// answer leaves of it. The first ejection is doubled each time, up to the longest.
+/// A member is ejected from this failure score on (0 is healthy, 1 is dead).
 const EJECTION_SCORE: f64 = 0.6;
+/// The fraction of the distance to 1 that a lost answer adds to the failure score.
 const LOST_ANSWER_PENALTY: f64 = 0.3;
+/// The same for a connection that could not be established.
 const CONNECT_FAILURE_PENALTY: f64 = 0.7;
+/// The same for an error in answer to a request that another member fulfilled.
 const ERROR_PENALTY: f64 = 0.4;
+/// Each answer multiplies the failure score by this.
 const SCORE_DECAY_PER_ANSWER: f64 = 0.8;
+/// Length of a first ejection; each further one is twice as long, up to `MAX_EJECTION`.
 const BASE_EJECTION: Span = Span::millis(250);
 const MAX_EJECTION: Span = Span::millis(4_000);
 const MAX_DOUBLINGS: u32 = 5;
-/// A request that this many members answered with an error is at fault itself.
+/// A request that this many members answered with an error is at fault itself, and is not tried again.
 const MAX_ERROR_ANSWERS: usize = 2;
-/// Concurrency limit at a member: the first (over all routers) and the least for one router, what a sign of
-/// crowding leaves of it, the part in use from which it grows, and the part of a primary's that reads fill.
+/// Initial concurrency limit of a member, shared among all routers of the fleet.
 const INITIAL_LIMIT: f64 = 16.0;
+/// The least initial share of one router.
 const MIN_INITIAL_LIMIT: f64 = 1.5;
+/// The least concurrency limit of a member for one router.
 const MIN_LIMIT: f64 = 1.0;
+/// A sign of overload multiplies the concurrency limit by this.
 const LIMIT_DECREASE: f64 = 0.7;
+/// The limit grows only while at least this fraction of it is in use.
 const LIMIT_GROWTH_USE: f64 = 0.7;
+/// Reads that could not be placed on replicas may fill the primary's limit up to this fraction.
 const PRIMARY_READ_SHARE: f64 = 0.5;
 /// The same where members check their reads and all replicas lag.
 const PRIMARY_READ_SHARE_WHEN_LAGGING: f64 = 0.8;
-/// The part of the aim within which an answer comes from a member that is not crowded; 0.6 tried.
+/// An answer within this fraction of the latency objective shows that its member is not overloaded.
 const IN_TIME_SHARE_OF_AIM: f64 = 0.4;
-/// Crowding, the share of answers not in good time: where shedding starts and is complete, an idle fleet's,
-/// from where replicas are crowded, and how many answers what is seen elsewhere counts for (most see few).
-/// Reads spill over to a primary by the chance by which its replicas are more crowded; with 0.2 off it, reads
-/// were refused beside idle primaries.
+/// Overload is the share of recent answers that were not in time. Load shedding starts at this level,
 const SHEDDING_START: f64 = 0.45;
+/// and is complete at this one.
 const SHEDDING_COMPLETE: f64 = 0.8;
+/// The overload assumed of an idle fleet.
 const OVERLOAD_PRIOR: f64 = 0.2;
+/// Replicas count as overloaded from here on: reads spill over to the primary with a probability equal to the
+/// difference between their overload and the primary's. No margin is subtracted from that difference: a margin of
+/// 0.2 refused reads beside idle primaries.
 const SPILL_OVERLOAD: f64 = 0.22;
+/// The number of answers for which a prior counts. Most routers see few answers of one group, so that the overload
+/// of all groups serves as the prior of each.
 const OVERLOAD_PRIOR_WEIGHT: f64 = 3.0;
-/// Second tries that each request brings to the retry budget, and the most that it holds.
+/// What each request adds to the retry budget, in second attempts.
 const RETRY_BUDGET_GAIN: f64 = 0.1;
 const MAX_RETRY_BUDGET: f64 = 10.0;
-/// Load: the most that an attempt out counts.
+/// Upper bound of what one attempt in flight adds to a member's load.
 const MAX_ATTEMPT_LOAD: f64 = 4.0;
-/// The least retry-after (at once would add to a crowd), and when a failed call for the list is made again.
+/// The least retry-after: clients that came back at once would add to the overload.
 const MIN_RETRY_AFTER: Span = Span::millis(100);
+/// Delay before a failed call for the list is repeated.
 const RESUBSCRIBE_DELAY: Span = Span::millis(1_000);
-/// How long counts of the late past last, in microseconds; and at most one log line in this time.
+/// Time constant, in microseconds, with which counts of the recent past decay.
 const DECAY_US: f64 = 7e6;
+/// At most one log line is written in this time.
 const LOG_INTERVAL: Span = Span::millis(1_000);
 
-/// The decisions of one router.
+/// The routing decisions of one router: a state machine without I/O, driven by [`Router::handle`].
 #[derive(Clone, Debug)]
 pub struct Router {
     settings: Settings,
@@ -103,32 +128,40 @@
     groups: BTreeMap<GroupId, Group>,
     open: BTreeMap<RequestId, OpenRequest>,
     due: BTreeSet<(Time, RequestId)>,
-    /// Groups that hold requests, and those of which something new is known.
+    /// Groups that hold requests.
     waiting: BTreeSet<GroupId>,
+    /// Groups with new information since their held requests were last considered.
     dirty: BTreeSet<GroupId>,
+    /// Usual latency, by class.
     latencies: Vec<LatencyEstimate>,
-    /// Worth served and asked for.
+    /// Worth that was served in time and worth that was requested, by class.
     class_worth: Vec<DecayingCounts>,
+    /// The same by tenant.
     tenant_worth: Vec<DecayingCounts>,
     sessions: Sessions,
     reasons: Reasons,
     change_durations: ChangeDurations,
     peers: Gossip,
+    /// Answers that were not in time, and all answers, of all replicas and of all primaries.
     late_answers: [DecayingCounts; 2],
-    /// Answers, of all members in service.
+    /// Answers of all members in service.
     answer_counts: DecayingCounts,
+    /// Number of members in service.
     in_service: f64,
     retry_budget: f64,
+    /// The wake-up that was requested and has not arrived.
     wake: Option<Time>,
     last_tick: Time,
+    /// When the latest pause of this process was noticed.
     paused_at: Time,
+    /// When to subscribe to the list, if that is due.
     subscribe_at: Option<Time>,
     pending_log: Option<String>,
     last_log: Time,
 }
 
 impl Router {
-    /// A router that knows nothing but its settings.
+    /// A router without members. `seed` determines all its random choices.
     #[must_use]
     pub fn new(seed: u64, settings: Settings) -> Self {
         Self {
@@ -160,7 +193,7 @@
         }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Processes one event that happened at `now` and appends the actions for the host, in order.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.reasons.begin();
         if self.wake.is_some_and(|at| now - at > PROCESS_PAUSE) {
@@ -176,7 +209,8 @@
             Event::Told { from, bytes } => self.apply_peer_message(now, from, &bytes),
             Event::Outcome(outcome) => self.record_outcome(now, outcome, actions),
             Event::Probed { member, verdict, took, report } => {
-                // An answered probe is no sign of life: it passes beside the queue of a member that hangs.
+                // An answered probe does not show that the member is alive: it bypasses the queue of a member that
+                // hangs. A probe that could not connect does count against the member.
                 self.apply_report(now, &member, report.as_deref());
                 if matches!(verdict, Verdict::ConnectFailed | Verdict::Unreachable) {
                     self.record_verdict(now, &member, verdict, took, None);
@@ -190,21 +224,22 @@
             self.last_log = now;
             actions.push(Action::Log { line });
         }
-        let soon = (!self.waiting.is_empty()).then_some(now + TICK_INTERVAL);
+        let next_tick = (!self.waiting.is_empty()).then_some(now + TICK_INTERVAL);
         let next = self.due.first().map(|due| due.0.max(now + Span(1)));
-        let next = next.into_iter().chain(soon).chain(self.subscribe_at).min();
+        let next = next.into_iter().chain(next_tick).chain(self.subscribe_at).min();
         if let Some(at) = next.filter(|next| self.wake.is_none_or(|at| *next < at)) {
             self.wake = Some(at);
             actions.push(Action::Wake { at });
         }
     }
 
-    /// What is known of each group's primary, with its latest turns.
+    /// The state of each group's primary, with its latest transitions.
     pub fn primaries(&self) -> impl Iterator<Item = (GroupId, &PrimaryTracker)> {
         self.groups.iter().map(|(id, group)| (*id, &group.tracker))
     }
 
-    // ---- The list: the weakest evidence. It names members, drains and starts; the rest is hearsay.
+    // ---- The list of members. It is authoritative for membership, drains and starts; what it says of roles is
+    // ---- the weakest evidence.
 
     fn apply_list(&mut self, now: Time, listing: Listing) {
         let (entries, full) = match listing {
@@ -216,38 +251,39 @@
             }
             Listing::Forgotten(members) => return self.forget_members(&members),
         };
-        // Many routers may start together, and each knows only its own part.
+        // Many routers may start at the same time, and each knows only of its own requests.
         let limit = (INITIAL_LIMIT / f64::from(self.settings.fleet)).max(MIN_INITIAL_LIMIT);
         let mut named = BTreeSet::new();
         for entry in entries {
             self.groups.entry(entry.group).or_default().members.insert(entry.member.clone());
             self.dirty.insert(entry.group);
             named.extend(full.then(|| entry.member.clone()));
-            let (dice, id) = (self.random_fraction(), entry.member.clone());
+            let (initial_credit, id) = (self.random_fraction(), entry.member.clone());
             self.peers.add_member(&id);
             let m = self.members.entry(entry.member).or_insert_with(|| Member::new(entry.group, limit));
-            let before = std::mem::replace(&mut m.group, entry.group);
-            if let Some(group) = self.groups.get_mut(&before).filter(|_| before != entry.group) {
+            let old_group = std::mem::replace(&mut m.group, entry.group);
+            if let Some(group) = self.groups.get_mut(&old_group).filter(|_| old_group != entry.group) {
                 group.remove_member(&id);
             }
             self.in_service += m.apply_list_state(entry.state);
             m.listed_primary = entry.primary;
             if let Some(at) = entry.started.filter(|_| entry.started > m.cold.started()) {
-                m.begin_slow_start(now, at, dice);
-                m.seen_replica_at = m.seen_replica_at.max(at.min(now)); // It may be another now; clocks may be ahead.
+                m.begin_slow_start(now, at, initial_credit);
+                // Its role may have changed with the restart. The start may lie ahead of this clock.
+                m.seen_replica_at = m.seen_replica_at.max(at.min(now));
             }
         }
-        let most = if full { usize::MAX } else { 0 };
-        for (_, m) in self.members.iter_mut().filter(|(id, _)| !named.contains(*id)).take(most) {
+        let removable = if full { usize::MAX } else { 0 };
+        for (_, m) in self.members.iter_mut().filter(|(id, _)| !named.contains(*id)).take(removable) {
             self.in_service += m.apply_list_state(ListState::Gone);
         }
     }
 
-    /// Lets go of members that are out of service, unless something is still out at them.
+    /// Removes members that are out of service, except for those with attempts in flight.
     fn forget_members(&mut self, members: &[MemberId]) {
-        let done = |m: &Member| m.state != ListState::Healthy && m.in_flight.is_empty();
+        let unused = |m: &Member| m.state != ListState::Healthy && m.in_flight.is_empty();
         for id in members {
-            if let Some(m) = self.members.get(id).filter(|m| done(m)) {
+            if let Some(m) = self.members.get(id).filter(|m| unused(m)) {
                 self.groups.entry(m.group).and_modify(|group| group.remove_member(id));
                 self.members.remove(id);
                 self.peers.remove_member(id);
@@ -256,15 +292,17 @@
         self.groups.retain(|_, group| !group.members.is_empty() || !group.held.is_empty());
     }
 
+    // ---- Placement of requests
+
     fn accept_request(&mut self, now: Time, request: &Request, actions: &mut Vec<Action>) {
         let Some(class) = self.settings.classes.get(request.class.0) else {
             actions.push(Action::Fail { request: request.id });
             return;
         };
         let token = match self.settings.tokens {
-            // The commit was rounded up and the age may be rounded too: a millisecond on the safe side.
+            // The commit position was rounded up and the age may have been rounded; one millisecond covers both.
             Tokens::Carried => request.last_write.map(|ago| now - ago + Span::millis(1)),
-            Tokens::Remembered => request.session.and_then(|key| self.sessions.must_see(key)),
+            Tokens::Remembered => request.session.and_then(|key| self.sessions.last_commit(key)),
         };
         let stretch = request.cost.map_or(Span(0), |cost| cost.times(class.aim_stretch));
         let deadline = now + request.left;
@@ -292,52 +330,59 @@
         self.place(now, request.id, actions);
     }
 
+    /// Sends a request, holds it, or gives it up.
     fn place(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
-        let chance = self.random_fraction();
+        let draw = self.random_fraction();
         let Some(open) = self.open.get(&id) else { return };
         let class = &self.settings.classes[open.class];
-        let spent = open.attempts.len() as u32 >= open.attempt_limit;
-        let ran = open.may_have_run && class.effect != Effect::Safe;
-        let takes = self.latencies[open.class].upper_bound(FEASIBILITY_DEVIATIONS);
-        let (first, crowding) = (open.attempts.is_empty(), self.overload(now, open.group, REPLICA));
-        let late = if crowding > SPILL_OVERLOAD { MIN_LATE_WORTH } else { f64::MIN_POSITIVE };
-        let last = if class.late_worth < late { open.aim } else { open.deadline };
-        let jam = crowding > FEASIBILITY_OVERLOAD && chance < FEASIBILITY_CHECKED_SHARE;
-        // Its worth began to run out with its client's first try: it must not crowd out those that are.
-        let again = open.retry && first && class.effect == Effect::Safe && crowding > SPILL_OVERLOAD;
-        let waited = jam || now > open.arrived;
-        // One never sent keeps its client from trying elsewhere: it is told while half its time is left.
-        let old = first && now - open.arrived > (open.deadline - open.arrived).times(MAX_HELD_SHARE);
-        // A write is held while there is no primary; at a crowded one it would go out too late.
+        let attempts_spent = open.attempts.len() as u32 >= open.attempt_limit;
+        let must_not_repeat = open.may_have_run && class.effect != Effect::Safe;
+        let time_needed = self.latencies[open.class].upper_bound(FEASIBILITY_DEVIATIONS);
+        let (first, overload) = (open.attempts.is_empty(), self.overload(now, open.group, REPLICA));
+        let late_worth_needed = if overload > SPILL_OVERLOAD { MIN_LATE_WORTH } else { f64::MIN_POSITIVE };
+        let useful_until = if class.late_worth < late_worth_needed { open.aim } else { open.deadline };
+        let check_new = overload > FEASIBILITY_OVERLOAD && draw < FEASIBILITY_CHECKED_SHARE;
+        // The worth of a client's retry began to expire with its first try, so it gives way to first tries.
+        let gives_way = open.retry && first && class.effect == Effect::Safe && overload > SPILL_OVERLOAD;
+        let check_feasible = check_new || now > open.arrived;
+        // While a request is held unsent its client cannot try elsewhere, so it is refused early enough for that.
+        let held_too_long =
+            first && now - open.arrived > (open.deadline - open.arrived).times(MAX_HELD_SHARE);
+        // A write is held while there is no primary. At an overloaded primary it would be sent too late.
         let tracker = self.tracker_if_needed(open);
-        let held =
+        let awaits_primary =
             class.need == Need::Write && tracker.is_none_or(|tracker| tracker.phase() != Phase::Settled);
-        let hopeless = !held && waited && (old || now + takes >= last);
-        let vain = tracker.is_some_and(|tracker| tracker.outlasts(open.deadline, &self.change_durations));
+        let infeasible =
+            !awaits_primary && check_feasible && (held_too_long || now + time_needed >= useful_until);
+        let outlasted =
+            tracker.is_some_and(|tracker| tracker.outlasts(open.deadline, &self.change_durations));
         let reasons = [
-            (spent, GivenUp::AttemptsSpent),
-            (ran, GivenUp::MayHaveRun),
-            (again, GivenUp::RetryGaveWay),
-            (hopeless, GivenUp::TooLate),
-            (vain, GivenUp::NoPrimaryInTime),
+            (attempts_spent, GivenUp::AttemptsSpent),
+            (must_not_repeat, GivenUp::MayHaveRun),
+            (gives_way, GivenUp::RetryGaveWay),
+            (infeasible, GivenUp::TooLate),
+            (outlasted, GivenUp::NoPrimaryInTime),
             (now + TICK_INTERVAL >= open.deadline, GivenUp::DeadlineOver),
         ];
-        if let Some((_, why)) = reasons.into_iter().find(|(holds, _)| *holds) {
-            self.give_up(now, id, why, actions);
+        if let Some((_, reason)) = reasons.into_iter().find(|(holds, _)| *holds) {
+            self.give_up(now, id, reason, actions);
             return;
         }
-        let new = first && now == open.arrived;
+        let is_new = first && now == open.arrived;
         let (key, gid) = ((open.arrived, id), open.group);
-        let to = match class.need {
+        let target = match class.need {
             Need::Write => self.place_write(now, id, actions),
             _ => self.place_read(now, id, actions),
         };
-        if to.as_ref().is_some_and(|to| new && self.should_shed(now, id, self.members[to].role())) {
+        if target
+            .as_ref()
+            .is_some_and(|target| is_new && self.should_shed(now, id, self.members[target].role()))
+        {
             self.give_up(now, id, GivenUp::Shed, actions);
             return;
         }
         let group = self.groups.entry(gid).or_default();
-        if let Some(member) = to {
+        if let Some(member) = target {
             group.held.remove(&key);
             self.send(now, id, member, actions);
         } else {
@@ -346,11 +391,12 @@
         }
     }
 
-    /// The paper's choice: a random member of those fresh enough; over the threshold, the forward step.
+    /// Selects the member for a read: a random one of those fresh enough or, if its load is over the threshold,
+    /// the first of the next few that is not. `None` if the read has to wait.
     fn place_read(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> Option<MemberId> {
-        let (dice, chance) = (self.rng.next_u32() as usize, self.random_fraction());
+        let (random, draw) = (self.rng.next_u32() as usize, self.random_fraction());
         let open = self.open.get(&id)?;
-        let need = self.required_position(now, open);
+        let required = self.required_position(now, open);
         let fresh_only = self.settings.classes[open.class].need == Need::Fresh;
         let gid = open.group;
         let primary =
@@ -362,66 +408,72 @@
         let usual = self.latencies[open.class]
             .upper_bound(0.0)
             .min((open.aim - open.arrived).times(MAX_USUAL_SHARE_OF_AIM));
-        // Tried members and suspects serve only where nobody better is left, the primary included.
+        // Members that were tried, are suspect or are known to be too slow serve only where neither a better replica
+        // nor the primary is left. Where all are too slow, all rank alike.
         let rank = |(id, m): &(&MemberId, &Member)| {
-            // Nor does one that is known to be too slow. Where all are, it is no member's fault.
-            let late = now + usual.times(m.slowness.ratio(now)) > open.aim;
-            2 * u8::from(open.tried(id)) + u8::from(late || self.is_suspect(m, now))
+            let too_slow = now + usual.times(m.slowness.ratio(now)) > open.aim;
+            2 * u8::from(open.tried(id)) + u8::from(too_slow || self.is_suspect(m, now))
         };
         let mut pool = replicas.clone();
-        pool.retain(|(_, m)| self.is_fresh_enough(m, need, now));
+        pool.retain(|(_, m)| self.is_fresh_enough(m, required, now));
         let best = pool.iter().map(rank).min();
-        pool.retain(|of| Some(rank(of)) == best && (best == Some(0) || primary.is_none()));
+        pool.retain(|candidate| Some(rank(candidate)) == best && (best == Some(0) || primary.is_none()));
         let lagging = pool.is_empty() && self.settings.checks == Checks::Refuse;
         let share = if lagging { PRIMARY_READ_SHARE_WHEN_LAGGING } else { PRIMARY_READ_SHARE };
         pool.retain(|(_, m)| self.has_room(m, now));
-        // Where members do not check, the random pick is asked for its position if that is not known to do:
-        // asking each member costs more than it brings where routers have little traffic.
-        let mut ask: Vec<MemberId> = Vec::new();
-        if need.is_some() && self.settings.checks == Checks::None && !replicas.is_empty() {
-            let pick = Some(replicas[dice % replicas.len()]);
-            let unknown =
-                pick.filter(|(_, m)| !self.is_fresh_enough(m, need, now) && !self.is_suspect(m, now));
-            ask.extend(unknown.map(|(id, _)| id.clone()));
+        // Where members do not check their reads, the random pick is probed for its position unless it is known to
+        // be fresh enough. Probing every member would cost more than it gains where routers have little traffic.
+        let mut to_probe: Vec<MemberId> = Vec::new();
+        if required.is_some() && self.settings.checks == Checks::None && !replicas.is_empty() {
+            let random_pick = Some(replicas[random % replicas.len()]);
+            let unknown = random_pick
+                .filter(|(_, m)| !self.is_fresh_enough(m, required, now) && !self.is_suspect(m, now));
+            to_probe.extend(unknown.map(|(id, _)| id.clone()));
         }
-        let crowded = self.overload(now, gid, REPLICA);
-        let over = if crowded > SPILL_OVERLOAD { crowded - self.overload(now, gid, PRIMARY) } else { 0.0 };
-        let spills = primary.is_some() && !pool.is_empty() && chance < over;
+        let overload = self.overload(now, gid, REPLICA);
+        let spill_chance =
+            if overload > SPILL_OVERLOAD { overload - self.overload(now, gid, PRIMARY) } else { 0.0 };
+        let spills = primary.is_some() && !pool.is_empty() && draw < spill_chance;
         let pick = if pool.is_empty() || spills {
-            let spare = |m: &Member| {
+            let within_share = |m: &Member| {
                 fresh_only || spills || self.outstanding_work(m, now) + 1.0 <= m.concurrency_limit * share
             };
-            primary.filter(|id| spare(&self.members[*id]) && self.has_room(&self.members[*id], now)).cloned()
+            primary
+                .filter(|id| within_share(&self.members[*id]) && self.has_room(&self.members[*id], now))
+                .cloned()
         } else {
             let loads: Vec<f64> = pool.iter().map(|(_, m)| self.load(m, now)).collect();
-            let valid = THRESHOLD * loads.iter().sum::<f64>() / loads.len() as f64;
-            let first = crate::subset::first_pick(dice, self.settings.rank, self.settings.fleet, pool.len());
+            let max_load = THRESHOLD * loads.iter().sum::<f64>() / loads.len() as f64;
+            let first =
+                crate::subset::first_pick(random, self.settings.rank, self.settings.fleet, pool.len());
             let mut steps = (0..=FORWARD_STEPS.min(pool.len() - 1)).map(|step| (first + step) % pool.len());
-            let at = steps.find(|at| loads[*at] <= valid).unwrap_or(first);
-            Some(pool[at].0.clone())
+            let index = steps.find(|index| loads[*index] <= max_load).unwrap_or(first);
+            Some(pool[index].0.clone())
         };
         let bound = |class: &Class| if let Need::Bounded(bound) = class.need { Some(bound) } else { None };
-        let every = self.settings.classes.iter().filter_map(bound).min().unwrap_or(LAG_OBSERVATION_TTL);
-        self.probe(now, &ask, every, actions);
+        let probe_interval =
+            self.settings.classes.iter().filter_map(bound).min().unwrap_or(LAG_OBSERVATION_TTL);
+        self.probe(now, &to_probe, probe_interval, actions);
         if pick.is_none() && self.confirmed_primary(now, gid).is_none() {
-            let (family, fleet) = (self.member_views(now, gid), self.settings.fleet);
-            let ask = self.groups.get_mut(&gid)?.tracker.probe_targets(now, fleet, &family);
-            self.probe(now, &ask, Span(1), actions);
+            let (views, fleet) = (self.member_views(now, gid), self.settings.fleet);
+            let to_probe = self.groups.get_mut(&gid)?.tracker.probe_targets(now, fleet, &views);
+            self.probe(now, &to_probe, Span(1), actions);
         }
         pick
     }
 
-    /// The marked primary, while nothing speaks against it; otherwise the write waits for one to be shown.
+    /// Selects the member for a write: the marked primary, while nothing speaks against it. Otherwise the write waits
+    /// until one is confirmed, or is tried at a candidate.
     fn place_write(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> Option<MemberId> {
         let open = self.open.get(&id)?;
-        let (gid, walked) = (open.group, open.rejections);
-        let (shown, family) = (self.confirmed_primary(now, gid).is_some(), self.member_views(now, gid));
+        let (gid, walk_steps) = (open.group, open.rejections);
+        let (confirmed, views) = (self.confirmed_primary(now, gid).is_some(), self.member_views(now, gid));
         let tracker = &mut self.groups.get_mut(&gid)?.tracker;
-        match tracker.place(now, &family, shown, walked, &self.settings)? {
+        match tracker.place(now, &views, confirmed, walk_steps, &self.settings)? {
             WritePlacement::Mark(mark) => Some(mark).filter(|mark| self.has_room(&self.members[mark], now)),
-            WritePlacement::Wait(scout, ask) => {
-                self.probe(now, &ask, Span(1), actions);
-                scout
+            WritePlacement::Wait(trial, to_probe) => {
+                self.probe(now, &to_probe, Span(1), actions);
+                trial
             }
         }
     }
@@ -430,17 +482,20 @@
         let Some((open, m)) = self.open.get(&id).zip(self.members.get(&member)) else { return };
         let (required, usual) = (self.required_position(now, open), self.usual_rate(now));
         let class = &self.settings.classes[open.class];
-        let pace = self.latencies[open.class];
-        let patience = pace.upper_bound(ATTEMPT_TIMEOUT_DEVIATIONS).max(class.aim.times(MIN_ATTEMPT_TIMEOUT));
-        // Until the client leaves: what is given up goes on at the member, and its client comes again.
-        let left = open.deadline - now;
-        // Second tries stop where the whole group is slow: they would only add to it.
-        let again = class.effect == Effect::Safe
-            && now + patience + pace.upper_bound(0.0) < open.aim
+        let latency = self.latencies[open.class];
+        let attempt_timeout =
+            latency.upper_bound(ATTEMPT_TIMEOUT_DEVIATIONS).max(class.aim.times(MIN_ATTEMPT_TIMEOUT));
+        // By default an attempt is awaited until its client leaves: the member goes on with an attempt that was
+        // abandoned, and the client comes back with another.
+        let remaining = open.deadline - now;
+        // No second attempts where the whole group is slow: they would only add to its load.
+        let may_repeat = class.effect == Effect::Safe
+            && now + attempt_timeout + latency.upper_bound(0.0) < open.aim
             && self.overload(now, m.group, m.role()) < SHEDDING_START;
-        let hedged = again && self.settings.second_copies;
-        let timeout = if again && !hedged && self.retry_budget >= 1.0 { patience } else { left };
-        let due = if hedged { now + patience } else { open.deadline };
+        let hedged = may_repeat && self.settings.second_copies;
+        let timeout =
+            if may_repeat && !hedged && self.retry_budget >= 1.0 { attempt_timeout } else { remaining };
+        let due = if hedged { now + attempt_timeout } else { open.deadline };
         self.set_due(id, due);
         let Some((open, m)) = self.open.get_mut(&id).zip(self.members.get_mut(&member)) else { return };
         let attempt = AttemptNo(open.attempts.len() as u32);
@@ -450,7 +505,7 @@
             InFlight { sent_at: now, class: open.class, session: open.session, required },
         );
         m.cold.sent(now, usual, &self.settings);
-        actions.push(Action::Send { request: id, member, timeout: timeout.min(left) });
+        actions.push(Action::Send { request: id, member, timeout: timeout.min(remaining) });
     }
 
     fn set_due(&mut self, id: RequestId, at: Time) {
@@ -460,19 +515,19 @@
         open.due_at = at;
     }
 
-    /// The final answer to what is given up on, at once: a refusal where a retry does no harm.
-    fn give_up(&mut self, now: Time, id: RequestId, why: GivenUp, actions: &mut Vec<Action>) {
+    /// Ends a request with a final answer: a refusal if a retry by the client does no harm, a failure otherwise.
+    fn give_up(&mut self, now: Time, id: RequestId, reason: GivenUp, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else { return };
-        self.reasons.add(id, why);
+        self.reasons.add(id, reason);
         let safe = self.settings.classes[open.class].effect == Effect::Safe;
         if safe || (!open.may_have_run && now + TICK_INTERVAL < open.deadline) {
-            let back = self
+            let expected_wait = self
                 .tracker_if_needed(open)
                 .and_then(|tracker| tracker.expected_wait(now, &self.change_durations));
             let wait = self.latencies[open.class]
                 .upper_bound(0.0)
                 .max(MIN_RETRY_AFTER)
-                .max(back.unwrap_or_default());
+                .max(expected_wait.unwrap_or_default());
             let retry_after = self.settings.retry_after.then(|| wait.min(self.settings.max_retry_after));
             actions.push(Action::Refuse { request: id, retry_after });
         } else {
@@ -481,46 +536,52 @@
         self.close_request(id, actions);
     }
 
-    /// The state of a request's group, if it needs the primary and never ran.
+    /// The primary tracker of a request's group, if the request needs the primary and cannot have run yet.
     fn tracker_if_needed(&self, open: &OpenRequest) -> Option<&PrimaryTracker> {
-        let needs = matches!(self.settings.classes[open.class].need, Need::Write | Need::Fresh);
-        self.groups.get(&open.group).filter(|_| needs && !open.may_have_run).map(|group| &group.tracker)
+        let needs_primary = matches!(self.settings.classes[open.class].need, Need::Write | Need::Fresh);
+        self.groups
+            .get(&open.group)
+            .filter(|_| needs_primary && !open.may_have_run)
+            .map(|group| &group.tracker)
     }
 
+    /// Removes an open request and cancels its attempts in flight.
     fn close_request(&mut self, id: RequestId, actions: &mut Vec<Action>) -> Option<OpenRequest> {
         let open = self.open.remove(&id)?;
         self.due.remove(&(open.due_at, id));
         if let Some(group) = self.groups.get_mut(&open.group) {
             group.held.remove(&(open.arrived, id));
-            // A client may name any group; one without members is kept no longer than its requests.
+            // Clients may name any group, so a group without members is dropped with its last request.
             if group.members.is_empty() && group.held.is_empty() {
                 self.groups.remove(&open.group);
             }
         }
-        for (at, attempt) in open.attempts.iter().enumerate() {
+        for (number, attempt) in open.attempts.iter().enumerate() {
             if attempt.pending && self.settings.cancels {
-                actions.push(Action::Cancel { request: id, attempt: AttemptNo(at as u32) });
+                actions.push(Action::Cancel { request: id, attempt: AttemptNo(number as u32) });
             }
         }
         Some(open)
     }
 
+    // ---- Outcomes of attempts
+
     fn record_outcome(&mut self, now: Time, outcome: Outcome, actions: &mut Vec<Action>) {
         let Outcome { request: id, attempt, member, mut verdict, note, took, closed, report } = outcome;
-        // A member that answered others meanwhile is not down: it was this connection.
-        let lives = self.members.get(&member).is_some_and(|m| m.last_answer_at > now - took);
-        if lives && matches!(verdict, Verdict::ConnectFailed | Verdict::Unreachable) {
+        // If the member answered other requests meanwhile, it is not down: only this connection failed.
+        let answered_others = self.members.get(&member).is_some_and(|m| m.last_answer_at > now - took);
+        if answered_others && matches!(verdict, Verdict::ConnectFailed | Verdict::Unreachable) {
             verdict = Verdict::Broken;
         }
-        let out = self.members.get_mut(&member).and_then(|m| m.in_flight.remove(&(id, attempt)));
-        let write = out.as_ref().is_some_and(|o| self.settings.classes[o.class].need == Need::Write);
+        let sent = self.members.get_mut(&member).and_then(|m| m.in_flight.remove(&(id, attempt)));
+        let write = sent.as_ref().is_some_and(|sent| self.settings.classes[sent.class].need == Need::Write);
         self.apply_note(now, &member, note, took, write);
         self.apply_report(now, &member, report.as_deref());
-        self.record_verdict(now, &member, verdict, took, out.as_ref());
-        let wrote = out.filter(|_| write && verdict == Verdict::Ok).and_then(|out| out.session);
-        if let Some(key) = wrote {
-            let at = note.and_then(|n| n.position).unwrap_or(now);
-            self.sessions.wrote(key, at);
+        self.record_verdict(now, &member, verdict, took, sent.as_ref());
+        let committed = sent.filter(|_| write && verdict == Verdict::Ok).and_then(|sent| sent.session);
+        if let Some(key) = committed {
+            let commit = note.and_then(|n| n.position).unwrap_or(now);
+            self.sessions.record_commit(key, commit);
         }
         let Some(open) = self.open.get_mut(&id) else { return };
         if let Some(attempt) = open.attempts.get_mut(attempt.0 as usize) {
@@ -528,10 +589,10 @@
             attempt.errored = verdict == Verdict::Error;
         }
         let mut errored = open.attempts.iter().filter(|attempt| attempt.errored);
-        let futile = errored.clone().count() >= MAX_ERROR_ANSWERS;
-        // A member that fails what a peer answers is at fault itself.
-        let failing = errored.next().filter(|_| verdict == Verdict::Ok && !futile);
-        if let Some(m) = failing.and_then(|attempt| self.members.get_mut(&attempt.member)) {
+        let request_at_fault = errored.clone().count() >= MAX_ERROR_ANSWERS;
+        // A member that answers with an error what another member fulfils is at fault itself.
+        let member_at_fault = errored.next().filter(|_| verdict == Verdict::Ok && !request_at_fault);
+        if let Some(m) = member_at_fault.and_then(|attempt| self.members.get_mut(&attempt.member)) {
             m.record_failure(now, ERROR_PENALTY);
         }
         if closed {
@@ -545,20 +606,22 @@
         if open.attempts.iter().any(|attempt| attempt.pending) {
             return;
         }
-        if futile {
+        if request_at_fault {
             self.give_up(now, id, GivenUp::RepeatedErrors, actions);
             return;
         }
-        // Proof that nothing ran at the mark moves it to the next member; not what was never sent to it.
+        // Proof that a write did not run at the marked member moves the mark to the next member. An attempt that was
+        // never sent there proves nothing about it.
         if write && verdict.never_ran() {
             let gid = open.group;
             if !matches!(verdict, Verdict::Full | Verdict::Moot | Verdict::Broken) {
                 open.rejections += 1;
-                let why = if verdict == Verdict::Miss { Evidence::TurnedAway } else { Evidence::Unreached };
-                let family = self.member_views(now, gid);
+                let evidence =
+                    if verdict == Verdict::Miss { Evidence::TurnedAway } else { Evidence::Unreached };
+                let views = self.member_views(now, gid);
                 self.groups
                     .entry(gid)
-                    .and_modify(|group| group.tracker.write_not_run(now, &member, why, &family));
+                    .and_modify(|group| group.tracker.write_not_run(now, &member, evidence, &views));
             }
         } else if verdict == Verdict::Timeout {
             self.retry_budget = (self.retry_budget - 1.0).max(0.0);
@@ -568,13 +631,13 @@
         self.place(now, id, actions);
     }
 
-    // ---- Evidence of role and position
+    // ---- Evidence of roles and positions
 
-    /// What others have seen counts like what was seen here. Whom they call a primary is believed only where
-    /// members check what they are sent: elsewhere the age of data rests on it.
+    /// Observations of other routers count like this router's own. Whom they hold to be a primary is believed only
+    /// where members check what they are sent: elsewhere the staleness of answers depends on it.
     fn apply_peer_message(&mut self, now: Time, from: u32, bytes: &[u8]) {
-        for fact in self.peers.receive(now, from, bytes) {
-            match fact {
+        for observation in self.peers.receive(now, from, bytes) {
+            match observation {
                 Observation::Primary { .. } if self.settings.checks == Checks::None => {}
                 Observation::Primary { member, at } => {
                     self.observe_primary(now, &member, at.min(now));
@@ -584,11 +647,11 @@
                     let Some(m) = self.members.get_mut(&member) else { continue };
                     m.slowness.observe(now, answers, pace);
                     m.record_success(answers - late);
-                    let (gid, role, seen) = (m.group, m.role(), [f64::from(late), f64::from(answers)]);
-                    self.late_answers[role].add(now, DECAY_US, seen);
+                    let (gid, role, late_counts) = (m.group, m.role(), [f64::from(late), f64::from(answers)]);
+                    self.late_answers[role].add(now, DECAY_US, late_counts);
                     self.groups
                         .entry(gid)
-                        .and_modify(|group| group.late_answers[role].add(now, DECAY_US, seen));
+                        .and_modify(|group| group.late_answers[role].add(now, DECAY_US, late_counts));
                 }
             }
         }
@@ -596,28 +659,30 @@
 
     fn apply_note(&mut self, now: Time, id: &MemberId, note: Option<Note>, took: Span, write: bool) {
         let Some((note, m)) = note.zip(self.members.get_mut(id)) else { return };
-        let at = now - took;
-        let seen = note.position.filter(|p| *p <= now && (!write || note.role == Some(Role::Primary)));
-        if let Some(position) = seen {
+        let sent_at = now - took;
+        let reported = note.position.filter(|p| *p <= now && (!write || note.role == Some(Role::Primary)));
+        if let Some(position) = reported {
             m.position = m.position.max(position);
             m.position_read_at = now;
         }
         match note.role {
-            // Who was cut off may say so still: it proves what its position does, now at a true primary.
-            Some(Role::Primary) => self.observe_primary(now, id, seen.unwrap_or(at)),
-            Some(Role::Replica) => m.seen_replica_at = m.seen_replica_at.max(at),
+            // A former primary that was cut off may still claim the role. The claim is dated by its position, which at
+            // a true primary is the present.
+            Some(Role::Primary) => self.observe_primary(now, id, reported.unwrap_or(sent_at)),
+            Some(Role::Replica) => m.seen_replica_at = m.seen_replica_at.max(sent_at),
             None => {}
         }
     }
 
     fn apply_report(&mut self, now: Time, id: &MemberId, report: Option<&[f64]>) {
         let Some((report, m)) = report.zip(self.members.get_mut(id)) else { return };
-        // Connections to it come up again; whether it answers is tried by one request at a time.
+        // A report shows that the member accepts connections again, which ends an ejection for a failed connection.
+        // Whether it answers requests is then tried with one request at a time.
         m.ejected_until =
             if std::mem::take(&mut m.connect_failed) { m.ejected_until.min(now) } else { m.ejected_until };
         let value = |field| {
-            let at = self.settings.report.iter().position(|f| *f == field)?;
-            report.get(at).copied().filter(|value: &f64| value.is_finite())
+            let index = self.settings.report.iter().position(|f| *f == field)?;
+            report.get(index).copied().filter(|value: &f64| value.is_finite())
         };
         let position = value(Field::Position).map(|s| self.settings.zero + Span((s * 1e6) as i64));
         let Some(position) = position.filter(|position| *position <= now) else { return };
@@ -633,49 +698,53 @@
         }
     }
 
+    /// Records evidence that a member was the primary at time `at`. The mark moves to it if that is later than the
+    /// evidence for the member that is marked now.
     fn observe_primary(&mut self, now: Time, id: &MemberId, at: Time) {
         let Some(m) = self.members.get_mut(id) else { return };
         (m.seen_primary_at, m.position) = (m.seen_primary_at.max(at), m.position.max(at));
         let gid = m.group;
         self.peers.record_primary(gid, id, at);
         let rival = self.groups.get(&gid).and_then(|group| group.tracker.mark()).filter(|mark| *mark != id);
-        let rival_at = rival.map_or(NEVER, |mark| self.members[mark].seen_primary_at);
+        let rival_seen_at = rival.map_or(NEVER, |mark| self.members[mark].seen_primary_at);
         let Some(group) = self.groups.get_mut(&gid) else { return };
-        if at > rival_at {
+        if at > rival_seen_at {
             group.tracker.set_mark(now, id, Evidence::Shown);
         }
         self.dirty.insert(gid);
     }
 
-    /// What is told and shown by now begins a change or ends one.
+    /// Updates the primary tracker of a group with what is known by now, which may begin or end a change of primary.
     fn update_primary(&mut self, now: Time, gid: GroupId) {
-        let shown = self.confirmed_primary(now, gid).map(|id| self.members[id].seen_primary_at);
+        let confirmed_at = self.confirmed_primary(now, gid).map(|id| self.members[id].seen_primary_at);
         let Some(Group { tracker, held, .. }) = self.groups.get_mut(&gid) else { return };
-        let drains = tracker.mark().is_some_and(|id| self.members[id].state == ListState::Draining);
-        if tracker.update(now, shown, drains, held.len(), &mut self.change_durations) {
+        let draining = tracker.mark().is_some_and(|id| self.members[id].state == ListState::Draining);
+        if tracker.update(now, confirmed_at, draining, held.len(), &mut self.change_durations) {
             self.pending_log = tracker.mark().map(|id| format!("group {}: primary shown at {}", gid.0, id.0));
         }
     }
 
-    /// The marked member, if it was last shown as primary and may be sent to.
+    /// The marked member of a group, if its latest known role is primary and it may be sent to.
     fn marked_primary(&self, gid: GroupId) -> Option<(&MemberId, &Member)> {
         let mark = self.groups.get(&gid)?.tracker.mark()?;
         Some((mark, &self.members[mark])).filter(|(_, m)| m.role() == PRIMARY && self.may_send_to(m))
     }
 
-    /// The same, if it is not suspect.
+    /// The marked primary, if it is not suspect.
     fn confirmed_primary(&self, now: Time, gid: GroupId) -> Option<&MemberId> {
         self.marked_primary(gid).filter(|(_, m)| !self.is_suspect(m, now)).map(|(mark, _)| mark)
     }
 
-    /// A marked primary that fell silent, with nothing else out there. One fresh read at a time tries it: if
-    /// only some connections are silent, nothing else would show it before they end.
+    /// The marked primary, if it is suspect for its silence but not ejected, and no live attempt is out at it. One
+    /// fresh read at a time is sent to it as a trial: if only some of its connections are silent, nothing else would
+    /// show that before the attempts on them end.
     fn trial_primary(&self, now: Time, gid: GroupId) -> Option<&MemberId> {
         self.marked_primary(gid)
             .filter(|(_, m)| now >= m.ejected_until && self.live_attempts(m, now) < 1.0)
             .map(|(mark, _)| mark)
     }
 
+    /// The log position that a member must have applied to answer a request that is sent now.
     fn required_position(&self, now: Time, open: &OpenRequest) -> Option<Time> {
         match self.settings.classes[open.class].need {
             Need::Any | Need::Write => None,
@@ -685,198 +754,219 @@
         }
     }
 
-    /// Whether a replica is fresh enough. Where members check, an unknown one is: it would say so.
-    fn is_fresh_enough(&self, m: &Member, need: Option<Time>, now: Time) -> bool {
-        let Some(need) = need.filter(|need| m.position < *need) else { return true };
-        let refused =
-            m.lag_refusal.is_some_and(|(needed, at)| need >= needed && now - at < LAG_OBSERVATION_TTL);
+    /// Whether a member's position meets the required one. Where members check their reads, a member of unknown
+    /// position counts as fresh enough, since it would refuse a read that it is too far behind for.
+    fn is_fresh_enough(&self, m: &Member, required: Option<Time>, now: Time) -> bool {
+        let Some(required) = required.filter(|required| m.position < *required) else { return true };
+        let refused = m
+            .lag_refusal
+            .is_some_and(|(refused_at, at)| required >= refused_at && now - at < LAG_OBSERVATION_TTL);
         let age = now - m.position_read_at;
         self.settings.checks == Checks::Refuse
             && !refused
-            && (age > LAG_OBSERVATION_TTL || m.position + age >= need)
+            && (age > LAG_OBSERVATION_TTL || m.position + age >= required)
     }
 
-    /// Whether a member's data is recent enough for an open request that is sent now, where the member does not check that
-    /// itself. While an attempt waits for a connection the bound moves on. Who was last shown as the primary is excused.
+    /// Whether a member's data is recent enough for an open request that is sent now. Always true where members check
+    /// that themselves, and for a member whose latest known role is primary. Hosts ask just before an attempt is sent,
+    /// since the bound moves on while the attempt waits for a connection.
     #[must_use]
     pub fn is_fresh(&self, now: Time, request: RequestId, member: &MemberId) -> bool {
-        let of = self.open.get(&request).zip(self.members.get(member));
-        of.is_none_or(|(open, m)| {
+        let pair = self.open.get(&request).zip(self.members.get(member));
+        pair.is_none_or(|(open, m)| {
             let checked = self.settings.checks != Checks::None || m.role() == PRIMARY;
             checked || self.is_fresh_enough(m, self.required_position(now, open), now)
         })
     }
 
-    /// Why requests were given up.
+    /// Counts of the reasons for which requests were given up.
     #[must_use]
     pub fn given_up(&self) -> &Reasons {
         &self.reasons
     }
 
-    /// How many sessions are remembered.
+    /// The number of sessions whose commits are remembered.
     #[must_use]
     pub fn session_count(&self) -> usize {
         self.sessions.len()
     }
 
-    /// The grace of drains, by the present settings.
+    /// The grace period of drains in the current settings.
     #[must_use]
     pub fn drain_grace(&self) -> Span {
         self.settings.drain_grace
     }
 
-    // ---- The valid member: silence, failures, slowness, refusals and cold all make it less so
+    // ---- Member health: failures, silence, slowness, refusals and slow start
 
+    /// Records how an attempt or a probe (without `sent`) at a member ended, after `took`.
     fn record_verdict(
         &mut self,
         now: Time,
         id: &MemberId,
         verdict: Verdict,
         took: Span,
-        out: Option<&InFlight>,
+        sent: Option<&InFlight>,
     ) {
         let Some(m) = self.members.get(id) else { return };
         let (gid, role) = (m.group, m.role());
         self.dirty.insert(gid);
-        // What went overdue or grew old while this router itself stood still tells nothing of the member.
+        // A timeout or reset that was noticed after a pause of this process says nothing about the member.
         if self.paused_at == now && matches!(verdict, Verdict::Timeout | Verdict::Reset) {
             return;
         }
-        // One that got lost beside others that were answered says nothing of how the member does.
-        let lost = out.is_some_and(|out| out.sent_at < m.latest_answered_send && self.is_lost(m, out, now));
-        let dice = self.random_fraction();
-        let work = self.members.get(id).map_or(0.0, |m| self.outstanding_work(m, now));
+        // Nor does an attempt that was lost on its connection while later ones were answered.
+        let lost =
+            sent.is_some_and(|sent| sent.sent_at < m.latest_answered_send && self.is_lost(m, sent, now));
+        let draw = self.random_fraction();
+        let outstanding = self.members.get(id).map_or(0.0, |m| self.outstanding_work(m, now));
         let usual = self.usual_rate(now);
-        let pace = out.map(|out| self.latencies[out.class]);
-        let aim = out.map_or(Span(0), |out| self.settings.classes[out.class].aim);
-        let crowded =
+        let latency = sent.map(|sent| self.latencies[sent.class]);
+        let aim = sent.map_or(Span(0), |sent| self.settings.classes[sent.class].aim);
+        let overloaded =
             verdict == Verdict::Full || (verdict == Verdict::Ok && took > aim.times(IN_TIME_SHARE_OF_AIM));
         let Some(m) = self.members.get_mut(id) else { return };
-        let lone = m.last_answer_at <= now - took;
+        let silent_since_send = m.last_answer_at <= now - took;
         if matches!(verdict, Verdict::Ok | Verdict::Error | Verdict::Miss) {
             m.last_answer_at = now;
         }
-        if let Some(pace) = pace.filter(|_| matches!(verdict, Verdict::Cancelled | Verdict::Timeout)) {
-            m.abandoned.retain(|done| now < *done);
-            m.abandoned.push(now + pace.upper_bound(0.0).times(m.slowness.ratio(now)));
+        if let Some(latency) = latency.filter(|_| matches!(verdict, Verdict::Cancelled | Verdict::Timeout)) {
+            m.abandoned.retain(|done_at| now < *done_at);
+            m.abandoned.push(now + latency.upper_bound(0.0).times(m.slowness.ratio(now)));
         }
-        let before = m.ejections;
+        let ejections_before = m.ejections;
         match verdict {
             Verdict::Ok => {
-                if crowded {
-                    m.reduce_limit(now, took, work);
+                if overloaded {
+                    m.reduce_limit(now, took, outstanding);
                 } else {
                     m.cold.answered();
-                    let used = work + 1.0 >= m.concurrency_limit * LIMIT_GROWTH_USE;
-                    m.concurrency_limit += if used { 1.0 / m.concurrency_limit } else { 0.0 };
+                    let limit_used = outstanding + 1.0 >= m.concurrency_limit * LIMIT_GROWTH_USE;
+                    m.concurrency_limit += if limit_used { 1.0 / m.concurrency_limit } else { 0.0 };
                 }
                 self.answer_counts.add(now, DECAY_US, [0.0, 1.0]);
                 m.record_success(1);
                 m.write_refusals = 0;
                 m.ejected_until = NEVER;
                 m.latest_answered_send = m.latest_answered_send.max(now - took);
-                let met = out.and_then(|out| out.required).filter(|_| self.settings.checks == Checks::Refuse);
-                m.position = m.position.max(met.map_or(NEVER, |need| need.min(now)));
+                let met =
+                    sent.and_then(|sent| sent.required).filter(|_| self.settings.checks == Checks::Refuse);
+                m.position = m.position.max(met.map_or(NEVER, |required| required.min(now)));
             }
-            // A member that answered others meanwhile is crowded, not dead: ejecting for it would eject all.
+            // A member that answered other requests meanwhile is overloaded, not dead. Ejecting for that would eject
+            // every member of an overloaded group.
             Verdict::Timeout if lost => {}
-            Verdict::Timeout if !lone => m.reduce_limit(now, took, work),
+            Verdict::Timeout if !silent_since_send => m.reduce_limit(now, took, outstanding),
             Verdict::Timeout | Verdict::Reset | Verdict::Broken => m.record_failure(now, LOST_ANSWER_PENALTY),
-            // It was down, so if it comes back it is cold, whatever the list says.
+            // Nothing listens there, so the member is down and will be cold when it is back, whatever the list says.
             Verdict::ConnectFailed => {
                 m.record_failure(now, CONNECT_FAILURE_PENALTY);
-                m.begin_slow_start(now, now, m.cold.credit(now, usual, &self.settings).min(dice));
+                m.begin_slow_start(now, now, m.cold.credit(now, usual, &self.settings).min(draw));
             }
-            // Silent, or cut off: until the list says that it started anew, a few show what it can do.
+            // Silent or cut off, which is no restart: until the list reports one, a few requests show what it can do.
             Verdict::Unreachable => {
                 m.record_failure(now, CONNECT_FAILURE_PENALTY);
                 m.concurrency_limit = MIN_LIMIT;
             }
-            // Full, or draining: let it rest for as long as an answer takes, or the whole group is hammered.
-            // Who turns writes away is asked less and less: before a drain is told, all would be spent.
+            // Full or draining: it gets nothing for as long as an answer usually takes, so that the group is not flooded
+            // with attempts. A member that refuses writes is tried less and less often, since otherwise a write would
+            // spend all its attempts before the list reports the drain.
             Verdict::Full => {
-                m.reduce_limit(now, took, work);
-                let write = out.is_some_and(|out| self.settings.classes[out.class].need == Need::Write);
+                m.reduce_limit(now, took, outstanding);
+                let write = sent.is_some_and(|sent| self.settings.classes[sent.class].need == Need::Write);
                 m.write_refusals =
                     if write { (m.write_refusals + 1).min(MAX_DOUBLINGS) } else { m.write_refusals };
-                let rest = pace.map_or(TICK_INTERVAL, |pace| pace.upper_bound(0.0).max(TICK_INTERVAL));
-                let longer = if write { f64::from(1 << (m.write_refusals - 1)) } else { 1.0 };
-                m.rest_until = now + rest.times(longer).min(BASE_EJECTION).max(rest);
+                let rest =
+                    latency.map_or(TICK_INTERVAL, |latency| latency.upper_bound(0.0).max(TICK_INTERVAL));
+                let backoff = if write { f64::from(1 << (m.write_refusals - 1)) } else { 1.0 };
+                m.rest_until = now + rest.times(backoff).min(BASE_EJECTION).max(rest);
             }
             Verdict::Miss => {
-                m.lag_refusal = out.and_then(|out| out.required).map(|need| (need, now)).or(m.lag_refusal);
-                if out.is_some_and(|out| self.settings.classes[out.class].need == Need::Write) {
+                m.lag_refusal =
+                    sent.and_then(|sent| sent.required).map(|required| (required, now)).or(m.lag_refusal);
+                if sent.is_some_and(|sent| self.settings.classes[sent.class].need == Need::Write) {
                     m.seen_replica_at = m.seen_replica_at.max(now - took);
                 }
             }
-            // An error speaks against the member only where a peer answers the same request: `outcome`.
+            // An error counts against the member only if another one answers the same request; see `record_outcome`.
             Verdict::Error | Verdict::Cancelled | Verdict::Moot => {}
         }
         self.groups.entry(gid).and_modify(|group| group.tracker.record_outcome(now, id, verdict));
-        if m.ejections > before {
+        if m.ejections > ejections_before {
             self.pending_log = Some(format!("{} ejected until {} us: {verdict:?}", id.0, m.ejected_until.0));
         }
-        let Some((out, pace)) = out.zip(pace) else { return };
+        let Some((sent, latency)) = sent.zip(latency) else { return };
         let took = took.0 as f64;
-        if verdict == Verdict::Ok || (verdict == Verdict::Timeout && !lost && took >= pace.mean) {
-            m.slowness.observe(now, 1, took / pace.mean.max(1.0));
-            self.peers.record_answer(id, crowded || verdict == Verdict::Timeout, took / pace.mean.max(1.0));
-            self.latencies[out.class].observe(took);
+        if verdict == Verdict::Ok || (verdict == Verdict::Timeout && !lost && took >= latency.mean) {
+            m.slowness.observe(now, 1, took / latency.mean.max(1.0));
+            self.peers.record_answer(
+                id,
+                overloaded || verdict == Verdict::Timeout,
+                took / latency.mean.max(1.0),
+            );
+            self.latencies[sent.class].observe(took);
         }
-        // A lost answer beside quick ones says nothing of a crowd; beside slow ones it does.
-        let seen = match verdict {
-            Verdict::Ok | Verdict::Full => [f64::from(u8::from(crowded)), 1.0],
+        // A lost answer is a sign of overload only to the degree that the other answers are late.
+        let late_counts = match verdict {
+            Verdict::Ok | Verdict::Full => [f64::from(u8::from(overloaded)), 1.0],
             Verdict::Timeout => [self.overload(now, gid, role); 2],
             _ => return,
         };
-        self.late_answers[role].add(now, DECAY_US, seen);
-        self.groups.entry(gid).and_modify(|group| group.late_answers[role].add(now, DECAY_US, seen));
+        self.late_answers[role].add(now, DECAY_US, late_counts);
+        self.groups.entry(gid).and_modify(|group| group.late_answers[role].add(now, DECAY_US, late_counts));
     }
 
+    /// A member's load: the attempts in flight by their age and the abandoned ones, weighted by its slowness.
     fn load(&self, m: &Member, now: Time) -> f64 {
-        let waits = |out: &InFlight| {
-            let age = (now - out.sent_at).0 as f64 / self.latencies[out.class].mean.max(1.0);
+        let attempt_load = |sent: &InFlight| {
+            let age = (now - sent.sent_at).0 as f64 / self.latencies[sent.class].mean.max(1.0);
             age.clamp(1.0, MAX_ATTEMPT_LOAD)
         };
-        let out: f64 = m.in_flight.values().map(waits).sum();
-        let left = self.outstanding_work(m, now) - self.live_attempts(m, now);
-        (1.0 + out + left) * m.slowness.ratio(now)
+        let in_flight: f64 = m.in_flight.values().map(attempt_load).sum();
+        let abandoned = self.outstanding_work(m, now) - self.live_attempts(m, now);
+        (1.0 + in_flight + abandoned) * m.slowness.ratio(now)
     }
 
+    /// Whether a member is ejected, on probation after an ejection with an attempt out, or silent.
     fn is_suspect(&self, m: &Member, now: Time) -> bool {
         now < m.ejected_until
             || (m.ejections > 0 && self.live_attempts(m, now) > 0.0)
             || (self.paused_at != now
                 && m.in_flight
                     .values()
-                    .any(|out| out.sent_at > m.last_answer_at && self.is_overdue(out, now)))
+                    .any(|sent| sent.sent_at > m.last_answer_at && self.is_overdue(sent, now)))
     }
 
-    /// Whether an attempt is out for far too long.
-    fn is_overdue(&self, out: &InFlight, now: Time) -> bool {
-        now - out.sent_at > self.latencies[out.class].upper_bound(OVERDUE_DEVIATIONS).times(SILENCE_FACTOR)
+    /// Whether an attempt has been in flight for far longer than usual.
+    fn is_overdue(&self, sent: &InFlight, now: Time) -> bool {
+        now - sent.sent_at > self.latencies[sent.class].upper_bound(OVERDUE_DEVIATIONS).times(SILENCE_FACTOR)
     }
 
-    /// Whether it is, and either what was sent later has been answered, so that its connection alone is
-    /// silent, or nothing has been since. Else it may be waiting its turn.
-    fn is_lost(&self, m: &Member, out: &InFlight, now: Time) -> bool {
-        self.is_overdue(out, now) && (out.sent_at < m.latest_answered_send || out.sent_at > m.last_answer_at)
+    /// Whether an attempt is overdue and does not merely wait its turn: either a later one was answered, so that its
+    /// connection alone is silent, or the member has answered nothing since.
+    fn is_lost(&self, m: &Member, sent: &InFlight, now: Time) -> bool {
+        self.is_overdue(sent, now)
+            && (sent.sent_at < m.latest_answered_send || sent.sent_at > m.last_answer_at)
     }
 
+    /// The number of attempts in flight at a member, without lost ones.
     fn live_attempts(&self, m: &Member, now: Time) -> f64 {
-        m.in_flight.values().filter(|out| !self.is_lost(m, out, now)).count() as f64
+        m.in_flight.values().filter(|sent| !self.is_lost(m, sent, now)).count() as f64
     }
 
-    /// What a member works at for this router, as far as is known: giving an attempt up stops nothing there,
-    /// and one that is far overdue got lost.
+    /// The attempts of this router that a member presumably works on. An abandoned attempt still runs there; a lost
+    /// one does not.
     fn outstanding_work(&self, m: &Member, now: Time) -> f64 {
-        self.live_attempts(m, now) + m.abandoned.iter().filter(|done| now < **done).count() as f64
+        self.live_attempts(m, now) + m.abandoned.iter().filter(|done_at| now < **done_at).count() as f64
     }
 
+    /// Whether the list allows new attempts at a member.
     fn may_send_to(&self, m: &Member) -> bool {
         m.state == ListState::Healthy || (m.state == ListState::Gone && self.settings.soft_removal)
     }
 
+    /// Whether a member may be sent one more attempt: it does not rest after a refusal, is below its concurrency limit
+    /// and the window of a release, and its slow start allows it.
     fn has_room(&self, m: &Member, now: Time) -> bool {
         let tracker = self.groups.get(&m.group).filter(|_| m.role() == PRIMARY).map(|group| &group.tracker);
         let limit = m.concurrency_limit.min(tracker.map_or(f64::INFINITY, PrimaryTracker::window));
@@ -885,45 +975,49 @@
             && m.cold.room(now, self.usual_rate(now), &self.settings)
     }
 
-    /// What a member usually serves for this router, in a microsecond.
+    /// Answers per microsecond that a member usually gives to this router.
     fn usual_rate(&self, now: Time) -> f64 {
         self.answer_counts.decayed(now, DECAY_US)[1] / DECAY_US / self.in_service.max(1.0)
     }
 
-    // ---- Crowding: what the whole fleet's work does to a group, felt by few answers
+    // ---- Overload and load shedding. The load is that of the whole fleet, of which each router sees few answers.
 
+    /// The share of recent answers of a group's members in this role that were not in time.
     fn overload(&self, now: Time, gid: GroupId, role: usize) -> f64 {
-        let all = self.late_answers[role].ratio(now, DECAY_US, OVERLOAD_PRIOR, OVERLOAD_PRIOR_WEIGHT);
-        self.groups
-            .get(&gid)
-            .map_or(all, |group| group.late_answers[role].ratio(now, DECAY_US, all, OVERLOAD_PRIOR_WEIGHT))
+        let overall = self.late_answers[role].ratio(now, DECAY_US, OVERLOAD_PRIOR, OVERLOAD_PRIOR_WEIGHT);
+        self.groups.get(&gid).map_or(overall, |group| {
+            group.late_answers[role].ratio(now, DECAY_US, overall, OVERLOAD_PRIOR_WEIGHT)
+        })
     }
 
+    /// A random number between 0 and 1.
     fn random_fraction(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
     }
 
-    /// The work over the crowd's mark is turned away by chance, more of what has less merit than its peers.
+    /// Whether to shed a new request. The share of work that is shed grows with the overload; the probability of each
+    /// request is higher the lower its merit is, compared with the other requests for the same role.
     fn should_shed(&mut self, now: Time, id: RequestId, role: usize) -> bool {
-        let chance = self.random_fraction();
+        let draw = self.random_fraction();
         let Some(open) = self.open.get(&id) else { return false };
-        let over =
+        let excess =
             (self.overload(now, open.group, role) - SHEDDING_START) / (SHEDDING_COMPLETE - SHEDDING_START);
-        let primary_only = |at: usize| matches!(self.settings.classes[at].need, Need::Write | Need::Fresh);
+        let primary_only =
+            |class_index: usize| matches!(self.settings.classes[class_index].need, Need::Write | Need::Fresh);
         let (mut worth, mut work) = (0.0, 0.0);
-        for (at, class) in self.settings.classes.iter().enumerate() {
-            let beside = primary_only(at) == primary_only(open.class);
-            let asked = if beside { self.class_worth[at].decayed(now, DECAY_US)[1] } else { 0.0 };
-            worth += asked;
-            work += asked * self.latencies[at].mean / class.worth.max(f64::EPSILON);
+        for (index, class) in self.settings.classes.iter().enumerate() {
+            let same_role = primary_only(index) == primary_only(open.class);
+            let requested = if same_role { self.class_worth[index].decayed(now, DECAY_US)[1] } else { 0.0 };
+            worth += requested;
+            work += requested * self.latencies[index].mean / class.worth.max(f64::EPSILON);
         }
-        chance * self.merit(now, id) * work < over * worth
+        draw * self.merit(now, id) * work < excess * worth
     }
 
-    /// What is known of a group's members, as far as it matters for who is the primary.
+    /// The members of a group that may be sent to, as the primary tracker needs them.
     fn member_views(&self, now: Time, gid: GroupId) -> Vec<MemberView> {
         let members = self.groups.get(&gid).into_iter().flat_map(|group| &group.members);
-        let standing = |id: &MemberId| {
+        let view = |id: &MemberId| {
             let m = &self.members[id];
             MemberView {
                 member: id.clone(),
@@ -936,22 +1030,27 @@
                 write_in_flight: m
                     .in_flight
                     .values()
-                    .any(|out| self.settings.classes[out.class].need == Need::Write),
+                    .any(|sent| self.settings.classes[sent.class].need == Need::Write),
             }
         };
-        members.filter(|id| self.may_send_to(&self.members[*id])).map(standing).collect()
+        members.filter(|id| self.may_send_to(&self.members[*id])).map(view).collect()
     }
 
-    fn probe(&mut self, now: Time, ids: &[MemberId], every: Span, actions: &mut Vec<Action>) {
+    // ---- Probes, timers and the release of held requests
+
+    /// Probes members that were not probed within `interval`.
+    fn probe(&mut self, now: Time, ids: &[MemberId], interval: Span, actions: &mut Vec<Action>) {
         for id in ids {
-            let may = |m: &Member| self.settings.probes && self.may_send_to(m) && now - m.last_probe >= every;
-            if self.members.get(id).is_some_and(may) {
+            let probe_due =
+                |m: &Member| self.settings.probes && self.may_send_to(m) && now - m.last_probe >= interval;
+            if self.members.get(id).is_some_and(probe_due) {
                 actions.push(Action::Probe { member: id.clone() });
                 self.members.entry(id.clone()).and_modify(|m| m.last_probe = now);
             }
         }
     }
 
+    /// Handles requests that are due and, once per `TICK_INTERVAL`, the periodic work.
     fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
         while let Some((_, id)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
             self.handle_due(now, id, actions);
@@ -965,64 +1064,73 @@
             actions.push(Action::Subscribe);
         }
         self.dirty.append(&mut self.waiting);
-        let (members, soft) = (self.members.values(), self.settings.soft_removal);
-        let serves = |m: &&Member| m.state == ListState::Healthy || (m.state == ListState::Gone && soft);
-        self.sessions.trim(|| members.filter(serves).map(|m| m.position).min());
+        let (members, removal_is_soft) = (self.members.values(), self.settings.soft_removal);
+        let in_use =
+            |m: &&Member| m.state == ListState::Healthy || (m.state == ListState::Gone && removal_is_soft);
+        self.sessions.evict(|| members.filter(in_use).map(|m| m.position).min());
     }
 
-    /// A request past its deadline is ended; one that waits too long for its answer gets a hedge.
+    /// Ends a request that is past its deadline. Hedges one whose attempt is overdue.
     fn handle_due(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id).filter(|open| now < open.deadline) else {
             self.give_up(now, id, GivenUp::DeadlineOver, actions);
             return;
         };
-        let spent = open.attempts.len() as u32 >= open.attempt_limit;
-        let twice = open.attempts.iter().filter(|attempt| attempt.pending).count() > 1;
-        let may = self.settings.second_copies && !spent && !twice && self.retry_budget >= 1.0;
-        let hedge = may && now < open.aim && self.paused_at != now;
+        let attempts_spent = open.attempts.len() as u32 >= open.attempt_limit;
+        let already_hedged = open.attempts.iter().filter(|attempt| attempt.pending).count() > 1;
+        let may_hedge =
+            self.settings.second_copies && !attempts_spent && !already_hedged && self.retry_budget >= 1.0;
+        let hedge = may_hedge && now < open.aim && self.paused_at != now;
         let deadline = open.deadline;
         self.set_due(id, deadline);
-        let to = if hedge { self.place_read(now, id, actions) } else { None };
-        if let Some(to) = to.filter(|to| self.open.get(&id).is_some_and(|open| !open.tried(to))) {
+        let target = if hedge { self.place_read(now, id, actions) } else { None };
+        if let Some(target) =
+            target.filter(|target| self.open.get(&id).is_some_and(|open| !open.tried(target)))
+        {
             self.retry_budget -= 1.0;
-            self.send(now, id, to, actions);
+            self.send(now, id, target, actions);
         }
     }
 
-    fn record_worth(&mut self, now: Time, open: &OpenRequest, part: [f64; 2]) {
-        let part = part.map(|part| part * self.settings.classes[open.class].worth);
-        self.class_worth[open.class].add(now, DECAY_US, part);
-        if let Some(tenant) = open.tenant.and_then(|at| self.tenant_worth.get_mut(at)) {
-            tenant.add(now, DECAY_US, part);
+    /// Adds a request's worth to the counts of its class and tenant; `parts` are its shares of worth served in time and
+    /// of worth requested.
+    fn record_worth(&mut self, now: Time, open: &OpenRequest, parts: [f64; 2]) {
+        let amounts = parts.map(|part| part * self.settings.classes[open.class].worth);
+        self.class_worth[open.class].add(now, DECAY_US, amounts);
+        if let Some(tenant) = open.tenant.and_then(|index| self.tenant_worth.get_mut(index)) {
+            tenant.add(now, DECAY_US, amounts);
         }
     }
 
-    /// The worth of a request for the time it takes; beyond its tenant's part of the quotas it counts less.
+    /// The worth of a request per unit of the time that it takes. Worth beyond its tenant's quota counts less.
     fn merit(&self, now: Time, id: RequestId) -> f64 {
         let Some(open) = self.open.get(&id) else { return 0.0 };
         let tenants = &self.settings.tenants;
         let merit = self.class_merit(now, open.class);
-        let Some(tenant) = open.tenant.filter(|at| *at < tenants.len()) else { return merit };
-        let all: f64 = self.class_worth.iter().map(|t| t.decayed(now, DECAY_US)[1]).sum();
+        let Some(tenant) = open.tenant.filter(|index| *index < tenants.len()) else { return merit };
+        let total: f64 = self.class_worth.iter().map(|t| t.decayed(now, DECAY_US)[1]).sum();
         let quotas: f64 = tenants.iter().map(|t| t.quota).sum();
-        let within = (tenants[tenant].quota / quotas * all
+        let within_quota = (tenants[tenant].quota / quotas * total
             / self.tenant_worth[tenant].decayed(now, DECAY_US)[1])
             .min(1.0);
-        merit * (within + (1.0 - within) * self.settings.over_share_worth)
+        merit * (within_quota + (1.0 - within_quota) * self.settings.over_share_worth)
     }
 
-    /// The worst served class counts for more, as the operators weigh it, or a surge would starve it.
+    /// The merit of a class. The worst-served class counts for more, by the operators' weights; otherwise a surge of
+    /// other classes would starve it.
     fn class_merit(&self, now: Time, class: usize) -> f64 {
         let Settings { goal, classes, .. } = &self.settings;
-        let share = |counts: &DecayingCounts| counts.ratio(now, DECAY_US, 1.0, OVERLOAD_PRIOR_WEIGHT);
-        let worst = self.class_worth.iter().map(share).fold(f64::MAX, f64::min);
-        let all: f64 = self.class_worth.iter().map(|t| t.decayed(now, DECAY_US)[1]).sum();
-        let mine = self.class_worth[class].decayed(now, DECAY_US)[1];
-        let starved = mine > 0.0 && share(&self.class_worth[class]) <= worst;
-        let more = if starved { goal.worst_class / goal.whole.max(f64::EPSILON) * all / mine } else { 0.0 };
-        classes[class].worth / self.latencies[class].mean.max(1.0) * (1.0 + more)
+        let served_share = |counts: &DecayingCounts| counts.ratio(now, DECAY_US, 1.0, OVERLOAD_PRIOR_WEIGHT);
+        let worst = self.class_worth.iter().map(served_share).fold(f64::MAX, f64::min);
+        let total: f64 = self.class_worth.iter().map(|t| t.decayed(now, DECAY_US)[1]).sum();
+        let own = self.class_worth[class].decayed(now, DECAY_US)[1];
+        let worst_served = own > 0.0 && served_share(&self.class_worth[class]) <= worst;
+        let boost =
+            if worst_served { goal.worst_class / goal.whole.max(f64::EPSILON) * total / own } else { 0.0 };
+        classes[class].worth / self.latencies[class].mean.max(1.0) * (1.0 + boost)
     }
 
+    /// Reconsiders the held requests of all groups with new information.
     fn release_held(&mut self, now: Time, actions: &mut Vec<Action>) {
         for gid in std::mem::take(&mut self.dirty) {
             self.update_primary(now, gid);
@@ -1033,14 +1141,15 @@
                 let merit = *merits.entry((open.class, open.tenant)).or_insert_with(|| self.merit(now, id));
                 open.to_held(id, merit, self.settings.classes[open.class].need)
             });
-            let (go, late) = group.tracker.release_order(now, held.collect(), &self.change_durations);
-            late.into_iter().for_each(|id| self.give_up(now, id, GivenUp::ReleaseTooSlow, actions));
-            go.into_iter().for_each(|id| self.place(now, id, actions));
+            let (ready, too_late) = group.tracker.release_order(now, held.collect(), &self.change_durations);
+            too_late.into_iter().for_each(|id| self.give_up(now, id, GivenUp::ReleaseTooSlow, actions));
+            ready.into_iter().for_each(|id| self.place(now, id, actions));
         }
     }
 }
 
 impl Member {
+    /// The member started at `at`, and begins with this send credit.
     fn begin_slow_start(&mut self, now: Time, at: Time, credit: f64) {
         self.cold.start(now, at, credit);
         self.concurrency_limit = MIN_LIMIT;
@@ -1051,9 +1160,10 @@
         self.ejections = self.ejections.saturating_sub(answers);
     }
 
-    fn record_failure(&mut self, now: Time, weight: f64) {
-        self.connect_failed = weight == CONNECT_FAILURE_PENALTY;
-        self.failure_score += (1.0 - self.failure_score) * weight;
+    /// Raises the failure score, and ejects the member if that is too high.
+    fn record_failure(&mut self, now: Time, penalty: f64) {
+        self.connect_failed = penalty == CONNECT_FAILURE_PENALTY;
+        self.failure_score += (1.0 - self.failure_score) * penalty;
         if self.failure_score >= EJECTION_SCORE && now >= self.ejected_until {
             self.ejected_until = now
                 + BASE_EJECTION.times(f64::from(1 << self.ejections.min(MAX_DOUBLINGS))).min(MAX_EJECTION);
@@ -1061,10 +1171,12 @@
         }
     }
 
-    /// Shrinks the limit, at most once per answer's time: the answers that follow tell of the same crowd.
-    fn reduce_limit(&mut self, now: Time, took: Span, work: f64) {
+    /// Lowers the concurrency limit, at most once per duration of an answer: the answers that follow result from the
+    /// same overload.
+    fn reduce_limit(&mut self, now: Time, took: Span, outstanding: f64) {
         if now - took >= self.limit_cut_at {
-            self.concurrency_limit = (self.concurrency_limit.min(work + 1.0) * LIMIT_DECREASE).max(MIN_LIMIT);
+            self.concurrency_limit =
+                (self.concurrency_limit.min(outstanding + 1.0) * LIMIT_DECREASE).max(MIN_LIMIT);
             self.limit_cut_at = now;
         }
     }
--- a/crates/core/src/choice/retune.rs
+++ b/crates/core/src/choice/retune.rs
@@ -1,16 +1,17 @@
-//! The one step in which a router's settings change. It decides nothing.
+//! Replacement of a router's settings while it runs. No routing decision is made here.
 
 use super::*;
 
 impl Router {
-    /// The classes that it knows, of all versions, by number.
+    /// The classes of all versions of the settings, by number.
     #[must_use]
     pub fn classes(&self) -> &[Class] {
         &self.settings.classes
     }
 
-    /// Goes by these settings from now on; their classes are those of [`crate::retune::merge`]. Open requests
-    /// keep their classes and the attempts that they might have. What is known of members stays.
+    /// Replaces the settings. Their classes must be those given by [`crate::retune::merge_classes`], so that open requests
+    /// keep their classes; they also keep the number of attempts that they had when they arrived. The state of
+    /// members is kept, and so are the expected durations of primary changes.
     pub fn update_settings(&mut self, settings: Settings) {
         let new = settings.classes.iter().skip(self.latencies.len());
         self.latencies.extend(new.map(|class| LatencyEstimate::initial(class.aim)));
