--- a/crates/daemon/src/work.rs
+++ b/crates/daemon/src/work.rs
@@ -7,7 +7,7 @@
 use linnetdeal_core::{ListState, Span, Time};
 use linnetdeal_net::config::{Config, span_of};
 use linnetdeal_net::leases::Wanted;
-use linnetdeal_net::work::{Asked, Choosable, TASK, WorkWanted, zone_mark};
+use linnetdeal_net::work::{PlanRequest, ServerCandidate, TASK, WorkOptions, zone_hash};
 use linnetdeal_operator::{Bounds, Operator, WorkSettings};
 use std::path::Path;
 
@@ -35,11 +35,11 @@
 }
 
 /// What this pooler is to take part with.
-pub fn wanted(settings: &WorkSettings, config: &Config, leases: &Wanted) -> WorkWanted {
+pub fn wanted(settings: &WorkSettings, config: &Config, leases: &Wanted) -> WorkOptions {
     let fleet = config.peers.as_ref().map_or(0, |peers| u16::try_from(peers.each.len()).unwrap_or(u16::MAX));
     let of = &leases.setup;
     let own = of.tasks.iter().filter(|task| task.wanted).map(|task| TaskId::of(&task.name));
-    WorkWanted {
+    WorkOptions {
         setup: CoordinatorSetup {
             me: of.me,
             seed: of.seed,
@@ -52,9 +52,9 @@
             pooler_limits: limits(settings, settings.poolers),
         },
         capacity: settings.capacity.iter().cloned().collect(),
-        quiet: settings.quiet.clone(),
+        quiet_hours: settings.quiet.clone(),
         handover: settings.handover.clone(),
-        longest: settings.longest,
+        max_out_time: settings.longest,
         zone: config.settings.zone.clone(),
         tasks: own.chain([TaskId::of(TASK)]).collect(),
     }
@@ -66,12 +66,12 @@
     let Some(settings) = &operator.work else { return Err(End::config("the operator's file has no 'work'")) };
     let config = Config::load(config).map_err(End::config)?;
     let bytes = std::fs::read(plan).map_err(|error| End::config(format!("{}: {error}", plan.display())))?;
-    let asked = Asked::read(&bytes).map_err(End::config)?;
+    let asked = PlanRequest::read(&bytes).map_err(End::config)?;
     let listed = || config.known.instances.iter().filter(|of| of.state() != ListState::Gone);
-    let servers: Vec<Choosable> = listed()
+    let servers: Vec<ServerCandidate> = listed()
         .map(|of| {
             let claim = of.claim(0);
-            Choosable { id: of.instance_id.clone(), zone: claim.zone, machine: claim.machine }
+            ServerCandidate { id: of.instance_id.clone(), zone: claim.zone, machine: claim.machine }
         })
         .collect();
     let fleet = config.peers.as_ref().map_or(0, |peers| u16::try_from(peers.each.len()).unwrap_or(u16::MAX));
@@ -87,7 +87,7 @@
         facts.machines.push(MachineInfo {
             machine: id_hash(&of.instance_id),
             group: claim.group.map_or(0, |group| u16::try_from(group.0).unwrap_or(u16::MAX)),
-            zone: zone_mark(&claim.zone),
+            zone: zone_hash(&claim.zone),
             capacity: capacity(&claim.machine),
             primary: claim.primary,
             in_service: claim.state == ListState::Healthy,
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -60,7 +60,7 @@
 use succession::SharedState;
 use tenants::Tenants;
 use upstream::Pool;
-use work::{WorkWanted, Works};
+use work::{WorkOptions, WorkService};
 
 /// A process that takes another's place waits no longer for the first word of discovery.
 const FIRST_WORD: Duration = Duration::from_millis(500);
@@ -97,7 +97,7 @@
         config: Config,
         config_file: PathBuf,
         leases: Option<Wanted>,
-        work: Option<WorkWanted>,
+        work: Option<WorkOptions>,
         signals: Signals,
     ) -> Result<Self, RunError> {
         let (status_log, life) = (Rc::new(StatusLog::default()), Rc::new(Lifecycle::default()));
@@ -177,7 +177,7 @@
         });
         let feed = Feed::new(known.clone(), driver.clone());
         let works = work.zip(leases.clone()).map(|(wanted, leases)| {
-            let parts = work::Parts {
+            let deps = work::Dependencies {
                 leases,
                 feed: feed.clone(),
                 members: known,
@@ -188,7 +188,7 @@
                 shared: shared.clone(),
                 executor: executor.clone(),
             };
-            Rc::new(Works::new(wanted, parts))
+            Rc::new(WorkService::new(wanted, deps))
         });
         let handler = signals::Handler {
             executor: executor.clone(),
@@ -277,7 +277,7 @@
                 }
                 // Nor is a client taken that might be sent where work is done.
                 if let Some(works) = works {
-                    works.started().await;
+                    works.wait_started().await;
                 }
                 open.raise();
             };
--- a/crates/net/src/operator_api.rs
+++ b/crates/net/src/operator_api.rs
@@ -6,7 +6,7 @@
 use crate::lifecycle::Lifecycle;
 use crate::members::Feed;
 use crate::succession::{MAX_ID_BYTES, SharedState};
-use crate::work::Works;
+use crate::work::WorkService;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::future::or;
@@ -46,7 +46,7 @@
     /// The tasks of the whole fleet, where there are any.
     pub(crate) leases: Option<Rc<Leases>>,
     /// Machines out for work, where the poolers see to it.
-    pub(crate) works: Option<Rc<Works>>,
+    pub(crate) works: Option<Rc<WorkService>>,
 }
 
 /// Opens the address.
@@ -184,7 +184,7 @@
             _ => None,
         };
         let (verb, machine) = match parts[..] {
-            [] if *method == Method::GET => return (StatusCode::OK, works.shown()),
+            [] if *method == Method::GET => return (StatusCode::OK, works.status_json()),
             [] if *method == Method::POST => {
                 let body = match Limited::new(body, LONGEST_PLAN).collect().await {
                     Ok(body) => body.to_bytes(),
@@ -201,7 +201,7 @@
         if *method != Method::POST {
             return no(StatusCode::METHOD_NOT_ALLOWED, "this call is made by POST");
         }
-        said(works.by_hand(verb, machine).await)
+        said(works.operator_command(verb, machine).await)
     }
 
     fn server(&self, id: &str, out: bool) -> (StatusCode, String) {
--- a/crates/net/src/work.rs
+++ b/crates/net/src/work.rs
@@ -1,5 +1,6 @@
-//! Machines out for work: the host of `linnetdeal-coordination`'s desk. It brings what this process knows of members, clients and
-//! load, and does what the record of the plan says: servers that are out get nothing new, a pooler that is out is emptied.
+//! Maintenance work on machines: runs the coordinator of `linnetdeal-coordination` in this process. It supplies the coordinator with
+//! this process's view of members, clients and load, and applies the plan's record: servers that are out for work get no new requests,
+//! a pooler whose machine is out is drained.
 
 use crate::clock;
 use crate::config::duration;
@@ -29,178 +30,188 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The task whose holder takes the steps.
+/// The lease task whose holder executes the plan.
 pub const TASK: &str = "work";
-/// So many attempts in a row that find nobody mean that a server fails this pooler.
-const FAILED: u32 = 3;
-/// So many poolers that say so count as one that sees it itself.
-const WITNESSES: usize = 2;
-/// A call of staff's waits so long for its outcome.
-const CALL: Duration = Duration::from_millis(1_500);
-const LOOK: Duration = Duration::from_millis(10);
-/// How often it is looked, at most; other processes of this pooler learn within twice of this.
-const TURN: Duration = Duration::from_millis(50);
-/// Between two looks there is at least so much time.
-const GAP: Duration = Duration::from_millis(5);
-/// A hand-over is asked for again so often until it is made.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
-/// The load is counted by the minute, for an hour.
-const MINUTE: Span = Span::millis(60_000);
-const HOUR: usize = 60;
-/// The load of now is that of so many words' time.
-const NOW: i64 = 2;
-
-/// What an operator wants.
+/// A server counts as failing after this many consecutive attempts that did not reach it.
+const FAILING_AFTER: u32 = 3;
+/// Reports of a failing server from this many poolers count as much as an observation of this pooler.
+const MIN_FAILURE_REPORTS: usize = 2;
+/// Maximum time that an operator's call waits for its result.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Interval at which a waiting call checks for its result.
+const RESULT_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Upper limit of the interval between steps. Other processes of this pooler learn of a change within twice this time.
+const MAX_STEP_INTERVAL: Duration = Duration::from_millis(50);
+/// Minimum time between two steps.
+const MIN_STEP_GAP: Duration = Duration::from_millis(5);
+/// Interval at which a pending primary handover is requested again. Also the timeout of one request.
+const HANDOVER_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Load samples are taken every minute and kept for an hour.
+const LOAD_SAMPLE_PERIOD: Span = Span::millis(60_000);
+const LOAD_SAMPLES: usize = 60;
+/// The current load is measured over this many heartbeat intervals.
+const CURRENT_LOAD_INTERVALS: i64 = 2;
+
+/// Options for maintenance work, from the operator's file.
 #[derive(Clone, Debug)]
-pub struct WorkWanted {
-    /// This pooler's part, with the limits for servers.
+pub struct WorkOptions {
+    /// The coordinator's setup, with the limits.
     pub setup: CoordinatorSetup,
-    /// Requests a second that machines bear, by type; "" for all others.
+    /// Capacity in requests per second by machine type; the key "" applies to all other types.
     pub capacity: BTreeMap<String, f64>,
-    /// Minutes of the day, in UTC, in which nothing begins.
-    pub quiet: Vec<(u16, u16)>,
-    /// What is called to have another primary.
+    /// Quiet hours, as minutes of the day in UTC: no machine is taken out between them.
+    pub quiet_hours: Vec<(u16, u16)>,
+    /// Address and path of the endpoint that performs a handover of the primary.
     pub handover: Option<(SocketAddr, String)>,
-    /// A machine that is out for longer is told of.
-    pub longest: Duration,
+    /// A machine that is out for longer than this is reported as overdue.
+    pub max_out_time: Duration,
     /// This pooler's zone.
     pub zone: String,
-    /// Tasks that this pooler takes part in.
+    /// Lease tasks that this pooler is a candidate for.
     pub tasks: Vec<TaskId>,
 }
 
-/// What staff send.
+/// A maintenance plan as submitted by an operator.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Asked {
-    /// Servers that need work.
+pub struct PlanRequest {
+    /// The servers to be worked on.
     #[serde(default)]
-    pub servers: Option<AskedServers>,
-    /// Poolers whose machines do.
+    pub servers: Option<ServerSelector>,
+    /// The poolers whose machines are to be worked on.
     #[serde(default)]
-    pub poolers: Option<AskedPoolers>,
+    pub poolers: Option<PoolerSelector>,
 }
 
-/// Which servers: by id, or all of a zone, of a type, or of both.
+/// Selects servers: by id, by zone and machine type, or all.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct AskedServers {
-    /// By id.
+pub struct ServerSelector {
+    /// The ids of the servers.
     #[serde(default)]
     pub ids: Vec<String>,
-    /// Of this zone.
+    /// Only servers of this zone.
     #[serde(default)]
     pub zone: Option<String>,
-    /// Of this type.
+    /// Only servers of this machine type.
     #[serde(default)]
     pub machine: Option<String>,
-    /// All.
+    /// All servers.
     #[serde(default)]
     pub all: bool,
 }
 
-/// Which poolers: by number, or all.
+/// Selects poolers: by number, or all.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct AskedPoolers {
-    /// By number.
+pub struct PoolerSelector {
+    /// The numbers of the poolers.
     #[serde(default)]
     pub numbers: Vec<u16>,
-    /// All.
+    /// All poolers.
     #[serde(default)]
     pub all: bool,
 }
 
-/// A server, as a plan chooses it.
+/// A listed server that a plan can select.
 #[derive(Clone, Debug, Default)]
-pub struct Choosable {
+pub struct ServerCandidate {
     /// Its id.
     pub id: String,
     /// Its zone.
     pub zone: String,
-    /// Its type.
+    /// Its machine type.
     pub machine: String,
 }
 
-impl Asked {
-    /// Reads what staff send.
+impl PlanRequest {
+    /// Parses a submitted plan.
     ///
     /// # Errors
     ///
-    /// When it is no such JSON, with the place of the fault.
+    /// When it is not valid JSON of this form; the message has the line and column.
     pub fn read(bytes: &[u8]) -> Result<Self, String> {
         serde_json::from_slice(bytes).map_err(|error| format!("the plan can't be read: {error}"))
     }
 
-    /// Which machines are meant.
+    /// Resolves the selection to machines: hashes of server ids, or numbers of poolers.
     ///
     /// # Errors
     ///
-    /// When none is, one is not known, or two kinds are; in words.
-    pub fn machines(&self, servers: &[Choosable], fleet: u16) -> Result<(MachineKind, Vec<u64>), String> {
+    /// When no machine is selected, one is unknown, or servers and poolers are mixed; with a message for the operator.
+    pub fn machines(
+        &self,
+        servers: &[ServerCandidate],
+        fleet: u16,
+    ) -> Result<(MachineKind, Vec<u64>), String> {
         match (&self.servers, &self.poolers) {
             (Some(_), Some(_)) => Err("a plan is of servers or of poolers, not of both".to_owned()),
             (None, None) => Err("the plan names no machine".to_owned()),
-            (Some(of), None) => {
-                let by = usize::from(!of.ids.is_empty())
-                    + usize::from(of.zone.is_some() || of.machine.is_some())
-                    + usize::from(of.all);
-                if by != 1 {
+            (Some(selected), None) => {
+                let criteria = usize::from(!selected.ids.is_empty())
+                    + usize::from(selected.zone.is_some() || selected.machine.is_some())
+                    + usize::from(selected.all);
+                if criteria != 1 {
                     return Err("name servers by ids, by zone and machine type, or all".to_owned());
                 }
-                if let Some(id) = of.ids.iter().find(|id| !servers.iter().any(|server| server.id == **id)) {
+                if let Some(id) =
+                    selected.ids.iter().find(|id| !servers.iter().any(|server| server.id == **id))
+                {
                     return Err(format!("no server of the id {id} is listed"));
                 }
-                let mut machines: Vec<u64> = of.ids.iter().map(|id| id_hash(id)).collect();
-                if of.ids.is_empty() {
-                    let fits = |server: &&Choosable| {
-                        of.zone.as_ref().is_none_or(|zone| *zone == server.zone)
-                            && of.machine.as_ref().is_none_or(|machine| *machine == server.machine)
+                let mut machines: Vec<u64> = selected.ids.iter().map(|id| id_hash(id)).collect();
+                if selected.ids.is_empty() {
+                    let matches_selector = |server: &&ServerCandidate| {
+                        selected.zone.as_ref().is_none_or(|zone| *zone == server.zone)
+                            && selected.machine.as_ref().is_none_or(|machine| *machine == server.machine)
                     };
-                    machines = servers.iter().filter(fits).map(|server| id_hash(&server.id)).collect();
+                    machines =
+                        servers.iter().filter(matches_selector).map(|server| id_hash(&server.id)).collect();
                 }
-                let twins = servers.iter().any(|one| {
-                    servers.iter().any(|other| one.id != other.id && id_hash(&one.id) == id_hash(&other.id))
-                });
+                let ambiguous = servers
+                    .iter()
+                    .any(|a| servers.iter().any(|b| a.id != b.id && id_hash(&a.id) == id_hash(&b.id)));
                 match machines.is_empty() {
-                    _ if twins => Err("two servers' ids can't be told apart in a datagram".to_owned()),
+                    _ if ambiguous => Err("two servers' ids can't be told apart in a datagram".to_owned()),
                     true => Err("no server fits the plan".to_owned()),
                     false => Ok((MachineKind::Servers, machines)),
                 }
             }
-            (None, Some(of)) => {
-                if of.all != of.numbers.is_empty() {
+            (None, Some(selected)) => {
+                if selected.all != selected.numbers.is_empty() {
                     return Err("name poolers by numbers, or all".to_owned());
                 }
-                if let Some(number) = of.numbers.iter().find(|number| **number >= fleet) {
+                if let Some(number) = selected.numbers.iter().find(|number| **number >= fleet) {
                     return Err(format!("there is no pooler {number}, the platform names {fleet}"));
                 }
-                let numbers = if of.all { (0..fleet).collect() } else { of.numbers.clone() };
+                let numbers = if selected.all { (0..fleet).collect() } else { selected.numbers.clone() };
                 Ok((MachineKind::Poolers, numbers.into_iter().map(u64::from).collect()))
             }
         }
     }
 }
 
-/// What stands for a zone in a datagram.
+/// A 16-bit hash that identifies a zone in datagrams.
 #[must_use]
-pub fn zone_mark(zone: &str) -> u16 {
-    // Of a short word only some bits differ.
-    let mark = id_hash(zone);
-    (mark ^ mark >> 16 ^ mark >> 32 ^ mark >> 48) as u16
+pub fn zone_hash(zone: &str) -> u16 {
+    // Folds all 64 bits, since for short names only some of them differ.
+    let hash = id_hash(zone);
+    (hash ^ hash >> 16 ^ hash >> 32 ^ hash >> 48) as u16
 }
 
-/// The load by group, by the minute.
+/// Samples of the load by group.
 #[derive(Debug, Default)]
-struct Loads {
-    seen: BTreeMap<GroupId, (u64, u64)>,
+struct LoadSamples {
+    /// Requests sent to each group at the last measurement, and at the start of the current minute.
+    sent_counts: BTreeMap<GroupId, (u64, u64)>,
+    /// Requests per second of each group: the current rate, and the rates of the last hour by the minute.
     rates: BTreeMap<GroupId, (f64, VecDeque<f64>)>,
-    at: Time,
-    minute: Time,
+    measured_at: Time,
+    minute_start: Time,
 }
 
-/// What the decisions act on.
-pub(crate) struct Parts {
+/// The components that the service reads from and acts on.
+pub(crate) struct Dependencies {
     pub(crate) leases: Rc<Leases>,
     pub(crate) feed: Feed,
     pub(crate) members: Rc<Members>,
@@ -212,412 +223,446 @@
     pub(crate) executor: Rc<LocalExecutor<'static>>,
 }
 
-/// Machines out for work, at this pooler.
-pub struct Works {
-    wanted: WorkWanted,
-    parts: Parts,
-    work: RefCell<Coordinator<FullRegisterRules>>,
-    /// The record that was acted on last.
-    acted: Cell<(Token, u32)>,
-    before: RefCell<(PlanId, Vec<MachineState>)>,
-    emptied: Cell<bool>,
-    loads: RefCell<Loads>,
-    written: Cell<Option<(Token, u32)>>,
-    asked: Cell<Option<std::time::Instant>>,
-    told_late: RefCell<BTreeSet<(PlanId, usize)>>,
+/// Takes part in maintenance work on behalf of this pooler.
+pub struct WorkService {
+    options: WorkOptions,
+    deps: Dependencies,
+    coordinator: RefCell<Coordinator<FullRegisterRules>>,
+    /// The revision of the record that was applied last.
+    applied_revision: Cell<(Token, u32)>,
+    applied_states: RefCell<(PlanId, Vec<MachineState>)>,
+    drained_for_work: Cell<bool>,
+    load_samples: RefCell<LoadSamples>,
+    stored_revision: Cell<Option<(Token, u32)>>,
+    last_handover_request: Cell<Option<std::time::Instant>>,
+    overdue_reported: RefCell<BTreeSet<(PlanId, usize)>>,
     started: crate::flag::Flag,
 }
 
-impl Works {
-    pub(crate) fn new(wanted: WorkWanted, parts: Parts) -> Self {
-        parts.pool.enable_stats();
+impl WorkService {
+    pub(crate) fn new(options: WorkOptions, deps: Dependencies) -> Self {
+        deps.pool.enable_stats();
         Self {
-            work: RefCell::new(Coordinator::new(clock::steady(), wanted.setup.clone())),
-            wanted,
-            parts,
-            acted: Cell::default(),
-            before: RefCell::default(),
-            emptied: Cell::default(),
-            loads: RefCell::default(),
-            written: Cell::default(),
-            asked: Cell::default(),
-            told_late: RefCell::default(),
+            coordinator: RefCell::new(Coordinator::new(clock::steady(), options.setup.clone())),
+            options,
+            deps,
+            applied_revision: Cell::default(),
+            applied_states: RefCell::default(),
+            drained_for_work: Cell::default(),
+            load_samples: RefCell::default(),
+            stored_revision: Cell::default(),
+            last_handover_request: Cell::default(),
+            overdue_reported: RefCell::default(),
             started: crate::flag::Flag::default(),
         }
     }
 
-    /// Waits until it is known what is out, or was waited for in vain.
-    pub(crate) async fn started(&self) {
+    /// Waits until it is known which machines are out, or until the wait for that has timed out.
+    pub(crate) async fn wait_started(&self) {
         self.started.raised().await;
     }
 
-    /// Whether that is known.
+    /// Whether it is known which machines are out, or the wait for that has timed out.
     pub(crate) fn has_started(&self) -> bool {
         self.started.is_up()
     }
 
-    /// Does what is due, for ever.
+    /// Runs the steps that are due; never returns.
     pub(crate) async fn run(self: Rc<Self>) {
-        let pause = (duration(self.wanted.setup.heartbeat_interval) / 8).min(TURN);
+        let pause = (duration(self.options.setup.heartbeat_interval) / 8).min(MAX_STEP_INTERVAL);
         loop {
-            let changed = self.parts.leases.listen();
-            self.turn();
+            let changed = self.deps.leases.listen();
+            self.step();
             or(changed, async {
                 let _ = Timer::after(pause).await;
             })
             .await;
-            // Words of a whole fleet come one by one; they are looked at together.
-            Timer::after(GAP.min(pause)).await;
+            // The heartbeats of a fleet arrive one by one; the pause lets one step process several of them.
+            Timer::after(MIN_STEP_GAP.min(pause)).await;
         }
     }
 
-    fn turn(self: &Rc<Self>) {
+    fn step(self: &Rc<Self>) {
         let now = clock::steady();
-        for (who, note) in self.parts.leases.take_work() {
-            self.work.borrow_mut().receive(now, who, note);
-        }
-        self.look_beside(now);
-        self.act();
-        let own = self.own(now);
-        let heard = self.heard(now);
-        let mut work = self.work.borrow_mut();
-        work.tick(now, &own, &|kind| self.facts(kind, &heard));
-        let letters = work.take_messages();
-        let beaten = work.take_superseded();
-        if work.start_on_timeout(now) {
+        for (origin, message) in self.deps.leases.take_work() {
+            self.coordinator.borrow_mut().receive(now, origin, message);
+        }
+        self.load_shared_record(now);
+        self.apply_record();
+        let local = self.local_state(now);
+        let reports = self.peer_reports(now);
+        let mut coordinator = self.coordinator.borrow_mut();
+        coordinator.tick(now, &local, &|kind| self.fleet_info(kind, &reports));
+        let messages = coordinator.take_messages();
+        let superseded = coordinator.take_superseded();
+        if coordinator.start_on_timeout(now) {
             tracing::warn!("work: no majority of voters has told what is out; serving by what was heard");
         }
-        if work.has_started() && !self.started.is_up() {
+        if coordinator.has_started() && !self.started.is_up() {
             self.started.raise();
         }
-        drop(work);
-        self.parts.leases.say(letters);
-        if beaten {
-            let _ = self.parts.leases.by_hand(TASK, "release", None);
+        drop(coordinator);
+        self.deps.leases.say(messages);
+        if superseded {
+            let _ = self.deps.leases.by_hand(TASK, "release", None);
         }
-        self.act();
-        self.write_beside();
-        self.ask_and_hand_over(own.token);
-        self.tell_of_late(now);
+        self.apply_record();
+        self.store_shared_record();
+        self.drive_handover(local.token);
+        self.log_overdue(now);
     }
 
-    /// What another process of this pooler knows to be out, where there is one.
-    fn look_beside(&self, now: Time) {
-        let Some(shared) = &self.parts.shared else { return };
-        let Some((plan, record)) = shared.read_work().and_then(|bytes| read_beside(&bytes)) else { return };
-        let mut work = self.work.borrow_mut();
+    /// Adopts the record stored by another process of this pooler, if there is one.
+    fn load_shared_record(&self, now: Time) {
+        let Some(shared) = &self.deps.shared else { return };
+        let Some((plan, record)) = shared.read_work().and_then(|bytes| decode_record(&bytes)) else { return };
+        let mut coordinator = self.coordinator.borrow_mut();
         if let Some(plan) = plan {
-            work.adopt(now, plan, &record);
+            coordinator.adopt(now, plan, &record);
         }
-        // It lives, and says of nothing that it is clear as long as this one does. A dead one's word may be old.
-        if !work.has_started() && shared.has_other_process() {
-            work.mark_started();
+        // While both processes live, neither confirms a machine as clear, so the other's record is safe to start from. The record of a
+        // dead process may be outdated.
+        if !coordinator.has_started() && shared.has_other_process() {
+            coordinator.mark_started();
         }
     }
 
-    fn write_beside(&self) {
-        let Some(shared) = &self.parts.shared else { return };
-        let work = self.work.borrow();
-        if !work.has_started() || self.written.get() == Some(work.revision()) {
+    fn store_shared_record(&self) {
+        let Some(shared) = &self.deps.shared else { return };
+        let coordinator = self.coordinator.borrow();
+        if !coordinator.has_started() || self.stored_revision.get() == Some(coordinator.revision()) {
             return;
         }
-        let bytes = match work.current_plan() {
-            Some((plan, record)) => write_beside(Some(plan), record),
-            None => write_beside(None, &Record::default()),
+        let bytes = match coordinator.current_plan() {
+            Some((plan, record)) => encode_record(Some(plan), record),
+            None => encode_record(None, &Record::default()),
         };
-        match shared.write_work((work.revision().0.0, work.revision().1), &bytes) {
-            Ok(()) => self.written.set(Some(work.revision())),
+        match shared.write_work((coordinator.revision().0.0, coordinator.revision().1), &bytes) {
+            Ok(()) => self.stored_revision.set(Some(coordinator.revision())),
             Err(error) => tracing::debug!("work: other processes of this pooler don't learn of it: {error}"),
         }
     }
 
-    /// Does what the record says: before anything is said to be clear, nothing new goes there.
-    fn act(&self) {
-        let work = self.work.borrow();
-        let Some((plan, record)) = work.current_plan() else { return };
-        if self.acted.get() == record.revision() {
+    /// Applies the record. This precedes reporting a machine as clear, so that no new requests go there afterwards.
+    fn apply_record(&self) {
+        let coordinator = self.coordinator.borrow();
+        let Some((plan, record)) = coordinator.current_plan() else { return };
+        if self.applied_revision.get() == record.revision() {
             return;
         }
-        self.acted.set(record.revision());
-        let mut before = self.before.borrow_mut();
-        let same = before.0 == record.plan;
-        let was = |at: usize| before.1.get(at).copied().filter(|_| same);
-        let changed = |at: &usize| was(*at) != Some(record.states[*at]);
+        self.applied_revision.set(record.revision());
+        let mut applied_states = self.applied_states.borrow_mut();
+        let same_plan = applied_states.0 == record.plan;
+        let previous = |index: usize| applied_states.1.get(index).copied().filter(|_| same_plan);
+        let changed = |index: &usize| previous(*index) != Some(record.states[*index]);
         match plan.kind {
             MachineKind::Servers => {
-                let out: BTreeSet<u64> = record.out().map(|at| plan.machines[at]).collect();
-                // What comes back from work is cold; what was never touched is not.
-                let back: Vec<u64> = (0..plan.machines.len().min(record.states.len()))
-                    .filter(|at| record.states[*at] == MachineState::Warming && changed(at))
-                    .map(|at| plan.machines[at])
+                let out: BTreeSet<u64> = record.out().map(|index| plan.machines[index]).collect();
+                // A machine that returns from work is cold; one that was never taken out is not.
+                let returned: Vec<u64> = (0..plan.machines.len().min(record.states.len()))
+                    .filter(|index| record.states[*index] == MachineState::Warming && changed(index))
+                    .map(|index| plan.machines[index])
                     .collect();
-                self.parts.feed.by_plan(&out, &back);
-                // A machine is not kept waiting for what is idle there.
-                self.parts.pool.close_stale_idle();
-                if !back.is_empty() {
-                    // What was heard of it before says nothing now; who leads takes it for dead until it answers.
-                    let leads = work.view(clock::steady()).leads;
-                    let members = self.parts.members.all();
-                    let back = members.into_iter().filter(|(id, _)| back.contains(&id_hash(&id.0)));
-                    self.parts.pool.with_stats(|stats| {
-                        for (id, _) in back {
+                self.deps.feed.by_plan(&out, &returned);
+                // Idle connections must not delay a machine's work.
+                self.deps.pool.close_stale_idle();
+                if !returned.is_empty() {
+                    // Failures from before the work are obsolete. The leader treats the machine as failed until it answers.
+                    let leads = coordinator.view(clock::steady()).leads;
+                    let members = self.deps.members.all();
+                    let returned = members.into_iter().filter(|(id, _)| returned.contains(&id_hash(&id.0)));
+                    self.deps.pool.with_stats(|stats| {
+                        for (id, _) in returned {
                             stats.failed.remove(&id);
                             if leads {
-                                stats.failed.insert(id, FAILED);
+                                stats.failed.insert(id, FAILING_AFTER);
                             }
                         }
                     });
                 }
             }
             MachineKind::Poolers => {
-                self.parts.feed.by_plan(&BTreeSet::new(), &[]);
-                let away = work.own_machine_is_out();
-                if away != self.emptied.replace(away) {
-                    tracing::info!("work: this pooler's machine is {}", if away { "out" } else { "back" });
-                    // What was emptied by hand stays so.
-                    self.parts.life.drained.set_on(away || self.parts.life.drained_by_operator.get());
-                    self.parts.leases.abstain(away, &self.wanted.tasks);
+                self.deps.feed.by_plan(&BTreeSet::new(), &[]);
+                let out_for_work = coordinator.own_machine_is_out();
+                if out_for_work != self.drained_for_work.replace(out_for_work) {
+                    tracing::info!(
+                        "work: this pooler's machine is {}",
+                        if out_for_work { "out" } else { "back" }
+                    );
+                    // A pooler drained by an operator stays drained.
+                    self.deps.life.drained.set_on(out_for_work || self.deps.life.drained_by_operator.get());
+                    self.deps.leases.abstain(out_for_work, &self.options.tasks);
                 }
             }
         }
-        for at in (0..record.states.len()).filter(changed) {
-            let name = plan.machines.get(at).map_or_else(String::new, |of| self.name(plan.kind, *of));
-            if was(at).is_some() || record.states[at] != MachineState::Waiting {
-                tracing::info!("work: {name} {}", record.states[at].label());
+        for index in (0..record.states.len()).filter(changed) {
+            let name =
+                plan.machines.get(index).map_or_else(String::new, |hash| self.machine_name(plan.kind, *hash));
+            if previous(index).is_some() || record.states[index] != MachineState::Waiting {
+                tracing::info!("work: {name} {}", record.states[index].label());
             }
         }
-        if !same {
+        if !same_plan {
             tracing::info!("work: plan {:016x} of {} machines", record.plan.0, plan.machines.len());
         }
-        *before = (record.plan, record.states.clone());
+        *applied_states = (record.plan, record.states.clone());
     }
 
-    fn name(&self, kind: MachineKind, machine: u64) -> String {
+    fn machine_name(&self, kind: MachineKind, machine: u64) -> String {
         if kind == MachineKind::Poolers {
             return format!("pooler {machine}");
         }
-        let members = self.parts.members.all();
-        let known = members.iter().find(|(id, _)| id_hash(&id.0) == machine);
-        known.map_or_else(|| format!("{machine:016x}"), |(id, _)| id.0.to_string())
+        let members = self.deps.members.all();
+        let member_entry = members.iter().find(|(id, _)| id_hash(&id.0) == machine);
+        member_entry.map_or_else(|| format!("{machine:016x}"), |(id, _)| id.0.to_string())
     }
 
-    fn own(&self, now: Time) -> LocalState {
+    fn local_state(&self, now: Time) -> LocalState {
         let task = TaskId::of(TASK);
-        let work = self.work.borrow();
-        let token =
-            self.parts.leases.holds(task).filter(|_| !work.own_machine_is_out() && work.has_started());
-        let mut own = LocalState {
+        let coordinator = self.coordinator.borrow();
+        let token = self
+            .deps
+            .leases
+            .holds(task)
+            .filter(|_| !coordinator.own_machine_is_out() && coordinator.has_started());
+        let mut local = LocalState {
             token,
-            holder: self.parts.leases.holder(TASK),
-            zone: zone_mark(&self.wanted.zone),
-            clear_revision: work.revision(),
+            holder: self.deps.leases.holder(TASK),
+            zone: zone_hash(&self.options.zone),
+            clear_revision: coordinator.revision(),
             ..LocalState::default()
         };
-        // Counted at all times: a plan that begins has to know the last hour's peak.
-        self.measure(now);
-        if work.is_active() {
-            own.loads = self.measured();
-            own.failing = self.failing();
-        }
-        let Some((plan, record)) = work.current_plan() else { return own };
-        let alone = || self.parts.shared.as_ref().is_none_or(|shared| shared.is_alone());
+        // Sampled at all times, since a plan that begins needs the peak of the last hour.
+        self.sample_load(now);
+        if coordinator.is_active() {
+            local.loads = self.current_loads();
+            local.failing = self.failing_servers();
+        }
+        let Some((plan, record)) = coordinator.current_plan() else { return local };
+        let is_only_process = || self.deps.shared.as_ref().is_none_or(|shared| shared.is_alone());
         let out: Vec<usize> = record.out().collect();
-        if out.is_empty() || !alone() {
-            return own;
+        if out.is_empty() || !is_only_process() {
+            return local;
         }
-        let members = if plan.kind == MachineKind::Servers { self.parts.members.all() } else { Vec::new() };
-        let is_clear = |at: &usize| {
-            let machine = plan.machines[*at];
+        let members = if plan.kind == MachineKind::Servers { self.deps.members.all() } else { Vec::new() };
+        let is_clear = |index: &usize| {
+            let machine = plan.machines[*index];
             match plan.kind {
                 MachineKind::Servers => members
                     .iter()
                     .filter(|(id, _)| id_hash(&id.0) == machine)
-                    .all(|(id, _)| self.parts.pool.has_no_connections(id)),
+                    .all(|(id, _)| self.deps.pool.has_no_connections(id)),
                 MachineKind::Poolers => {
-                    machine == u64::from(self.wanted.setup.me.number)
-                        && self.emptied.get()
-                        && self.parts.slots.in_use() == 0
-                        && self.wanted.tasks.iter().all(|task| self.parts.leases.holds(*task).is_none())
+                    machine == u64::from(self.options.setup.me.number)
+                        && self.drained_for_work.get()
+                        && self.deps.slots.in_use() == 0
+                        && self.options.tasks.iter().all(|task| self.deps.leases.holds(*task).is_none())
                 }
             }
         };
-        own.clear = MachineSet::of(out.into_iter().filter(is_clear));
-        own
+        local.clear = MachineSet::of(out.into_iter().filter(is_clear));
+        local
     }
 
-    fn failing(&self) -> Vec<u64> {
+    fn failing_servers(&self) -> Vec<u64> {
         let failing = |stats: &mut crate::upstream::SendStats| {
-            let failed = stats.failed.iter().filter(|(_, times)| **times >= FAILED);
+            let failed = stats.failed.iter().filter(|(_, times)| **times >= FAILING_AFTER);
             failed.map(|(member, _)| id_hash(&member.0)).collect::<Vec<_>>()
         };
-        self.parts.pool.with_stats(failing).unwrap_or_default()
+        self.deps.pool.with_stats(failing).unwrap_or_default()
     }
 
-    /// Counts what this pooler bears, when it is due.
-    fn measure(&self, now: Time) {
-        if now - self.loads.borrow().at < Span(self.wanted.setup.heartbeat_interval.0 * NOW) {
+    /// Samples this pooler's load, if a sample is due.
+    fn sample_load(&self, now: Time) {
+        if now - self.load_samples.borrow().measured_at
+            < Span(self.options.setup.heartbeat_interval.0 * CURRENT_LOAD_INTERVALS)
+        {
             return;
         }
         let sent: BTreeMap<GroupId, u64> = self
-            .parts
+            .deps
             .pool
             .with_stats(|stats| stats.sent.iter().map(|(group, count)| (*group, *count)).collect())
             .unwrap_or_default();
-        let mut loads = self.loads.borrow_mut();
-        let loads = &mut *loads;
-        let seconds = (now - loads.at).0 as f64 / 1e6;
-        let minute = now - loads.minute >= MINUTE;
+        let mut samples = self.load_samples.borrow_mut();
+        let samples = &mut *samples;
+        let seconds = (now - samples.measured_at).0 as f64 / 1e6;
+        let minute_over = now - samples.minute_start >= LOAD_SAMPLE_PERIOD;
         for (group, count) in &sent {
-            let seen = loads.seen.entry(*group).or_insert((*count, *count));
-            let (rate, hour) = loads.rates.entry(*group).or_default();
-            *rate = (count - seen.0) as f64 / seconds;
-            seen.0 = *count;
-            if minute {
-                hour.push_back((count - seen.1) as f64 / (now - loads.minute).0 as f64 * 1e6);
-                seen.1 = *count;
-                if hour.len() > HOUR {
-                    hour.pop_front();
+            let counts = samples.sent_counts.entry(*group).or_insert((*count, *count));
+            let (rate, history) = samples.rates.entry(*group).or_default();
+            *rate = (count - counts.0) as f64 / seconds;
+            counts.0 = *count;
+            if minute_over {
+                history.push_back((count - counts.1) as f64 / (now - samples.minute_start).0 as f64 * 1e6);
+                counts.1 = *count;
+                if history.len() > LOAD_SAMPLES {
+                    history.pop_front();
                 }
             }
         }
-        loads.at = now;
-        if minute {
-            loads.minute = now;
+        samples.measured_at = now;
+        if minute_over {
+            samples.minute_start = now;
         }
     }
 
-    /// What this pooler bears, by group.
-    fn measured(&self) -> Vec<GroupLoad> {
-        let loads = self.loads.borrow();
-        let whole = |rate: f64| rate.ceil().clamp(0.0, 65_535.0) as u16;
-        let of = |(group, (rate, hour)): (&GroupId, &(f64, VecDeque<f64>))| {
-            let peak = hour.iter().copied().fold(*rate, f64::max);
-            Some(GroupLoad { group: u16::try_from(group.0).ok()?, current: whole(*rate), peak: whole(peak) })
+    /// This pooler's current and peak load by group, in requests per second.
+    fn current_loads(&self) -> Vec<GroupLoad> {
+        let samples = self.load_samples.borrow();
+        let to_u16 = |rate: f64| rate.ceil().clamp(0.0, 65_535.0) as u16;
+        let group_load = |(group, (rate, history)): (&GroupId, &(f64, VecDeque<f64>))| {
+            let peak = history.iter().copied().fold(*rate, f64::max);
+            Some(GroupLoad {
+                group: u16::try_from(group.0).ok()?,
+                current: to_u16(*rate),
+                peak: to_u16(peak),
+            })
         };
-        loads.rates.iter().filter_map(of).collect()
+        samples.rates.iter().filter_map(group_load).collect()
     }
 
-    /// What other poolers have told: loads, servers that fail them, and the poolers themselves.
-    fn heard(&self, now: Time) -> Heard {
-        let work = self.work.borrow();
-        Heard { loads: work.loads(now), failing: work.failing(now), poolers: work.poolers(now) }
+    /// What other poolers reported: loads, failing servers, and their own state.
+    fn peer_reports(&self, now: Time) -> PeerReports {
+        let coordinator = self.coordinator.borrow();
+        PeerReports {
+            loads: coordinator.loads(now),
+            failing: coordinator.failing(now),
+            poolers: coordinator.poolers(now),
+        }
     }
 
-    fn facts(&self, kind: MachineKind, heard: &Heard) -> FleetInfo {
-        let quiet = self.is_quiet();
+    fn fleet_info(&self, kind: MachineKind, reports: &PeerReports) -> FleetInfo {
+        let quiet_hours = self.in_quiet_hours();
         if kind == MachineKind::Poolers {
-            let of = |(number, zone, whole): &(u16, u16, bool)| MachineInfo {
+            let pooler_info = |(number, zone, complete): &(u16, u16, bool)| MachineInfo {
                 machine: u64::from(*number),
                 zone: *zone,
-                in_service: *whole,
-                warm: *whole,
+                in_service: *complete,
+                warm: *complete,
                 ..MachineInfo::default()
             };
-            let voters = self.wanted.setup.voters.iter().map(|voter| u64::from(*voter)).collect();
-            let machines = heard.poolers.iter().map(of).collect();
-            return FleetInfo { machines, quiet_hours: quiet, voters, ..FleetInfo::default() };
-        }
-        let (primaries, changing) = self.parts.driver.primaries();
-        let fails = self.failing();
-        let wall = self.parts.feed.now();
-        let group = |of: GroupId| u16::try_from(of.0).unwrap_or(u16::MAX);
+            let voters = self.options.setup.voters.iter().map(|voter| u64::from(*voter)).collect();
+            let machines = reports.poolers.iter().map(pooler_info).collect();
+            return FleetInfo { machines, quiet_hours, voters, ..FleetInfo::default() };
+        }
+        let (primaries, changing_primary) = self.deps.driver.primaries();
+        let own_failing = self.failing_servers();
+        let wall = self.deps.feed.now();
+        let group_number = |group_id: GroupId| u16::try_from(group_id.0).unwrap_or(u16::MAX);
         let (mut machines, mut gone) = (Vec::new(), BTreeSet::new());
-        for (id, known) in self.parts.members.all() {
+        for (id, member_info) in self.deps.members.all() {
             let machine = id_hash(&id.0);
-            if known.state == ListState::Gone {
+            if member_info.state == ListState::Gone {
                 gone.insert(machine);
                 continue;
             }
-            let capacity = self.wanted.capacity.get(&known.machine).or(self.wanted.capacity.get(""));
+            let capacity = self.options.capacity.get(&member_info.machine).or(self.options.capacity.get(""));
             machines.push(MachineInfo {
                 machine,
-                group: group(known.group),
-                zone: zone_mark(&known.zone),
+                group: group_number(member_info.group),
+                zone: zone_hash(&member_info.zone),
                 capacity: capacity.copied().unwrap_or(0.0),
-                primary: primaries.get(&known.group).map_or(known.primary, |of| *of == id),
-                in_service: self.parts.members.serves_but_for_plans(&id),
-                failing: fails.contains(&machine)
-                    || heard.failing.get(&machine).is_some_and(|by| *by >= WITNESSES),
-                warm: known
+                primary: primaries
+                    .get(&member_info.group)
+                    .map_or(member_info.primary, |primary_id| *primary_id == id),
+                in_service: self.deps.members.serves_but_for_plans(&id),
+                failing: own_failing.contains(&machine)
+                    || reports
+                        .failing
+                        .get(&machine)
+                        .is_some_and(|poolers_reporting| *poolers_reporting >= MIN_FAILURE_REPORTS),
+                warm: member_info
                     .started
-                    .is_none_or(|started| wall - started >= self.wanted.setup.server_limits.cold_period),
+                    .is_none_or(|started| wall - started >= self.options.setup.server_limits.cold_period),
             });
         }
-        // Where nobody is known to be, by own answers or by the list, nobody can be handed over to.
-        let known: BTreeSet<u16> = machines.iter().filter(|of| of.primary).map(|of| of.group).collect();
-        let without = machines.iter().map(|of| of.group).filter(|of| !known.contains(of));
-        let changing = changing.into_iter().map(group).chain(without).collect();
+        // A group without a primary, neither by probes nor by the list, can't hand over to another member.
+        let with_primary: BTreeSet<u16> =
+            machines.iter().filter(|candidate| candidate.primary).map(|candidate| candidate.group).collect();
+        let without_primary = machines
+            .iter()
+            .map(|candidate| candidate.group)
+            .filter(|candidate| !with_primary.contains(candidate));
+        let changing_primary =
+            changing_primary.into_iter().map(group_number).chain(without_primary).collect();
         FleetInfo {
             machines,
-            changing_primary: changing,
-            loads: heard.loads.clone(),
+            changing_primary,
+            loads: reports.loads.clone(),
             gone,
-            quiet_hours: quiet,
+            quiet_hours,
             ..FleetInfo::default()
         }
     }
 
-    fn is_quiet(&self) -> bool {
+    fn in_quiet_hours(&self) -> bool {
         let minute = (clock::wall_ms() / 60_000 % 1_440) as u16;
-        self.wanted.quiet.iter().any(|(from, to)| {
+        self.options.quiet_hours.iter().any(|(from, to)| {
             if from < to { (*from..*to).contains(&minute) } else { minute >= *from || minute < *to }
         })
     }
 
-    /// Has somebody else made the primary of the groups whose turn it is, and asks members that matter to the next step.
-    fn ask_and_hand_over(self: &Rc<Self>, token: Option<Token>) {
+    /// Requests primary handovers for the machines that wait for one, and probes the members on which the next step depends.
+    fn drive_handover(self: &Rc<Self>, token: Option<Token>) {
         let Some(token) = token else { return };
-        let work = self.work.borrow();
-        let Some((plan, record)) = work.current_plan().filter(|(plan, _)| plan.kind == MachineKind::Servers)
+        let coordinator = self.coordinator.borrow();
+        let Some((plan, record)) =
+            coordinator.current_plan().filter(|(plan, _)| plan.kind == MachineKind::Servers)
         else {
             return;
         };
-        let with = |state: MachineState| -> BTreeSet<u64> {
-            let of = record.states.iter().zip(&plan.machines).filter(|(one, _)| **one == state);
-            of.map(|(_, machine)| *machine).collect()
+        let machines_in = |state: MachineState| -> BTreeSet<u64> {
+            let matching = record
+                .states
+                .iter()
+                .zip(&plan.machines)
+                .filter(|(machine_state, _)| **machine_state == state);
+            matching.map(|(_, machine)| *machine).collect()
         };
-        let (handing, warming) = (with(MachineState::HandingOver), with(MachineState::Warming));
-        if handing.is_empty() && warming.is_empty()
-            || self.asked.get().is_some_and(|at| at.elapsed() < ASK_AGAIN)
+        let (handing_over, warming) =
+            (machines_in(MachineState::HandingOver), machines_in(MachineState::Warming));
+        if handing_over.is_empty() && warming.is_empty()
+            || self.last_handover_request.get().is_some_and(|at| at.elapsed() < HANDOVER_RETRY_INTERVAL)
         {
             return;
         }
-        self.asked.set(Some(std::time::Instant::now()));
-        let members = self.parts.members.all();
+        self.last_handover_request.set(Some(std::time::Instant::now()));
+        let members = self.deps.members.all();
         let groups: BTreeSet<GroupId> = members
             .iter()
-            .filter(|(id, _)| handing.contains(&id_hash(&id.0)))
-            .map(|(_, of)| of.group)
+            .filter(|(id, _)| handing_over.contains(&id_hash(&id.0)))
+            .map(|(_, member_info)| member_info.group)
             .collect();
-        // This pooler may send nothing there, and would hear of no new primary, and of none that is back.
-        for (id, known) in &members {
-            let asked = groups.contains(&known.group) || warming.contains(&id_hash(&id.0));
-            if asked && known.state == ListState::Healthy {
-                let (driver, pool, id) = (self.parts.driver.clone(), self.parts.pool.clone(), id.clone());
-                let ask = async move { drop(crate::probes::probe(&driver, &pool, id).await) };
-                self.parts.executor.spawn(ask).detach();
+        // This pooler may have no requests for these members, and would otherwise notice neither a new primary nor a member that is back.
+        for (id, member_info) in &members {
+            let must_probe = groups.contains(&member_info.group) || warming.contains(&id_hash(&id.0));
+            if must_probe && member_info.state == ListState::Healthy {
+                let (driver, pool, id) = (self.deps.driver.clone(), self.deps.pool.clone(), id.clone());
+                let probe_task = async move { drop(crate::probes::probe(&driver, &pool, id).await) };
+                self.deps.executor.spawn(probe_task).detach();
             }
         }
-        let Some((address, path)) = self.wanted.handover.clone() else { return };
-        for (id, known) in members {
-            if handing.contains(&id_hash(&id.0)) {
-                let (own, path) = (self.clone(), path.clone());
+        let Some((address, path)) = self.options.handover.clone() else { return };
+        for (id, member_info) in members {
+            if handing_over.contains(&id_hash(&id.0)) {
+                let (service, path) = (self.clone(), path.clone());
                 let task = async move {
-                    let call = own.call(address, &path, token, &id, known.group);
-                    let late = async {
-                        let _ = Timer::after(ASK_AGAIN).await;
+                    let call = service.request_handover(address, &path, token, &id, member_info.group);
+                    let timed_out = async {
+                        let _ = Timer::after(HANDOVER_RETRY_INTERVAL).await;
                         Err("no answer".into())
                     };
-                    if let Err(error) = or(call, late).await {
+                    if let Err(error) = or(call, timed_out).await {
                         tracing::debug!("work: the hand-over of {} at {address}: {error}", id.0);
                     }
                 };
-                self.parts.executor.spawn(task).detach();
+                self.deps.executor.spawn(task).detach();
             }
         }
     }
 
-    async fn call(
+    async fn request_handover(
         &self,
         address: SocketAddr,
         path: &str,
@@ -627,7 +672,7 @@
     ) -> Result<(), Box<dyn std::error::Error>> {
         let stream = Async::<TcpStream>::connect(address).await?;
         let (mut sender, connection) = hyper::client::conn::http1::handshake(FuturesIo::new(stream)).await?;
-        let served = self.parts.executor.spawn(connection);
+        let connection_task = self.deps.executor.spawn(connection);
         let request = Request::post(path)
             .header("host", address.to_string())
             .header("connection", "close")
@@ -635,177 +680,191 @@
             .header("group", group.0)
             .header("fencing-token", token.0)
             .body(Empty::<Bytes>::new())?;
-        // After the last wait: from here on only who is called can stop it.
-        if self.parts.leases.holds(TaskId::of(TASK)) != Some(token) {
+        // Checked after the last wait: from here on only the called endpoint can reject an outdated token.
+        if self.deps.leases.holds(TaskId::of(TASK)) != Some(token) {
             return Ok(());
         }
         let answer: Response<_> = sender.send_request(request).await?;
-        drop(served);
+        drop(connection_task);
         if answer.status().is_success() { Ok(()) } else { Err(format!("status {}", answer.status()).into()) }
     }
 
-    /// A machine that is out for too long is told of once.
-    fn tell_of_late(&self, now: Time) {
-        let work = self.work.borrow();
-        if !work.is_active() {
+    /// Logs each machine that is out for too long, once.
+    fn log_overdue(&self, now: Time) {
+        let coordinator = self.coordinator.borrow();
+        if !coordinator.is_active() {
             return;
         }
-        let view = work.view(now);
+        let view = coordinator.view(now);
         if !view.leads {
             return;
         }
-        for (at, of) in view.machines.iter().enumerate() {
-            let late = of.state.is_out() && duration(of.elapsed) > self.wanted.longest;
-            if late && self.told_late.borrow_mut().insert((view.plan, at)) {
+        for (index, machine_view) in view.machines.iter().enumerate() {
+            let overdue =
+                machine_view.state.is_out() && duration(machine_view.elapsed) > self.options.max_out_time;
+            if overdue && self.overdue_reported.borrow_mut().insert((view.plan, index)) {
                 tracing::warn!(
                     "work: {} is {} for more than {:?}",
-                    self.name(view.kind, of.machine),
-                    of.state.label(),
-                    self.wanted.longest
+                    self.machine_name(view.kind, machine_view.machine),
+                    machine_view.state.label(),
+                    self.options.max_out_time
                 );
             }
         }
-        if self.told_late.borrow().len() > MAX_MACHINES {
-            self.told_late.borrow_mut().clear();
+        if self.overdue_reported.borrow().len() > MAX_MACHINES {
+            self.overdue_reported.borrow_mut().clear();
         }
     }
 
-    /// The plan, its machines and why they wait, as JSON.
-    pub(crate) fn shown(&self) -> String {
+    /// The plan, its machines and the reasons why they wait, as JSON.
+    pub(crate) fn status_json(&self) -> String {
         let now = clock::steady();
-        let view = self.work.borrow().view(now);
+        let view = self.coordinator.borrow().view(now);
         let machines: Vec<Value> = view
             .machines
             .iter()
-            .map(|of| {
-                let mut shown = json!({"machine": self.name(view.kind, of.machine), "state": of.state.label(),
-                    "for_ms": of.elapsed.0 / 1_000});
-                if let Some(why) = &of.wait_reason {
-                    shown["waits"] = why.to_string().into();
+            .map(|machine_view| {
+                let mut machine_json = json!({"machine": self.machine_name(view.kind, machine_view.machine),
+                    "state": machine_view.state.label(), "for_ms": machine_view.elapsed.0 / 1_000});
+                if let Some(reason) = &machine_view.wait_reason {
+                    machine_json["waits"] = reason.to_string().into();
                 }
-                if !of.unconfirmed.is_empty() {
-                    shown["waits_for_poolers"] = of.unconfirmed.clone().into();
+                if !machine_view.unconfirmed.is_empty() {
+                    machine_json["waits_for_poolers"] = machine_view.unconfirmed.clone().into();
                 }
-                if of.state.is_out() && duration(of.elapsed) > self.wanted.longest {
-                    shown["overdue"] = true.into();
+                if machine_view.state.is_out() && duration(machine_view.elapsed) > self.options.max_out_time {
+                    machine_json["overdue"] = true.into();
                 }
-                shown
+                machine_json
             })
             .collect();
         let plan = (view.plan != PlanId::NONE).then(|| format!("{:016x}", view.plan.0));
         json!({"plan": plan, "mode": view.mode.label(), "machines": machines, "token": view.revision.0.0,
-            "version": view.revision.1, "leads": view.leads, "holder": self.parts.leases.holder(TASK),
-            "knows_what_is_out": view.started, "voter_without_memory": view.blank, "silent_poolers": view.silent_poolers})
+            "version": view.revision.1, "leads": view.leads, "holder": self.deps.leases.holder(TASK),
+            "knows_what_is_out": view.started, "voter_without_memory": view.blank,
+            "silent_poolers": view.silent_poolers})
         .to_string()
     }
 
-    fn choosable(&self) -> Vec<Choosable> {
-        let known = self.parts.members.all().into_iter().filter(|(_, known)| known.state != ListState::Gone);
-        known.map(|(id, of)| Choosable { id: id.0.to_string(), zone: of.zone, machine: of.machine }).collect()
+    fn candidates(&self) -> Vec<ServerCandidate> {
+        let listed =
+            self.deps.members.all().into_iter().filter(|(_, listed)| listed.state != ListState::Gone);
+        listed
+            .map(|(id, member_info)| ServerCandidate {
+                id: id.0.to_string(),
+                zone: member_info.zone,
+                machine: member_info.machine,
+            })
+            .collect()
     }
 
-    /// A plan that staff send.
+    /// Submits an operator's plan.
     ///
     /// # Errors
     ///
-    /// With a status and words.
+    /// An HTTP status with a message.
     pub(crate) async fn submit(self: &Rc<Self>, body: &[u8]) -> Result<String, (u16, String)> {
-        let bad = |words: String| (400, words);
-        let asked = Asked::read(body).map_err(bad)?;
-        let (kind, machines) = asked.machines(&self.choosable(), self.wanted.setup.fleet).map_err(bad)?;
+        let bad_request = |message: String| (400, message);
+        let plan_request = PlanRequest::read(body).map_err(bad_request)?;
+        let (kind, machines) =
+            plan_request.machines(&self.candidates(), self.options.setup.fleet).map_err(bad_request)?;
         let count = machines.len();
         let now = clock::steady();
-        let submitted = self.work.borrow_mut().submit(now, kind, machines.clone());
-        let (plan, call) = submitted.map_err(|words| bad(words.to_owned()))?;
-        let heard = self.heard(now);
-        let facts = self.facts(kind, &heard);
-        let never = self.work.borrow().check_feasible(plan, &facts);
-        if let Err((at, why)) = never {
-            self.work.borrow_mut().forget_command(call);
-            let name = machines.get(at).map_or_else(String::new, |of| self.name(kind, *of));
-            return Err((409, format!("{name} could never go out: {why}")));
-        }
-        self.outcome(call).await?;
+        let submitted = self.coordinator.borrow_mut().submit(now, kind, machines.clone());
+        let (plan, call) = submitted.map_err(|message| bad_request(message.to_owned()))?;
+        let reports = self.peer_reports(now);
+        let fleet_state = self.fleet_info(kind, &reports);
+        let feasible = self.coordinator.borrow().check_feasible(plan, &fleet_state);
+        if let Err((index, reason)) = feasible {
+            self.coordinator.borrow_mut().forget_command(call);
+            let name = machines.get(index).map_or_else(String::new, |hash| self.machine_name(kind, *hash));
+            return Err((409, format!("{name} could never go out: {reason}")));
+        }
+        self.await_result(call).await?;
         tracing::info!("work: plan {:016x} of {count} machines was taken", plan.0);
         Ok(format!("plan {:016x} of {count} machines", plan.0))
     }
 
-    /// What staff want of the plan, or of a machine.
+    /// Executes an operator's command on the plan or on one of its machines.
     ///
     /// # Errors
     ///
-    /// With a status and words.
-    pub(crate) async fn by_hand(
+    /// An HTTP status with a message.
+    pub(crate) async fn operator_command(
         self: &Rc<Self>,
-        verb: Command,
+        command: Command,
         machine: Option<&str>,
     ) -> Result<String, (u16, String)> {
         let now = clock::steady();
-        let (call, given_up) = {
-            let mut work = self.work.borrow_mut();
+        let (call, unconfirmed) = {
+            let mut coordinator = self.coordinator.borrow_mut();
             let no_plan = (404, "there is no plan".to_owned());
-            let (plan, record) = work.current_plan().ok_or(no_plan)?;
-            let mut at = 0;
+            let (plan, record) = coordinator.current_plan().ok_or(no_plan)?;
+            let mut index = 0;
             if let Some(name) = machine {
-                let mark = match plan.kind {
+                let hash = match plan.kind {
                     MachineKind::Servers => id_hash(name),
                     MachineKind::Poolers => {
                         name.parse().map_err(|_| (400, "poolers have numbers".to_owned()))?
                     }
                 };
-                let found = plan.machines.iter().position(|of| *of == mark);
-                at = found.ok_or_else(|| (404, format!("{name} is not in the plan")))?;
+                let found = plan.machines.iter().position(|planned| *planned == hash);
+                index = found.ok_or_else(|| (404, format!("{name} is not in the plan")))?;
             }
             let id = record.plan;
-            let missing =
-                work.view(now).machines.get(at).map(|of| of.unconfirmed.clone()).unwrap_or_default();
-            let call = work.queue_command(now, verb, id, at as u16);
-            (call.ok_or((503, "too many calls are waiting".to_owned()))?, missing)
+            let still_unconfirmed = coordinator
+                .view(now)
+                .machines
+                .get(index)
+                .map(|machine_view| machine_view.unconfirmed.clone())
+                .unwrap_or_default();
+            let call = coordinator.queue_command(now, command, id, index as u16);
+            (call.ok_or((503, "too many calls are waiting".to_owned()))?, still_unconfirmed)
         };
-        self.outcome(call).await?;
-        if verb == Command::Force {
+        self.await_result(call).await?;
+        if command == Command::Force {
             let name = machine.unwrap_or("");
-            let lost = if given_up.is_empty() {
+            let consequence = if unconfirmed.is_empty() {
                 "the limits are not kept for it".to_owned()
             } else {
-                format!("poolers {given_up:?} have not said that they have nothing there")
+                format!("poolers {unconfirmed:?} have not said that they have nothing there")
             };
-            tracing::warn!("work: {name} by force: {lost}");
-            return Ok(format!("done: {lost}"));
+            tracing::warn!("work: {name} by force: {consequence}");
+            return Ok(format!("done: {consequence}"));
         }
         Ok("done".to_owned())
     }
 
-    async fn outcome(self: &Rc<Self>, call: u32) -> Result<(), (u16, String)> {
-        let end = std::time::Instant::now() + CALL;
-        self.turn();
-        while std::time::Instant::now() < end {
-            let said = self.work.borrow_mut().take_result(call);
-            let no = |status: u16, words: &str| Err((status, words.to_owned()));
-            match said {
+    async fn await_result(self: &Rc<Self>, call: u32) -> Result<(), (u16, String)> {
+        let give_up_at = std::time::Instant::now() + CALL_TIMEOUT;
+        self.step();
+        while std::time::Instant::now() < give_up_at {
+            let result = self.coordinator.borrow_mut().take_result(call);
+            let failure = |status: u16, message: &str| Err((status, message.to_owned()));
+            match result {
                 Some(CommandResult::Done) => return Ok(()),
-                Some(CommandResult::InvalidState) => return no(409, "not in this state"),
-                Some(CommandResult::Busy) => return no(409, "another plan is under way"),
-                Some(CommandResult::NotFound) => return no(404, "there is no such plan or machine"),
-                Some(CommandResult::Infeasible) => return no(409, "the limits can never be met"),
-                Some(CommandResult::NotHolder) | None => Timer::after(LOOK).await,
+                Some(CommandResult::InvalidState) => return failure(409, "not in this state"),
+                Some(CommandResult::Busy) => return failure(409, "another plan is under way"),
+                Some(CommandResult::NotFound) => return failure(404, "there is no such plan or machine"),
+                Some(CommandResult::Infeasible) => return failure(409, "the limits can never be met"),
+                Some(CommandResult::NotHolder) | None => Timer::after(RESULT_POLL_INTERVAL).await,
             };
         }
-        self.work.borrow_mut().forget_command(call);
+        self.coordinator.borrow_mut().forget_command(call);
         Err((503, "nobody who could has answered yet: ask what became of it, and again".to_owned()))
     }
 }
 
-/// What others have told.
-struct Heard {
+/// Reports of other poolers.
+struct PeerReports {
     loads: BTreeMap<u16, (f64, f64)>,
     failing: BTreeMap<u64, usize>,
     poolers: Vec<(u16, u16, bool)>,
 }
 
-/// What stands in the file that processes of one pooler share.
+/// The plan and record as stored in the file shared by the processes of one pooler.
 #[derive(serde::Serialize, Deserialize)]
-struct Beside {
+struct StoredRecord {
     token: u64,
     version: u32,
     mode: usize,
@@ -815,36 +874,37 @@
     states: Vec<usize>,
 }
 
-fn write_beside(plan: Option<&Plan>, record: &Record) -> Vec<u8> {
-    let place = |state: &MachineState| MachineState::ALL.iter().position(|of| of == state).unwrap_or(0);
-    let beside = Beside {
+fn encode_record(plan: Option<&Plan>, record: &Record) -> Vec<u8> {
+    let index_of =
+        |state: &MachineState| MachineState::ALL.iter().position(|candidate| candidate == state).unwrap_or(0);
+    let stored = StoredRecord {
         token: record.token.0,
         version: record.version,
-        mode: Mode::ALL.iter().position(|of| *of == record.mode).unwrap_or(0),
+        mode: Mode::ALL.iter().position(|candidate| *candidate == record.mode).unwrap_or(0),
         poolers: plan.is_some_and(|plan| plan.kind == MachineKind::Poolers),
         nonce: plan.map_or(0, |plan| plan.nonce),
         machines: plan.map(|plan| plan.machines.clone()).unwrap_or_default(),
-        states: record.states.iter().map(place).collect(),
+        states: record.states.iter().map(index_of).collect(),
     };
-    serde_json::to_vec(&beside).unwrap_or_default()
+    serde_json::to_vec(&stored).unwrap_or_default()
 }
 
-/// Reads it whole, or not at all.
-fn read_beside(bytes: &[u8]) -> Option<(Option<Plan>, Record)> {
-    let beside: Beside = serde_json::from_slice(bytes).ok()?;
-    if beside.machines.len() > MAX_MACHINES || beside.states.len() != beside.machines.len() {
+/// Decodes a stored plan and record; `None` if the bytes are incomplete or invalid.
+fn decode_record(bytes: &[u8]) -> Option<(Option<Plan>, Record)> {
+    let stored: StoredRecord = serde_json::from_slice(bytes).ok()?;
+    if stored.machines.len() > MAX_MACHINES || stored.states.len() != stored.machines.len() {
         return None;
     }
     let states: Option<Vec<MachineState>> =
-        beside.states.iter().map(|of| MachineState::ALL.get(*of).copied()).collect();
-    let kind = if beside.poolers { MachineKind::Poolers } else { MachineKind::Servers };
-    let plan = Plan { kind, machines: beside.machines, nonce: beside.nonce };
+        stored.states.iter().map(|index| MachineState::ALL.get(*index).copied()).collect();
+    let kind = if stored.poolers { MachineKind::Poolers } else { MachineKind::Servers };
+    let plan = Plan { kind, machines: stored.machines, nonce: stored.nonce };
     let plan = Some(plan).filter(|plan| !plan.machines.is_empty());
     let record = Record {
-        token: Token(beside.token),
-        version: beside.version,
+        token: Token(stored.token),
+        version: stored.version,
         plan: plan.as_ref().map_or(PlanId::NONE, Plan::id),
-        mode: *Mode::ALL.get(beside.mode)?,
+        mode: *Mode::ALL.get(stored.mode)?,
         states: states?,
     };
     Some((plan, record))
