--- a/crates/net/src/request.rs
+++ b/crates/net/src/request.rs
@@ -1,5 +1,5 @@
-//! The life of a request, from when it is taken to its one final answer. Which protocol carries it is for
-//! [`Transport`] to know.
+//! The life cycle of one request: from its registration with the router to its single final answer. The protocol that
+//! carries attempts is behind [`Transport`].
 
 use super::driver::{Driver, PendingAnswer, RequestAction};
 use crate::config::{duration, span_of};
@@ -15,19 +15,19 @@
 use std::task::Poll;
 use std::time::{Duration, Instant};
 
-/// Where second copies are allowed, so many attempts of a request may be out at once.
+/// Maximum number of concurrent attempts of a request for which a second copy is allowed.
 const MAX_CONCURRENT_ATTEMPTS: usize = 2;
 
-/// What takes an attempt to a member.
+/// Carries attempts to members.
 pub trait Transport {
-    /// What the client asks, ready to be sent on.
+    /// A client's query in the form in which it is sent to a member.
     type Query;
-    /// What a member gave for it.
+    /// A member's answer to a query.
     type Reply;
 
-    /// Makes one attempt and waits no longer than `until` for its end. Nothing below this may send it again.
-    /// When the future ends or is dropped, nothing of the attempt is out any more. Whenever the first byte is about to be
-    /// written, `gate` is asked, again after each wait; if it says no, nothing is sent.
+    /// Makes one attempt and waits for its result until `until` at the latest. Implementations must not send the query again
+    /// themselves. Once the future completes or is dropped, nothing of the attempt remains in flight. `gate` is consulted each
+    /// time the first byte is about to be written, that is, again after every wait; if it denies, nothing is sent.
     fn attempt(
         &self,
         member: &MemberId,
@@ -37,100 +37,100 @@
     ) -> impl Future<Output = AttemptResult<Self::Reply>>;
 }
 
-/// What an attempt asks before its first byte.
+/// Decides whether an attempt may write its first byte.
 pub trait SendGate {
-    /// Whether it may begin now, and how long the member is told to wait.
+    /// Returns the timeout to announce to the member if the attempt may start now.
     ///
     /// # Errors
     ///
-    /// Why it may not.
+    /// The reason why the attempt may not start.
     fn admit(&self, member_in_service: bool) -> Result<Duration, SendDenied>;
 
-    /// The first byte was written, and the member told to wait so long.
+    /// Records that the first byte was written and that `timeout` was announced to the member.
     fn began(&self, timeout: Duration);
 }
 
-/// The client that asks, and the process that serves it.
+/// Tells when a request has to be abandoned: its client may leave, or this process may end.
 pub trait AbortSource {
-    /// Why the request is to go no further, by all that can be seen at this moment.
+    /// The reason to abandon the request, as far as it can be observed at this moment.
     fn abort_reason(&self) -> Option<AbortReason>;
 
-    /// Waits until there is a reason.
+    /// Waits until there is a reason to abandon the request.
     fn aborted(&self) -> impl Future<Output = AbortReason>;
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug)]
 pub struct AttemptResult<R> {
-    /// The outcome.
+    /// How the attempt ended.
     pub verdict: Verdict,
-    /// What the member said of itself.
+    /// What the member reported about its role and position.
     pub note: Option<Note>,
-    /// Its load report.
+    /// The load report that came with the answer.
     pub report: Option<Vec<f64>>,
-    /// The answer, if the outcome is [`Verdict::Ok`].
+    /// The answer, present if the verdict is [`Verdict::Ok`].
     pub reply: Option<R>,
 }
 
 impl<R> AttemptResult<R> {
-    /// An end without an answer or a note.
+    /// A result without an answer, a note or a load report.
     #[must_use]
     pub fn without_answer(verdict: Verdict) -> Self {
         Self { verdict, note: None, report: None, reply: None }
     }
 }
 
-/// A request as a client's side hands it in.
+/// A client's request, as the protocol side submits it.
 #[derive(Debug)]
 pub struct ClientRequest<Q> {
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its tenant, if the settings name it.
+    /// Tenant, if the settings name it.
     pub tenant: Option<TenantId>,
-    /// Its session, in classes that have them.
+    /// Session, in classes that have sessions.
     pub session: Option<SessionKey>,
-    /// Its group.
+    /// Group that the request is routed to.
     pub group: GroupId,
-    /// When the client gives up.
+    /// Time at which the client stops waiting.
     pub deadline: Time,
-    /// When its session last committed, where clients say so.
+    /// Last commit of the session, where clients report it.
     pub last_write: Option<Time>,
-    /// Its client marks it as a retry.
+    /// Whether the client marked the request as a retry.
     pub retry: bool,
-    /// A second attempt may be out beside the first: the settings allowed it when the request was taken, and so does its class.
+    /// Whether a second attempt may run beside the first: the settings, when the request was taken, and its class allow it.
     pub copies_allowed: bool,
-    /// What a repeat of it does.
+    /// Effect of running the request more than once.
     pub effect: Effect,
-    /// What is sent to a member.
+    /// The query that is sent to a member.
     pub query: Q,
 }
 
-/// Why a request ends without the module.
+/// Why a request is abandoned without a decision of the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbortReason {
-    /// Its client has left.
+    /// The client has disconnected.
     ClientLeft,
-    /// The process ends before its deadline.
+    /// The process terminates before the deadline.
     ProcessEnds,
 }
 
-/// The final answer.
+/// The final answer to a request.
 #[derive(Debug)]
 pub enum FinalAnswer<R> {
-    /// A member's answer.
+    /// A member answered.
     Served(R),
-    /// Refused; trying again does no harm.
+    /// Refused, with the time after which to retry, if known; nothing was executed, so that a retry is safe.
     Refused(Option<Span>),
-    /// Failed; nothing is promised. Named is the last member that may have run it, if one may.
+    /// Failed; the request may or may not have been executed.
     Failed {
-        /// The member.
+        /// The last member that may have executed it, if any may have.
         member: Option<MemberId>,
     },
-    /// Nobody is there to be told.
+    /// The client has disconnected; no answer can be sent.
     Gone,
 }
 
-/// How a request ends.
+/// How the processing of a request concludes.
 enum Conclusion<R> {
     Served(R),
     Refused(Option<Span>),
@@ -138,17 +138,17 @@
     Aborted(AbortReason),
 }
 
-/// What comes next for a request.
+/// The next event in the processing of a request.
 enum NextStep<R> {
     AttemptEnded(FinishedAttempt<R>),
     Action(RequestAction),
     Aborted(AbortReason),
 }
 
-/// Serves one request. Its client is pending_answer the answer until it has been written.
+/// Serves one request. The returned [`PendingAnswer`] stays open until the answer has been written to the client.
 pub async fn serve<C: Transport>(
     driver: &Rc<Driver>,
-    carrier: &C,
+    transport: &C,
     client_request: &ClientRequest<C::Query>,
     abort_source: &impl AbortSource,
 ) -> (FinalAnswer<C::Reply>, PendingAnswer) {
@@ -158,7 +158,7 @@
     let mut running = Vec::new();
     let mut may_have_run = None;
 
-    // Taken: the module is asked what to do.
+    // Registers the request; the router decides what to do with it.
     let handle = driver.register_request(|id, now| Request {
         id,
         class: client_request.class,
@@ -177,15 +177,16 @@
     };
     let pending_answer = driver.expect_answer(handle.id(), promise);
     loop {
-        // An answer that is there goes before the module's orders, and both before the client's leaving. The module orders an
-        // attempt or the final answer, or lets the request wait.
-        let ended = async { NextStep::AttemptEnded(next_finished(&mut running).await) };
+        // A finished attempt takes precedence over the router's actions, and both over the client's disconnect. The router
+        // orders an attempt or the final answer, or lets the request wait.
+        let attempt_ended = async { NextStep::AttemptEnded(next_finished(&mut running).await) };
         let action = async { NextStep::Action(handle.next_action().await) };
         let aborted = async { NextStep::Aborted(abort.as_mut().await) };
-        let next_step = or(ended, or(action, aborted)).await;
+        let next_step = or(attempt_ended, or(action, aborted)).await;
         let (finished, conclusion) = match next_step {
-            // Sent: the client may have left, or the process be about to end, in the same poll as the order came, a connection
-            // was proved or a dial came up: that is looked for before the first byte, whatever came before it.
+            // The client may have left, or the process may be about to end, in the same poll in which this action was
+            // received, a connection was verified or a dial succeeded. The gate checks this before the first byte, whatever
+            // happened before.
             NextStep::Action(RequestAction::Send { member, until }) => {
                 let number = attempt_numbers.next().unwrap_or(AttemptNo(u32::MAX));
                 if running.len() >= max_running {
@@ -209,8 +210,12 @@
                         aborted: Cell::new(None),
                         started: started.clone(),
                     };
-                    let future =
-                        Box::pin(attempt(carrier, &client_request.query, driver.clock.instant(until), gate));
+                    let future = Box::pin(attempt(
+                        transport,
+                        &client_request.query,
+                        driver.clock.instant(until),
+                        gate,
+                    ));
                     running.push(Attempt { number, member, sent_at, started, future });
                     continue;
                 }
@@ -225,14 +230,14 @@
             NextStep::Action(RequestAction::Fail) => (None, Some(Conclusion::Failed)),
             NextStep::Aborted(reason) => (None, Some(Conclusion::Aborted(reason))),
             NextStep::AttemptEnded(mut finished) => {
-                let served = finished.ended.reply.take().map(Conclusion::Served);
+                let served = finished.result.reply.take().map(Conclusion::Served);
                 let conclusion = served.or(finished.aborted.map(Conclusion::Aborted));
                 (Some(finished), conclusion)
             }
         };
 
-        // What is still out when the final answer is known is given up. Attempts are over, with their connections if they were
-        // given up; only now is the module told.
+        // Attempts that are still running when the final answer is known are abandoned. The router is notified only now that
+        // all of them are over, and the connections of abandoned ones are closed.
         let abandoned: Vec<_> = match conclusion {
             Some(_) => running.drain(..).map(Attempt::abandon).collect(),
             None => Vec::new(),
@@ -244,13 +249,13 @@
             pending_answer.client_left();
         }
         for finished in finished.into_iter().chain(abandoned) {
-            if !finished.ended.verdict.never_ran() {
+            if !finished.result.verdict.never_ran() {
                 may_have_run = Some(finished.member.clone());
             }
             finished.report_outcome(driver, handle.id(), conclusion.is_some());
         }
 
-        // The final answer, if this was it; else the module has been asked again.
+        // Without a conclusion, the router has just been notified of the outcome and decides what happens next.
         let Some(conclusion) = conclusion else { continue };
         for (member, number) in handle.take_unsent().zip(attempt_numbers) {
             FinishedAttempt::<C::Reply>::unsent(driver, number, member).report_outcome(
@@ -272,34 +277,35 @@
     }
 }
 
-/// One attempt, and why the request was stopped, if the client or the process stopped it before the first byte.
+/// Runs one attempt; also returns the abort reason if the gate saw one before the first byte.
 async fn attempt<C: Transport, P: AbortSource>(
-    carrier: &C,
+    transport: &C,
     query: &C::Query,
     until: Instant,
     gate: RequestGate<'_, P>,
 ) -> (AttemptResult<C::Reply>, Option<AbortReason>) {
-    let ended = carrier.attempt(&gate.member, query, until, &gate).await;
-    (ended, gate.aborted.get())
+    let result = transport.attempt(&gate.member, query, until, &gate).await;
+    (result, gate.aborted.get())
 }
 
-/// The gate of a request's attempt: it brings together what client, process, settings and module say.
+/// The gate of one attempt: combines the state of the client, the process, the settings and the router.
 struct RequestGate<'a, P> {
     driver: &'a Driver,
     abort_source: &'a P,
     request: RequestId,
     attempt: AttemptNo,
     member: MemberId,
-    /// When the attempt or its client's time is over.
+    /// The end of the attempt or the client's deadline, whichever comes first.
     until: Time,
-    /// The wait as it was ordered.
+    /// The timeout that the router set for the attempt.
     requested_timeout: Span,
     copies_allowed: bool,
     effect: Effect,
-    /// As of when the attempt was ordered: only fewer are out later, and a second one is ordered with the first known.
+    /// Counted when the attempt was ordered: the number can only shrink afterwards, and a second attempt is ordered while the
+    /// first one is counted.
     other_attempts: usize,
     may_have_run: bool,
-    /// Why the request goes no further, once that was seen.
+    /// The abort reason last seen by the gate.
     aborted: Cell<Option<AbortReason>>,
     started: Rc<Cell<bool>>,
 }
@@ -340,14 +346,14 @@
     }
 }
 
-/// An attempt that is out.
+/// A running attempt.
 struct Attempt<F> {
     number: AttemptNo,
     member: MemberId,
     sent_at: Time,
-    /// Its first byte may have been written.
+    /// Whether its first byte may have been written.
     started: Rc<Cell<bool>>,
-    /// Out of the request's own state: most clients have none out.
+    /// Boxed to keep it out of the request's own state: most clients have no attempt running.
     future: Pin<Box<F>>,
 }
 
@@ -355,27 +361,27 @@
 where
     F: Future<Output = (AttemptResult<R>, Option<AbortReason>)>,
 {
-    /// Closes its connection. One that is given up before its first byte never ran.
+    /// Drops the attempt, which closes its connection. One that is dropped before its first byte never ran.
     fn abandon(self) -> FinishedAttempt<R> {
         let verdict = if self.started.get() { Verdict::Cancelled } else { Verdict::Moot };
         self.finish(AttemptResult::without_answer(verdict), None)
     }
 
-    fn finish(self, ended: AttemptResult<R>, aborted: Option<AbortReason>) -> FinishedAttempt<R> {
+    fn finish(self, result: AttemptResult<R>, aborted: Option<AbortReason>) -> FinishedAttempt<R> {
         let Self { number, member, sent_at, .. } = self;
-        FinishedAttempt { number, member, sent_at, ended, aborted }
+        FinishedAttempt { number, member, sent_at, result, aborted }
     }
 }
 
-/// The first of these attempts that ends, the earlier one where two do; never while none is out.
+/// Waits for the first of these attempts to finish, the earlier one if several have; never completes if none is running.
 async fn next_finished<F, R>(running: &mut Vec<Attempt<F>>) -> FinishedAttempt<R>
 where
     F: Future<Output = (AttemptResult<R>, Option<AbortReason>)>,
 {
     poll_fn(|context| {
         for index in 0..running.len() {
-            if let Poll::Ready((ended, aborted)) = running[index].future.as_mut().poll(context) {
-                return Poll::Ready(running.remove(index).finish(ended, aborted));
+            if let Poll::Ready((result, aborted)) = running[index].future.as_mut().poll(context) {
+                return Poll::Ready(running.remove(index).finish(result, aborted));
             }
         }
         Poll::Pending
@@ -383,27 +389,27 @@
     .await
 }
 
-/// An attempt that is over, and nothing of it is out any more.
+/// A finished attempt, of which nothing is in flight any more.
 struct FinishedAttempt<R> {
     number: AttemptNo,
     member: MemberId,
     sent_at: Time,
-    ended: AttemptResult<R>,
+    result: AttemptResult<R>,
     aborted: Option<AbortReason>,
 }
 
 impl<R> FinishedAttempt<R> {
-    /// One that was ordered and never begun.
+    /// An attempt that was ordered but never started.
     fn unsent(driver: &Driver, number: AttemptNo, member: MemberId) -> Self {
         driver.counters.sent.add();
         let sent_at = driver.clock.now();
-        Self { number, member, sent_at, ended: AttemptResult::without_answer(Verdict::Moot), aborted: None }
+        Self { number, member, sent_at, result: AttemptResult::without_answer(Verdict::Moot), aborted: None }
     }
 
-    /// Tells the module, and whether the client has its final answer.
+    /// Reports the outcome to the router; `closed` tells it that the request has its final answer.
     fn report_outcome(self, driver: &Driver, request: RequestId, closed: bool) {
-        let Self { number: attempt, member, sent_at, ended, .. } = self;
-        let AttemptResult { verdict, note, report, .. } = ended;
+        let Self { number: attempt, member, sent_at, result, .. } = self;
+        let AttemptResult { verdict, note, report, .. } = result;
         driver.counters.outcome(verdict);
         driver.attempt_ended(request, attempt, verdict);
         let took = driver.clock.now() - sent_at;
@@ -432,7 +438,7 @@
     FinalAnswer::Failed { member }
 }
 
-/// At the end of the process a refusal is an honest answer only to what can't have run.
+/// When the process terminates, a request may be refused only if it cannot have been executed.
 fn aborted_answer<R>(driver: &Driver, reason: AbortReason, may_have_run: Option<MemberId>) -> FinalAnswer<R> {
     match reason {
         AbortReason::ClientLeft => {
