--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -1,5 +1,5 @@
-//! The driver: it owns the module, feeds it what happens, and hands each action to whom it concerns: the
-//! request that is waiting for it, the prober, or the wake timer. It decides nothing.
+//! The driver owns the router, feeds it events, and dispatches each of its actions to the addressee: the request that waits
+//! for it, the prober, the sender of messages to peers, or the wake timer. It makes no decisions itself.
 
 use super::classes::Classes;
 use super::clock::Clock;
@@ -21,42 +21,42 @@
 use std::task::{Poll, Waker};
 use std::time::Duration;
 
-/// A wake later than this tells that the process stood still.
+/// A wake that is later than this indicates that the process was stalled.
 const LATE_WAKE: Span = Span::millis(5);
 /// Long enough for one turn of the reactor.
 const REACTOR_TURN: Duration = Duration::from_millis(1);
 
-/// What the module wants done for a request.
+/// An action of the router for one request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestAction {
     /// Start an attempt.
     Send {
-        /// Where to.
+        /// Member to send the attempt to.
         member: MemberId,
-        /// Until when to wait for its answer.
+        /// Time until which to wait for its answer.
         until: Time,
     },
-    /// Answer that it is refused.
+    /// Answer that the request is refused.
     Refuse {
-        /// When the client should come back.
+        /// Time after which the client should retry.
         retry_after: Option<Span>,
     },
-    /// Answer that it has failed.
+    /// Answer that the request has failed.
     Fail,
-    /// Give an attempt up.
+    /// Abandon an attempt.
     Cancel {
-        /// Which.
+        /// Number of the attempt.
         attempt: AttemptNo,
     },
 }
 
-/// The module with its clock and mailboxes.
+/// The router with its clock and a mailbox for each open request.
 pub struct Driver {
-    /// The clock that all of the module's times are on.
+    /// The clock of all times that the router sees.
     pub clock: Clock,
-    /// What is counted.
+    /// Counters of the process.
     pub counters: Rc<Counters>,
-    /// Whether the process has just stood still.
+    /// Detects whether the process has just been stalled.
     pub stall: Rc<StallDetector>,
     router: RefCell<Router>,
     actions: RefCell<Vec<Action>>,
@@ -69,7 +69,7 @@
 }
 
 impl Driver {
-    /// A driver of `router`; members to probe go to `probes`, and what other poolers are told to `tells`.
+    /// Creates a driver of `router`. Members to probe go to `probes`, and messages for other poolers to `peer_messages`.
     #[must_use]
     pub fn new(
         router: Router,
@@ -93,9 +93,10 @@
         }
     }
 
-    /// Tells the module what has happened and passes its actions on.
+    /// Feeds an event to the router and dispatches the actions that result from it.
     pub fn feed(&self, event: Event) {
-        // With these lines of all poolers a day is counted over the whole fleet; see docs/design/fleet-scale.md.
+        // These lines of all poolers together allow a day to be counted over the whole fleet; see
+        // docs/design/fleet-scale.md.
         tracing::debug!(target: "events", "{event:?}");
         self.stall.record_activity();
         self.track_members(&event);
@@ -124,12 +125,12 @@
             Action::Cancel { request, attempt } => {
                 self.post_action(request, RequestAction::Cancel { attempt })
             }
-            // A message may get lost anywhere; where there is no room, it is here.
+            // Messages between poolers may get lost anywhere; if the channel is full, this one is dropped here.
             Action::Tell { to, bytes } => drop(self.peer_messages.try_send((to, bytes))),
-            // Both channels are unbounded, and their other ends live as long as the process.
+            // Both channels are unbounded, and their receivers live as long as the process.
             Action::Probe { member } => drop(self.probes.try_send(member)),
             Action::Wake { at } => drop(self.wakes.0.try_send(at)),
-            // The list is always followed.
+            // The list of servers is always followed.
             Action::Subscribe => {}
             Action::Log { line } => tracing::info!(target: "decisions", "{line}"),
         }
@@ -140,15 +141,15 @@
         tracing::debug!(target: "requests", request = request.0, ?why, "{how} by the module");
     }
 
-    /// A request that has ended already has no mailbox; an order for it is void.
+    /// Actions for a request that has ended, and has no mailbox any more, are dropped.
     fn post_action(&self, request: RequestId, action: RequestAction) {
         if let Some(mailbox) = self.mailboxes.borrow().get(&request) {
             mailbox.post(action);
         }
     }
 
-    /// Goes by these settings from now on, and gives all classes and tenants with the numbers of the present ones; false,
-    /// with nothing changed, if there are too many by now.
+    /// Applies new settings. `classes` and `tenants` get all classes and tenants of every version so far, with the numbers of
+    /// those that are current. Returns false, with nothing changed, if there are too many in total.
     pub fn retune(
         &self,
         mut settings: Settings,
@@ -169,21 +170,21 @@
         true
     }
 
-    /// Whether a member's data is recent enough for a request, if it was sent now.
+    /// Whether a member's data is recent enough for a request that would be sent now.
     #[must_use]
     pub fn is_fresh(&self, request: RequestId, member: &MemberId) -> bool {
         self.router.borrow().is_fresh(self.clock.now(), request, member)
     }
 
-    /// Tells the run-time check of something, and reports what that breaks.
-    pub fn check(&self, event: impl FnOnce(Time, &mut Invariants) -> Vec<Breach>) {
-        let breaches = event(self.clock.now(), &mut self.invariants.borrow_mut());
+    /// Records something in the run-time check of the invariants and logs the violations that it finds.
+    pub fn check(&self, record: impl FnOnce(Time, &mut Invariants) -> Vec<Breach>) {
+        let breaches = record(self.clock.now(), &mut self.invariants.borrow_mut());
         for breach in breaches {
             tracing::warn!(target: "invariants", "violated: {breach}");
         }
     }
 
-    /// A request's client is pending_answer an answer from now on.
+    /// Records that the request's client is to receive an answer.
     pub(crate) fn expect_answer(self: &Rc<Self>, request: RequestId, promise: Promise) -> PendingAnswer {
         self.invariants.borrow_mut().taken(request, promise);
         PendingAnswer { driver: self.clone(), request }
@@ -193,7 +194,7 @@
         self.invariants.borrow_mut().ended(request, attempt, verdict);
     }
 
-    /// The run-time check hears of who is withdrawn before the module does.
+    /// Updates the run-time check about withdrawn members before the router processes the event.
     fn track_members(&self, event: &Event) {
         let Event::List(listing) = event else { return };
         let (now, mut invariants) = (self.clock.now(), self.invariants.borrow_mut());
@@ -208,22 +209,22 @@
         }
     }
 
-    /// Opens a mailbox under a new id, and tells the module of the request that `event` makes with it.
+    /// Opens a mailbox under a new id and feeds the request that `make_request` builds with it to the router.
     pub fn register_request(
         self: &Rc<Self>,
-        event: impl FnOnce(RequestId, Time) -> Request,
+        make_request: impl FnOnce(RequestId, Time) -> Request,
     ) -> RequestHandle {
         let id = RequestId(self.last_id.get() + 1);
         self.last_id.set(id.0);
         let mailbox = Rc::new(Mailbox::default());
         self.mailboxes.borrow_mut().insert(id, mailbox.clone());
         self.counters.taken.add();
-        self.feed(Event::Request(event(id, self.clock.now())));
+        self.feed(Event::Request(make_request(id, self.clock.now())));
         RequestHandle { driver: self.clone(), id, mailbox }
     }
 
-    /// Wakes the module when it asked for it. A later wish takes the place of an earlier one: the module
-    /// voices one only if it is sooner, or the earlier has passed.
+    /// Wakes the router at the times it asks for. A later wake time replaces an earlier one: the router asks for a new one only
+    /// if it is sooner, or if the earlier one has passed.
     pub async fn run_wakes(&self) {
         let mut due: Option<Time> = None;
         loop {
@@ -240,9 +241,9 @@
             let previous = due;
             due = or(next, wake_due).await;
             if due.is_none() {
-                // Requests whose answers are readable by now get to read them before the module counts
-                // them as overdue. The tasks that the same turn of the reactor woke come first; and where
-                // this process itself stood still, the reactor gets another turn to find them.
+                // Requests whose answers are already readable are to read them before the router counts them as
+                // overdue. Tasks that were woken in the same turn of the reactor run first; if this process was
+                // stalled, the reactor gets another turn to find what became readable.
                 if previous.is_some_and(|at| self.clock.now() - at > LATE_WAKE) {
                     Timer::after(REACTOR_TURN).await;
                 }
@@ -254,7 +255,7 @@
 }
 
 impl Driver {
-    /// The members that are held to be primaries, by group, and the groups where that changes.
+    /// The members that are regarded as primaries, by group, and the groups whose primary is changing.
     #[must_use]
     pub fn primaries(&self) -> (HashMap<GroupId, MemberId>, Vec<GroupId>) {
         let router = self.router.borrow();
@@ -271,7 +272,8 @@
     }
 }
 
-/// The answer that a client is pending_answer. Dropped before it was written, with the client still there, it is a violation.
+/// The answer that a client is to receive. Dropping it before the answer was written, with the client still connected, is a
+/// violation of an invariant.
 pub struct PendingAnswer {
     driver: Rc<Driver>,
     request: RequestId,
@@ -289,7 +291,7 @@
         self.driver.check(|now, invariants| invariants.answered(now, self.request, how));
     }
 
-    /// The client has left, or its connection has failed: nobody is there to be told.
+    /// The client has left or its connection has failed: no answer can be delivered.
     pub fn client_left(&self) {
         self.driver.check(|now, invariants| {
             invariants.departed(now, self.request);
@@ -304,7 +306,7 @@
     }
 }
 
-/// What the run-time check has counted, as one line of what is shown.
+/// Prints the counters of the run-time check as one line.
 pub struct InvariantsReport(pub Rc<Driver>);
 
 impl fmt::Display for InvariantsReport {
@@ -313,7 +315,7 @@
     }
 }
 
-/// What is known of each group's primary, with its latest turns.
+/// Prints the state of each group's primary with its latest changes.
 impl fmt::Display for Driver {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "changes of primary")?;
@@ -325,13 +327,13 @@
     }
 }
 
-/// The orders for a request that it has not taken yet: five at most, since with two attempts out the module orders nothing
-/// more but the final answer, and their end, before it has heard of the end of one. A channel would do, for two kilobytes a
-/// request.
+/// Actions for a request that it has not taken yet. There are at most five: with two attempts running, the router orders
+/// nothing but their cancellation and the final answer until it has been notified of the end of one. An async channel
+/// would also work, but takes two kilobytes per request.
 #[derive(Default)]
 struct Mailbox {
     actions: RefCell<VecDeque<RequestAction>>,
-    /// Who waits for one: only the request's own task does.
+    /// The waker of the request's own task, the only one that waits.
     waiting: Cell<Option<Waker>>,
 }
 
@@ -369,12 +371,12 @@
         self.id
     }
 
-    /// The next order for the request.
+    /// Waits for the next action for the request.
     pub async fn next_action(&self) -> RequestAction {
         self.mailbox.next_action().await
     }
 
-    /// Takes the members that attempts were ordered to and not begun: the request has ended before.
+    /// Takes the members of attempts that were ordered but not started because the request had ended.
     pub fn take_unsent(&self) -> impl Iterator<Item = MemberId> {
         let actions = self.mailbox.actions.take();
         actions.into_iter().filter_map(|action| match action {
