--- a/crates/net/src/frontend.rs
+++ b/crates/net/src/frontend.rs
@@ -1,4 +1,4 @@
-//! Clients: connections are accepted within a budget, and each has a task that reads its commands in order.
+//! The client side: accepts connections within a budget and runs one task per connection, which reads its commands in order.
 
 use super::arrivals::Arrivals;
 use super::buffer::{ReadBuffer, read_and_discard, write_all};
@@ -29,29 +29,32 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Connections that wait to be accepted; a burst after a restart must not overflow it.
+/// Length of the listen backlog; it must hold the burst of connections after a restart.
 const LISTEN_BACKLOG: i32 = 1_024;
-/// How long accepting rests when descriptors have run out.
+/// Pause in accepting after this process has run out of descriptors.
 const SHORTAGE_PAUSE: Duration = Duration::from_millis(20);
-/// A client gets this long for its first command from when it was accepted, and for the rest of any command
-/// that has begun; and this long to take an answer. Connections without an open request may be closed after 2 s,
-/// and who sends nothing whole is pending_answer a close within 3 s of connecting, part of which it may wait in the backlog.
+/// Time for a client to complete its first command, counted from when it was accepted, and later any command that it has
+/// begun. Connections without an open request may be closed after 2 s, and a client that sends no complete command must be
+/// closed within 3 s of connecting, part of which it may spend in the listen backlog.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time for a client to take the bytes of one write.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long a client that was told why its connection ends may go on writing: enough for 60 MB.
+/// How long a client may go on sending after it was told that its connection ends; enough for 60 MB.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Who sends what can't be served rests for so long after each error, and is told to go after so many: the
-/// same thing, sent again as soon as it was turned away, would keep others waiting.
+/// Delay after each command that can't be served, and the number of such errors after which the connection is closed:
+/// a client that repeats such a command as soon as it is rejected would otherwise keep other clients waiting.
 const ERROR_DELAY: Duration = Duration::from_millis(50);
 const MAX_ERRORS: u32 = 8;
-/// A client may ask for each of TLS and GSS once, as PostgreSQL has it.
+/// A client may request each of TLS and GSS encryption once, as in PostgreSQL.
 const MAX_ENCRYPTION_REQUESTS: u32 = 2;
-/// Emptied by hand, it goes on as before for so long: the front asks ten times a second and stops 0.2 s after a no.
+/// How long a drained pooler keeps its idle clients: the front checks readiness ten times a second and stops sending
+/// clients 0.2 s after a negative answer.
 const DRAINED_GRACE: Duration = Duration::from_millis(600);
-/// What a client may send ahead while its request is out; beyond it nothing more is read until then, and its end, which
-/// stands behind what is not read, is asked for so often: a request whose client has left is not sent on 0.3 s later.
+/// How many bytes are read ahead while a client's request is open. Beyond that nothing more is read, and the end of the
+/// stream, which follows the unread bytes, is polled for at [`HANGUP_POLL_INTERVAL`]: no request may be sent on 0.3 s
+/// after its client has left.
 const MAX_READ_AHEAD: usize = 16 * 1024;
-/// A broken variant forgets one answer in so many.
+/// [`Mutant::ForgottenAnswer`] drops the answer of every request whose number is a multiple of this.
 const FORGET_ANSWER_EVERY: u64 = 50;
 const HANGUP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -66,13 +69,13 @@
     Async::new(listener)
 }
 
-/// The listening socket that the platform holds and handed down as a descriptor of this number: clients who connect while
-/// one process takes another's place find it open all the time. It is duplicated, since nobody here can know that
-/// the number is not in use otherwise.
+/// Takes over the listening socket that the platform holds and passes down as the descriptor of this number: clients that
+/// connect while one process replaces another always find it open. The descriptor is duplicated, since this process can't
+/// know whether the number is in use otherwise.
 ///
 /// # Errors
 ///
-/// When there is no such descriptor, or it can't be had.
+/// When there is no such descriptor, it can't be duplicated, or it is not a listening TCP socket.
 pub fn inherit(number: i32) -> io::Result<Async<TcpListener>> {
     use rustix::process::{PidfdFlags, PidfdGetfdFlags, getpid, pidfd_getfd, pidfd_open};
     let own = pidfd_open(getpid(), PidfdFlags::empty())?;
@@ -92,34 +95,34 @@
     }
 }
 
-/// What those need who serve clients.
+/// Everything that serving clients needs, shared by all client tasks.
 pub(crate) struct FrontendContext {
-    /// What carries the tasks.
+    /// Runs the tasks.
     pub(crate) executor: Rc<LocalExecutor<'static>>,
-    /// The module and its mailboxes.
+    /// The router with its mailboxes.
     pub(crate) driver: Rc<Driver>,
     /// The connections to the members.
     pub(crate) pool: Rc<Pool>,
-    /// What is counted.
+    /// Counters of the process.
     pub(crate) counters: Rc<Counters>,
-    /// How far the pooler's life has come.
+    /// The stage of this process's life cycle.
     pub(crate) life: Rc<Lifecycle>,
-    /// The seats of the connections.
+    /// The slots for client connections.
     pub(crate) slots: Rc<ConnectionSlots>,
-    /// The classes.
+    /// The classes of requests.
     pub(crate) classes: Rc<Classes>,
     /// The tenants.
     pub(crate) tenants: Rc<Tenants>,
-    /// Writes whose outcome nobody knows.
+    /// Writes whose outcome is unknown.
     pub(crate) in_doubt: Rc<InDoubtWrites>,
-    /// The clients' ids of the requests that are open: at most one a connection.
+    /// The clients' ids of the open requests, at most one per connection.
     pub(crate) open_ids: RefCell<HashSet<Box<str>>>,
-    /// Where bytes are read to that nobody wants.
+    /// Buffer for bytes that are read and discarded.
     pub(crate) scratch: RefCell<Vec<u8>>,
 }
 
-/// Accepts clients until the pooler turns deaf; again when it is needed after all, which it can be only where the platform holds
-/// the listening socket (`kept`). One of its own is closed, so that nobody waits in it.
+/// Accepts clients while accepting is not paused. It can resume only with a listening socket inherited from the platform
+/// (`inherited`); a socket of its own is closed, so that no client waits in its backlog.
 pub(crate) async fn run(context: Rc<FrontendContext>, listener: Async<TcpListener>, inherited: bool) {
     loop {
         let accepted = async {
@@ -134,13 +137,13 @@
             None if inherited => context.life.accept_paused.wait_off().await,
             None => return,
             Some(Ok((stream, room))) => {
-                // It may have been waited for long since all seats were taken.
+                // With all slots in use the connection may have been waited for so long that a slot is free by now.
                 let room = room || context.slots.has_free_slot();
                 admit(&context, stream, room);
-                // A flood of connections holds up nobody who is already here.
+                // A burst of connections must not hold up the clients that are already connected.
                 yield_now().await;
             }
-            // Out of descriptors: neither spin nor end. An idle connection is let go to make room.
+            // Out of descriptors: neither spin nor return. An idle connection is closed to make room.
             Some(Err(error)) if is_shortage(&error) => {
                 context.counters.short.add();
                 if !context.pool.close_one_idle() {
@@ -148,7 +151,7 @@
                 }
                 Timer::after(SHORTAGE_PAUSE).await;
             }
-            // The client gave up before it was accepted; should it be something that lasts, it must not spin.
+            // The client closed the connection before it was accepted. The pause prevents a busy loop if the error persists.
             Some(Err(_)) => {
                 Timer::after(Duration::from_millis(1)).await;
             }
@@ -158,7 +161,7 @@
 
 fn admit(context: &Rc<FrontendContext>, stream: Async<TcpStream>, room: bool) {
     context.counters.clients.add();
-    // An answer that the system holds back until an earlier one is acknowledged would go if the connection was reset.
+    // Otherwise an answer that the system delays until an earlier one is acknowledged would be lost on a reset.
     if let Err(error) = stream.get_ref().set_nodelay(true) {
         tracing::debug!(target: "clients", "TCP_NODELAY: {error}");
     }
@@ -167,7 +170,7 @@
         let slot = owner.slots.acquire();
         let mut client = Client {
             context: &owner,
-            // Closed before the seat counts as free.
+            // Declared before the slot, so that the descriptor is closed before the slot is released.
             stream,
             buffer: ReadBuffer::default(),
             arrivals: Arrivals::default(),
@@ -177,14 +180,14 @@
             errors: 0,
             close_reason: Cell::new(CloseReason::ClientLeft),
         };
-        // What went wrong on one client's connection concerns nobody else: it is closed.
+        // An error on one client's connection affects no other: the connection is closed.
         let ended = client.run(room).await;
         client.note_close(ended);
     };
     context.executor.spawn(task).detach();
 }
 
-/// Why a client's connection ends.
+/// Errors that end a client's connection.
 #[derive(Debug, thiserror::Error)]
 enum ClientError {
     #[error("{0}")]
@@ -195,22 +198,22 @@
     Slow,
 }
 
-/// What reading from a client gave.
+/// The result of reading from a client.
 enum ReadOutcome {
-    /// More bytes.
+    /// More bytes were read.
     More,
-    /// Nothing: the connection ends.
+    /// Nothing more is read: the connection ends.
     End(CloseReason),
 }
 
-/// How far a client has come.
+/// How far a client's connection has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Its startup is not all there.
+    /// Its startup message is not complete.
     Startup,
-    /// It has not made a request yet.
+    /// It has made no request yet.
     Silent,
-    /// It has.
+    /// It has made a request.
     Known,
 }
 
@@ -221,21 +224,21 @@
     arrivals: Arrivals,
     slot: ConnectionSlot<'a>,
     stage: Stage,
-    /// When it came to its seat, or last had an answer.
+    /// When it was accepted, or last received an answer.
     since: Instant,
-    /// Its commands that were no use.
+    /// Number of its commands that could not be served.
     errors: u32,
-    /// Why its connection ends, as far as is known by now.
+    /// Why the connection ends, as far as known so far.
     close_reason: Cell<CloseReason>,
 }
 
-/// What a command comes down to.
+/// The result of parsing a command.
 enum Command {
     /// A request to route.
     Request(ClientRequest<Statement>, OpenId),
-    /// Something answered here; the answer is in the buffer given.
+    /// A command that is answered locally; the answer is in the output buffer.
     Answered,
-    /// Something that is not served: the code and words of its error.
+    /// A command that is not served: SQLSTATE and message of the error.
     Rejected(&'static str, String),
     /// The connection ends.
     End,
@@ -251,7 +254,7 @@
             Err(ClientError::Pg(error)) => {
                 self.context.counters.rejected.add();
                 self.close_reason.set(CloseReason::Protocol);
-                // What makes no sense can't be told from requests any more.
+                // After a protocol error the buffered bytes can't be told from requests any more.
                 self.buffer = ReadBuffer::default();
                 self.close_with_error("08P01", &error.to_string(), None).await
             }
@@ -259,8 +262,8 @@
         }
     }
 
-    /// Sends the last words on a connection, and reads what the client is still writing: to close before that
-    /// would reset the connection, and the words might be lost with it.
+    /// Sends a fatal error and discards what the client is still sending: closing the connection before that would reset it,
+    /// and the error might be lost.
     async fn close_with_error(
         &mut self,
         code: &str,
@@ -284,7 +287,7 @@
         or(async { Ok(write_all(&self.stream, pieces).await?) }, slow).await
     }
 
-    /// The startup; false if there is no session after it.
+    /// Handles the startup messages; returns false if no session follows.
     async fn start_session(&mut self, room: bool) -> Result<bool, ClientError> {
         let mut encryption_requests = 0;
         loop {
@@ -328,7 +331,7 @@
             };
             let (tag, size) = (message.tag, message.size);
             let arrived = self.arrivals.arrival_time(self.buffer.data().len() - size);
-            // After an error in the extended protocol all is skipped up to Sync.
+            // After an error in the extended protocol, everything up to Sync is skipped.
             if skipping && tag != b'S' && tag != b'X' {
                 self.buffer.consume(size);
                 continue;
@@ -349,7 +352,7 @@
                 Command::Rejected(code, words) => {
                     self.context.counters.rejected.add();
                     self.errors += 1;
-                    // A request that was read behind it is owed its answer first.
+                    // A request that was already read behind this command must be answered before the connection may close.
                     let may_close = self.close_facts().may_close();
                     if self.errors >= MAX_ERRORS && may_close {
                         self.close_reason.set(CloseReason::Errors);
@@ -382,7 +385,7 @@
             if self.stage == Stage::Known {
                 self.since = Instant::now();
             }
-            // Many commands sent at once hold up nobody else.
+            // Many commands sent at once must not hold up other clients.
             yield_now().await;
             if out.capacity() > 4 * 1024 {
                 out = Vec::new();
@@ -390,13 +393,13 @@
         }
     }
 
-    /// Reads more; false if there will be none, or the client has to go: it makes room, took too long for a
-    /// command, or the process ends. What is readable goes before all that.
+    /// Reads more bytes. Returns false if the connection ends: the client has closed it, is evicted, took too long for a command,
+    /// or the process ends. Readable bytes take precedence over all of that.
     async fn read_more(&mut self) -> Result<bool, ClientError> {
         let Self { context, stream, buffer, arrivals, slot, stage, since, .. } = self;
         let between_commands = buffer.data().is_empty() && *stage != Stage::Startup;
         buffer.release_if_empty();
-        // The first bytes of a command that has begun came just now; they don't grant more time again.
+        // The time for a command counts from `since`, also when its first bytes have only just arrived.
         let limit = match *stage {
             Stage::Known if between_commands => None,
             _ => Some(*since + COMMAND_TIMEOUT),
@@ -418,7 +421,7 @@
             flag.raised().await;
             Ok(ReadOutcome::End(CloseReason::ProcessEnds))
         };
-        // Emptied by hand: who is known here is let go once the front sends nobody more.
+        // Drained: idle clients that have made a request are closed once the front sends no more clients.
         let emptied = async {
             if !between_commands || *stage != Stage::Known {
                 std::future::pending::<()>().await;
@@ -443,7 +446,7 @@
         }
     }
 
-    /// What bears on whether the connection may be closed from this side now.
+    /// The facts that decide whether this side may close the connection now.
     fn close_facts(&self) -> CloseFacts {
         let (mut data, mut requests_unanswered) = (self.buffer.data(), 0);
         while let Ok(Some(message)) = pg::message(data) {
@@ -455,7 +458,7 @@
         CloseFacts { requests_unanswered, client_left: false }
     }
 
-    /// The connection is about to close: why is counted and logged, and whether all that was read has been answered.
+    /// Counts and logs why the connection closes, and checks that every request that was read has been answered.
     fn note_close(&self, ended: Result<(), ClientError>) {
         let closes = match &ended {
             Ok(()) => self.close_reason.get(),
@@ -472,7 +475,7 @@
         tracing::debug!(target: "clients", ?closes, stage = ?self.stage, errors = self.errors, "connection closed");
     }
 
-    /// Reads the command at the front of the buffer and uses it up.
+    /// Parses and consumes the command at the front of the buffer.
     fn command(
         &mut self,
         size: usize,
@@ -533,7 +536,7 @@
         Ok(rejected.map_or(Command::Answered, |(code, words)| Command::Rejected(code, words)))
     }
 
-    /// Serves a request and writes its one answer; false if the connection ends with it.
+    /// Serves a request and writes its answer; returns false if the connection ends with it.
     async fn serve_request(
         &mut self,
         client_request: ClientRequest<Statement>,
@@ -564,13 +567,13 @@
         let written = self.answer(answer, out).await;
         match (&written, how) {
             (Ok(_), Some(how)) => pending_answer.answered(how),
-            // It can't be told any more.
+            // The answer can't be delivered any more.
             (Ok(_), None) | (Err(_), _) => pending_answer.client_left(),
         }
         written
     }
 
-    /// Whether this is a request whose answer a broken variant forgets.
+    /// Whether [`Mutant::ForgottenAnswer`] drops the answer to this request.
     fn drops_answer(&self) -> bool {
         let taken = self.context.counters.taken.get();
         mutants::is_active(Mutant::ForgottenAnswer) && taken % FORGET_ANSWER_EVERY == 0
@@ -582,7 +585,7 @@
             FinalAnswer::Served(mut reply) if reply.is_large() => {
                 let sent_so_far: Vec<&[u8]> = reply.pieces().collect();
                 self.send(&sent_so_far).await?;
-                // What can't be finished ends with the connection: the client sees that it is not whole.
+                // If the answer can't be completed, the connection ends: the client sees that the answer is truncated.
                 while let Some(piece) = self.context.pool.next_chunk(&mut reply).await? {
                     self.send(&[&piece]).await?;
                     yield_now().await;
@@ -621,7 +624,7 @@
         }
     }
 
-    /// Sends a final answer; false if the connection ends with it.
+    /// Sends a final answer; returns false if the connection ends with it.
     async fn finish(&self, pieces: &[&[u8]]) -> Result<bool, ClientError> {
         if self.should_hand_over() {
             self.send_last(pieces).await?;
@@ -631,7 +634,8 @@
         Ok(true)
     }
 
-    /// Whether the client goes over to a newer process with the next answer: not while it has sent more already.
+    /// Whether the connection ends with the next answer because a newer process takes over; not while the client has already
+    /// sent more.
     fn should_hand_over(&self) -> bool {
         let would_block = |error: io::Error| error.kind() == io::ErrorKind::WouldBlock;
         self.context.life.handing_over_clients.is_on()
@@ -639,12 +643,12 @@
             && self.stream.get_ref().peek(&mut [0]).is_err_and(would_block)
     }
 
-    /// Sends the last answer on a connection, with the end of the connection in the same segment: the client can't have
-    /// begun anything that this end would cross. What it sends all the same is read, since a reset would take the answer.
+    /// Sends the last answer on a connection with the end of the stream in the same segment, so that the client can't begin a
+    /// request that crosses the close. Whatever it sends nevertheless is read, since a reset might discard the answer.
     async fn send_last(&self, pieces: &[&[u8]]) -> Result<(), ClientError> {
         self.close_reason.set(CloseReason::HandedOver);
         let stream = self.stream.get_ref();
-        // Without it the end may come in a segment of its own; the answer goes out all the same.
+        // Without TCP_CORK the end of the stream may go out in a segment of its own, after the answer.
         if let Err(error) = rustix::net::sockopt::set_tcp_cork(stream, true) {
             tracing::debug!(target: "clients", "TCP_CORK: {error}");
         }
@@ -654,10 +658,10 @@
         Ok(())
     }
 
-    /// Reads what the client still writes, until it has closed as well or enough time has passed.
+    /// Discards what the client still sends, until it has closed its side as well or [`LINGER_TIMEOUT`] has passed.
     async fn linger(&self) {
         let discarded = async {
-            // One that sends at full speed holds up nobody else.
+            // A client that sends at full speed must not hold up others.
             while matches!(read_and_discard(&self.stream, &self.context.scratch).await, Ok(1..)) {
                 yield_now().await;
             }
@@ -670,18 +674,18 @@
     }
 }
 
-/// A client with a request. What it sends ahead is kept, within bounds. One that has closed its side has left, as the
-/// protocol has it: that it still reads can't be seen.
+/// Watches the client of an open request. What it sends ahead is buffered up to a limit. A client that has closed its side
+/// counts as having left: whether it still reads can't be observed.
 struct ClientWatch<'a> {
     life: &'a Lifecycle,
     stream: &'a Async<TcpStream>,
     driver: &'a Driver,
-    /// What it sends ahead, and when that came. Not borrowed across a wait.
+    /// The bytes sent ahead and their arrival times. Never borrowed across an await point.
     read_ahead: RefCell<(&'a mut ReadBuffer, &'a mut Arrivals)>,
 }
 
 impl ClientWatch<'_> {
-    /// Whether no more is read for now.
+    /// Whether no more is read ahead for now.
     fn read_ahead_full(&self) -> bool {
         self.read_ahead.borrow().0.data().len() >= MAX_READ_AHEAD
     }
@@ -713,7 +717,7 @@
             if let Some(reason) = self.abort_reason() {
                 return reason;
             }
-            // What can't be waited for is given up: to look again at once would never end.
+            // An error while waiting counts as a disconnect: retrying at once would loop forever.
             let readable = async {
                 if self.read_ahead_full() {
                     Timer::after(HANGUP_POLL_INTERVAL).await;
@@ -732,7 +736,7 @@
     }
 }
 
-/// Whether the other side has ended the connection, whatever stands unread before its end.
+/// Whether the peer has closed the connection, even if unread bytes precede the end of the stream.
 fn peer_closed(stream: &Async<TcpStream>) -> bool {
     use rustix::event::{PollFd, PollFlags, Timespec, poll};
     let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
@@ -741,14 +745,14 @@
         && polled[0].revents().intersects(ends)
 }
 
-/// The id of a request that is open, given free when it is dropped: nobody else may use it meanwhile.
+/// The id of an open request, which no other request may use until this is dropped.
 struct OpenId {
     context: Rc<FrontendContext>,
     id: Box<str>,
 }
 
 impl OpenId {
-    /// `None` if a request with this id is open.
+    /// Returns `None` if a request with this id is open.
     fn enter(context: &Rc<FrontendContext>, id: &str) -> Option<Self> {
         let id: Box<str> = id.into();
         let new = context.open_ids.borrow_mut().insert(id.clone());
@@ -763,8 +767,8 @@
 }
 
 impl FrontendContext {
-    /// The request that a statement makes whose last byte came at this time; `None` if its class is unknown. Its client counts
-    /// from there, however long it waited behind others of its connection.
+    /// Builds the request for a statement whose last byte arrived at `arrived`; `None` if its class is unknown. The client's
+    /// waiting time counts from then, however long the statement waited behind others of its connection.
     fn client_request(
         &self,
         statement: &str,
