--- a/crates/core/src/choice.rs
+++ b/crates/core/src/choice.rs
@@ -504,7 +504,7 @@
             (id, attempt),
             InFlight { sent_at: now, class: open.class, session: open.session, required },
         );
-        m.cold.sent(now, usual, &self.settings);
+        m.cold.record_send(now, usual, &self.settings);
         actions.push(Action::Send { request: id, member, timeout: timeout.min(remaining) });
     }
 
@@ -840,7 +840,7 @@
                 if overloaded {
                     m.reduce_limit(now, took, outstanding);
                 } else {
-                    m.cold.answered();
+                    m.cold.record_timely_answer();
                     let limit_used = outstanding + 1.0 >= m.concurrency_limit * LIMIT_GROWTH_USE;
                     m.concurrency_limit += if limit_used { 1.0 / m.concurrency_limit } else { 0.0 };
                 }
@@ -972,7 +972,7 @@
         let limit = m.concurrency_limit.min(tracker.map_or(f64::INFINITY, PrimaryTracker::window));
         now >= m.rest_until
             && self.outstanding_work(m, now) < limit
-            && m.cold.room(now, self.usual_rate(now), &self.settings)
+            && m.cold.has_credit(now, self.usual_rate(now), &self.settings)
     }
 
     /// Answers per microsecond that a member usually gives to this router.
--- a/crates/core/src/trust.rs
+++ b/crates/core/src/connection_reuse.rs
@@ -7,7 +7,7 @@
 //! brought what was nobody's. All else may be sent again elsewhere, and is sent at once.
 //!
 //! Whoever carries requests has to see to it that an answer is whole and alone before its connection is kept, by an
-//! empty query *behind* the request whose answer nobody waits for; see [`Trust::marks`].
+//! empty query *behind* the request whose answer nobody waits for; see [`ReusePolicy::needs_trailing_ping`].
 
 use crate::{MemberId, Span, Time};
 use std::collections::HashMap;
@@ -26,9 +26,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
     /// The request is sent at once.
-    AtOnce,
+    Immediate,
     /// It has to answer an empty query first.
-    Asked,
+    AfterPing,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -42,31 +42,31 @@
 
 /// What is known of the members' connections. Holds an entry for each member that was heard of or doubted lately.
 #[derive(Debug, Default)]
-pub struct Trust {
+pub struct ReusePolicy {
     of: HashMap<MemberId, Record>,
 }
 
-impl Trust {
+impl ReusePolicy {
     /// How a connection to `member` is used that has rested for so long; `once` if the request must not run twice.
     #[must_use]
     pub fn reuse(&self, member: &MemberId, now: Time, rested: Span, once: bool) -> Reuse {
         let well = |of: &Record| now >= of.doubted && now - of.heard <= HEARD;
         if !once && rested <= RESTED && self.of.get(member).is_some_and(well) {
-            Reuse::AtOnce
+            Reuse::Immediate
         } else {
-            Reuse::Asked
+            Reuse::AfterPing
         }
     }
 
     /// Whether an empty query goes behind a request to `member`, which shows before the next one that nothing but the
     /// answer came. Where connections are asked anyway it would be of no use.
     #[must_use]
-    pub fn marks(&self, member: &MemberId, now: Time) -> bool {
+    pub fn needs_trailing_ping(&self, member: &MemberId, now: Time) -> bool {
         self.of.get(member).is_none_or(|of| now >= of.doubted)
     }
 
     /// An answer came from `member`.
-    pub fn heard(&mut self, member: &MemberId, now: Time) {
+    pub fn record_answer(&mut self, member: &MemberId, now: Time) {
         match self.of.get_mut(member) {
             Some(of) => of.heard = now,
             None => drop(self.of.insert(member.clone(), Record::heard(now))),
@@ -75,10 +75,10 @@
 
     /// A kept connection to `member` broke, fell silent or brought what was nobody's. One that had been asked to
     /// proves that asking is still needed; one that had not, that trust came too early.
-    pub fn broke(&mut self, member: &MemberId, now: Time, used: Reuse) {
+    pub fn record_failure(&mut self, member: &MemberId, now: Time, used: Reuse) {
         let of = self.of.entry(member.clone()).or_insert(Record::heard(now));
         // All that broke in one blow counts once.
-        let trusted = used == Reuse::AtOnce && now >= of.doubted;
+        let trusted = used == Reuse::Immediate && now >= of.doubted;
         if trusted || of.length == Span(0) {
             let soon = of.length > Span(0) && now - of.doubted < FORGIVEN;
             of.length = if soon { of.length.times(2.0).min(LONGEST_DOUBT) } else { DOUBT };
@@ -87,7 +87,7 @@
     }
 
     /// Forgets members of which nothing was heard for so long that nothing depends on it.
-    pub fn forget(&mut self, now: Time) {
+    pub fn evict_stale(&mut self, now: Time) {
         self.of.retain(|_, of| now - of.heard <= FORGIVEN || now - of.doubted < FORGIVEN);
     }
 
--- a/crates/core/src/succession.rs
+++ b/crates/core/src/hot_restart.rs
@@ -6,29 +6,29 @@
 
 /// Who is out by hand by the facts that the processes share, as last seen.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Bans(BTreeSet<MemberId>);
+pub struct OperatorDrains(BTreeSet<MemberId>);
 
 /// What a look at them brought that was not known.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Changes {
+pub struct DrainChanges {
     /// Taken out by the other process.
     pub out: Vec<MemberId>,
     /// Brought back by it.
     pub back: Vec<MemberId>,
 }
 
-impl Bans {
+impl OperatorDrains {
     /// Takes a whole look in. What was never seen among the facts is none of the other process's: a ban that could not be
     /// written down holds here until it is ended here.
-    pub fn look(&mut self, found: BTreeSet<MemberId>) -> Changes {
+    pub fn update(&mut self, found: BTreeSet<MemberId>) -> DrainChanges {
         let out = found.difference(&self.0).cloned().collect();
         let back = self.0.difference(&found).cloned().collect();
         self.0 = found;
-        Changes { out, back }
+        DrainChanges { out, back }
     }
 
     /// A fact was written or taken away by this process itself.
-    pub fn set(&mut self, member: &MemberId, out: bool) {
+    pub fn record(&mut self, member: &MemberId, out: bool) {
         if out {
             self.0.insert(member.clone());
         } else {
@@ -39,17 +39,17 @@
 
 /// When a process that was told to end takes which step, counted from then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Leaving {
+pub struct ShutdownSchedule {
     /// From here on each answer ends its connection.
-    pub parting: Option<Span>,
+    pub close_on_answer: Option<Span>,
     /// Idle connections are closed.
-    pub closing: Span,
+    pub close_idle: Span,
     /// Nobody is accepted any more.
-    pub deaf: Span,
+    pub stop_accepting: Span,
     /// What is open gets its answer.
-    pub ending: Span,
+    pub answer_open: Span,
     /// The process ends, whoever is left.
-    pub ended: Span,
+    pub exit: Span,
 }
 
 /// Connections keep arriving for up to 0.4 s after SIGTERM; until a little later nothing changes for clients,
@@ -67,16 +67,23 @@
 /// The time in which those last answers are written.
 const FLUSH: Span = Span::millis(150);
 
-impl Leaving {
+impl ShutdownSchedule {
     /// The steps of a process whose classes have no longer deadline than this. One whose place is `taken` leaves who
     /// connects to the newer process, and its clients come there as soon as they have their answers.
     #[must_use]
     pub fn plan(longest_deadline: Span, taken: bool) -> Self {
         // Where deadlines are short all of it comes close together, but each step no later than the next: had the last two
         // come at one moment, what was open would have ended with the process, without an answer.
-        let ending = Span(longest_deadline.min(LONGEST_COUNTED).0 + KILL_GRACE.0 - MARGIN.0).max(ARRIVALS);
-        let closing = Span(ending.0 - PARTING.0).max(if taken { Span(0) } else { ARRIVALS });
-        let deaf = if taken { Span(0) } else { Span(closing.0 + STRAGGLERS.0).min(ending) };
-        Self { parting: taken.then_some(Span(0)), closing, deaf, ending, ended: Span(ending.0 + FLUSH.0) }
+        let answer_open =
+            Span(longest_deadline.min(LONGEST_COUNTED).0 + KILL_GRACE.0 - MARGIN.0).max(ARRIVALS);
+        let close_idle = Span(answer_open.0 - PARTING.0).max(if taken { Span(0) } else { ARRIVALS });
+        let stop_accepting = if taken { Span(0) } else { Span(close_idle.0 + STRAGGLERS.0).min(answer_open) };
+        Self {
+            close_on_answer: taken.then_some(Span(0)),
+            close_idle,
+            stop_accepting,
+            answer_open,
+            exit: Span(answer_open.0 + FLUSH.0),
+        }
     }
 }
--- a/crates/core/src/invariants.rs
+++ b/crates/core/src/invariants.rs
@@ -62,7 +62,7 @@
 
 /// One broken promise.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Breach {
+pub struct ViolationRecord {
     /// Which.
     pub violation: Violation,
     /// When.
@@ -75,7 +75,7 @@
     pub excess: Span,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for ViolationRecord {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:?}", self.violation)?;
         if let Some(request) = self.request {
@@ -90,7 +90,7 @@
 
 /// What is promised of one request.
 #[derive(Clone, Copy, Debug)]
-pub struct Promise {
+pub struct RequestContract {
     /// When its client gives up.
     pub deadline: Time,
     /// What a repeat of it does.
@@ -112,7 +112,7 @@
 
 #[derive(Clone, Debug)]
 struct Request {
-    promise: Promise,
+    promise: RequestContract,
     out: Vec<AttemptNo>,
     may_have_run: bool,
     departed: Option<Time>,
@@ -126,7 +126,7 @@
     requests: BTreeMap<RequestId, Request>,
     withdrawn: BTreeMap<MemberId, Time>,
     counts: BTreeMap<Violation, u64>,
-    latest: VecDeque<Breach>,
+    latest: VecDeque<ViolationRecord>,
     checked: u64,
 }
 
@@ -150,7 +150,7 @@
     }
 
     /// A member takes new work, or does not any more. Who is withdrawn already stays so since then.
-    pub fn member(&mut self, now: Time, member: &MemberId, in_service: bool) {
+    pub fn set_member(&mut self, now: Time, member: &MemberId, in_service: bool) {
         if in_service {
             self.withdrawn.remove(member);
         } else {
@@ -159,25 +159,25 @@
     }
 
     /// A member is not known any more.
-    pub fn forget(&mut self, member: &MemberId) {
+    pub fn forget_member(&mut self, member: &MemberId) {
         self.withdrawn.remove(member);
     }
 
     /// A request was taken.
-    pub fn taken(&mut self, request: RequestId, promise: Promise) {
+    pub fn request_accepted(&mut self, request: RequestId, promise: RequestContract) {
         let open = Request { promise, out: Vec::new(), may_have_run: false, departed: None, answered: false };
         self.requests.insert(request, open);
     }
 
     /// The first byte of an attempt was written, which told the member to wait so long. Gives what that breaks.
-    pub fn began(
+    pub fn attempt_started(
         &mut self,
         now: Time,
         request: RequestId,
         attempt: AttemptNo,
         member: &MemberId,
         told: Span,
-    ) -> Vec<Breach> {
+    ) -> Vec<ViolationRecord> {
         self.checked += 1;
         let mut broken = Vec::new();
         if let Some(since) = self.withdrawn.get(member) {
@@ -195,21 +195,26 @@
     }
 
     /// An attempt is over: nothing of it is out any more.
-    pub fn ended(&mut self, request: RequestId, attempt: AttemptNo, verdict: Verdict) {
+    pub fn attempt_ended(&mut self, request: RequestId, attempt: AttemptNo, verdict: Verdict) {
         let Some(open) = self.requests.get_mut(&request) else { return };
         let began = open.out.iter().position(|out| *out == attempt).map(|at| open.out.swap_remove(at));
         open.may_have_run |= began.is_some() && !verdict.never_ran();
     }
 
     /// The client of a request has left.
-    pub fn departed(&mut self, now: Time, request: RequestId) {
+    pub fn client_departed(&mut self, now: Time, request: RequestId) {
         if let Some(open) = self.requests.get_mut(&request) {
             open.departed.get_or_insert(now);
         }
     }
 
     /// A request got its final answer. Gives what that breaks.
-    pub fn answered(&mut self, now: Time, request: RequestId, answer: Answer) -> Vec<Breach> {
+    pub fn request_answered(
+        &mut self,
+        now: Time,
+        request: RequestId,
+        answer: Answer,
+    ) -> Vec<ViolationRecord> {
         let Some(open) = self.requests.get_mut(&request) else { return Vec::new() };
         let mut broken = Vec::new();
         if std::mem::replace(&mut open.answered, true) {
@@ -225,28 +230,28 @@
     }
 
     /// A request is let go of: it has its answer, or nobody is there to be told. Gives what that breaks.
-    pub fn closed(&mut self, now: Time, request: RequestId) -> Vec<Breach> {
+    pub fn request_closed(&mut self, now: Time, request: RequestId) -> Vec<ViolationRecord> {
         let Some(open) = self.requests.remove(&request) else { return Vec::new() };
         let broken = (!open.answered && open.departed.is_none()).then_some(Violation::ClosedUnanswered);
         self.record(now, Some(request), None, broken.into_iter().map(|of| (of, Span(0))).collect())
     }
 
     /// A connection was closed from this side with so many whole requests read and not answered. Gives what that breaks.
-    pub fn connection_closed(&mut self, now: Time, unanswered: usize) -> Vec<Breach> {
+    pub fn connection_closed(&mut self, now: Time, unanswered: usize) -> Vec<ViolationRecord> {
         let broken = vec![(Violation::ClosedUnanswered, Span(0)); unanswered];
         self.record(now, None, None, broken)
     }
 
     /// The process ends: who is owed an answer and still there won't get it. Gives what that breaks.
-    pub fn process_ended(&mut self, now: Time) -> Vec<Breach> {
+    pub fn process_ended(&mut self, now: Time) -> Vec<ViolationRecord> {
         let unanswered = |open: &Request| !open.answered && open.departed.is_none();
         let left: Vec<RequestId> =
             self.requests.iter().filter(|(_, open)| unanswered(open)).map(|(id, _)| *id).collect();
-        left.into_iter().flat_map(|request| self.closed(now, request)).collect()
+        left.into_iter().flat_map(|request| self.request_closed(now, request)).collect()
     }
 
     /// Clients are taken from now on; `ready` by the guard. Gives what that breaks.
-    pub fn started(&mut self, now: Time, ready: bool) -> Vec<Breach> {
+    pub fn serving_started(&mut self, now: Time, ready: bool) -> Vec<ViolationRecord> {
         let broken = if ready { Vec::new() } else { vec![(Violation::StartedEarly, Span(0))] };
         self.record(now, None, None, broken)
     }
@@ -265,7 +270,7 @@
 
     /// Requests that are open.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
@@ -275,10 +280,16 @@
         request: Option<RequestId>,
         member: Option<&MemberId>,
         broken: Vec<(Violation, Span)>,
-    ) -> Vec<Breach> {
-        let breaches: Vec<Breach> = broken
+    ) -> Vec<ViolationRecord> {
+        let breaches: Vec<ViolationRecord> = broken
             .into_iter()
-            .map(|(violation, excess)| Breach { violation, at, request, member: member.cloned(), excess })
+            .map(|(violation, excess)| ViolationRecord {
+                violation,
+                at,
+                request,
+                member: member.cloned(),
+                excess,
+            })
             .collect();
         for breach in &breaches {
             *self.counts.entry(breach.violation).or_default() += 1;
--- a/crates/core/src/cold.rs
+++ b/crates/core/src/slow_start.rs
@@ -17,13 +17,13 @@
 
 /// How cold one member is, and what it may be sent by this router.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Cold {
+pub struct SlowStart {
     started: Option<Time>,
     /// Sends that the budget still allowed then.
     credit: (Time, f64),
 }
 
-impl Cold {
+impl SlowStart {
     /// It started at `at`. Its first credit is drawn by chance, so that many routers with less than one send each add
     /// up to their shares.
     pub fn start(&mut self, now: Time, at: Time, chance: f64) {
@@ -53,17 +53,17 @@
 
     /// Whether one more may be sent.
     #[must_use]
-    pub fn room(&self, now: Time, usual: f64, settings: &Settings) -> bool {
+    pub fn has_credit(&self, now: Time, usual: f64, settings: &Settings) -> bool {
         self.warmth(now, settings) >= 1.0 || self.credit(now, usual, settings) >= 1.0
     }
 
     /// One was sent. What it is sent while it is warm is no debt to be paid off once it is cold.
-    pub fn sent(&mut self, now: Time, usual: f64, settings: &Settings) {
+    pub fn record_send(&mut self, now: Time, usual: f64, settings: &Settings) {
         self.credit = (now, (self.credit(now, usual, settings) - 1.0).max(0.0));
     }
 
     /// It answered in good time.
-    pub fn answered(&mut self) {
+    pub fn record_timely_answer(&mut self) {
         self.credit.1 += 1.0;
     }
 }
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -1,8 +1,8 @@
 //! The state behind the routing decisions in `choice.rs`. This file holds no decisions and no tuning constants.
 
-use crate::cold::Cold;
 use crate::handover::{HeldRequest, PrimaryTracker};
 use crate::interface::*;
+use crate::slow_start::SlowStart;
 use crate::slowness::Slowness;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -30,7 +30,7 @@
     /// The list names it as the primary.
     pub(crate) listed_primary: bool,
     /// Its slow start after a recent start.
-    pub(crate) cold: Cold,
+    pub(crate) cold: SlowStart,
     /// The log position up to which it has applied everything; never decreases.
     pub(crate) position: Time,
     /// When the position was last observed.
--- a/crates/core/tests/trust.rs
+++ b/crates/core/tests/connection_reuse.rs
@@ -1,6 +1,6 @@
 //! When a kept connection carries a request at once.
 
-use linnetdeal_core::trust::{Reuse, Trust};
+use linnetdeal_core::connection_reuse::{Reuse, ReusePolicy};
 use linnetdeal_core::{MemberId, Span, Time};
 use proptest::prelude::*;
 
@@ -16,46 +16,46 @@
 
 #[test]
 fn a_member_heard_of_just_now_gets_reads_at_once_and_writes_that_must_not_run_twice_after_a_question() {
-    let (mut trust, one) = (Trust::default(), member("s-1"));
-    assert_eq!(trust.reuse(&one, at(0), YOUNG, false), Reuse::Asked);
-    trust.heard(&one, at(0));
-    assert_eq!(trust.reuse(&one, at(100), YOUNG, false), Reuse::AtOnce);
-    assert_eq!(trust.reuse(&one, at(0), YOUNG, true), Reuse::Asked);
-    assert_eq!(trust.reuse(&member("s-2"), at(0), YOUNG, false), Reuse::Asked);
+    let (mut trust, one) = (ReusePolicy::default(), member("s-1"));
+    assert_eq!(trust.reuse(&one, at(0), YOUNG, false), Reuse::AfterPing);
+    trust.record_answer(&one, at(0));
+    assert_eq!(trust.reuse(&one, at(100), YOUNG, false), Reuse::Immediate);
+    assert_eq!(trust.reuse(&one, at(0), YOUNG, true), Reuse::AfterPing);
+    assert_eq!(trust.reuse(&member("s-2"), at(0), YOUNG, false), Reuse::AfterPing);
     // It may have vanished since, or the connection have been closed on the way.
-    assert_eq!(trust.reuse(&one, at(101), YOUNG, false), Reuse::Asked);
-    assert_eq!(trust.reuse(&one, at(0), Span::millis(1_001), false), Reuse::Asked);
+    assert_eq!(trust.reuse(&one, at(101), YOUNG, false), Reuse::AfterPing);
+    assert_eq!(trust.reuse(&one, at(0), Span::millis(1_001), false), Reuse::AfterPing);
 }
 
 #[test]
 fn one_that_broke_makes_all_of_its_member_be_asked_for_a_while() {
-    let (mut trust, one, other) = (Trust::default(), member("s-1"), member("s-2"));
-    trust.heard(&one, at(0));
-    trust.heard(&other, at(0));
+    let (mut trust, one, other) = (ReusePolicy::default(), member("s-1"), member("s-2"));
+    trust.record_answer(&one, at(0));
+    trust.record_answer(&other, at(0));
     // What breaks in one blow counts once.
     for ms in 0..20 {
-        trust.broke(&one, at(ms), Reuse::AtOnce);
+        trust.record_failure(&one, at(ms), Reuse::Immediate);
     }
     for ms in [20, 5_000, 9_999] {
-        trust.heard(&one, at(ms));
-        trust.heard(&other, at(ms));
-        assert_eq!(trust.reuse(&one, at(ms), YOUNG, false), Reuse::Asked, "{ms}");
-        assert!(!trust.marks(&one, at(ms)));
-        assert_eq!(trust.reuse(&other, at(ms), YOUNG, false), Reuse::AtOnce);
+        trust.record_answer(&one, at(ms));
+        trust.record_answer(&other, at(ms));
+        assert_eq!(trust.reuse(&one, at(ms), YOUNG, false), Reuse::AfterPing, "{ms}");
+        assert!(!trust.needs_trailing_ping(&one, at(ms)));
+        assert_eq!(trust.reuse(&other, at(ms), YOUNG, false), Reuse::Immediate);
     }
-    trust.heard(&one, at(10_020));
-    assert_eq!(trust.reuse(&one, at(10_020), YOUNG, false), Reuse::AtOnce);
-    assert!(trust.marks(&one, at(10_020)));
+    trust.record_answer(&one, at(10_020));
+    assert_eq!(trust.reuse(&one, at(10_020), YOUNG, false), Reuse::Immediate);
+    assert!(trust.needs_trailing_ping(&one, at(10_020)));
 }
 
 #[test]
 fn trust_that_came_too_early_comes_later_the_next_time_up_to_a_bound() {
-    let (mut trust, one) = (Trust::default(), member("s-1"));
+    let (mut trust, one) = (ReusePolicy::default(), member("s-1"));
     let (mut now, mut lengths) = (0, Vec::new());
     for _ in 0..7 {
-        trust.broke(&one, at(now), Reuse::AtOnce);
+        trust.record_failure(&one, at(now), Reuse::Immediate);
         let began = now;
-        while !trust.marks(&one, at(now)) {
+        while !trust.needs_trailing_ping(&one, at(now)) {
             now += 1_000;
         }
         lengths.push((now - began) / 1_000);
@@ -63,30 +63,33 @@
     assert_eq!(lengths, [10, 20, 40, 80, 160, 160, 160]);
     // After a minute without one it is as the first time.
     now += 60_000;
-    trust.broke(&one, at(now), Reuse::AtOnce);
-    assert!(!trust.marks(&one, at(now + 9_999)) && trust.marks(&one, at(now + 10_000)));
+    trust.record_failure(&one, at(now), Reuse::Immediate);
+    assert!(
+        !trust.needs_trailing_ping(&one, at(now + 9_999))
+            && trust.needs_trailing_ping(&one, at(now + 10_000))
+    );
 }
 
 #[test]
 fn those_found_dead_when_asked_keep_the_question_up_and_do_not_lengthen_it() {
-    let (mut trust, one) = (Trust::default(), member("s-1"));
+    let (mut trust, one) = (ReusePolicy::default(), member("s-1"));
     for ms in (0..300_000).step_by(500) {
-        trust.broke(&one, at(ms), Reuse::Asked);
-        assert!(!trust.marks(&one, at(ms + 9_999)));
+        trust.record_failure(&one, at(ms), Reuse::AfterPing);
+        assert!(!trust.needs_trailing_ping(&one, at(ms + 9_999)));
     }
-    assert!(trust.marks(&one, at(299_500 + 10_000)));
+    assert!(trust.needs_trailing_ping(&one, at(299_500 + 10_000)));
 }
 
 #[test]
 fn who_is_gone_is_forgotten() {
-    let mut trust = Trust::default();
+    let mut trust = ReusePolicy::default();
     for name in 0..1_000 {
-        trust.heard(&member(&name.to_string()), at(name));
+        trust.record_answer(&member(&name.to_string()), at(name));
     }
-    trust.broke(&member("5"), at(0), Reuse::AtOnce);
-    trust.forget(at(60_400));
+    trust.record_failure(&member("5"), at(0), Reuse::Immediate);
+    trust.evict_stale(at(60_400));
     assert_eq!(trust.len(), 601);
-    trust.forget(at(200_000));
+    trust.evict_stale(at(200_000));
     assert!(trust.is_empty());
 }
 
@@ -95,27 +98,27 @@
     /// not heard of lately.
     #[test]
     fn nothing_goes_at_once_without_cause(steps in proptest::collection::vec((0..4u8, 0..3_000i64, any::<bool>()), 1..200)) {
-        let (mut trust, one) = (Trust::default(), member("s-1"));
+        let (mut trust, one) = (ReusePolicy::default(), member("s-1"));
         let (mut now, mut heard, mut broke) = (0, None, None);
         for (what, later, way) in steps {
             now += later;
             match what {
                 0 | 1 => {
-                    trust.heard(&one, at(now));
+                    trust.record_answer(&one, at(now));
                     heard = Some(now);
                 }
                 2 => {
-                    trust.broke(&one, at(now), if way { Reuse::AtOnce } else { Reuse::Asked });
+                    trust.record_failure(&one, at(now), if way { Reuse::Immediate } else { Reuse::AfterPing });
                     broke = Some(now);
                     heard = heard.or(Some(now));
                 }
-                _ => trust.forget(at(now)),
+                _ => trust.evict_stale(at(now)),
             }
-            prop_assert_eq!(trust.reuse(&one, at(now), YOUNG, true), Reuse::Asked);
-            if trust.reuse(&one, at(now), YOUNG, false) == Reuse::AtOnce {
+            prop_assert_eq!(trust.reuse(&one, at(now), YOUNG, true), Reuse::AfterPing);
+            if trust.reuse(&one, at(now), YOUNG, false) == Reuse::Immediate {
                 prop_assert!(heard.is_some_and(|heard| now - heard <= 100));
                 prop_assert!(broke.is_none_or(|broke| now - broke >= 10_000), "{now} {broke:?}");
-                prop_assert!(trust.marks(&one, at(now)));
+                prop_assert!(trust.needs_trailing_ping(&one, at(now)));
             }
         }
     }
--- a/crates/core/tests/guard.rs
+++ b/crates/core/tests/guard.rs
@@ -68,29 +68,29 @@
 /// A check with one request open whose client waits a second.
 fn open(effect: Effect) -> Invariants {
     let mut check = Invariants::new(GRACE);
-    check.taken(ID, Promise { deadline: at(1_000), effect, copies_allowed: false });
+    check.request_accepted(ID, RequestContract { deadline: at(1_000), effect, copies_allowed: false });
     check
 }
 
 fn begin(check: &mut Invariants, ms: i64, attempt: u32, told_ms: i64) -> Vec<Violation> {
-    let breaches = check.began(at(ms), ID, AttemptNo(attempt), &member(), Span::millis(told_ms));
+    let breaches = check.attempt_started(at(ms), ID, AttemptNo(attempt), &member(), Span::millis(told_ms));
     breaches.into_iter().map(|breach| breach.violation).collect()
 }
 
 #[test]
 fn what_breaks_a_promise_of_a_send_is_counted() {
     let mut check = open(Effect::Unsafe);
-    check.member(at(0), &member(), false);
+    check.set_member(at(0), &member(), false);
     assert_eq!(begin(&mut check, 200, 0, 800), [], "within the grace");
     assert_eq!(begin(&mut check, 300, 1, 700), [Violation::SentToWithdrawn, Violation::SecondOut]);
-    check.ended(ID, AttemptNo(0), Verdict::Moot);
-    check.ended(ID, AttemptNo(1), Verdict::Reset);
-    check.member(at(310), &member(), true);
+    check.attempt_ended(ID, AttemptNo(0), Verdict::Moot);
+    check.attempt_ended(ID, AttemptNo(1), Verdict::Reset);
+    check.set_member(at(310), &member(), true);
     assert_eq!(begin(&mut check, 320, 2, 600), [Violation::UnsafeRepeat]);
-    check.ended(ID, AttemptNo(2), Verdict::Full);
-    check.departed(at(400), ID);
+    check.attempt_ended(ID, AttemptNo(2), Verdict::Full);
+    check.client_departed(at(400), ID);
     assert_eq!(begin(&mut check, 450, 3, 701), [Violation::DeadlineOverstated, Violation::UnsafeRepeat]);
-    check.ended(ID, AttemptNo(3), Verdict::Full);
+    check.attempt_ended(ID, AttemptNo(3), Verdict::Full);
     let late = begin(&mut check, 1_001, 4, 1);
     assert_eq!(late, [Violation::SentAfterDeparture, Violation::SentPastDeadline, Violation::UnsafeRepeat]);
     assert_eq!(check.total(), 8);
@@ -102,36 +102,36 @@
 fn what_may_be_repeated_may_be_sent_again_and_refused() {
     let mut check = open(Effect::Safe);
     assert_eq!(begin(&mut check, 0, 0, 1_000), []);
-    check.ended(ID, AttemptNo(0), Verdict::Reset);
+    check.attempt_ended(ID, AttemptNo(0), Verdict::Reset);
     assert_eq!(begin(&mut check, 10, 1, 990), []);
-    check.ended(ID, AttemptNo(1), Verdict::Timeout);
-    assert!(check.answered(at(1_000), ID, Answer::Refused).is_empty());
-    assert!(check.closed(at(1_000), ID).is_empty());
-    assert_eq!((check.total(), check.open()), (0, 0));
+    check.attempt_ended(ID, AttemptNo(1), Verdict::Timeout);
+    assert!(check.request_answered(at(1_000), ID, Answer::Refused).is_empty());
+    assert!(check.request_closed(at(1_000), ID).is_empty());
+    assert_eq!((check.total(), check.open_requests()), (0, 0));
 }
 
 #[test]
 fn what_breaks_a_promise_of_an_answer_is_counted() {
-    let violations = |breaches: Vec<Breach>| -> Vec<Violation> {
+    let violations = |breaches: Vec<ViolationRecord>| -> Vec<Violation> {
         breaches.into_iter().map(|breach| breach.violation).collect()
     };
     let mut check = open(Effect::Unsafe);
     assert_eq!(begin(&mut check, 0, 0, 1_000), []);
-    check.ended(ID, AttemptNo(0), Verdict::Timeout);
-    assert_eq!(violations(check.answered(at(500), ID, Answer::Refused)), [Violation::UnsafeRefusal]);
-    let again = violations(check.answered(at(1_501), ID, Answer::Failed));
+    check.attempt_ended(ID, AttemptNo(0), Verdict::Timeout);
+    assert_eq!(violations(check.request_answered(at(500), ID, Answer::Refused)), [Violation::UnsafeRefusal]);
+    let again = violations(check.request_answered(at(1_501), ID, Answer::Failed));
     assert_eq!(again, [Violation::SecondAnswer, Violation::LateAnswer]);
-    assert!(check.closed(at(1_510), ID).is_empty());
+    assert!(check.request_closed(at(1_510), ID).is_empty());
     assert_eq!(begin(&mut check, 1_510, 1, 0), [Violation::SentAfterAnswer]);
 
     let mut check = open(Effect::Safe);
-    assert_eq!(violations(check.closed(at(10), ID)), [Violation::ClosedUnanswered]);
+    assert_eq!(violations(check.request_closed(at(10), ID)), [Violation::ClosedUnanswered]);
     let mut check = open(Effect::Safe);
-    check.departed(at(5), ID);
-    assert!(check.closed(at(10), ID).is_empty(), "nobody is there to be told");
+    check.client_departed(at(5), ID);
+    assert!(check.request_closed(at(10), ID).is_empty(), "nobody is there to be told");
     let mut check = open(Effect::Safe);
     assert_eq!(violations(check.process_ended(at(10))), [Violation::ClosedUnanswered]);
     assert_eq!(violations(check.connection_closed(at(20), 2)), [Violation::ClosedUnanswered; 2]);
-    assert_eq!(violations(check.started(at(30), false)), [Violation::StartedEarly]);
-    assert!(check.started(at(30), true).is_empty());
+    assert_eq!(violations(check.serving_started(at(30), false)), [Violation::StartedEarly]);
+    assert!(check.serving_started(at(30), true).is_empty());
 }
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/slow_start.rs
@@ -3,14 +3,14 @@
 mod common;
 
 use common::settings;
-use linnetdeal_core::{Cold, Settings, Span, Time};
+use linnetdeal_core::{Settings, SlowStart, Span, Time};
 
 /// What a hundred routers that each see two tenths of a request a second of a member may send it.
 const USUAL: f64 = 0.2 / 1e6;
 
-fn fleet() -> (Settings, Vec<Cold>) {
+fn fleet() -> (Settings, Vec<SlowStart>) {
     let cold = |at: u32| {
-        let mut cold = Cold::default();
+        let mut cold = SlowStart::default();
         cold.start(Time(0), Time(0), f64::from(at) / 100.0);
         cold
     };
@@ -28,14 +28,14 @@
         for (_, at) in out.drain(..back) {
             let crowd = sent * 1_000_000 > able * now.0.max(1_000_000);
             if !crowd {
-                let cold: &mut Cold = &mut fleet[at];
-                cold.answered();
+                let cold: &mut SlowStart = &mut fleet[at];
+                cold.record_timely_answer();
             }
         }
         let at = (wanted * 37 % 100) as usize;
         wanted += 1;
-        if fleet[at].room(now, USUAL, &settings) {
-            fleet[at].sent(now, USUAL, &settings);
+        if fleet[at].has_credit(now, USUAL, &settings) {
+            fleet[at].record_send(now, USUAL, &settings);
             out.push((now, at));
             sent += 1;
         }
@@ -67,8 +67,8 @@
 fn nothing_much_is_saved_up() {
     let (settings, mut fleet) = fleet();
     let cold = &mut fleet[0];
-    (0..50).for_each(|_| cold.answered());
+    (0..50).for_each(|_| cold.record_timely_answer());
     assert!(cold.credit(Time(0), USUAL, &settings) < 1.1);
-    cold.sent(Time(0), USUAL, &settings);
-    assert!(!cold.room(Time(0), USUAL, &settings));
+    cold.record_send(Time(0), USUAL, &settings);
+    assert!(!cold.has_credit(Time(0), USUAL, &settings));
 }
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -11,7 +11,7 @@
 use futures_lite::future::{or, poll_fn};
 use linnetdeal_core::Router;
 use linnetdeal_core::handover::Phase;
-use linnetdeal_core::invariants::{Answer, Breach, Invariants, Promise};
+use linnetdeal_core::invariants::{Answer, Invariants, RequestContract, ViolationRecord};
 use linnetdeal_core::peers::To;
 use linnetdeal_core::*;
 use std::cell::{Cell, RefCell};
@@ -177,7 +177,7 @@
     }
 
     /// Records something in the run-time check of the invariants and logs the violations that it finds.
-    pub fn check(&self, record: impl FnOnce(Time, &mut Invariants) -> Vec<Breach>) {
+    pub fn check(&self, record: impl FnOnce(Time, &mut Invariants) -> Vec<ViolationRecord>) {
         let breaches = record(self.clock.now(), &mut self.invariants.borrow_mut());
         for breach in breaches {
             tracing::warn!(target: "invariants", "violated: {breach}");
@@ -185,13 +185,17 @@
     }
 
     /// Records that the request's client is to receive an answer.
-    pub(crate) fn expect_answer(self: &Rc<Self>, request: RequestId, promise: Promise) -> PendingAnswer {
-        self.invariants.borrow_mut().taken(request, promise);
+    pub(crate) fn expect_answer(
+        self: &Rc<Self>,
+        request: RequestId,
+        promise: RequestContract,
+    ) -> PendingAnswer {
+        self.invariants.borrow_mut().request_accepted(request, promise);
         PendingAnswer { driver: self.clone(), request }
     }
 
     pub(crate) fn attempt_ended(&self, request: RequestId, attempt: AttemptNo, verdict: Verdict) {
-        self.invariants.borrow_mut().ended(request, attempt, verdict);
+        self.invariants.borrow_mut().attempt_ended(request, attempt, verdict);
     }
 
     /// Updates the run-time check about withdrawn members before the router processes the event.
@@ -201,10 +205,10 @@
         match listing {
             Listing::Full(entries) | Listing::Changes(entries) => {
                 for entry in entries {
-                    invariants.member(now, &entry.member, entry.state == ListState::Healthy);
+                    invariants.set_member(now, &entry.member, entry.state == ListState::Healthy);
                 }
             }
-            Listing::Forgotten(members) => members.iter().for_each(|member| invariants.forget(member)),
+            Listing::Forgotten(members) => members.iter().for_each(|member| invariants.forget_member(member)),
             Listing::Failed => {}
         }
     }
@@ -288,13 +292,13 @@
 
     /// The last byte of the answer was written.
     pub fn answered(&self, how: Answer) {
-        self.driver.check(|now, invariants| invariants.answered(now, self.request, how));
+        self.driver.check(|now, invariants| invariants.request_answered(now, self.request, how));
     }
 
     /// The client has left or its connection has failed: no answer can be delivered.
     pub fn client_left(&self) {
         self.driver.check(|now, invariants| {
-            invariants.departed(now, self.request);
+            invariants.client_departed(now, self.request);
             Vec::new()
         });
     }
@@ -302,7 +306,7 @@
 
 impl Drop for PendingAnswer {
     fn drop(&mut self) {
-        self.driver.check(|now, invariants| invariants.closed(now, self.request));
+        self.driver.check(|now, invariants| invariants.request_closed(now, self.request));
     }
 }
 
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -321,7 +321,7 @@
                 open.raised().await;
                 // Raised only once what was to be waited for is there, or its time is over.
                 start.discovery_waited_for = true;
-                checked.check(|now, invariants| invariants.started(now, start.may_serve()));
+                checked.check(|now, invariants| invariants.serving_started(now, start.may_serve()));
                 frontend::run(Rc::new(context), listener, handed.is_some()).await;
             })
             .detach();
--- a/crates/net/src/members.rs
+++ b/crates/net/src/members.rs
@@ -1,10 +1,10 @@
 //! Who the members are at this moment, by all sources that there are, and the way in for what these tell.
 
 use crate::driver::Driver;
+use linnetdeal_core::hot_restart::DrainChanges;
 use linnetdeal_core::membership::{
     Claim, MemberInfo, Membership, ShrinkPolicy, SourceId, SourceUpdate, UpdateOutcome,
 };
-use linnetdeal_core::succession::Changes;
 use linnetdeal_core::*;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -106,7 +106,7 @@
     }
 
     /// Takes over what another process of this pooler was told by hand.
-    pub fn by_word(&self, changes: &Changes) {
+    pub fn by_word(&self, changes: &DrainChanges) {
         let out = changes.out.iter().map(|member| (member, true));
         for (member, out) in out.chain(changes.back.iter().map(|member| (member, false))) {
             tracing::info!(
--- a/crates/net/src/request.rs
+++ b/crates/net/src/request.rs
@@ -6,7 +6,7 @@
 use crate::mutants::{self, Mutant};
 use futures_lite::future::{or, poll_fn};
 use linnetdeal_core::guard::{SendDenied, SendFacts};
-use linnetdeal_core::invariants::Promise;
+use linnetdeal_core::invariants::RequestContract;
 use linnetdeal_core::*;
 use std::cell::Cell;
 use std::future::Future;
@@ -170,7 +170,7 @@
         cost: None,
         retry: client_request.retry,
     });
-    let promise = Promise {
+    let promise = RequestContract {
         deadline: client_request.deadline,
         effect: client_request.effect,
         copies_allowed: client_request.copies_allowed,
@@ -340,8 +340,9 @@
     fn began(&self, timeout: Duration) {
         self.started.set(true);
         let (request, attempt) = (self.request, self.attempt);
-        self.driver
-            .check(|now, invariants| invariants.began(now, request, attempt, &self.member, span_of(timeout)));
+        self.driver.check(|now, invariants| {
+            invariants.attempt_started(now, request, attempt, &self.member, span_of(timeout))
+        });
         tracing::debug!(target: "requests", request = request.0, attempt = attempt.0, member = &*self.member.0, told_ms = timeout.as_millis() as u64, "sent");
     }
 }
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -13,7 +13,7 @@
 use crate::upstream::Pool;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use linnetdeal_core::succession::Leaving;
+use linnetdeal_core::hot_restart::ShutdownSchedule;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
@@ -173,7 +173,7 @@
     let started = Instant::now();
     let life = &handler.life;
     let superseded = handler.shared.as_ref().is_some_and(|shared| shared.is_superseded());
-    let plan = Leaving::plan(span_of(handler.classes.longest_deadline()), superseded);
+    let plan = ShutdownSchedule::plan(span_of(handler.classes.longest_deadline()), superseded);
     life.draining.raise();
     let clients = handler.slots.in_use();
     tracing::info!(
@@ -186,7 +186,7 @@
         life.handing_over_clients.set_on(false);
         life.accept_paused.set_on(false);
         // Continues as a process without a successor, but with the same start of the schedule.
-        let alone = Leaving::plan(span_of(handler.classes.longest_deadline()), false);
+        let alone = ShutdownSchedule::plan(span_of(handler.classes.longest_deadline()), false);
         run_stages(handler, &alone, started).await;
         return;
     }
@@ -194,11 +194,11 @@
 }
 
 /// Leaves new clients to the newer process until the idle ones are to be closed. Returns true if the newer process died meanwhile.
-async fn wait_for_successor(handler: &Handler, plan: &Leaving, started: Instant) -> bool {
+async fn wait_for_successor(handler: &Handler, plan: &ShutdownSchedule, started: Instant) -> bool {
     let life = &handler.life;
     life.handing_over_clients.set_on(true);
     life.accept_paused.set_on(true);
-    while started.elapsed() < duration(plan.closing) {
+    while started.elapsed() < duration(plan.close_idle) {
         if handler.shared.as_ref().is_some_and(|shared| shared.successor_is_dead()) {
             return true;
         }
@@ -208,9 +208,9 @@
 }
 
 /// Goes through the remaining stages of the schedule in order.
-async fn run_stages(handler: &Handler, plan: &Leaving, started: Instant) {
+async fn run_stages(handler: &Handler, plan: &ShutdownSchedule, started: Instant) {
     let life = &handler.life;
-    let mut steps = vec![(plan.closing, None), (plan.deaf, Some(&life.accept_paused))];
+    let mut steps = vec![(plan.close_idle, None), (plan.stop_accepting, Some(&life.accept_paused))];
     steps.sort_by_key(|(due, _)| *due);
     for (due, switch) in steps {
         if let Some(delay) = duration(due).checked_sub(started.elapsed()) {
@@ -221,13 +221,13 @@
             None => life.closing_idle.raise(),
         }
     }
-    let mut until = duration(plan.ending);
+    let mut until = duration(plan.answer_open);
     for stage in [&life.terminating, &life.terminated] {
         while handler.slots.in_use() > 0 && started.elapsed() < until {
             Timer::after(POLL_INTERVAL).await;
         }
         stage.raise();
         // Open requests are answered now. If the process was stopped past the deadline, the answers still get a minimum of time.
-        until = duration(plan.ended).max(started.elapsed() + MIN_FINAL_ANSWER_TIME);
+        until = duration(plan.exit).max(started.elapsed() + MIN_FINAL_ANSWER_TIME);
     }
 }
--- a/crates/net/src/succession.rs
+++ b/crates/net/src/succession.rs
@@ -4,8 +4,8 @@
 
 use async_io::Timer;
 use linnetdeal_core::MemberId;
+use linnetdeal_core::hot_restart::{DrainChanges, OperatorDrains};
 use linnetdeal_core::membership::MAX_OPERATOR_DRAINS;
-use linnetdeal_core::succession::{Bans, Changes};
 use rustix::fs::{FlockOperation, flock};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -41,7 +41,7 @@
 pub struct SharedState {
     folder: PathBuf,
     own_name: String,
-    bans: RefCell<Bans>,
+    bans: RefCell<OperatorDrains>,
     disabled_seen: Cell<Option<SystemTime>>,
     work_seen: Cell<Option<SystemTime>>,
     /// This process's lock file, held open while the process lives.
@@ -198,7 +198,7 @@
                 return Err(error);
             }
         }
-        self.bans.borrow_mut().set(member, disabled);
+        self.bans.borrow_mut().record(member, disabled);
         Ok(())
     }
 
@@ -207,7 +207,7 @@
     /// # Errors
     ///
     /// When the folder can't be read or holds more files than this program creates. Disabled servers stay disabled then.
-    pub fn poll_disabled(&self) -> io::Result<(Changes, usize)> {
+    pub fn poll_disabled(&self) -> io::Result<(DrainChanges, usize)> {
         let folder = self.folder.join(DISABLED_DIR);
         let modified = std::fs::metadata(&folder)?.modified()?;
         let settled = modified.elapsed().is_ok_and(|age| age > SETTLE_TIME);
@@ -227,11 +227,11 @@
                 None => foreign += 1,
             }
         }
-        Ok((self.bans.borrow_mut().look(found), foreign))
+        Ok((self.bans.borrow_mut().update(found), foreign))
     }
 
     /// Polls for changes made by the other process and passes them to `take`; never returns.
-    pub async fn follow(&self, mut take: impl FnMut(Changes)) {
+    pub async fn follow(&self, mut take: impl FnMut(DrainChanges)) {
         loop {
             Timer::after(POLL_INTERVAL).await;
             if let Ok((changes, _)) = self.poll_disabled() {
--- a/crates/net/src/upstream.rs
+++ b/crates/net/src/upstream.rs
@@ -14,8 +14,8 @@
 use async_io::{Async, Timer};
 use event_listener::Event;
 use futures_lite::future::{or, yield_now};
+use linnetdeal_core::connection_reuse::{Reuse, ReusePolicy};
 use linnetdeal_core::guard::SendDenied;
-use linnetdeal_core::trust::{Reuse, Trust};
 use linnetdeal_core::*;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -239,7 +239,7 @@
     stall: Rc<StallDetector>,
     budget: Rc<Budget>,
     idle: RefCell<HashMap<MemberId, VecDeque<Connection>>>,
-    trust: RefCell<Trust>,
+    trust: RefCell<ReusePolicy>,
     timers: TimerQueue,
     started: Instant,
     /// What is open or under way, by member.
@@ -350,7 +350,7 @@
         loop {
             Timer::after(Duration::from_millis(500)).await;
             self.close_stale_idle();
-            self.trust.borrow_mut().forget(self.now());
+            self.trust.borrow_mut().evict_stale(self.now());
             self.member_uses.borrow_mut().retain(|_, count| Rc::strong_count(count) > 1);
             // Who is forgotten is not held here either.
             self.with_stats(|stats| stats.failed.retain(|member, _| self.members.group(member).is_some()));
@@ -372,7 +372,7 @@
         oldest.is_some_and(|connections| connections.pop_front().is_some())
     }
 
-    /// On the clock of [`Trust`], which only counts differences.
+    /// On the clock of [`ReusePolicy`], which only counts differences.
     fn now(&self) -> Time {
         Time(0) + span_of(self.started.elapsed())
     }
@@ -384,7 +384,7 @@
         match connection.consume_ping_answers() {
             Ok(true) => connection.buffer.release_if_empty(),
             Ok(false) => {}
-            Err(_) => return self.record_unsettled(member, Reuse::Asked),
+            Err(_) => return self.record_unsettled(member, Reuse::AfterPing),
         }
         connection.idle_since = Instant::now();
         self.idle.borrow_mut().entry(member.clone()).or_default().push_back(connection);
@@ -393,7 +393,7 @@
     /// A kept connection broke, fell silent or brought what was nobody's.
     fn record_unsettled(&self, member: &MemberId, used: Reuse) {
         self.counters.unsettled.add();
-        self.trust.borrow_mut().broke(member, self.now(), used);
+        self.trust.borrow_mut().record_failure(member, self.now(), used);
     }
 
     /// A free connection; the latest used first, so that the others can grow old and go, but for those that
@@ -409,7 +409,7 @@
             match connection.check_idle(address, self.max_idle()) {
                 IdleState::Usable => return Some(connection),
                 IdleState::Closed => {}
-                IdleState::UnexpectedData => self.record_unsettled(member, Reuse::Asked),
+                IdleState::UnexpectedData => self.record_unsettled(member, Reuse::AfterPing),
             }
         }
     }
@@ -444,20 +444,22 @@
                 let mut reuse = self.trust.borrow().reuse(member, self.now(), idle_for, must_not_repeat);
                 // Nothing told yet that its last answer came alone.
                 if connection.is_settled() && !connection.boundary_verified {
-                    reuse = Reuse::Asked;
+                    reuse = Reuse::AfterPing;
                 }
                 let settled = match reuse {
-                    Reuse::AtOnce if connection.is_settled() => Ok(()),
-                    Reuse::AtOnce => {
+                    Reuse::Immediate if connection.is_settled() => Ok(()),
+                    Reuse::Immediate => {
                         with_timeout(&self.timers, REUSE_CHECK_TIMEOUT, connection.settle()).await
                     }
-                    Reuse::Asked => with_timeout(&self.timers, REUSE_CHECK_TIMEOUT, connection.ping()).await,
+                    Reuse::AfterPing => {
+                        with_timeout(&self.timers, REUSE_CHECK_TIMEOUT, connection.ping()).await
+                    }
                 };
                 if settled.is_ok() {
                     return Ok((connection, Some(reuse)));
                 }
                 // It has ended, fell silent, or brought what was nobody's: it is closed, with nothing sent on it.
-                self.record_unsettled(member, Reuse::Asked);
+                self.record_unsettled(member, Reuse::AfterPing);
                 if matches!(settled, Err(ExchangeError::NoResponse)) {
                     break;
                 }
@@ -550,7 +552,7 @@
         stage.set(Stage::Writing);
         // Behind it goes an empty query whose answer nobody waits for: it shows, before the next request is sent,
         // that nothing but one answer came.
-        let with_ping = self.trust.borrow().marks(member, self.now());
+        let with_ping = self.trust.borrow().needs_trailing_ping(member, self.now());
         if with_ping {
             connection.sent_with_ping();
         } else {
@@ -558,12 +560,12 @@
         }
         self.write_query(&connection, member, query, with_ping, progress, gate).await?;
         stage.set(Stage::Sent);
-        unverified_reuse.set(reuse == Some(Reuse::AtOnce));
+        unverified_reuse.set(reuse == Some(Reuse::Immediate));
         let exchange = read_answer(&connection.stream, &mut connection.buffer).await;
         unverified_reuse.set(unverified_reuse.get() && connection.buffer.data().is_empty());
         let exchange = exchange?;
         unverified_reuse.set(false);
-        self.trust.borrow_mut().heard(member, self.now());
+        self.trust.borrow_mut().record_answer(member, self.now());
         Ok((connection, exchange))
     }
 
@@ -619,7 +621,7 @@
         };
         let ended = or(answer, limit).await;
         if progress.unverified_reuse.get() && !matches!(ended, Some(Ok(_))) {
-            self.record_unsettled(member, Reuse::AtOnce);
+            self.record_unsettled(member, Reuse::Immediate);
         }
         match (ended, progress.stage()) {
             (Some(Ok(exchange)), _) => Ok(exchange),
--- a/crates/net/tests/parsers.rs
+++ b/crates/net/tests/parsers.rs
@@ -94,7 +94,7 @@
 #[test]
 fn two_processes_share_who_is_out_by_hand_and_which_is_the_newest() {
     use linnetdeal_core::MemberId;
-    use linnetdeal_core::succession::Changes;
+    use linnetdeal_core::hot_restart::DrainChanges;
     use linnetdeal_net::succession::SharedState;
     let folder = std::env::temp_dir().join(format!("linnetdeal-shared-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
@@ -107,7 +107,7 @@
     changes.out.sort();
     assert_eq!(
         changes,
-        Changes {
+        DrainChanges {
             out: {
                 let mut all = ids.to_vec();
                 all.sort();
@@ -119,15 +119,15 @@
     // What either ends, both end; what one calls twice, changes nothing.
     newer.set_disabled(&ids[0], false).unwrap();
     newer.set_disabled(&ids[0], false).unwrap();
-    assert_eq!(older.poll_disabled().unwrap().0, Changes { out: vec![], back: vec![ids[0].clone()] });
-    assert_eq!(newer.poll_disabled().unwrap().0, Changes::default(), "the own call is no news");
+    assert_eq!(older.poll_disabled().unwrap().0, DrainChanges { out: vec![], back: vec![ids[0].clone()] });
+    assert_eq!(newer.poll_disabled().unwrap().0, DrainChanges::default(), "the own call is no news");
     newer.register_as_newest().unwrap();
     assert!(older.is_superseded() && !newer.is_superseded());
     // Files of nobody's are counted and passed over; a folder that is gone brings nobody back.
     for strange in ["zz", "7", "ff", "s-1"] {
         std::fs::write(folder.join("linnetdeal.out").join(strange), "x").unwrap();
     }
-    assert_eq!(older.poll_disabled().unwrap(), (Changes::default(), 4));
+    assert_eq!(older.poll_disabled().unwrap(), (DrainChanges::default(), 4));
     // More than can be bans are not all held, and bring nobody back either.
     (0..10_200)
         .for_each(|at| std::fs::write(folder.join("linnetdeal.out").join(format!("z{at}")), "").unwrap());
