--- a/crates/core/src/handover/durations.rs
+++ b/crates/core/src/handover/durations.rs
@@ -1,41 +1,42 @@
-//! How long changes of primary duration, and so how long the next one will.
+//! How long earlier changes of primary took, as an estimate of the next one.
 
 use crate::interface::{Expected, Span};
 
-/// So many of the latest are remembered, of each kind.
+/// The number of latest changes of each kind that are remembered.
 const MAX_SAMPLES: usize = 9;
-/// What is known of one change alone says too little of the next.
+/// The least number of changes that makes an estimate: one alone says too little about the next.
 const MIN_SAMPLES: usize = 2;
-/// A change may be this much shorter than the shortest that was samples, before somebody who can't wait for it is told so.
-const MINIMUM_MARGIN: f64 = 0.8;
-/// Shorter ones were none: a mark that moved and came back.
+/// The next change is assumed to take at least this fraction of the shortest one known. Requests whose deadline is
+/// sooner are refused.
+const MINIMUM_FACTOR: f64 = 0.8;
+/// Anything shorter was not a change of primary, but a mark that moved and came back.
 const MIN_DURATION: Span = Span::millis(20);
 
-/// Which kind of change.
+/// The kind of a change of primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ChangeKind {
-    /// A drain of the old primary was told.
+    /// The old primary was drained.
     Planned,
-    /// It died, or fell silent, or nobody told.
+    /// The old primary died or fell silent, or its drain was not announced.
     Unplanned,
 }
 
-/// The lengths that were samples, from when a router noticed that its primary was in question until the new one was shown.
+/// Durations of changes, from when a router noticed that the primary was in question until it saw the new one.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeDurations {
-    /// What the operator expects of the planned and of the others, until enough were samples.
+    /// What the operators expect of planned and of unplanned changes, until enough were observed.
     expected: [Option<Expected>; 2],
     samples: [Vec<Span>; 2],
 }
 
 impl ChangeDurations {
-    /// Nothing is samples yet; of planned changes and of the others this is expected.
+    /// No observations yet; `expected` holds the operators' estimates of planned and of unplanned changes.
     #[must_use]
     pub fn new(expected: [Option<Expected>; 2]) -> Self {
         Self { expected, samples: [Vec::new(), Vec::new()] }
     }
 
-    /// One more change.
+    /// Adds the duration of a change.
     pub fn observe(&mut self, kind: ChangeKind, duration: Span) {
         if duration < MIN_DURATION {
             return;
@@ -53,19 +54,19 @@
         (samples.len() >= MIN_SAMPLES).then_some(samples)
     }
 
-    /// A change of this kind takes so long at the least, as far as is known.
+    /// The least duration of a change of this kind, as far as is known.
     #[must_use]
     pub fn minimum(&self, kind: ChangeKind) -> Option<Span> {
-        let samples = self.sorted(kind).and_then(|samples| Some(samples.first()?.times(MINIMUM_MARGIN)));
-        samples.or(self.expected[kind as usize].map(|expected| expected.least))
+        let observed = self.sorted(kind).and_then(|samples| Some(samples.first()?.times(MINIMUM_FACTOR)));
+        observed.or(self.expected[kind as usize].map(|expected| expected.least))
     }
 
-    /// It usually takes no longer than this: seven in ten did not.
+    /// The duration that most changes of this kind do not exceed: the 70th percentile of those observed.
     #[must_use]
     pub fn typical(&self, kind: ChangeKind) -> Option<Span> {
-        let samples = self
+        let observed = self
             .sorted(kind)
             .and_then(|samples| samples.get((samples.len() * 7 / 10).min(samples.len() - 1)).copied());
-        samples.or(self.expected[kind as usize].map(|expected| expected.usual))
+        observed.or(self.expected[kind as usize].map(|expected| expected.usual))
     }
 }
--- a/crates/core/src/handover/mod.rs
+++ b/crates/core/src/handover/mod.rs
@@ -1,9 +1,11 @@
-//! Changes of primary: what a group knows of its primary, and what may be done with its writes meanwhile. No I/O, no clock and
-//! no random numbers of its own; the decision module asks it, and still picks, retries and refuses itself.
+//! Tracking of each group's primary through failovers and planned handovers, and what may be done with its writes
+//! meanwhile. Nothing here performs I/O, reads a clock or draws random numbers. The routing module asks it, and still
+//! selects members, retries and refuses requests itself.
 //!
-//! [`PrimaryTracker`] holds the state of one group; every turn of it has a named piece of [`Evidence`]. [`PrimarySearch`] says whom to ask
-//! while no primary is known, [`ChangeDurations`] remembers how long changes took, [`order`] is the order in which held requests go
-//! out, and [`Record`] keeps the latest turns for the people on call.
+//! [`PrimaryTracker`] is the state machine of one group; each transition names its [`Evidence`]. [`PrimarySearch`]
+//! selects the members to probe while no primary is known, [`ChangeDurations`] remembers how long changes of primary
+//! took, [`sort_held`] puts held requests into the order in which they are released, and [`Record`] keeps the latest
+//! transitions for operators.
 
 mod durations;
 mod order;
@@ -17,65 +19,70 @@
 
 use crate::interface::*;
 
-/// What may be out at a primary that was just found and has answered nothing yet, for one router. All routers learn of it at
-/// about the same time; each answer in turn makes room for one more beside the one that takes its place.
+/// Attempts that one router may have in flight at a primary that was just found and has answered nothing yet. All
+/// routers learn of it at about the same time. Each answer makes room for one more beside its own replacement.
 const INITIAL_WINDOW: f64 = 2.0;
-/// A release this wide is over: the concurrency limit at the member is what binds.
+/// A release ends when its window is wider than this; from there on the member's concurrency limit is what binds.
 const MAX_WINDOW: f64 = 64.0;
-/// A held write that has walked less than it may is tried at each heir this often at most; the answer of a box that is no
-/// primary costs it nothing but a step of its walk. All routers together do so no more than 250 times a second.
+/// Interval at which held writes that may still try members are tried at each candidate. A member that is not the
+/// primary refuses them, which costs such a write one of its steps.
 const TRIAL_INTERVAL: Span = Span::millis(40);
+/// Upper bound of trials per second of all routers together.
 const MAX_TRIALS_PER_S: f64 = 250.0;
+/// Upper bound of the interval that results from that rate.
 const MAX_TRIAL_INTERVAL: Span = Span::millis(1_000);
-/// From how long and how many answers the pace of a release is told, and how much faster it may yet get: a cold primary
-/// warms up.
+/// The rate of a release is estimated once it has lasted this long
 const MIN_RATE_PERIOD: Span = Span::millis(500);
+/// and brought this many answers.
 const MIN_RATE_ANSWERS: u32 = 5;
+/// A release may become this many times faster than it was so far, since a cold primary warms up.
 const MAX_SPEEDUP: f64 = 2.0;
-/// So many held writes are tried at once, and a write's last moments.
+/// The number of held writes that are considered at once.
 const MAX_WRITES_TRIED: u32 = 16;
+/// A held request this close to its deadline is always considered, so that it gets its final answer.
 const DEADLINE_MARGIN: Span = Span::millis(30);
-/// A primary that is silent for so long may have a successor soon.
+/// A primary that has been silent for longer may have a successor, so that held writes are tried at candidates.
 const MIN_SILENCE: Span = Span::millis(300);
-/// What is not known of any position.
+/// The position of a member of which none is known.
 const POSITION_UNKNOWN: Time = Time(i64::MIN / 4);
 
 /// What is known of a group's primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Phase {
-    /// Nothing shows that the marked member is the primary, or something speaks against it. Writes walk.
+    /// Nothing shows that the marked member is the primary, or something speaks against it. Writes try one member after
+    /// the other.
     #[default]
     Doubted,
-    /// The marked member was shown as the primary, and nothing speaks against it.
+    /// The marked member was seen to be the primary, and nothing speaks against it.
     Settled,
-    /// Nobody is known to be the primary. Writes and fresh reads wait.
+    /// No member is known to be the primary. Writes and fresh reads are held.
     Without,
-    /// One is confirmed, and has answered nothing of what waited. A few go out.
+    /// A new primary was seen, and has not answered any held request yet. A few of them are sent.
     Found,
-    /// It answers: what waited goes out, more with each answer.
+    /// The new primary answers. Held requests are sent, more with each answer.
     Releasing,
 }
 
-/// What turns a group's state.
+/// The reason for a transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Evidence {
-    /// The list names a primary; the weakest.
+    /// The list names a primary. This is the weakest evidence.
     Listed,
     /// An answer or a report shows a primary.
     Shown,
-    /// A write was turned away by who is none (25006).
+    /// A member refused a write since it is not the primary (SQLSTATE 25006).
     TurnedAway,
-    /// No connection came up, or it broke before the last byte.
+    /// No connection could be established, or it broke before the last byte was sent.
     Unreached,
-    /// Attempts are out for far too long, or failed in a row.
+    /// Attempts are overdue, or several failed in a row.
     Silent,
     /// The list says that the marked member drains or is gone.
     Drain,
-    /// A write has walked as far as it may.
+    /// A write was rejected by as many members as it may try.
     Walked,
-    /// A member answered what had waited.
+    /// A member answered a request that had been held.
     Answered,
-    /// Nothing waits any more.
+    /// No requests are held any more.
     Empty,
 }
 
@@ -84,19 +91,19 @@
 pub struct MemberView {
     /// The member.
     pub member: MemberId,
-    /// Up to where it has applied the log, as far as is known.
+    /// The log position up to which it is known to have applied everything.
     pub position: Time,
-    /// When it was last asked.
+    /// When it was last probed.
     pub last_probe: Time,
-    /// It was last shown as the primary: it takes part in the rounds, but is no heir.
+    /// Its latest known role is primary. It is probed in the rounds, but is not a candidate for the new primary.
     pub was_primary: bool,
     /// The list names it as the primary.
     pub listed_as_primary: bool,
-    /// Something speaks against its being well.
+    /// Something speaks against its health.
     pub suspect: bool,
-    /// It has room for one more.
+    /// It has room for one more attempt.
     pub has_room: bool,
-    /// A write is out at it.
+    /// A write is in flight at it.
     pub write_in_flight: bool,
 }
 
@@ -105,35 +112,36 @@
 pub enum WritePlacement {
     /// To the marked member, if it has room.
     Mark(MemberId),
-    /// It waits, or is tried at a member; and these are to be asked who the primary is.
+    /// It is tried at the first member, if there is one, and held otherwise. The members of the list are to be probed for
+    /// who the primary is.
     Wait(Option<MemberId>, Vec<MemberId>),
 }
 
-/// The state of a group.
+/// The state of a group with respect to its primary.
 #[derive(Clone, Debug, Default)]
 pub struct PrimaryTracker {
     phase: Phase,
     mark: Option<MemberId>,
-    /// Since when the primary is in question, and whether a drain of it was told; `None` while it is not.
+    /// Since when the primary is in question, and by which kind of change; `None` while it is not.
     lost: Option<(Time, ChangeKind)>,
-    /// Who was the primary before it came into question.
+    /// The primary before it came into question.
     previous: Option<MemberId>,
-    /// How much of what waited may be out at the found primary.
-    writes_allowed: f64,
-    /// When the primary was found, when it last answered, and how often since.
+    /// How many held requests may be in flight at the found primary.
+    release_window: f64,
+    /// When the primary was found, when it last answered, and its number of answers since.
     release_progress: Option<(Time, Time, u32)>,
-    /// How many waited when it was last looked at.
+    /// The number of held requests at the latest update.
     waiting: usize,
     last_trial: Option<Time>,
-    /// Members that were tried without a pause after a drain was told.
+    /// The number of members at which writes were tried without a pause after a drain.
     trials: usize,
     search: PrimarySearch,
-    /// The latest turns.
+    /// The latest transitions.
     pub record: Record,
 }
 
 impl PrimaryTracker {
-    /// The state.
+    /// What is known of the primary.
     #[must_use]
     pub fn phase(&self) -> Phase {
         self.phase
@@ -151,17 +159,18 @@
         self.lost.map(|(at, _)| at)
     }
 
-    /// How much may be out at the primary because of a change: nothing binds but in a release.
+    /// How many attempts may be in flight at the primary because of a change; infinite except during a release.
     #[must_use]
     pub fn window(&self) -> f64 {
         if matches!(self.phase, Phase::Found | Phase::Releasing) {
-            self.writes_allowed
+            self.release_window
         } else {
             f64::INFINITY
         }
     }
 
-    /// Where a write goes that has walked so far. `shown`: nothing speaks against the mark.
+    /// Where a write goes that was rejected by `walk_steps` members so far. `confirmed` means that nothing speaks against
+    /// the mark. `None` for a group without members.
     pub fn place(
         &mut self,
         now: Time,
@@ -170,44 +179,46 @@
         walk_steps: u32,
         settings: &Settings,
     ) -> Option<WritePlacement> {
-        let (fleet, most) = (settings.fleet, settings.max_attempts / 2);
-        let there = |id: &MemberId| members.iter().find(|view| view.member == *id);
-        // A fresh router starts where the list points, else at the lowest id; a mark that may not be sent to any
-        // more passes to the next.
-        let kept = self.mark.as_ref().and_then(there).or(members.iter().find(|view| view.listed_as_primary));
-        let mark = kept.or_else(|| next(members, self.mark.as_ref()))?;
+        let (fleet, max_steps) = (settings.fleet, settings.max_attempts / 2);
+        let find = |id: &MemberId| members.iter().find(|view| view.member == *id);
+        // A new router starts with the primary that the list names, or else with the lowest id. A mark that may no longer
+        // be sent to passes to the next member.
+        let kept = self.mark.as_ref().and_then(find).or(members.iter().find(|view| view.listed_as_primary));
+        let mark = kept.or_else(|| next_member(members, self.mark.as_ref()))?;
         self.set_mark(now, &mark.member, Evidence::Listed);
-        let bound = u32::try_from(members.len()).unwrap_or(u32::MAX).min(most).max(1);
+        let bound = u32::try_from(members.len()).unwrap_or(u32::MAX).min(max_steps).max(1);
         if !confirmed && walk_steps >= bound {
             self.invalidate_mark(now, Evidence::Walked);
         }
         if confirmed || (self.phase != Phase::Without && !mark.suspect) {
             return Some(WritePlacement::Mark(mark.member.clone()));
         }
-        // One that was just found may be on trial: one request at a time.
+        // A suspect primary that was just found stays in its phase: it is on trial, with one request at a time.
         if matches!(self.phase, Phase::Settled | Phase::Doubted) {
             self.invalidate_mark(now, Evidence::Silent);
         }
-        let scout = if walk_steps < bound { self.trial_member(now, members, fleet) } else { None };
-        Some(WritePlacement::Wait(scout, self.probe_targets(now, fleet, members)))
+        let trial = if walk_steps < bound { self.trial_member(now, members, fleet) } else { None };
+        Some(WritePlacement::Wait(trial, self.probe_targets(now, fleet, members)))
     }
 
-    /// Whom to ask who the primary is. A planned change is short, and has its heirs asked more often.
+    /// The members to probe for who the primary is. During a planned change, which is short, candidates are probed more
+    /// often.
     pub fn probe_targets(&mut self, now: Time, fleet: u32, members: &[MemberView]) -> Vec<MemberId> {
         let planned =
             self.phase == Phase::Without && self.lost.is_some_and(|(_, kind)| kind == ChangeKind::Planned);
         self.search.probe_targets(now, fleet, planned, members)
     }
 
-    /// A write at a member is proven not to have run there. If that was the mark, it passes to the next.
+    /// Records proof that a write did not run at a member. If that is the marked member, the mark passes to the next.
     pub fn write_not_run(&mut self, now: Time, member: &MemberId, why: Evidence, members: &[MemberView]) {
         if self.mark.as_ref() == Some(member) {
             self.invalidate_mark(now, why);
-            self.mark = next(members, Some(member)).map(|view| view.member.clone()).or(self.mark.take());
+            self.mark =
+                next_member(members, Some(member)).map(|view| view.member.clone()).or(self.mark.take());
         }
     }
 
-    /// A member is taken for the primary from now on.
+    /// Takes a member for the primary from now on.
     pub fn set_mark(&mut self, now: Time, member: &MemberId, why: Evidence) {
         if self.mark.as_ref() != Some(member) {
             if matches!(self.phase, Phase::Settled | Phase::Found | Phase::Releasing) {
@@ -217,12 +228,12 @@
         }
     }
 
-    /// The marked member can't be or is not the primary: proof from a write, silence, or a drain that was told. A drain
-    /// needs no walk to prove it.
+    /// Records that the marked member is not or cannot be the primary: by proof from a write, by its silence, or by a
+    /// drain. After a drain no write has to try all members first.
     pub fn invalidate_mark(&mut self, now: Time, why: Evidence) {
-        let told = why == Evidence::Drain;
+        let drain = why == Evidence::Drain;
         let (at, kind) = self.lost.unwrap_or((now, ChangeKind::Unplanned));
-        self.lost = Some((at, if told { ChangeKind::Planned } else { kind }));
+        self.lost = Some((at, if drain { ChangeKind::Planned } else { kind }));
         if self.previous.is_none() && matches!(self.phase, Phase::Settled | Phase::Found | Phase::Releasing) {
             self.previous = self.mark.clone();
         }
@@ -231,63 +242,65 @@
             _ => Phase::Doubted,
         };
         if self.phase != Phase::Without && self.phase != phase {
-            // After a walk, or where it goes on, members are not tried once more without a pause.
-            self.trials = if told { 0 } else { usize::MAX };
-            self.last_trial = (!told).then_some(now);
+            // Where writes have tried the members, or still do, these are not tried again without a pause.
+            self.trials = if drain { 0 } else { usize::MAX };
+            self.last_trial = (!drain).then_some(now);
             self.transition(now, phase, why);
         }
     }
 
-    /// Takes in what is known by now: when the mark was last shown as the primary, if nothing speaks against it; whether it
-    /// is told to drain; and how many requests wait. Gives whether a primary is shown after there was none, or another one;
-    /// where that ends a change, its length is learned.
+    /// Takes in what is known by now: the latest time at which the mark was seen to be the primary, if nothing speaks
+    /// against it; whether the list has it draining; and the number of held requests. Returns whether a primary is known
+    /// after there was none, or another one than before. Where that ends a change, its duration is added to `durations`.
     pub fn update(
         &mut self,
         now: Time,
-        confirmed: Option<Time>,
-        drains: bool,
+        confirmed_at: Option<Time>,
+        draining: bool,
         waiting: usize,
         durations: &mut ChangeDurations,
     ) -> bool {
         self.waiting = waiting;
-        if drains {
+        if draining {
             self.invalidate_mark(now, Evidence::Drain);
         }
         let releasing = matches!(self.phase, Phase::Found | Phase::Releasing);
         if releasing && waiting == 0 {
             self.transition(now, Phase::Settled, Evidence::Empty);
         }
-        let Some(at) = confirmed.filter(|_| !drains && !releasing && self.phase != Phase::Settled) else {
+        let Some(at) = confirmed_at.filter(|_| !draining && !releasing && self.phase != Phase::Settled)
+        else {
             return false;
         };
-        // What was known before it was lost does not show that it is back.
-        if self.phase == Phase::Without && self.lost.is_some_and(|(lost, _)| at <= lost) {
+        // An observation from before the loss does not show that the primary is back.
+        if self.phase == Phase::Without && self.lost.is_some_and(|(lost_at, _)| at <= lost_at) {
             return false;
         }
-        let before = self.previous.take();
-        let changed = before.is_some() && before != self.mark;
-        let news = changed || self.phase == Phase::Without;
+        let previous = self.previous.take();
+        let changed = previous.is_some() && previous != self.mark;
+        let newly_known = changed || self.phase == Phase::Without;
         if let Some((at, kind)) = self.lost.take().filter(|_| changed) {
             durations.observe(kind, now - at);
         }
-        (self.writes_allowed, self.release_progress) = (INITIAL_WINDOW, Some((now, now, 0)));
+        (self.release_window, self.release_progress) = (INITIAL_WINDOW, Some((now, now, 0)));
         self.transition(
             now,
             if changed && waiting > 0 { Phase::Found } else { Phase::Settled },
             Evidence::Shown,
         );
-        news
+        newly_known
     }
 
-    /// An attempt or a probe at a member ended so. With each answer of the primary, what waits may go out faster; where no
-    /// connection comes up to who was the primary and is in question already, it is gone, and the others may be tried.
+    /// Records how an attempt or a probe at a member ended. Each answer of the primary widens the window of a release. If
+    /// no connection can be established to a primary that is in question already, it is gone, and writes may be tried at
+    /// the others.
     pub fn record_outcome(&mut self, now: Time, member: &MemberId, verdict: Verdict) {
         if self.mark.as_ref() != Some(member) {
             return;
         }
         match (verdict, self.phase) {
             (Verdict::Ok, Phase::Found) => self.transition(now, Phase::Releasing, Evidence::Answered),
-            (Verdict::Ok, Phase::Releasing) if self.writes_allowed > MAX_WINDOW => {
+            (Verdict::Ok, Phase::Releasing) if self.release_window > MAX_WINDOW => {
                 self.transition(now, Phase::Settled, Evidence::Answered);
             }
             (Verdict::ConnectFailed | Verdict::Unreachable, Phase::Doubted) if self.previous == self.mark => {
@@ -297,35 +310,38 @@
             _ => {}
         }
         if verdict == Verdict::Ok {
-            self.writes_allowed += 1.0;
+            self.release_window += 1.0;
             self.release_progress =
                 self.release_progress.map(|(at, _, answers)| (at, now, answers.saturating_add(1)));
         }
     }
 
-    /// The member at which a held write may be tried now, so that the new primary is known before a report tells. One at a
-    /// time. After a drain was told each member once, those first that have most of the log; then the heirs take turns.
+    /// The member at which a held write may be tried now, so that the new primary is known before a report shows it. At
+    /// most one write is tried at a time. After a drain each member is tried once, in the order of their positions from
+    /// the latest; after that the candidates take turns.
     fn trial_member(&mut self, now: Time, members: &[MemberView], fleet: u32) -> Option<MemberId> {
         let silent = self.lost.is_some_and(|(at, _)| now - at > MIN_SILENCE);
         let due = self.phase == Phase::Without || (self.phase == Phase::Doubted && silent);
         if !due || members.iter().any(|view| view.write_in_flight && !view.was_primary) {
             return None;
         }
-        let may = |view: &&MemberView| {
+        let eligible = |view: &&MemberView| {
             !view.was_primary && !view.suspect && view.has_room && view.position > POSITION_UNKNOWN
         };
-        let mut known: Vec<&MemberView> = members.iter().filter(may).collect();
-        known.sort_by_key(|view| std::cmp::Reverse(view.position));
-        let pick = match known.get(self.trials) {
+        let mut by_position: Vec<&MemberView> = members.iter().filter(eligible).collect();
+        by_position.sort_by_key(|view| std::cmp::Reverse(view.position));
+        let pick = match by_position.get(self.trials) {
             Some(pick) => *pick,
             None => {
-                let heirs: Vec<&MemberView> = search::candidates(members).into_iter().filter(may).collect();
-                let most = Span((f64::from(fleet) / MAX_TRIALS_PER_S * 1e6) as i64).min(MAX_TRIAL_INTERVAL);
-                let every = TRIAL_INTERVAL.times(1.0 / heirs.len().max(1) as f64).max(most);
-                if self.last_trial.is_some_and(|at| now - at < every) {
+                let candidates: Vec<&MemberView> =
+                    search::candidates(members).into_iter().filter(eligible).collect();
+                let fleet_interval =
+                    Span((f64::from(fleet) / MAX_TRIALS_PER_S * 1e6) as i64).min(MAX_TRIAL_INTERVAL);
+                let interval = TRIAL_INTERVAL.times(1.0 / candidates.len().max(1) as f64).max(fleet_interval);
+                if self.last_trial.is_some_and(|at| now - at < interval) {
                     return None;
                 }
-                *heirs.get((now.0 / every.0).unsigned_abs() as usize % heirs.len().max(1))?
+                *candidates.get((now.0 / interval.0).unsigned_abs() as usize % candidates.len().max(1))?
             }
         };
         self.trials = self.trials.saturating_add(1);
@@ -333,19 +349,19 @@
         Some(pick.member.clone())
     }
 
-    /// Whether who gives up then waits in vain, by what is known of such changes.
+    /// Whether the present change, by what is known of such changes, will last beyond this deadline.
     #[must_use]
     pub fn outlasts(&self, deadline: Time, durations: &ChangeDurations) -> bool {
         let lost = self.lost.filter(|_| self.phase == Phase::Without);
         lost.and_then(|(at, kind)| Some(at + durations.minimum(kind)? > deadline)).unwrap_or(false)
     }
 
-    /// The held requests that are to be tried now, in their order, and those that can't be reached in time by the pace of a
-    /// release.
+    /// The held requests that are to be tried now, in their order, and those that the release will not reach in time.
     ///
-    /// Of the writes these are the first few, and those that have walked least while nobody is the primary: if none of them can
-    /// go, no other can. It keeps what thousands of held writes cost from growing with each event. Who is out of time,
-    /// or waits in vain, is always named, to be told so.
+    /// Of the writes only the first few are listed and, while no primary is known, only those that were rejected least
+    /// often: if none of these can be sent, no other can. This keeps the cost of an event from growing with thousands of
+    /// held writes. Requests at the end of their time, or which the change outlasts, are always listed, so that they
+    /// get their final answer.
     #[must_use]
     pub fn release_order(
         &self,
@@ -354,51 +370,52 @@
         durations: &ChangeDurations,
     ) -> (Vec<RequestId>, Vec<RequestId>) {
         sort_held(&mut held, self.phase);
-        let least =
+        let fewest_steps =
             held.iter().filter(|request| request.write).map(|request| request.walk_steps).min().unwrap_or(0);
-        let (mut go, mut late, mut ahead, mut writes) = (Vec::with_capacity(held.len()), Vec::new(), 0, 0);
+        let (mut ready, mut too_late, mut ahead, mut writes) =
+            (Vec::with_capacity(held.len()), Vec::new(), 0, 0);
         for request in &held {
-            let reached = self
+            let reached_at = self
                 .release_interval()
                 .filter(|_| request.needs_primary)
-                .map(|each| now + each.times(f64::from(ahead)));
-            if reached.is_some_and(|at| at > request.deadline) {
-                late.push(request.id);
+                .map(|interval| now + interval.times(f64::from(ahead)));
+            if reached_at.is_some_and(|at| at > request.deadline) {
+                too_late.push(request.id);
                 continue;
             }
             ahead += u32::from(request.needs_primary);
             let ends = request.deadline - now < DEADLINE_MARGIN || self.outlasts(request.deadline, durations);
-            let able = self.phase != Phase::Without || request.walk_steps == least;
-            if !request.write || ends || (able && writes < MAX_WRITES_TRIED) {
+            let may_try = self.phase != Phase::Without || request.walk_steps == fewest_steps;
+            if !request.write || ends || (may_try && writes < MAX_WRITES_TRIED) {
                 writes += u32::from(request.write);
-                go.push(request.id);
+                ready.push(request.id);
             }
         }
-        (go, late)
+        (ready, too_late)
     }
 
-    /// The least time that each of those takes that go out in a release, as far as its pace is told.
+    /// The least time between two requests of a release, once enough answers came to estimate it.
     fn release_interval(&self) -> Option<Span> {
-        let (at, last, answers) = self.release_progress.filter(|_| self.phase == Phase::Releasing)?;
-        let told = last - at > MIN_RATE_PERIOD && answers >= MIN_RATE_ANSWERS;
-        told.then(|| Span((last - at).0 / i64::from(answers)).times(1.0 / MAX_SPEEDUP))
+        let (at, last_answer, answers) = self.release_progress.filter(|_| self.phase == Phase::Releasing)?;
+        let known = last_answer - at > MIN_RATE_PERIOD && answers >= MIN_RATE_ANSWERS;
+        known.then(|| Span((last_answer - at).0 / i64::from(answers)).times(1.0 / MAX_SPEEDUP))
     }
 
-    /// When to come back, from now: when a primary is to be expected, or when a slow release will be through. `None` while
-    /// neither binds, or nothing is known of how long it takes.
+    /// The time from now until a primary is expected, or until a slow release will be done. `None` while neither applies,
+    /// or where nothing is known of how long it takes.
     #[must_use]
     pub fn expected_wait(&self, now: Time, durations: &ChangeDurations) -> Option<Span> {
-        if let Some(each) = self.release_interval() {
-            return Some(each.times(self.waiting as f64));
+        if let Some(interval) = self.release_interval() {
+            return Some(interval.times(self.waiting as f64));
         }
         let (since, kind) = self.lost.filter(|_| self.phase == Phase::Without)?;
         Some((since + durations.typical(kind)? - now).max(Span(0)))
     }
 
-    /// A member has left the group.
+    /// Forgets a member that has left the group.
     pub fn remove_member(&mut self, member: &MemberId) {
         self.mark.take_if(|mark| mark == member);
-        self.previous.take_if(|before| before == member);
+        self.previous.take_if(|previous| previous == member);
     }
 
     fn transition(&mut self, now: Time, to: Phase, why: Evidence) {
@@ -407,8 +424,8 @@
     }
 }
 
-/// The member that a walk goes on to.
-fn next<'f>(members: &'f [MemberView], from: Option<&MemberId>) -> Option<&'f MemberView> {
+/// The member that follows `from` in the order of ids, with wrap-around.
+fn next_member<'f>(members: &'f [MemberView], from: Option<&MemberId>) -> Option<&'f MemberView> {
     let mut after = members.iter().filter(|view| Some(&view.member) > from);
     after.next().or_else(|| members.iter().find(|view| Some(&view.member) != from))
 }
--- a/crates/core/src/handover/record.rs
+++ b/crates/core/src/handover/record.rs
@@ -1,29 +1,29 @@
-//! A flight recorder: the latest turns of a group's state, each with its evidence.
+//! A bounded record of the latest transitions of a group's state, each with its evidence.
 
 use super::{Evidence, Phase};
 use crate::interface::{MemberId, Time};
 use std::collections::VecDeque;
 use std::fmt;
 
-/// So many turns are kept for each group.
+/// The number of transitions that are kept for each group.
 pub const MAX_TRANSITIONS: usize = 48;
 
-/// A turn.
+/// A transition.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Transition {
-    /// When.
+    /// When it happened.
     pub at: Time,
-    /// The state before.
+    /// The phase before it.
     pub from: Phase,
-    /// The state after.
+    /// The phase after it.
     pub to: Phase,
-    /// What turned it.
+    /// Its reason.
     pub why: Evidence,
     /// The marked member after it.
     pub member: Option<MemberId>,
 }
 
-/// The latest turns, the oldest first.
+/// The latest transitions, from the oldest.
 #[derive(Clone, Default)]
 pub struct Record {
     transitions: VecDeque<Transition>,
@@ -31,7 +31,7 @@
 }
 
 impl Record {
-    /// One more. The same again at the same member is counted, and not kept.
+    /// Adds a transition. One that repeats the latest with the same marked member is counted, but not kept.
     pub fn add(&mut self, transition: Transition) {
         self.total += 1;
         let repeats = |last: &Transition| {
@@ -47,19 +47,20 @@
         self.transitions.push_back(transition);
     }
 
-    /// What is kept.
+    /// The transitions that are kept.
     pub fn transitions(&self) -> impl Iterator<Item = &Transition> {
         self.transitions.iter()
     }
 
-    /// How many turns there were.
+    /// The number of all transitions so far.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.total
     }
 }
 
-/// Two states that differ in their past alone are alike to whoever compares them by their text, as the model check does.
+/// Leaves the contents out: the model check compares states by their debug text, and two states that differ only in their
+/// past count as the same.
 impl fmt::Debug for Record {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Record")
--- a/crates/core/src/handover/search.rs
+++ b/crates/core/src/handover/search.rs
@@ -1,41 +1,42 @@
 //! The search for a group's new primary.
 //!
-//! While a members has no primary its members' positions stand still, and the replica that has most of the log takes over.
-//! So one round asks all, for their positions; after it the *candidates*, those whose position no other exceeds, are asked
-//! often and the others seldom. That finds the new primary within about one interval of its being one, for fewer probes
-//! than asking all in rounds that grow rarer. What is seen decides, not the guess: whoever answers that it is the primary is,
-//! and if the candidates were the wrong ones, the rounds of all find that out.
+//! While a group has no primary, the positions of its members do not advance, and the replica with the latest position
+//! is promoted. So all members are probed once for their positions. After that the *candidates*, the replicas whose
+//! position no other exceeds, are probed often and the others seldom. This finds the new primary within about one
+//! interval of its promotion, with fewer probes than rounds of all members at growing intervals. Candidates are only a
+//! guess: the member that reports to be the primary is taken for it, and if that is none of the candidates, the rounds of
+//! all members find it.
 
 use super::MemberView;
 use crate::interface::*;
 
-/// What a search eligible cost a member: probes a second, over all routers, as long as these are no more than a hundred. At
-/// the most that a probe costs a member of the platform, 0.39 ms, and with four cores, that is under 1% of its work. More
-/// routers ask once a second each: ten rounds a second from each of 500 cost 0.15 of G.
+/// Probes per second that a search may cost a member, from all routers together, as long as these are at most 100. A
+/// probe costs a member of the platform at most 0.39 ms, so that on four cores this is under 1% of its capacity. A larger
+/// fleet probes once a second per router; ten rounds a second from each of 500 routers would cost 0.15 of G.
 const MAX_PROBES_PER_S: f64 = 100.0;
-/// An heir is asked no more often than this, however few routers there are: reports are no fresher.
+/// The least interval between probes of a candidate, however few routers there are: reports are not fresher than this.
 const MIN_INTERVAL: Span = Span::millis(100);
-/// A planned change is over soon, so that this is for a second at most.
+/// The same during a planned change. That is over soon, so that this rate lasts for a second at most.
 const MIN_INTERVAL_PLANNED: Span = Span::millis(40);
 const MAX_INTERVAL: Span = Span::millis(1_000);
-/// Between two rounds of all: the first, how it grows, and the longest.
+/// The wait between two rounds of all members: the first, its growth per round, and the longest.
 const FIRST_ROUND_WAIT: Span = Span::millis(100);
 const ROUND_WAIT_GROWTH: f64 = 1.6;
 const MAX_ROUND_WAIT: Span = Span::millis(1_000);
-/// Positions this close are the same: reports are of different ages.
+/// Positions this close count as equal, since reports are of different ages.
 const POSITION_TOLERANCE: Span = Span::millis(2);
-/// More candidates than this are no candidates: then all are asked alike.
+/// With more candidates than this there is no point in preferring them, and all members are probed alike.
 const MAX_CANDIDATES: usize = 3;
 
 /// The search for a group's primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrimarySearch {
-    /// When the next round of all is due.
+    /// When the next round of all members is due.
     next_round_at: Time,
     round_wait: Span,
-    /// When the search last went on; one that rested begins anew.
+    /// When the search was last called; after a longer break it starts anew.
     last_call: Time,
-    /// Whether a round of all has been asked since it began.
+    /// A round of all members has been probed since the search began.
     round_done: bool,
 }
 
@@ -47,15 +48,14 @@
 }
 
 impl PrimarySearch {
-    /// How often an heir is asked, with so many routers asking the same.
+    /// The interval between probes of a candidate by one router of a fleet of this size.
     #[must_use]
     pub fn interval(fleet: u32, planned: bool) -> Span {
         let min_interval = if planned { MIN_INTERVAL_PLANNED } else { MIN_INTERVAL };
         Span((f64::from(fleet) / MAX_PROBES_PER_S * 1e6) as i64).max(min_interval).min(MAX_INTERVAL)
     }
 
-    /// Whom to ask now. The search goes on as often as it is called; it has no need to be called more often than every
-    /// 10 ms.
+    /// The members to probe now. The search advances with each call; calls more often than every 10 ms are not needed.
     pub fn probe_targets(
         &mut self,
         now: Time,
@@ -82,10 +82,10 @@
     }
 }
 
-/// Those whose position no other exceeds, if they are few.
+/// The replicas whose position no other replica exceeds; none if these are more than a few.
 pub(super) fn candidates(members: &[MemberView]) -> Vec<&MemberView> {
     let eligible = || members.iter().filter(|view| !view.was_primary);
-    let Some(most) = eligible().map(|view| view.position).max() else { return Vec::new() };
-    let candidates: Vec<_> = eligible().filter(|view| most - view.position <= POSITION_TOLERANCE).collect();
+    let Some(latest) = eligible().map(|view| view.position).max() else { return Vec::new() };
+    let candidates: Vec<_> = eligible().filter(|view| latest - view.position <= POSITION_TOLERANCE).collect();
     if candidates.len() > MAX_CANDIDATES { Vec::new() } else { candidates }
 }
