--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -137,7 +137,7 @@
     logging::start(&operator.log);
     let (name, seed) = (config.name.clone(), config.seed);
     let mut leases = match &operator.leases {
-        Some(settings) => Some(leases::wanted(settings, &config).map_err(End::config)?),
+        Some(settings) => Some(leases::options(settings, &config).map_err(End::config)?),
         None => None,
     };
     let work = operator.work.as_ref().zip(leases.as_mut()).map(|(settings, leases)| {
@@ -176,7 +176,7 @@
             Ok(operator) => {
                 let registry = operator.registry.and_then(|settings| registry::check(&settings).err());
                 wrong.extend(registry.map(|error| error.to_string()));
-                let keys = operator.leases.and_then(|settings| leases::keys(&settings).err());
+                let keys = operator.leases.and_then(|settings| leases::read_keys(&settings).err());
                 wrong.extend(keys.map(|error| error.to_string()));
             }
         }
--- a/crates/daemon/src/work.rs
+++ b/crates/daemon/src/work.rs
@@ -6,7 +6,7 @@
 use linnetdeal_core::membership::id_hash;
 use linnetdeal_core::{ListState, Span, Time};
 use linnetdeal_net::config::{Config, span_of};
-use linnetdeal_net::leases::Wanted;
+use linnetdeal_net::leases::LeaseOptions;
 use linnetdeal_net::work::{PlanRequest, ServerCandidate, TASK, WorkOptions, zone_hash};
 use linnetdeal_operator::{Bounds, Operator, WorkSettings};
 use std::path::Path;
@@ -35,7 +35,7 @@
 }
 
 /// What this pooler is to take part with.
-pub fn wanted(settings: &WorkSettings, config: &Config, leases: &Wanted) -> WorkOptions {
+pub fn wanted(settings: &WorkSettings, config: &Config, leases: &LeaseOptions) -> WorkOptions {
     let fleet = config.peers.as_ref().map_or(0, |peers| u16::try_from(peers.each.len()).unwrap_or(u16::MAX));
     let of = &leases.setup;
     let own = of.tasks.iter().filter(|task| task.wanted).map(|task| TaskId::of(&task.name));
--- a/crates/net/src/leases.rs
+++ b/crates/net/src/leases.rs
@@ -1,5 +1,5 @@
-//! The leases of this pooler: the host of `linnetdeal-coordination`'s node, and the acts of tasks whose holder calls an
-//! address. Datagrams go by the poolers' own socket (`peers.rs`).
+//! The leases of this pooler: runs the lease node of `linnetdeal-coordination`, and makes the calls of tasks whose holder calls an
+//! address. Datagrams are sent and received by the socket of `peers.rs`.
 
 use crate::clock;
 use crate::config::duration;
@@ -22,7 +22,7 @@
 };
 use linnetdeal_coordination::work;
 use linnetdeal_core::peers::To;
-use linnetdeal_core::{Event as News, Field, GroupId, ListState, MemberId, Span, Verdict};
+use linnetdeal_core::{Event as RouterEvent, Field, GroupId, ListState, MemberId, Span, Verdict};
 use serde_json::json;
 use smol_hyper::rt::FuturesIo;
 use std::cell::RefCell;
@@ -32,182 +32,186 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// So many letters may wait to be sent; more are lost.
-const MOST_WAITING: usize = 512;
-/// A call is given up after this.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Who holds nothing looks again so soon, should it have missed a word.
-const LOOK: Duration = Duration::from_millis(200);
-/// Says which token an act is done with, and which is the highest that a gate has seen.
-const TOKEN: &str = "fencing-token";
-
-/// What an operator wants of leases.
-pub struct Wanted {
-    /// This pooler's part.
+/// Maximum number of datagrams waiting to be sent; further ones are dropped.
+const MAX_QUEUED_DATAGRAMS: usize = 512;
+/// Timeout of a holder's call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval at which a pooler that does not hold a task checks for it, in case it missed a notification.
+const HOLDER_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// The header with the fencing token of a call; in a response, the highest token that the receiver has seen.
+const TOKEN_HEADER: &str = "fencing-token";
+
+/// Options for leases, from the operator's file.
+pub struct LeaseOptions {
+    /// The lease node's setup.
     pub setup: LeaseSetup,
-    /// What holders call.
-    pub calls: Vec<Call>,
-    /// Whether one pooler a group asks members for their positions: for which term, and how often.
+    /// The calls made by holders.
+    pub calls: Vec<HolderCall>,
+    /// The lease term and polling interval if one pooler per group polls the members' replication positions.
     pub positions: Option<(Duration, Duration)>,
 }
 
-/// One pooler a group asks its members, and tells the others.
-pub(crate) struct Positions {
+/// Polling of replication positions: one pooler per group probes the members and publishes the positions to the other poolers.
+pub(crate) struct PositionPolling {
     pub(crate) term: Duration,
-    pub(crate) every: Duration,
+    pub(crate) interval: Duration,
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     pub(crate) driver: Rc<Driver>,
     pub(crate) pool: Rc<Pool>,
     pub(crate) members: Rc<Members>,
 }
 
-impl Positions {
-    /// Where a field stands in a report, by the present settings.
-    fn at(&self, field: Field) -> Option<usize> {
-        self.pool.report_fields().iter().position(|of| *of == field)
+impl PositionPolling {
+    /// The index of a field in load reports, by the current settings.
+    fn field_index(&self, field: Field) -> Option<usize> {
+        self.pool.report_fields().iter().position(|report_field| *report_field == field)
     }
 
-    /// What a holder has told, as the report of its member. A position only grows, so that it is true however late it comes;
-    /// and were it a lie, a member that checks what it is sent turns it away.
-    fn hear(&self, told: &[Position]) {
-        if told.is_empty() {
+    /// Applies positions published by a holder, as load reports of the members. A position only grows, so that it stays a valid lower
+    /// bound however late it arrives. A member that checks the position required by a request rejects one that was overstated.
+    fn apply(&self, published: &[Position]) {
+        if published.is_empty() {
             return;
         }
         let members = self.members.all();
-        for of in told {
-            let member = members.iter().map(|(id, _)| id).find(|id| TaskId::of(&id.0) == of.member);
-            let (Some(member), Some(at)) = (member, self.at(Field::Position)) else { continue };
+        for published_position in published {
+            let member =
+                members.iter().map(|(id, _)| id).find(|id| TaskId::of(&id.0) == published_position.member);
+            let (Some(member), Some(index)) = (member, self.field_index(Field::Position)) else { continue };
             let mut report = vec![f64::NAN; self.pool.report_fields().len()];
-            report[at] = of.position as f64 / 1e6;
-            if let Some(at) = self.at(Field::Primary) {
-                report[at] = f64::from(u8::from(of.primary));
+            report[index] = published_position.position as f64 / 1e6;
+            if let Some(index) = self.field_index(Field::Primary) {
+                report[index] = f64::from(u8::from(published_position.primary));
             }
             let (member, report) = (member.clone(), Some(report));
-            self.driver.feed(News::Probed { member, verdict: Verdict::Ok, took: Span(0), report });
+            self.driver.feed(RouterEvent::Probed { member, verdict: Verdict::Ok, took: Span(0), report });
         }
     }
 
-    /// What a member has said, to be told.
-    fn told(&self, member: &MemberId, report: &[f64]) -> Option<Position> {
-        let position = *report.get(self.at(Field::Position)?)?;
-        let primary = self.at(Field::Primary).and_then(|at| report.get(at)).is_some_and(|role| *role >= 0.5);
-        // Rounded down: no position is told for later than it was.
-        let told =
+    /// The position in a member's load report, for publishing.
+    fn extract(&self, member: &MemberId, report: &[f64]) -> Option<Position> {
+        let position = *report.get(self.field_index(Field::Position)?)?;
+        let primary = self
+            .field_index(Field::Primary)
+            .and_then(|field_at| report.get(field_at))
+            .is_some_and(|role| *role >= 0.5);
+        // Rounded down, so that no position is overstated.
+        let position_entry =
             Position { member: TaskId::of(&member.0), position: (position * 1e6).floor() as i64, primary };
-        position.is_finite().then_some(told)
+        position.is_finite().then_some(position_entry)
     }
 }
 
-/// A call that a task's holder makes, again and again.
+/// A call that a task's holder makes periodically. Each act consists of a call at its begin and one at its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Call {
+pub struct HolderCall {
     /// The task's name.
     pub task: String,
-    /// Where.
+    /// The address that is called.
     pub address: SocketAddr,
-    /// What.
+    /// The path of the request.
     pub path: String,
     /// The pause between two acts.
-    pub every: Duration,
-    /// The time from an act's begin to its end.
-    pub lasts: Duration,
+    pub interval: Duration,
+    /// The time from the begin of an act to its end.
+    pub act_duration: Duration,
 }
 
-/// What becomes of a call.
+/// The outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Called {
-    /// It was done, or it is not known whether it was.
+enum CallOutcome {
+    /// It was carried out, or it is unknown whether it was.
     Done,
-    /// The gate has seen this later token.
-    Later(Token),
-    /// The task is no longer held: nothing was sent.
+    /// The receiver rejected it, since it has seen this later token.
+    Superseded(Token),
+    /// Nothing was sent, since the task is no longer held.
     NotSent,
 }
 
-/// The leases.
+/// The leases of this pooler.
 pub struct Leases {
     node: RefCell<Node<FullLeaseRules>>,
     me: PoolerInstance,
-    /// Names by what stands for them.
-    names: RefCell<BTreeMap<TaskId, String>>,
-    letters: RefCell<VecDeque<(To, Vec<u8>)>>,
-    waiting: Event,
-    /// Something has changed.
+    /// The names of the tasks by their ids.
+    task_names: RefCell<BTreeMap<TaskId, String>>,
+    outbox: RefCell<VecDeque<(To, Vec<u8>)>>,
+    outbox_filled: Event,
+    /// Notified when a message arrived or a lease changed.
     changed: Event,
-    left: Flag,
+    has_left: Flag,
     sent: Count,
-    heard: Count,
-    refused: [Count; 7],
+    received: Count,
+    rejected: [Count; 7],
     acts: Count,
-    turned_away: Count,
-    told: Count,
-    heard_of: Count,
-    positions: RefCell<Option<Rc<Positions>>>,
+    acts_rejected: Count,
+    positions_sent: Count,
+    positions_received: Count,
+    polling: RefCell<Option<Rc<PositionPolling>>>,
 }
 
 impl Leases {
-    /// This pooler's part.
+    /// Creates the lease node of this pooler.
     #[must_use]
     pub fn new(setup: LeaseSetup) -> Self {
-        let names = setup.tasks.iter().map(|task| (TaskId::of(&task.name), task.name.clone())).collect();
+        let task_names = setup.tasks.iter().map(|task| (TaskId::of(&task.name), task.name.clone())).collect();
         Self {
             me: setup.me,
             node: RefCell::new(Node::new(clock::steady(), setup)),
-            names: RefCell::new(names),
-            letters: RefCell::default(),
-            waiting: Event::new(),
+            task_names: RefCell::new(task_names),
+            outbox: RefCell::default(),
+            outbox_filled: Event::new(),
             changed: Event::new(),
-            left: Flag::default(),
+            has_left: Flag::default(),
             sent: Count::default(),
-            heard: Count::default(),
-            refused: Default::default(),
+            received: Count::default(),
+            rejected: Default::default(),
             acts: Count::default(),
-            turned_away: Count::default(),
-            told: Count::default(),
-            heard_of: Count::default(),
-            positions: RefCell::default(),
+            acts_rejected: Count::default(),
+            positions_sent: Count::default(),
+            positions_received: Count::default(),
+            polling: RefCell::default(),
         }
     }
 
-    /// The token to act with now, if the task is this pooler's. To be asked before each act and after each wait.
+    /// The current fencing token, if this pooler holds the task. To be checked before each act and after each wait.
     #[must_use]
     pub fn holds(&self, task: TaskId) -> Option<Token> {
         self.node.borrow().holds(clock::steady(), task)
     }
 
-    /// The poolers' address is open here now; another process may have had it until now.
-    pub(crate) fn opened(&self) {
+    /// To be called once this process has opened the peer socket. Until then another process may have used it.
+    pub(crate) fn socket_opened(&self) {
         self.node.borrow_mut().socket_opened(clock::steady(), clock::wall_ms());
         self.changed.notify(usize::MAX);
     }
 
-    /// A datagram from the address of a pooler.
-    pub(crate) fn take(&self, from: u32, bytes: &[u8]) {
+    /// Processes a datagram received from the address of a pooler.
+    pub(crate) fn receive(&self, from: u32, bytes: &[u8]) {
         let Ok(from) = u16::try_from(from) else { return };
-        let taken = self.node.borrow_mut().receive(clock::steady(), from, bytes);
-        match taken {
-            Ok(()) => self.heard.add(),
-            Err(why) => self.refused[reason(why)].add(),
+        let outcome = self.node.borrow_mut().receive(clock::steady(), from, bytes);
+        match outcome {
+            Ok(()) => self.received.add(),
+            Err(datagram_error) => self.rejected[counter_index(datagram_error)].add(),
         }
-        let told = self.node.borrow_mut().take_positions();
-        let positions = self.positions.borrow().clone();
-        if let Some(positions) = positions {
-            told.iter().for_each(|_| self.heard_of.add());
-            positions.hear(&told);
+        let published = self.node.borrow_mut().take_positions();
+        let polling = self.polling.borrow().clone();
+        if let Some(polling) = polling {
+            published.iter().for_each(|_| self.positions_received.add());
+            polling.apply(&published);
         }
         self.flush();
     }
 
-    /// Does what is due, for ever.
+    /// Runs the node's timers; never returns.
     pub(crate) async fn run(&self) {
         loop {
             let changed = self.changed.listen();
-            let wait = self.node.borrow().due() - clock::steady();
-            if wait.0 > 0 {
-                let due = async {
-                    let _ = Timer::after(duration(wait)).await;
+            let delay = self.node.borrow().due() - clock::steady();
+            if delay.0 > 0 {
+                let timer = async {
+                    let _ = Timer::after(duration(delay)).await;
                 };
-                or(due, changed).await;
+                or(timer, changed).await;
             }
             let now = clock::steady();
             if self.node.borrow().due() <= now {
@@ -217,160 +221,171 @@
         }
     }
 
-    /// The next datagram to be sent; `None` once this pooler has left and all were.
-    pub(crate) async fn next_letter(&self) -> Option<(To, Vec<u8>)> {
+    /// Waits for the next datagram to be sent; `None` once this pooler has left and the queue is empty.
+    pub(crate) async fn next_datagram(&self) -> Option<(To, Vec<u8>)> {
         loop {
-            let waiting = self.waiting.listen();
-            if let Some(letter) = self.letters.borrow_mut().pop_front() {
-                return Some(letter);
+            let filled = self.outbox_filled.listen();
+            if let Some(datagram) = self.outbox.borrow_mut().pop_front() {
+                return Some(datagram);
             }
-            if self.left.is_up() {
+            if self.has_left.is_up() {
                 return None;
             }
-            waiting.await;
+            filled.await;
         }
     }
 
-    /// One was sent, or is lost.
-    pub(crate) fn sent(&self) {
+    /// Counts a datagram that was sent or dropped by the socket.
+    pub(crate) fn datagram_sent(&self) {
         self.sent.add();
     }
 
-    /// Gives all tasks back, to the newer process of this pooler if one has its place, and waits a little until that is sent.
+    /// Releases all tasks, reserving them for the newer process of this pooler if it was replaced, and waits briefly until the queue is
+    /// sent.
     pub(crate) async fn leave(&self, replaced: bool) {
         self.node.borrow_mut().leave(clock::steady(), replaced);
         self.flush();
         for _ in 0..50 {
-            if self.letters.borrow().is_empty() {
+            if self.outbox.borrow().is_empty() {
                 break;
             }
             Timer::after(Duration::from_millis(2)).await;
         }
-        self.left.raise();
-        self.waiting.notify(usize::MAX);
+        self.has_left.raise();
+        self.outbox_filled.notify(usize::MAX);
     }
 
-    /// Who has what, and which voters were heard, as JSON.
-    pub(crate) fn shown(&self) -> String {
+    /// The holders of the tasks and the times since voters were last heard, as JSON.
+    pub(crate) fn status_json(&self) -> String {
         let now = clock::steady();
         let node = self.node.borrow();
         let tasks: Vec<_> = node
             .view(now)
             .into_iter()
             .map(|task| {
-                let holder = task.holder.map(|of| {
-                    json!({"pooler": of.instance.number, "life": format!("{:016x}", of.instance.incarnation),
-                           "token": of.token.0, "left_ms": of.remaining.0 / 1_000})
+                let holder = task.holder.map(|held| {
+                    json!({"pooler": held.instance.number, "life": format!("{:016x}", held.instance.incarnation),
+                           "token": held.token.0, "left_ms": held.remaining.0 / 1_000})
                 });
-                let own = task.own.map(|(token, left)| json!({"token": token.0, "left_ms": left.0 / 1_000}));
+                let own = task
+                    .own
+                    .map(|(token, remaining)| json!({"token": token.0, "left_ms": remaining.0 / 1_000}));
                 json!({"task": task.name, "holder": holder, "own": own, "highest": task.highest.0})
             })
             .collect();
         let voters = node.last_heard(now).into_iter();
         let voters: Vec<_> = voters
-            .map(|(voter, ago)| json!({"pooler": voter, "heard_ms_ago": ago.map(|ago| ago.0 / 1_000)}))
+            .map(|(voter, age)| json!({"pooler": voter, "heard_ms_ago": age.map(|age| age.0 / 1_000)}))
             .collect();
         json!({"tasks": tasks, "voters": voters, "silent": node.is_silent(now)}).to_string()
     }
 
-    /// A call of the people on call: `release`, `acquire` or `hand` to a pooler.
+    /// Executes an operator's command: `acquire`, `release`, or `hand` over to the pooler `successor`.
     ///
     /// # Errors
     ///
-    /// When there is no such task, it is not this pooler's, or there is no such pooler; in words.
-    pub(crate) fn by_hand(&self, name: &str, what: &str, heir: Option<u16>) -> Result<String, String> {
-        let task = TaskId::of(name);
-        if !self.names.borrow().contains_key(&task) {
-            return Err(format!("no task is called {name}"));
+    /// When the task is unknown or not held by this pooler; with a message for the operator.
+    pub(crate) fn operator_command(
+        &self,
+        task_name: &str,
+        command: &str,
+        successor: Option<u16>,
+    ) -> Result<String, String> {
+        let task = TaskId::of(task_name);
+        if !self.task_names.borrow().contains_key(&task) {
+            return Err(format!("no task is called {task_name}"));
         }
         let now = clock::steady();
-        let said = if what == "acquire" {
+        let result = if command == "acquire" {
             self.node.borrow_mut().acquire(now, task);
             Ok("asking for it".to_owned())
         } else {
-            let released = self.node.borrow_mut().release(now, task, heir);
-            let token = released.ok_or_else(|| format!("{name} is not this pooler's"))?;
-            let to = heir.map_or("free".to_owned(), |heir| format!("for pooler {heir}"));
-            Ok(format!("given up with token {}, {to}", token.0))
+            let released_token = self.node.borrow_mut().release(now, task, successor);
+            let token = released_token.ok_or_else(|| format!("{task_name} is not this pooler's"))?;
+            let recipient =
+                successor.map_or("free".to_owned(), |successor| format!("for pooler {successor}"));
+            Ok(format!("given up with token {}, {recipient}", token.0))
         };
         self.flush();
-        said
+        result
     }
 
-    /// Asks the members of each group whose task is this pooler's, for ever, and tells the others what they say.
-    pub(crate) async fn ask_members(self: Rc<Self>, positions: Rc<Positions>) {
-        *self.positions.borrow_mut() = Some(positions.clone());
+    /// Polls the members of each group whose task this pooler holds, and publishes their positions; never returns.
+    pub(crate) async fn poll_members(self: Rc<Self>, polling: Rc<PositionPolling>) {
+        *self.polling.borrow_mut() = Some(polling.clone());
         loop {
-            Timer::after(positions.every).await;
+            Timer::after(polling.interval).await;
             let mut groups: BTreeMap<GroupId, Vec<MemberId>> = BTreeMap::new();
-            for (id, known) in positions.members.all() {
-                if known.state == ListState::Healthy {
-                    groups.entry(known.group).or_default().push(id);
+            for (id, member_info) in polling.members.all() {
+                if member_info.state == ListState::Healthy {
+                    groups.entry(member_info.group).or_default().push(id);
                 }
             }
             for (group, members) in groups {
                 let name = format!("positions/{}", group.0);
-                let (task, term) = (TaskId::of(&name), crate::config::span_of(positions.term));
+                let (task, term) = (TaskId::of(&name), crate::config::span_of(polling.term));
                 let setup = TaskSetup { name: name.clone(), term, wanted: true };
-                if !self.names.borrow().contains_key(&task) {
+                if !self.task_names.borrow().contains_key(&task) {
                     if !self.node.borrow_mut().add(clock::steady(), setup) {
                         continue;
                     }
-                    self.names.borrow_mut().insert(task, name);
+                    self.task_names.borrow_mut().insert(task, name);
                 }
                 if self.holds(task).is_some() {
-                    let own = self.clone();
-                    let (asked, executor) = (positions.clone(), positions.executor.clone());
-                    executor.spawn(async move { own.ask_group(&asked, task, members).await }).detach();
+                    let leases = self.clone();
+                    let (group_polling, executor) = (polling.clone(), polling.executor.clone());
+                    executor
+                        .spawn(async move { leases.poll_group(&group_polling, task, members).await })
+                        .detach();
                 }
             }
         }
     }
 
-    async fn ask_group(&self, positions: &Rc<Positions>, task: TaskId, members: Vec<MemberId>) {
-        let ask = |member: MemberId| {
-            let of = positions.clone();
-            positions.executor.spawn(async move {
-                let report = probe(&of.driver, &of.pool, member.clone()).await;
-                report.and_then(|report| of.told(&member, &report))
+    async fn poll_group(&self, polling: &Rc<PositionPolling>, task: TaskId, members: Vec<MemberId>) {
+        let probe_member = |member: MemberId| {
+            let source = polling.clone();
+            polling.executor.spawn(async move {
+                let report = probe(&source.driver, &source.pool, member.clone()).await;
+                report.and_then(|report| source.extract(&member, &report))
             })
         };
-        let asked: Vec<_> = members.into_iter().map(ask).collect();
-        let mut told = Vec::new();
-        for one in asked {
-            told.extend(one.await);
+        let probe_tasks: Vec<_> = members.into_iter().map(probe_member).collect();
+        let mut reported = Vec::new();
+        for probe_task in probe_tasks {
+            reported.extend(probe_task.await);
         }
-        told.iter().for_each(|_| self.told.add());
-        self.node.borrow_mut().publish_positions(clock::steady(), task, &told);
+        reported.iter().for_each(|_| self.positions_sent.add());
+        self.node.borrow_mut().publish_positions(clock::steady(), task, &reported);
         self.flush();
     }
 
-    /// Calls an address as long as the task is this pooler's, for ever.
-    pub(crate) async fn acts(self: Rc<Self>, executor: Rc<LocalExecutor<'static>>, call: Call) {
+    /// Makes a task's calls while this pooler holds the task; never returns.
+    pub(crate) async fn run_calls(self: Rc<Self>, executor: Rc<LocalExecutor<'static>>, call: HolderCall) {
         let task = TaskId::of(&call.task);
         loop {
             let changed = self.changed.listen();
             let Some(token) = self.holds(task) else {
                 or(changed, async {
-                    let _ = Timer::after(LOOK).await;
+                    let _ = Timer::after(HOLDER_POLL_INTERVAL).await;
                 })
                 .await;
                 continue;
             };
-            for (wait, step) in [(Duration::ZERO, "begin"), (call.lasts, "end")] {
-                if !wait.is_zero() {
-                    Timer::after(wait).await;
+            for (delay, step) in [(Duration::ZERO, "begin"), (call.act_duration, "end")] {
+                if !delay.is_zero() {
+                    Timer::after(delay).await;
                 }
-                let late = async {
-                    let _ = Timer::after(PATIENCE).await;
-                    Ok(Called::Done)
+                let timed_out = async {
+                    let _ = Timer::after(CALL_TIMEOUT).await;
+                    Ok(CallOutcome::Done)
                 };
-                let called = or(self.call(&executor, &call, task, token, step), late).await;
-                match called {
-                    Ok(Called::Done) => self.acts.add(),
-                    Ok(Called::NotSent) => break,
-                    Ok(Called::Later(highest)) => {
-                        self.turned_away.add();
+                let outcome = or(self.send_call(&executor, &call, task, token, step), timed_out).await;
+                match outcome {
+                    Ok(CallOutcome::Done) => self.acts.add(),
+                    Ok(CallOutcome::NotSent) => break,
+                    Ok(CallOutcome::Superseded(highest)) => {
+                        self.acts_rejected.add();
                         tracing::warn!(
                             "leases: {} was turned away with token {}, {} was seen there",
                             call.task,
@@ -390,73 +405,73 @@
                     }
                 }
             }
-            Timer::after(call.every).await;
+            Timer::after(call.interval).await;
         }
     }
 
-    async fn call(
+    async fn send_call(
         &self,
         executor: &LocalExecutor<'static>,
-        call: &Call,
+        call: &HolderCall,
         task: TaskId,
         token: Token,
         step: &str,
-    ) -> Result<Called, Box<dyn std::error::Error>> {
+    ) -> Result<CallOutcome, Box<dyn std::error::Error>> {
         let stream = Async::<TcpStream>::connect(call.address).await?;
         let (mut sender, connection) = hyper::client::conn::http1::handshake(FuturesIo::new(stream)).await?;
-        let served = executor.spawn(connection);
+        let connection_task = executor.spawn(connection);
         let request = Request::post(&call.path)
             .header("host", call.address.to_string())
             .header("connection", "close")
             .header("task", &call.task)
             .header("step", step)
             .header("pooler", format!("{}/{:016x}", self.me.number, self.me.incarnation))
-            .header(TOKEN, token.0)
+            .header(TOKEN_HEADER, token.0)
             .body(Empty::<Bytes>::new())?;
-        // After the last wait and before the first byte. From here on only the gate can stop it.
+        // Checked after the last wait and before the first byte is sent. From here on only the receiver can reject an outdated token.
         if self.holds(task) != Some(token) {
-            return Ok(Called::NotSent);
+            return Ok(CallOutcome::NotSent);
         }
         let answer: Response<_> = sender.send_request(request).await?;
-        drop(served);
+        drop(connection_task);
         if answer.status() != StatusCode::CONFLICT {
-            return Ok(Called::Done);
+            return Ok(CallOutcome::Done);
         }
-        let highest = answer.headers().get(TOKEN).and_then(|text| text.to_str().ok()?.parse().ok());
-        Ok(Called::Later(Token(highest.unwrap_or(token.0))))
+        let highest = answer.headers().get(TOKEN_HEADER).and_then(|text| text.to_str().ok()?.parse().ok());
+        Ok(CallOutcome::Superseded(Token(highest.unwrap_or(token.0))))
     }
 
-    /// What others have said of machines out for work.
-    pub(crate) fn take_work(&self) -> Vec<(PoolerInstance, work::Message)> {
+    /// Takes the received messages about maintenance work.
+    pub(crate) fn take_work_messages(&self) -> Vec<(PoolerInstance, work::Message)> {
         self.node.borrow_mut().take_work_messages()
     }
 
-    /// Says something of machines out for work.
-    pub(crate) fn say(&self, letters: Vec<(To, work::Message)>) {
-        if letters.is_empty() {
+    /// Sends messages about maintenance work.
+    pub(crate) fn send_work(&self, messages: Vec<(To, work::Message)>) {
+        if messages.is_empty() {
             return;
         }
         let mut node = self.node.borrow_mut();
-        letters.into_iter().for_each(|(to, note)| node.send_work(to, note));
+        messages.into_iter().for_each(|(to, message)| node.send_work(to, message));
         drop(node);
         self.flush();
     }
 
-    /// Who holds a task, as far as is known.
+    /// The number of the pooler that holds a task, as far as is known.
     pub(crate) fn holder(&self, name: &str) -> Option<u16> {
-        let view = self.node.borrow().view(clock::steady());
-        view.into_iter().find(|task| task.name == name)?.holder.map(|holder| holder.instance.number)
+        let task_views = self.node.borrow().view(clock::steady());
+        task_views.into_iter().find(|task| task.name == name)?.holder.map(|holder| holder.instance.number)
     }
 
-    /// Gives all tasks to others and takes no more part, or takes part again in those that are `wanted`.
-    pub(crate) fn abstain(&self, away: bool, wanted: &[TaskId]) {
+    /// Releases all tasks and stops being a candidate, or becomes a candidate again for the tasks in `candidate_for`.
+    pub(crate) fn abstain(&self, withdraw: bool, candidate_for: &[TaskId]) {
         let now = clock::steady();
-        let tasks: Vec<TaskId> = self.names.borrow().keys().copied().collect();
+        let tasks: Vec<TaskId> = self.task_names.borrow().keys().copied().collect();
         let mut node = self.node.borrow_mut();
         for task in tasks {
-            if away {
+            if withdraw {
                 node.abstain(now, task);
-            } else if wanted.contains(&task) {
+            } else if candidate_for.contains(&task) {
                 node.acquire(now, task);
             }
         }
@@ -464,38 +479,38 @@
         self.flush();
     }
 
-    /// Wakes when something has come or changed.
-    pub(crate) fn listen(&self) -> event_listener::EventListener {
+    /// Returns a listener that is notified when a message arrived or a lease changed.
+    pub(crate) fn listen_for_changes(&self) -> event_listener::EventListener {
         self.changed.listen()
     }
 
-    /// Hands on what the node wants sent and logged.
+    /// Queues the node's outgoing datagrams and logs its events.
     fn flush(&self) {
         let mut node = self.node.borrow_mut();
-        let (letters, notes) = (node.take_datagrams(), node.take_events());
+        let (datagrams, events) = (node.take_datagrams(), node.take_events());
         drop(node);
-        let mut waiting = self.letters.borrow_mut();
-        for letter in letters {
-            if waiting.len() < MOST_WAITING {
-                waiting.push_back(letter);
+        let mut queue = self.outbox.borrow_mut();
+        for datagram in datagrams {
+            if queue.len() < MAX_QUEUED_DATAGRAMS {
+                queue.push_back(datagram);
             }
         }
-        if !waiting.is_empty() {
-            self.waiting.notify(1);
+        if !queue.is_empty() {
+            self.outbox_filled.notify(1);
         }
-        drop(waiting);
-        for note in notes {
-            let names = self.names.borrow();
-            let name = |task: TaskId| names.get(&task).map_or("", String::as_str);
-            match note {
+        drop(queue);
+        for event in events {
+            let names = self.task_names.borrow();
+            let task_name = |task: TaskId| names.get(&task).map_or("", String::as_str);
+            match event {
                 LeaseEvent::Gained(task, token) => {
-                    tracing::info!("leases: {} gained, token {}", name(task), token.0)
+                    tracing::info!("leases: {} gained, token {}", task_name(task), token.0)
                 }
                 LeaseEvent::Lost(task, token) => {
-                    tracing::info!("leases: {} lost, token {}", name(task), token.0)
+                    tracing::info!("leases: {} lost, token {}", task_name(task), token.0)
                 }
                 LeaseEvent::Released(task, token) => {
-                    tracing::info!("leases: {} released, token {}", name(task), token.0);
+                    tracing::info!("leases: {} released, token {}", task_name(task), token.0);
                 }
                 LeaseEvent::VersionMismatch(from, version) => {
                     tracing::warn!("leases: pooler {from} is refused, it goes by version {version}");
@@ -515,8 +530,8 @@
     }
 }
 
-fn reason(why: DatagramError) -> usize {
-    match why {
+fn counter_index(error: DatagramError) -> usize {
+    match error {
         DatagramError::Malformed => 0,
         DatagramError::SiteMismatch => 1,
         DatagramError::VersionMismatch(_) => 2,
@@ -529,19 +544,19 @@
 
 impl fmt::Display for Leases {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "leases: sent={} heard={}", self.sent, self.heard)?;
+        write!(f, "leases: sent={} heard={}", self.sent, self.received)?;
         let reasons = ["malformed", "site", "version", "code", "stranger", "replayed", "flood"];
-        for (reason, count) in reasons.iter().zip(&self.refused) {
+        for (reason, count) in reasons.iter().zip(&self.rejected) {
             write!(f, " refused_{reason}={count}")?;
         }
-        write!(f, " acts={} turned_away={}", self.acts, self.turned_away)?;
-        write!(f, " positions_told={} positions_heard={}", self.told, self.heard_of)
+        write!(f, " acts={} turned_away={}", self.acts, self.acts_rejected)?;
+        write!(f, " positions_told={} positions_heard={}", self.positions_sent, self.positions_received)
     }
 }
 
-/// A number that no other start of a pooler has: from its seed, its process and both clocks.
+/// Returns a number that identifies this start of the pooler. It is hashed from the seed, the process id and both clocks.
 #[must_use]
-pub fn life(seed: u64) -> u64 {
+pub fn new_incarnation(seed: u64) -> u64 {
     let text =
         format!("{seed}/{}/{}/{:?}", std::process::id(), clock::steady().0, std::time::SystemTime::now());
     linnetdeal_core::membership::fnv1a(text.bytes())
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -43,7 +43,7 @@
 use flag::Flag;
 use futures_lite::future::or;
 use in_doubt::InDoubtWrites;
-use leases::{Leases, Wanted};
+use leases::{LeaseOptions, Leases};
 use lifecycle::Lifecycle;
 use linnetdeal_core::backoff::Backoff;
 use linnetdeal_core::guard::StartFacts;
@@ -96,7 +96,7 @@
     pub fn new(
         config: Config,
         config_file: PathBuf,
-        leases: Option<Wanted>,
+        leases: Option<LeaseOptions>,
         work: Option<WorkOptions>,
         signals: Signals,
     ) -> Result<Self, RunError> {
@@ -160,16 +160,17 @@
             let leases = Rc::new(Leases::new(wanted.setup));
             status_log.add(leases.clone());
             for call in wanted.calls {
-                executor.spawn(leases.clone().acts(executor.clone(), call)).detach();
+                executor.spawn(leases.clone().run_calls(executor.clone(), call)).detach();
             }
             if wanted.positions.is_some() && !checks {
                 tracing::warn!("leases: members check nothing here, so that nobody is told their positions");
             }
-            if let Some((term, every)) = wanted.positions.filter(|_| checks) {
+            if let Some((term, interval)) = wanted.positions.filter(|_| checks) {
                 let (driver, pool, members) = (driver.clone(), pool.clone(), known.clone());
                 let executor_of = executor.clone();
-                let of = leases::Positions { term, every, executor: executor_of, driver, pool, members };
-                executor.spawn(leases.clone().ask_members(Rc::new(of))).detach();
+                let of =
+                    leases::PositionPolling { term, interval, executor: executor_of, driver, pool, members };
+                executor.spawn(leases.clone().poll_members(Rc::new(of))).detach();
             }
             let run = leases.clone();
             executor.spawn(async move { run.run().await }).detach();
--- a/crates/net/src/operator_api.rs
+++ b/crates/net/src/operator_api.rs
@@ -160,9 +160,9 @@
                 Ok(heir) => (task, what, Some(heir)),
                 Err(_) => return no(StatusCode::BAD_REQUEST, "the heir is a pooler's number"),
             },
-            _ => return (StatusCode::OK, leases.shown()),
+            _ => return (StatusCode::OK, leases.status_json()),
         };
-        match leases.by_hand(task, what, heir) {
+        match leases.operator_command(task, what, heir) {
             Ok(words) => (StatusCode::OK, words),
             Err(words) => (StatusCode::CONFLICT, words),
         }
--- a/crates/net/src/peers.rs
+++ b/crates/net/src/peers.rs
@@ -42,7 +42,7 @@
             match Async::<UdpSocket>::bind(addresses.listen) {
                 Ok(socket) => {
                     if let Some(leases) = &leases {
-                        leases.opened();
+                        leases.socket_opened();
                     }
                     return Self { socket, addresses, numbers, driver, leases };
                 }
@@ -64,11 +64,11 @@
 
     async fn send_letters(&self) {
         let Some(leases) = &self.leases else { return std::future::pending().await };
-        while let Some((to, bytes)) = leases.next_letter().await {
+        while let Some((to, bytes)) = leases.next_datagram().await {
             for address in self.whom(to) {
                 let _ = self.socket.send_to(&bytes, address).await;
             }
-            leases.sent();
+            leases.datagram_sent();
         }
         // The tasks of a pooler that leaves are given back: nothing more is to be sent.
         std::future::pending().await
@@ -105,7 +105,7 @@
                 Ok((size, sender)) => match self.numbers.get(&sender) {
                     Some(from) => {
                         if let (Some(leases), MAGIC) = (&self.leases, buffer[0]) {
-                            leases.take(*from, &buffer[..size]);
+                            leases.receive(*from, &buffer[..size]);
                         } else {
                             self.driver.counters.heard.add();
                             self.driver.feed(Event::Told { from: *from, bytes: buffer[..size].to_vec() });
--- a/crates/net/src/work.rs
+++ b/crates/net/src/work.rs
@@ -168,9 +168,9 @@
                     machines =
                         servers.iter().filter(matches_selector).map(|server| id_hash(&server.id)).collect();
                 }
-                let ambiguous = servers
-                    .iter()
-                    .any(|a| servers.iter().any(|b| a.id != b.id && id_hash(&a.id) == id_hash(&b.id)));
+                let ambiguous = servers.iter().any(|left| {
+                    servers.iter().any(|right| left.id != right.id && id_hash(&left.id) == id_hash(&right.id))
+                });
                 match machines.is_empty() {
                     _ if ambiguous => Err("two servers' ids can't be told apart in a datagram".to_owned()),
                     true => Err("no server fits the plan".to_owned()),
@@ -271,7 +271,7 @@
     pub(crate) async fn run(self: Rc<Self>) {
         let pause = (duration(self.options.setup.heartbeat_interval) / 8).min(MAX_STEP_INTERVAL);
         loop {
-            let changed = self.deps.leases.listen();
+            let changed = self.deps.leases.listen_for_changes();
             self.step();
             or(changed, async {
                 let _ = Timer::after(pause).await;
@@ -284,7 +284,7 @@
 
     fn step(self: &Rc<Self>) {
         let now = clock::steady();
-        for (origin, message) in self.deps.leases.take_work() {
+        for (origin, message) in self.deps.leases.take_work_messages() {
             self.coordinator.borrow_mut().receive(now, origin, message);
         }
         self.load_shared_record(now);
@@ -302,9 +302,9 @@
             self.started.raise();
         }
         drop(coordinator);
-        self.deps.leases.say(messages);
+        self.deps.leases.send_work(messages);
         if superseded {
-            let _ = self.deps.leases.by_hand(TASK, "release", None);
+            let _ = self.deps.leases.operator_command(TASK, "release", None);
         }
         self.apply_record();
         self.store_shared_record();
