--- a/crates/core/tests/bounds.rs
+++ b/crates/core/tests/bounds.rs
@@ -7,7 +7,7 @@
 
 /// A request for a group that no list has named.
 fn ask_of(host: &mut Host, at: i64) -> Vec<Action> {
-    host.tell(Event::Request(Request {
+    host.handle(Event::Request(Request {
         id: RequestId(1_000_000 + at.unsigned_abs()),
         class: ANY,
         tenant: None,
@@ -26,7 +26,7 @@
     for at in 1..=5_000 {
         ask_of(&mut host, at);
     }
-    host.pass(1_000);
+    host.advance(1_000);
     assert_eq!(host.router.primaries().count(), 1, "only the group that has members");
 }
 
@@ -34,21 +34,21 @@
 fn sessions_are_bounded_though_a_member_was_never_heard_of() {
     // Member 3 never tells a position, so that it can never be shown to have what anybody wrote.
     let mut host = Host::new(settings(), 3);
-    host.probed(1, true, 0);
+    host.probe_result(1, true, 0);
     for session in 0..40_000 {
-        let (id, actions) = host.ask_as(UNSAFE, Some(session));
+        let (id, actions) = host.request_in_session(UNSAFE, Some(session));
         assert_eq!(sends(&actions), [member(1)]);
-        host.answer(id, 0, 1, 1);
+        host.answer_after(id, 0, 1, 1);
         if session % 100 == 0 {
-            host.pass(10);
+            host.advance(10);
         }
     }
-    host.pass(100);
+    host.advance(100);
     assert!(host.router.session_count() <= 10_000, "{} sessions are kept", host.router.session_count());
     // A session that was let go of still sees what it wrote: a replica that is known to be behind all of it gets none of its reads.
-    host.probed(2, false, 60_000_000);
+    host.probe_result(2, false, 60_000_000);
     for _ in 0..20 {
-        let (_, actions) = host.ask_as(OWN, Some(0));
+        let (_, actions) = host.request_in_session(OWN, Some(0));
         assert!(!sends(&actions).contains(&member(2)), "{actions:?}");
     }
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -80,49 +80,49 @@
 
     pub fn seeded(seed: u64, settings: Settings, count: usize) -> Self {
         let mut host = Self { router: Router::new(seed, settings), now: Time(1_000_000_000), next: 0 };
-        host.tell(Event::List(Listing::Full((1..=count).map(entry).collect())));
+        host.handle(Event::List(Listing::Full((1..=count).map(entry).collect())));
         host
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
         actions
     }
 
     /// Lets time pass and wakes the router.
-    pub fn pass(&mut self, ms: i64) -> Vec<Action> {
+    pub fn advance(&mut self, ms: i64) -> Vec<Action> {
         let mut all = Vec::new();
         for _ in 0..ms.div_euclid(5) {
             self.now = self.now + Span::millis(5);
-            all.extend(self.tell(Event::Wake));
+            all.extend(self.handle(Event::Wake));
         }
         all
     }
 
-    pub fn ask(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
-        self.ask_as(class, None)
+    pub fn request(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
+        self.request_in_session(class, None)
     }
 
-    pub fn ask_as(&mut self, class: ClassId, session: Option<u64>) -> (RequestId, Vec<Action>) {
-        self.ask_for(class, session, 1_000)
+    pub fn request_in_session(&mut self, class: ClassId, session: Option<u64>) -> (RequestId, Vec<Action>) {
+        self.request_for(class, session, 1_000)
     }
 
     /// A request of a client that waits so many milliseconds.
-    pub fn ask_within(&mut self, class: ClassId, ms: i64) -> (RequestId, Vec<Action>) {
-        self.ask_for(class, None, ms)
+    pub fn request_within(&mut self, class: ClassId, ms: i64) -> (RequestId, Vec<Action>) {
+        self.request_for(class, None, ms)
     }
 
     /// A request that its client marks as a retry.
-    pub fn ask_again(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
-        self.ask_marked(class, None, 1_000, true)
+    pub fn request_retry(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
+        self.submit(class, None, 1_000, true)
     }
 
-    fn ask_for(&mut self, class: ClassId, session: Option<u64>, ms: i64) -> (RequestId, Vec<Action>) {
-        self.ask_marked(class, session, ms, false)
+    fn request_for(&mut self, class: ClassId, session: Option<u64>, ms: i64) -> (RequestId, Vec<Action>) {
+        self.submit(class, session, ms, false)
     }
 
-    fn ask_marked(
+    fn submit(
         &mut self,
         class: ClassId,
         session: Option<u64>,
@@ -142,14 +142,14 @@
             cost: None,
             retry,
         };
-        (id, self.tell(Event::Request(request)))
+        (id, self.handle(Event::Request(request)))
     }
 
-    pub fn end(&mut self, id: RequestId, attempt: u32, at: usize, verdict: Verdict) -> Vec<Action> {
-        self.end_with(id, attempt, at, verdict, None)
+    pub fn end_attempt(&mut self, id: RequestId, attempt: u32, at: usize, verdict: Verdict) -> Vec<Action> {
+        self.end_attempt_as(id, attempt, at, verdict, None)
     }
 
-    pub fn end_with(
+    pub fn end_attempt_as(
         &mut self,
         id: RequestId,
         attempt: u32,
@@ -157,7 +157,7 @@
         verdict: Verdict,
         role: Option<Role>,
     ) -> Vec<Action> {
-        self.tell(Event::Outcome(Outcome {
+        self.handle(Event::Outcome(Outcome {
             request: id,
             attempt: AttemptNo(attempt),
             member: member(at),
@@ -170,14 +170,14 @@
     }
 
     /// Lets that time pass, then member `at` answers.
-    pub fn answer(&mut self, id: RequestId, attempt: u32, at: usize, ms: i64) -> Vec<Action> {
+    pub fn answer_after(&mut self, id: RequestId, attempt: u32, at: usize, ms: i64) -> Vec<Action> {
         self.now = self.now + Span::millis(ms);
-        self.answered(id, attempt, at, Span::millis(ms))
+        self.answer_now(id, attempt, at, Span::millis(ms))
     }
 
     /// Member `at` answers now what took so long.
-    pub fn answered(&mut self, id: RequestId, attempt: u32, at: usize, took: Span) -> Vec<Action> {
-        self.tell(Event::Outcome(Outcome {
+    pub fn answer_now(&mut self, id: RequestId, attempt: u32, at: usize, took: Span) -> Vec<Action> {
+        self.handle(Event::Outcome(Outcome {
             request: id,
             attempt: AttemptNo(attempt),
             member: member(at),
@@ -190,9 +190,9 @@
     }
 
     /// A probe's answer: role, and a position that is `behind_ms` old.
-    pub fn probed(&mut self, at: usize, primary: bool, behind_ms: i64) -> Vec<Action> {
+    pub fn probe_result(&mut self, at: usize, primary: bool, behind_ms: i64) -> Vec<Action> {
         let seconds = (self.now - Span::millis(behind_ms)).0 as f64 / 1e6;
-        self.tell(Event::Probed {
+        self.handle(Event::Probed {
             member: member(at),
             verdict: Verdict::Ok,
             took: Span::millis(1),
--- a/crates/core/tests/peers.rs
+++ b/crates/core/tests/peers.rs
@@ -130,16 +130,16 @@
 #[test]
 fn a_router_that_is_told_of_a_primary_sends_its_write_there_if_members_check() {
     let mut without = host(talk());
-    assert_eq!(sends(&without.ask(UNSAFE).1), [member(1)]);
+    assert_eq!(sends(&without.request(UNSAFE).1), [member(1)]);
     let mut with = host(talk());
     let bytes = changed(with.now, 3);
-    let actions = with.tell(Event::Told { from: 1, bytes: bytes.clone() });
+    let actions = with.handle(Event::Told { from: 1, bytes: bytes.clone() });
     assert!(!actions.iter().any(|action| matches!(action, Action::Tell { .. })), "it is known to all");
-    assert_eq!(sends(&with.ask(UNSAFE).1), [member(3)]);
+    assert_eq!(sends(&with.request(UNSAFE).1), [member(3)]);
     // Where they don't, a read that must be current would go to whom hearsay names.
     let mut unchecked = host(Settings { checks: Checks::None, ..talk() });
-    unchecked.tell(Event::Told { from: 1, bytes });
-    assert!(sends(&unchecked.ask(FRESH).1).is_empty());
+    unchecked.handle(Event::Told { from: 1, bytes });
+    assert!(sends(&unchecked.request(FRESH).1).is_empty());
 }
 
 #[test]
@@ -160,16 +160,16 @@
             (0..3).for_each(|_| other.record_answer(&member(2), true, 6.0));
             (0..3).for_each(|_| other.record_answer(&member(3), false, 0.8));
             let bytes = self::told(&mut other, host.now).remove(0).1;
-            host.tell(Event::Told { from, bytes });
+            host.handle(Event::Told { from, bytes });
         }
         let mut slow = 0;
         for _ in 0..200 {
             host.now = host.now + Span::millis(20);
-            let (id, actions) = host.ask(ANY);
-            host.tell(Event::Gone(id));
+            let (id, actions) = host.request(ANY);
+            host.handle(Event::Gone(id));
             for at in (1..=3).filter(|at| sends(&actions).contains(&member(*at))) {
                 slow += usize::from(at == 2);
-                host.end(id, 0, at, Verdict::Moot);
+                host.end_attempt(id, 0, at, Verdict::Moot);
             }
         }
         slow
@@ -203,10 +203,10 @@
 fn nobody_is_told_anything_once_the_settings_forbid_it() {
     for allowed in [true, false] {
         let mut host = Host::new(talk(), 3);
-        host.probed(1, true, 0);
+        host.probe_result(1, true, 0);
         host.router.update_settings(Settings { peers: allowed, ..talk() });
         host.now = host.now + Span::millis(2_000);
-        let actions = host.probed(2, true, 0);
+        let actions = host.probe_result(2, true, 0);
         let tells = actions.iter().filter(|action| matches!(action, Action::Tell { .. })).count();
         assert_eq!(tells > 0, allowed, "{actions:?}");
     }
--- a/crates/core/tests/primary.rs
+++ b/crates/core/tests/primary.rs
@@ -248,17 +248,17 @@
 fn with_changes_seen() -> Host {
     let says = Expected { least: Span::millis(700), usual: Span::millis(900) };
     let mut host = Host::new(Settings { changes: [None, Some(says)], ..settings() }, 3);
-    host.probed(1, true, 0);
+    host.probe_result(1, true, 0);
     host
 }
 
 /// All three turn a write away, as after a death.
 fn walk(host: &mut Host) -> RequestId {
-    let (id, _) = host.ask_within(UNSAFE, 950);
+    let (id, _) = host.request_within(UNSAFE, 950);
     host.now = host.now + Span::millis(2);
-    host.end(id, 0, 1, Verdict::ConnectFailed);
-    host.end_with(id, 1, 2, Verdict::Miss, Some(Role::Replica));
-    host.end_with(id, 2, 3, Verdict::Miss, Some(Role::Replica));
+    host.end_attempt(id, 0, 1, Verdict::ConnectFailed);
+    host.end_attempt_as(id, 1, 2, Verdict::Miss, Some(Role::Replica));
+    host.end_attempt_as(id, 2, 3, Verdict::Miss, Some(Role::Replica));
     id
 }
 
@@ -266,58 +266,58 @@
 fn a_write_that_can_not_outlast_the_change_is_refused_at_once_with_an_honest_time() {
     let mut host = with_changes_seen();
     walk(&mut host);
-    host.pass(100);
-    let (short, actions) = host.ask_within(UNSAFE, 400);
+    host.advance(100);
+    let (short, actions) = host.request_within(UNSAFE, 400);
     let back = refused(&actions, short).expect("refused at once").expect("with a time");
     assert!((Span::millis(790)..=Span::millis(800)).contains(&back), "{back:?}");
-    let (long, actions) = host.ask_within(UNSAFE, 700);
+    let (long, actions) = host.request_within(UNSAFE, 700);
     assert!(refused(&actions, long).is_none(), "this one may outlast it");
-    let (read, actions) = host.ask(READ);
+    let (read, actions) = host.request(READ);
     assert!(refused(&actions, read).is_none(), "other reads have other members");
 }
 
 #[test]
 fn a_box_that_started_anew_is_not_taken_for_the_primary_that_it_was() {
     let mut host = Host::new(Settings { cold_share: 1.0, ..settings() }, 3);
-    host.probed(1, true, 0);
-    assert_eq!(sends(&host.ask(FRESH).1), [member(1)]);
+    host.probe_result(1, true, 0);
+    assert_eq!(sends(&host.request(FRESH).1), [member(1)]);
     let again = Entry { started: Some(host.now + Span::millis(5)), ..entry(1) };
     host.now = host.now + Span::millis(1_000);
-    host.tell(Event::List(Listing::Changes(vec![again])));
-    let (_, actions) = host.ask(FRESH);
+    host.handle(Event::List(Listing::Changes(vec![again])));
+    let (_, actions) = host.request(FRESH);
     assert!(sends(&actions).is_empty(), "it has to show it anew");
-    assert_eq!(sends(&host.probed(1, true, 1)).len(), 1);
+    assert_eq!(sends(&host.probe_result(1, true, 1)).len(), 1);
 }
 
 #[test]
 fn a_start_that_lies_ahead_of_our_clock_does_not_keep_a_primary_from_being_shown() {
     let mut host = Host::new(Settings { cold_share: 1.0, ..settings() }, 3);
-    host.probed(1, true, 0);
+    host.probe_result(1, true, 0);
     let ahead = Entry { started: Some(host.now + Span::millis(3_600_000)), ..entry(1) };
-    host.tell(Event::List(Listing::Changes(vec![ahead])));
+    host.handle(Event::List(Listing::Changes(vec![ahead])));
     host.now = host.now + Span::millis(1_000);
-    host.probed(1, true, 1);
-    assert_eq!(sends(&host.ask(FRESH).1), [member(1)]);
+    host.probe_result(1, true, 1);
+    assert_eq!(sends(&host.request(FRESH).1), [member(1)]);
 }
 
 #[test]
 fn a_report_from_before_the_change_does_not_undo_an_answer_from_behind_it() {
     let mut host = with_changes_seen();
     let held = walk(&mut host);
-    host.pass(200);
+    host.advance(200);
     // The old primary's report is from before its death; it came late.
-    host.probed(1, true, 190);
-    let actions = host.probed(2, true, 1);
+    host.probe_result(1, true, 190);
+    let actions = host.probe_result(2, true, 1);
     assert_eq!(sends(&actions), [member(2)]);
     host.now = host.now + Span::millis(4);
-    host.end_with(held, 3, 2, Verdict::Ok, Some(Role::Primary));
-    host.probed(1, true, 150);
-    assert_eq!(sends(&host.ask(UNSAFE).1), [member(2)], "what it was is not what it is");
+    host.end_attempt_as(held, 3, 2, Verdict::Ok, Some(Role::Primary));
+    host.probe_result(1, true, 150);
+    assert_eq!(sends(&host.request(UNSAFE).1), [member(2)], "what it was is not what it is");
 }
 
 /// An answer from a primary whose position is so old.
 fn claims(host: &mut Host, at: usize, behind_ms: i64) -> Vec<Action> {
-    let (id, actions) = host.ask(ANY);
+    let (id, actions) = host.request(ANY);
     let to = sends(&actions).first().cloned();
     let note = Note { role: Some(Role::Primary), position: Some(host.now - Span::millis(behind_ms)) };
     let outcome = Outcome {
@@ -330,24 +330,24 @@
         closed: true,
         report: None,
     };
-    host.tell(Event::Outcome(outcome))
+    host.handle(Event::Outcome(outcome))
 }
 
 #[test]
 fn an_old_primary_that_still_says_it_is_one_moves_no_mark() {
     let mut host = with_changes_seen();
     let held = walk(&mut host);
-    host.pass(200);
-    host.probed(2, true, 1);
+    host.advance(200);
+    host.probe_result(2, true, 1);
     host.now = host.now + Span::millis(4);
-    host.end_with(held, 3, 2, Verdict::Ok, Some(Role::Primary));
+    host.end_attempt_as(held, 3, 2, Verdict::Ok, Some(Role::Primary));
     // It is back and answers reads, with where it stood.
-    host.probed(1, true, 400);
+    host.probe_result(1, true, 400);
     for _ in 0..60 {
         host.now = host.now + Span::millis(5);
         claims(&mut host, 1, 400);
     }
-    assert_eq!(sends(&host.ask(UNSAFE).1), [member(2)]);
+    assert_eq!(sends(&host.request(UNSAFE).1), [member(2)]);
 }
 
 proptest! {
--- a/crates/core/tests/retune.rs
+++ b/crates/core/tests/retune.rs
@@ -38,8 +38,8 @@
 #[test]
 fn an_open_request_keeps_its_class_and_its_attempts_and_a_new_one_has_the_new_ones() {
     let mut host = Host::new(settings(), 5);
-    host.probed(1, true, 0);
-    let (old, mut actions) = host.ask(ANY);
+    host.probe_result(1, true, 0);
+    let (old, mut actions) = host.request(ANY);
     let mut new = settings();
     // 'any' is a write that must not run twice now, and one attempt is all there is.
     new.classes = vec![class("any", Need::Write, Effect::Unsafe)];
@@ -50,11 +50,11 @@
     for attempt in 0..3 {
         let to = sends(&actions).pop().expect("a read that is safe to repeat goes on to others");
         let at = (1..=5).find(|at| member(*at) == to).unwrap();
-        actions = host.end(old, attempt, at, Verdict::ConnectFailed);
+        actions = host.end_attempt(old, attempt, at, Verdict::ConnectFailed);
         assert!(!failed(&actions, old));
     }
-    let (id, actions) = host.ask(numbers[0]);
+    let (id, actions) = host.request(numbers[0]);
     assert_eq!(sends(&actions), [member(1)]);
-    let actions = host.end(id, 0, 1, Verdict::Reset);
+    let actions = host.end_attempt(id, 0, 1, Verdict::Reset);
     assert!(failed(&actions, id) && sends(&actions).is_empty(), "{actions:?}");
 }
--- a/crates/core/tests/slowness.rs
+++ b/crates/core/tests/slowness.rs
@@ -22,22 +22,22 @@
 /// Two replicas and a primary; replica 2 has answered usually, replica 3 in `slow` ms, and is worth no read then.
 fn to_the_slow_one(slow: i64) -> usize {
     let mut host = Host::new(Settings { probes: false, cancels: false, ..settings() }, 3);
-    host.probed(1, true, 0);
+    host.probe_result(1, true, 0);
     for _ in 0..60 {
-        let (id, actions) = host.ask(ANY);
+        let (id, actions) = host.request(ANY);
         let Some(to) = sends(&actions).pop() else { continue };
         let ms = if to == member(3) { slow } else { 50 };
         let at = (1..=3).find(|at| member(*at) == to).unwrap_or(1);
-        host.answer(id, 0, at, ms);
+        host.answer_after(id, 0, at, ms);
     }
     // At the same moment, so that none finds the others' work ahead of it: each is given up at once.
     let mut all = 0;
     for _ in 0..60 {
-        let (id, actions) = host.ask(ANY);
-        host.tell(Event::Gone(id));
+        let (id, actions) = host.request(ANY);
+        host.handle(Event::Gone(id));
         for at in (1..=3).filter(|at| sends(&actions).contains(&member(*at))) {
             all += usize::from(at == 3);
-            host.end(id, 0, at, Verdict::Moot);
+            host.end_attempt(id, 0, at, Verdict::Moot);
         }
     }
     all
