--- a/crates/core/src/backoff.rs
+++ b/crates/core/src/backoff.rs
@@ -1,53 +1,55 @@
-//! When a pooler asks a service again that all poolers of a fleet ask: discovery.
+//! Delays between a pooler's calls to discovery, a service that every pooler of the fleet calls.
 //!
-//! What is harmless alone takes the service down together. After 60 of 100 watches were reset at one moment, each pooler
-//! asked again at once and then at least every second; the service, busy with calls that had waited too long by the
-//! time it came to them, answered 503 to all of them for as long as the day lasted. So the pauses are jittered, and where
-//! the service refuses they are as long as the fleet is large: all poolers together ask so many times a second and no more,
-//! and half as often each time that it says that it is overbooked.
+//! Retries that are harmless from one pooler can overload the service when the whole fleet sends them at once. When 60 of
+//! 100 watches were reset at the same moment and each pooler retried immediately and then at least once a second, the
+//! service spent its time on calls whose callers had already given up and answered 503 to all of them indefinitely.
+//! Delays are therefore jittered, and after a refusal they grow with the size of the fleet, so that all poolers together
+//! make a bounded number of calls per second, and half as many after each further refusal.
 //!
-//! But what an agent beside the pooler has counts as told whether or not a watch is open. With 300 poolers a watch that was
-//! reset stayed shut for up to 6 s, and requests went to servers that drained meanwhile. So nothing but a refusal makes the
-//! pause longer than a part of the grace that drains have: the first call after an end comes within it.
+//! The delay must not grow without a refusal, however: what the agent beside the pooler knows counts as delivered to the
+//! pooler whether or not a watch is open. With 300 poolers a watch that was reset stayed closed for up to 6 s, and requests
+//! went to servers that had begun to drain meanwhile. Without a refusal the first call after the end of a watch therefore
+//! comes within a fraction of the grace period of drains.
 
 use crate::interface::Span;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 
-/// What each pooler of the fleet adds to the pause of all, before anybody was refused.
-const EACH: Span = Span::millis(20);
-/// The least pause, for small fleets.
-const LEAST: Span = Span::millis(50);
-/// No pause after a refusal is longer than so many times what all poolers add up to, nor than a second in a small fleet:
-/// what the list has to tell binds 6 s later, heard or not.
-const MOST_TIMES: f64 = 8.0;
-const LEAST_MOST: Span = Span::millis(1_000);
-/// The part of the grace of drains that passes before a call that nobody refused: the rest is for the answer, and for what
-/// is being opened by then.
-const GRACE_PART: f64 = 0.25;
-/// Without a grace it still must not spin.
-const LEAST_SOON: Span = Span::millis(20);
-const MOST_DOUBLINGS: u32 = 10;
-/// A watch without news that lasted for so long has served.
-const LASTED: Span = Span::millis(1_000);
+/// The delay that each pooler of the fleet contributes to the base delay after a refusal.
+const DELAY_PER_POOLER: Span = Span::millis(20);
+/// The minimum base delay after a refusal, for small fleets.
+const MIN_BASE_DELAY: Span = Span::millis(50);
+/// The maximum delay after a refusal, as a multiple of the base delay, and the least value of that maximum for small fleets.
+/// It is limited because a listed drain becomes binding after 6 s whether or not the pooler has received it.
+const MAX_BASE_MULTIPLE: f64 = 8.0;
+const MAX_DELAY_FLOOR: Span = Span::millis(1_000);
+/// The maximum delay without a refusal, as a fraction of the drain grace. The rest of the grace is for the answer and for
+/// attempts that are just being started.
+const GRACE_FRACTION: f64 = 0.25;
+/// The least value of that maximum; it prevents a busy loop where there is no drain grace.
+const UNREFUSED_MAX_FLOOR: Span = Span::millis(20);
+/// The delay after consecutive refusals doubles at most this many times.
+const MAX_DOUBLINGS: u32 = 10;
+/// A watch that was answered and stayed open for this long counts as served even if it brought no update.
+const MIN_SERVED_DURATION: Span = Span::millis(1_000);
 
-/// Why one has to ask again.
+/// How a watch ended, after which discovery is called again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEnd {
-    /// It was answered, went on for a while and ended, as it may have for all at once.
+    /// It was answered, stayed open for a while and ended, perhaps for all poolers at the same time.
     Served,
-    /// The service said that it can't.
+    /// The service refused the call because it was overloaded.
     Refused,
-    /// Nobody was reached, or nobody answered.
+    /// The service could not be reached or did not answer.
     Unreached,
 }
 
 impl WatchEnd {
-    /// How a watch ended that lasted for so long: whether it was refused, answered at all, and had news. Where it waited
-    /// and nobody said a word it has not been served, and asking again at once would only add to those who wait.
+    /// Classifies the end of a watch that lasted for `lasted`, by whether it was refused, answered at all and brought an
+    /// update. A watch without any answer was not served, and an immediate retry would only lengthen the service's queue.
     #[must_use]
-    pub fn classify(refused: bool, answered: bool, news: bool, lasted: Span) -> Self {
-        match (refused, answered && (news || lasted > LASTED)) {
+    pub fn classify(refused: bool, answered: bool, updated: bool, lasted: Span) -> Self {
+        match (refused, answered && (updated || lasted > MIN_SERVED_DURATION)) {
             (true, _) => Self::Refused,
             (false, true) => Self::Served,
             (false, false) => Self::Unreached,
@@ -55,51 +57,54 @@
     }
 }
 
-/// The pauses of one pooler.
+/// The delays of one pooler.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     rng: ChaCha8Rng,
     fleet: u32,
-    /// The longest pause that no refusal asked for.
-    soon: Span,
-    refused: u32,
+    /// The maximum delay without a refusal.
+    unrefused_max: Span,
+    /// Consecutive refusals, up to [`MAX_DOUBLINGS`].
+    refusals: u32,
 }
 
 impl Backoff {
-    /// Pauses among so many poolers, by chance from this seed, where drains have this grace.
+    /// Creates the delays of a pooler in a fleet of this size, with jitter from this seed and this grace period of drains.
     #[must_use]
     pub fn new(seed: u64, fleet: u32, drain_grace: Span) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut backoff = Self { rng, fleet: 1, soon: LEAST_SOON, refused: 0 };
-        backoff.retune(fleet, drain_grace);
+        let mut backoff = Self { rng, fleet: 1, unrefused_max: UNREFUSED_MAX_FLOOR, refusals: 0 };
+        backoff.reconfigure(fleet, drain_grace);
         backoff
     }
 
-    /// Goes by this number of poolers and this grace from now on.
-    pub fn retune(&mut self, fleet: u32, drain_grace: Span) {
+    /// Changes the size of the fleet and the drain grace.
+    pub fn reconfigure(&mut self, fleet: u32, drain_grace: Span) {
         self.fleet = fleet.max(1);
-        self.soon = drain_grace.times(GRACE_PART).max(LEAST_SOON);
+        self.unrefused_max = drain_grace.times(GRACE_FRACTION).max(UNREFUSED_MAX_FLOOR);
     }
 
-    /// How long to wait before it is asked again.
+    /// The delay before the next call.
     pub fn pause(&mut self, ended: WatchEnd) -> Span {
         match ended {
             WatchEnd::Served => {
-                self.refused = 0;
-                self.soon.times(self.chance())
+                self.refusals = 0;
+                self.unrefused_max.times(self.random_fraction())
             }
-            // It costs the service nothing that the own way to it fails.
-            WatchEnd::Unreached => self.soon.times(0.5 + 0.5 * self.chance()),
+            // Failing to reach the service costs it nothing, so the delay need not grow.
+            WatchEnd::Unreached => self.unrefused_max.times(0.5 + 0.5 * self.random_fraction()),
             WatchEnd::Refused => {
-                let all = EACH.times(f64::from(self.fleet)).max(LEAST);
-                self.refused = (self.refused + 1).min(MOST_DOUBLINGS);
-                let most = all.times(MOST_TIMES).max(LEAST_MOST);
-                all.times(f64::from(1 << self.refused)).min(most).times(0.5 + 0.5 * self.chance())
+                let base = DELAY_PER_POOLER.times(f64::from(self.fleet)).max(MIN_BASE_DELAY);
+                self.refusals = (self.refusals + 1).min(MAX_DOUBLINGS);
+                let max_delay = base.times(MAX_BASE_MULTIPLE).max(MAX_DELAY_FLOOR);
+                base.times(f64::from(1 << self.refusals))
+                    .min(max_delay)
+                    .times(0.5 + 0.5 * self.random_fraction())
             }
         }
     }
 
-    fn chance(&mut self) -> f64 {
+    fn random_fraction(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
     }
 }
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -1,25 +1,25 @@
-//! The plain types between the decisions (`choice.rs`) and whoever hosts them: settings, events,
-//! actions, ids and outcomes. No decision and no tuned value stands here.
+//! The data types shared by the router (`choice.rs`) and its hosts: settings, events, actions, ids and outcomes. Routing
+//! logic and tuned constants live elsewhere.
 
 use std::ops::{Add, Sub};
 use std::sync::Arc;
 
-/// A moment on the host's clock, in microseconds. Only differences matter; it never runs backwards.
+/// A timestamp on the host's monotonic clock, in microseconds. Only differences are meaningful.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(pub i64);
 
-/// A length of time in microseconds.
+/// A duration in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Span(pub i64);
 
 impl Span {
-    /// A span of so many whole milliseconds.
+    /// The span of the given number of milliseconds.
     #[must_use]
     pub const fn millis(ms: i64) -> Self {
         Self(ms.saturating_mul(1_000))
     }
 
-    /// The span times a factor; a factor that is not finite counts as zero.
+    /// Multiplies the span by a factor; a factor that is not finite counts as zero.
     #[must_use]
     pub fn times(self, factor: f64) -> Self {
         Self((self.0 as f64 * if factor.is_finite() { factor } else { 0.0 }) as i64)
@@ -47,7 +47,7 @@
     }
 }
 
-/// The address of a database as the list names it. Ids are sorted, and carry no other meaning.
+/// The id of a database server: its address as the list names it. Ids are opaque apart from their order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId(pub Arc<str>);
 
@@ -55,7 +55,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupId(pub i64);
 
-/// One try of a client. Never reused.
+/// The id of one request of a client; a client's retry has another. Never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
@@ -67,99 +67,99 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantId(pub usize);
 
-/// A client session; its reads must see its writes.
+/// A client session, whose reads must see its own writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionKey(pub u64);
 
-/// The number of an attempt of a request, from 0 in the order of its sends.
+/// The number of an attempt of a request, counted from 0 in the order in which they were sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptNo(pub u32);
 
-/// What a repeat of a request does.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// May run any number of times.
+    /// Safe to execute any number of times.
     Safe,
-    /// Carries a key by which its repeats are discarded, for a while.
+    /// Carries an idempotency key by which the server discards repeats, for a limited time.
     Keyed,
-    /// Must never run twice.
+    /// Must never be executed twice.
     Unsafe,
 }
 
-/// How current the data must be that a class is answered from.
+/// How current the data must be from which requests of a class are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need {
-    /// A write: only the primary takes it.
+    /// A write, which only the primary accepts.
     Write,
-    /// Any member will do.
+    /// A read that any member may answer.
     Any,
-    /// Data no older than this when the request is sent.
+    /// A read of data no older than this when the request is sent.
     Bounded(Span),
-    /// All that the session has written.
+    /// A read that must see everything that its session has written.
     Session,
-    /// All that was written before the request came in.
+    /// A read that must see everything that was written before the request arrived.
     Fresh,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name, for log lines only.
+    /// Its name, used in log lines only.
     pub name: String,
-    /// What a repeat does.
+    /// Whether its requests may be repeated.
     pub effect: Effect,
-    /// How current its data must be.
+    /// The consistency that its requests need.
     pub need: Need,
-    /// Answered within this time it has its full worth.
+    /// The latency objective: a request answered within this time has its full worth.
     pub aim: Span,
-    /// The aim is extended by this multiple of the request's own expected work.
+    /// The latency objective is extended by this multiple of the request's own expected work.
     pub aim_stretch: f64,
-    /// What one request is worth.
+    /// The worth of one request.
     pub worth: f64,
-    /// The share of the worth that an answer after the aim still has.
+    /// The fraction of the worth that remains when the answer comes after the latency objective.
     pub late_worth: f64,
 }
 
-/// What a member does with a read for which it is too far behind.
+/// What a member does with a read for which its data is too old.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Checks {
-    /// It answers from what it has.
+    /// It answers from the data that it has.
     None,
-    /// It turns the read away untouched, at once or after a wait.
+    /// It rejects the read without executing it, immediately or after a wait.
     Refuse,
 }
 
-/// Where a session read's token comes from.
+/// Where the position that a session's reads must see comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tokens {
-    /// The request says how long ago its session last wrote.
+    /// Each request tells how long ago its session last wrote.
     Carried,
-    /// The router remembers the commits that it has seen.
+    /// The router remembers the commits of the sessions that it has served.
     Remembered,
 }
 
 /// How the list of members reaches the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Unasked.
+    /// Updates arrive without a subscription.
     Push,
-    /// Only after [`Action::Subscribe`].
+    /// Updates arrive only after [`Action::Subscribe`].
     Ask,
 }
 
-/// A value of a load report.
+/// A field of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Field {
-    /// The log position, in seconds after [`Settings::zero`].
+    /// The replication log position, in seconds after [`Settings::zero`].
     Position,
-    /// 1 from a primary.
+    /// 1 if the member is the primary.
     Primary,
-    /// Anything else; not decided by.
+    /// Any other field; no decision uses it.
     Other,
 }
 
 impl Field {
-    /// The value that a report calls so.
+    /// The field of this name in the settings.
     #[must_use]
     pub fn named(name: &str) -> Self {
         match name {
@@ -170,99 +170,100 @@
     }
 }
 
-/// A customer whose traffic has a share.
+/// A customer with a share of the traffic.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name, for log lines only.
+    /// Its name, used in log lines only.
     pub name: String,
-    /// Requests a second within its share, over all routers.
+    /// Its share in requests per second, over all routers of the fleet.
     pub quota: f64,
 }
 
-/// What a router is told when it starts, and by [`crate::Router::update_settings`] later on.
+/// The settings with which a router starts; [`crate::Router::update_settings`] replaces them later on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The classes, by [`ClassId`].
     pub classes: Vec<Class>,
     /// The tenants, by [`TenantId`].
     pub tenants: Vec<Tenant>,
-    /// How many routers share the members.
+    /// The number of routers that share the members.
     pub fleet: u32,
     /// The zone of this router.
     pub zone: String,
-    /// How the list arrives.
+    /// How the list of members arrives.
     pub discovery: Discovery,
-    /// What members do with a read they are too far behind for.
+    /// What members do with a read for which their data is too old.
     pub checks: Checks,
-    /// Where session tokens come from.
+    /// Where the positions of sessions come from.
     pub tokens: Tokens,
-    /// Position zero of notes and reports, on the host's clock.
+    /// The time on the host's clock that corresponds to position zero in notes and load reports.
     pub zero: Time,
-    /// What load reports hold, in order.
+    /// The fields of a load report, in order.
     pub report: Vec<Field>,
-    /// Attempts a request may have.
+    /// The maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Whether two attempts of one request may be out together.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub second_copies: bool,
     /// Whether [`Action::Probe`] is allowed.
     pub probes: bool,
     /// Whether [`Action::Cancel`] is allowed.
     pub cancels: bool,
-    /// Whether clients are shown a retry-after.
+    /// Whether refusals carry a retry-after.
     pub retry_after: bool,
-    /// The longest retry-after that a client heeds.
+    /// The longest retry-after that clients honour.
     pub max_retry_after: Span,
-    /// Nothing new to a member later than this after it was listed as draining or gone.
+    /// No attempt may start later than this after its member was listed as draining or gone.
     pub drain_grace: Span,
-    /// The drain rule binds only members that were seen draining.
+    /// If set, the drain grace applies only to members that were listed as draining; one that is removed without that may
+    /// still be sent requests.
     pub soft_removal: bool,
-    /// A started member has this share of its capacity, or more.
+    /// The share of its capacity that a member has when it has just started.
     pub cold_share: f64,
-    /// A started member is warm after this.
+    /// The time after its start in which a member reaches its full capacity.
     pub cold_span: Span,
-    /// A cold member that is sent more than this multiple of its capacity
+    /// A cold member fails when it is sent more than this multiple of its current capacity for [`Self::fall_span`].
     pub fall_multiple: f64,
-    /// for this long falls over.
+    /// How long such an overload must last for a cold member to fail.
     pub fall_span: Span,
-    /// How much work over its tenant's share is worth, as a part of the usual.
+    /// The fraction of its worth that a request beyond its tenant's share has.
     pub over_share_worth: f64,
-    /// What the operators weigh.
+    /// The operators' weights of the service objectives.
     pub goal: Goal,
-    /// How long planned changes of primary take, and others, as far as the operators know.
+    /// The expected durations of planned and of unplanned changes of primary, where the operators give them.
     pub changes: [Option<Expected>; 2],
     /// Whether [`Action::Tell`] is allowed.
     pub peers: bool,
-    /// The own number among the routers of the fleet; [`Settings::NO_RANK`] where it was not told.
+    /// This router's number in the fleet; [`Settings::NO_RANK`] if it is not configured.
     pub rank: u32,
-    /// What one full message (256 bytes) for each request costs, as a part of G.
+    /// The price of one full gossip datagram (256 bytes) per request, as a fraction of the service objective G.
     pub peer_price: f64,
 }
 
-/// How long changes of primary take.
+/// The expected duration of a change of primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Expected {
-    /// None is over sooner.
+    /// No change is shorter.
     pub least: Span,
-    /// Most are over by then.
+    /// Most changes are complete by then.
     pub usual: Span,
 }
 
-/// The operators' weights of service.
+/// The operators' weights of the service objectives.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Goal {
-    /// All that was asked for.
+    /// Weight of all requests together.
     pub whole: f64,
-    /// The worst-served class.
+    /// Weight of the class that is served worst.
     pub worst_class: f64,
 }
 
 impl Settings {
-    /// Stands for a number that was not told.
+    /// The rank of a router whose number is not configured.
     pub const NO_RANK: u32 = u32::MAX;
 }
 
 impl Default for Settings {
-    /// The most careful reading of every setting: no classes, nothing optional allowed.
+    /// The most restrictive value of every setting: no classes, and every optional feature off.
     fn default() -> Self {
         Self {
             classes: Vec::new(),
@@ -296,45 +297,45 @@
     }
 }
 
-/// What the list says of a member.
+/// The state of a member in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListState {
     /// In service.
     #[default]
     Healthy,
-    /// Finishing its work; nothing new may be sent.
+    /// It finishes its open work and must not be sent anything new.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// One line of the list.
+/// One entry of the list of members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// The member.
+    /// The member's id.
     pub member: MemberId,
-    /// Its group.
+    /// Its replication group.
     pub group: GroupId,
     /// Its state.
     pub state: ListState,
-    /// Whether the list holds it to be the primary.
+    /// Whether the list names it as the primary.
     pub primary: bool,
-    /// When it last started; `None` for long ago.
+    /// When it last started; `None` if that is unknown or long ago.
     pub started: Option<Time>,
     /// Its zone.
     pub zone: String,
 }
 
-/// News of the list.
+/// An update of the list of members.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Listing {
-    /// The whole list.
+    /// The complete list.
     Full(Vec<Entry>),
-    /// Changed entries only.
+    /// Only the entries that changed.
     Changes(Vec<Entry>),
-    /// A call for the list failed, or the subscription broke.
+    /// Fetching the list failed, or the subscription ended with an error.
     Failed,
-    /// Members that were gone for so long that nothing needs to be known of them any more.
+    /// Members that have been gone for so long that their state can be dropped.
     Forgotten(Vec<MemberId>),
 }
 
@@ -345,23 +346,23 @@
     pub id: RequestId,
     /// Its class.
     pub class: ClassId,
-    /// Its tenant; `None` for one that the settings don't name. Such a request counts in nobody's share.
+    /// Its tenant; `None` if the settings don't name it. Such a request counts towards no share.
     pub tenant: Option<TenantId>,
     /// Its session.
     pub session: Option<SessionKey>,
-    /// The time left until the client gives this try up.
+    /// The time remaining until the client abandons this request.
     pub left: Span,
-    /// The group whose data it is about.
+    /// The group that holds its data.
     pub group: GroupId,
-    /// How long before its arrival its session last committed, where tokens are carried.
+    /// How long before its arrival its session last committed, with [`Tokens::Carried`].
     pub last_write: Option<Span>,
-    /// The expected work, where it is known.
+    /// The expected work, if known.
     pub cost: Option<Span>,
-    /// Its client marks it as a retry of an earlier one; never where clients mark none.
+    /// Whether its client marks it as a retry of an earlier request; false where clients don't mark retries.
     pub retry: bool,
 }
 
-/// What a member said of its role.
+/// The role that a member reports of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// It is the primary.
@@ -370,44 +371,44 @@
     Replica,
 }
 
-/// The note in an answer.
+/// The note in which a member tells its role and position with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Note {
-    /// The role; `None` if the note is unreadable.
+    /// The member's role; `None` if the note is unreadable.
     pub role: Option<Role>,
-    /// The log position, or for a write its commit; `None` where it is not told.
+    /// The member's log position, or for a write that of its commit; `None` if the note has none.
     pub position: Option<Time>,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Fulfilled.
+    /// Answered successfully.
     Ok,
-    /// The member returned an error; it may have run.
+    /// The member returned an error; the request may have run.
     Error,
-    /// Turned away unseen; it never ran.
+    /// The member rejected it because it was full; the request never ran.
     Full,
-    /// No answer in time; it may have run.
+    /// No answer within the timeout; the request may have run.
     Timeout,
-    /// No connection: nobody listens; it never ran.
+    /// The connection was refused; the request never ran.
     ConnectFailed,
-    /// No connection: nobody answers, be it that the member is gone or that the way to it is; it never ran.
+    /// Connecting had no answer, because the member or the network path to it is down; the request never ran.
     Unreachable,
-    /// A connection to a member that lives broke before all was sent; it never ran.
+    /// The connection to a live member broke before the request was sent completely; the request never ran.
     Broken,
-    /// The connection broke; it may have run.
+    /// The connection broke after the request was sent; the request may have run.
     Reset,
-    /// Called off; it may have run.
+    /// The router cancelled it; the request may have run.
     Cancelled,
-    /// Not sent at all.
+    /// It was never sent, because it was no longer needed.
     Moot,
-    /// Turned away untouched: not the primary, or too far behind.
+    /// The member rejected it without executing it: it is not the primary, or its data is too old.
     Miss,
 }
 
 impl Verdict {
-    /// Whether the outcome proves that nothing ran.
+    /// Whether this outcome proves that the request did not run.
     #[must_use]
     pub const fn never_ran(self) -> bool {
         matches!(
@@ -422,42 +423,42 @@
 pub struct Outcome {
     /// The request.
     pub request: RequestId,
-    /// Which of its attempts.
+    /// The number of the attempt.
     pub attempt: AttemptNo,
     /// The member.
     pub member: MemberId,
     /// How it ended.
     pub verdict: Verdict,
-    /// The member's note.
+    /// The note in the member's answer.
     pub note: Option<Note>,
     /// The time since the attempt was sent.
     pub took: Span,
-    /// Whether the client has its final answer.
+    /// Whether the client already has its final answer.
     pub closed: bool,
     /// The member's load report, in the order of [`Settings::report`].
     pub report: Option<Vec<f64>>,
 }
 
-/// Something that happened.
+/// An input to the router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the list. The first one after the start is the list last held, possibly old.
+    /// The list of members changed. The first update after the start is the list last known, possibly out of date.
     List(Listing),
-    /// A client asks.
+    /// A client sent a request.
     Request(Request),
-    /// A client has left, or the answer is overdue.
+    /// The client has disconnected, or its deadline has passed.
     Gone(RequestId),
-    /// A wake-up that was asked for.
+    /// A timer set by [`Action::Wake`] has fired.
     Wake,
-    /// A streamed answer has begun; the attempt belongs to the client now.
+    /// A streamed answer has begun to reach the client, so that the request can't be sent again.
     Streaming(RequestId),
     /// An attempt has ended.
     Outcome(Outcome),
-    /// Another router has told something; it may be late, or anything at all.
+    /// A datagram from another router arrived. It may be late, and its contents are not trusted.
     Told {
-        /// The router's number, by the address that it came from.
+        /// The sender's number, derived from its address.
         from: u32,
-        /// What came.
+        /// The datagram's contents.
         bytes: Vec<u8>,
     },
     /// A probe has ended.
@@ -473,26 +474,26 @@
     },
 }
 
-/// Something for the host to do, in the order given.
+/// An output of the router, which the host carries out in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Start an attempt of a request.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The member to send it to.
         member: MemberId,
-        /// Its time-out.
+        /// The attempt's timeout.
         timeout: Span,
     },
-    /// Final answer: refused; a retry does no harm.
+    /// Answer the client: refused, and safe to retry.
     Refuse {
         /// The request.
         request: RequestId,
-        /// When the client should come back.
+        /// How long the client should wait before it retries.
         retry_after: Option<Span>,
     },
-    /// Final answer: failed; nothing is promised.
+    /// Answer the client: failed; the request may have run.
     Fail {
         /// The request.
         request: RequestId,
@@ -504,28 +505,28 @@
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Ask a member for its report.
+    /// Ask a member for its load report.
     Probe {
         /// The member.
         member: MemberId,
     },
-    /// Tell other routers; it may come late or never.
+    /// Send a datagram to other routers; delivery is not guaranteed.
     Tell {
-        /// Whom.
+        /// The receivers.
         to: crate::peers::To,
-        /// What, at most 256 bytes.
+        /// The datagram, at most [`crate::peers::MAX_DATAGRAM_LEN`] bytes.
         bytes: Vec<u8>,
     },
-    /// Give an [`Event::Wake`] at this time.
+    /// Deliver an [`Event::Wake`] at this time.
     Wake {
-        /// When.
+        /// The time of the wake-up.
         at: Time,
     },
-    /// Subscribe to the list.
+    /// Subscribe to the list of members.
     Subscribe,
-    /// A line for the people on call.
+    /// Write a line to the log for the operators.
     Log {
-        /// The text, one line.
+        /// The text, a single line.
         line: String,
     },
 }
--- a/crates/net/src/discovery.rs
+++ b/crates/net/src/discovery.rs
@@ -160,7 +160,7 @@
             continue;
         }
         if let Some((fleet, drain_grace)) = node.source.retuned.take() {
-            backoff.retune(fleet, drain_grace);
+            backoff.reconfigure(fleet, drain_grace);
         }
         let pause = duration(backoff.pause(why));
         tracing::debug!(target: "watch", "watch ended after {:?}, {why:?}; again in {pause:?}", opened.elapsed());
