--- a/crates/daemon/src/registry.rs
+++ b/crates/daemon/src/registry.rs
@@ -146,7 +146,7 @@
     pooler.feed().doubt(REGISTRY, registry.doubt);
     if let Some(registrar) = Registrar::new(&registry, sink(), counters.clone())? {
         pooler.spawn(registrar.run(life.clone()));
-        let (whole, life) = (pooler.life(), life.clone());
+        let (whole, life) = (pooler.lifecycle(), life.clone());
         pooler.spawn(async move {
             whole.draining.raised().await;
             life.set(Some(Status::OutOfService));
--- a/crates/net/src/frontend.rs
+++ b/crates/net/src/frontend.rs
@@ -106,7 +106,7 @@
     /// Counters of the process.
     pub(crate) counters: Rc<Counters>,
     /// The stage of this process's life cycle.
-    pub(crate) life: Rc<Lifecycle>,
+    pub(crate) lifecycle: Rc<Lifecycle>,
     /// The slots for client connections.
     pub(crate) slots: Rc<ConnectionSlots>,
     /// The classes of requests.
@@ -130,11 +130,11 @@
             Some(listener.accept().await.map(|(stream, _)| (stream, room)))
         };
         let accept_paused = async {
-            context.life.accept_paused.wait_on().await;
+            context.lifecycle.accept_paused.wait_on().await;
             None
         };
         match or(accepted, accept_paused).await {
-            None if inherited => context.life.accept_paused.wait_off().await,
+            None if inherited => context.lifecycle.accept_paused.wait_off().await,
             None => return,
             Some(Ok((stream, room))) => {
                 // With all slots in use the connection may have been waited for so long that a slot is free by now.
@@ -417,7 +417,11 @@
             Ok(ReadOutcome::End(CloseReason::Slow))
         };
         let ending = async {
-            let flag = if between_commands { &context.life.closing_idle } else { &context.life.terminating };
+            let flag = if between_commands {
+                &context.lifecycle.closing_idle
+            } else {
+                &context.lifecycle.terminating
+            };
             flag.raised().await;
             Ok(ReadOutcome::End(CloseReason::ProcessEnds))
         };
@@ -426,7 +430,7 @@
             if !between_commands || *stage != Stage::Known {
                 std::future::pending::<()>().await;
             }
-            let since = context.life.drained.wait_on().await;
+            let since = context.lifecycle.drained.wait_on().await;
             let _ = Timer::at(since + DRAINED_GRACE).await;
             Ok(ReadOutcome::End(CloseReason::Emptied))
         };
@@ -513,7 +517,7 @@
                         }
                         rejected = Some(("42601", "no class of this site, or an id in use".to_owned()));
                     }
-                    Ok(StatementKind::Empty) if self.context.life.drained.on_since().is_some() => {
+                    Ok(StatementKind::Empty) if self.context.lifecycle.drained.on_since().is_some() => {
                         rejected = Some(("57P03", "drained by hand".to_owned()));
                     }
                     Ok(StatementKind::Empty) => write::empty_query_response(out),
@@ -545,7 +549,8 @@
     ) -> Result<bool, ClientError> {
         let Self { context, stream, buffer, arrivals, .. } = self;
         let read_ahead = RefCell::new((buffer, arrivals));
-        let client_watch = ClientWatch { life: &context.life, driver: &context.driver, stream, read_ahead };
+        let client_watch =
+            ClientWatch { lifecycle: &context.lifecycle, driver: &context.driver, stream, read_ahead };
         let (answer, pending_answer) =
             serve(&context.driver, &*context.pool, &client_request, &client_watch).await;
         if let (FinalAnswer::Failed { member: Some(member) }, Some((class, Need::Write, _))) =
@@ -638,7 +643,7 @@
     /// sent more.
     fn should_hand_over(&self) -> bool {
         let would_block = |error: io::Error| error.kind() == io::ErrorKind::WouldBlock;
-        self.context.life.handing_over_clients.is_on()
+        self.context.lifecycle.handing_over_clients.is_on()
             && self.buffer.data().is_empty()
             && self.stream.get_ref().peek(&mut [0]).is_err_and(would_block)
     }
@@ -669,7 +674,7 @@
         let enough = async {
             Timer::after(LINGER_TIMEOUT).await;
         };
-        let work = or(discarded, or(enough, self.context.life.terminating.raised()));
+        let work = or(discarded, or(enough, self.context.lifecycle.terminating.raised()));
         self.slot.run_evictable(EvictionRank::Closing, Instant::now(), work).await;
     }
 }
@@ -677,7 +682,7 @@
 /// Watches the client of an open request. What it sends ahead is buffered up to a limit. A client that has closed its side
 /// counts as having left: whether it still reads can't be observed.
 struct ClientWatch<'a> {
-    life: &'a Lifecycle,
+    lifecycle: &'a Lifecycle,
     stream: &'a Async<TcpStream>,
     driver: &'a Driver,
     /// The bytes sent ahead and their arrival times. Never borrowed across an await point.
@@ -709,7 +714,7 @@
         if self.has_left() {
             return Some(AbortReason::ClientLeft);
         }
-        self.life.terminating.is_up().then_some(AbortReason::ProcessEnds)
+        self.lifecycle.terminating.is_up().then_some(AbortReason::ProcessEnds)
     }
 
     async fn aborted(&self) -> AbortReason {
@@ -726,7 +731,7 @@
                 self.stream.readable().await.is_err().then_some(AbortReason::ClientLeft)
             };
             let ending = async {
-                self.life.terminating.raised().await;
+                self.lifecycle.terminating.raised().await;
                 None
             };
             if let Some(reason) = or(readable, ending).await {
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -78,7 +78,7 @@
 /// A pooler that listens, with nothing served yet. Further sources of members are put beside it before it runs.
 pub struct Pooler {
     executor: Rc<LocalExecutor<'static>>,
-    life: Rc<Lifecycle>,
+    lifecycle: Rc<Lifecycle>,
     status_log: Rc<StatusLog>,
     feed: Feed,
     driver: Rc<Driver>,
@@ -100,7 +100,7 @@
         work: Option<WorkOptions>,
         signals: Signals,
     ) -> Result<Self, RunError> {
-        let (status_log, life) = (Rc::new(StatusLog::default()), Rc::new(Lifecycle::default()));
+        let (status_log, lifecycle) = (Rc::new(StatusLog::default()), Rc::new(Lifecycle::default()));
         let counters = status_log.counters.clone();
         let members = Rc::new(Members::default());
         let executor = Rc::new(LocalExecutor::new());
@@ -184,7 +184,7 @@
                 members: known,
                 driver: driver.clone(),
                 pool: pool.clone(),
-                life: life.clone(),
+                lifecycle: lifecycle.clone(),
                 slots: slots.clone(),
                 shared: shared.clone(),
                 executor: executor.clone(),
@@ -193,7 +193,7 @@
         });
         let handler = signals::Handler {
             executor: executor.clone(),
-            life: life.clone(),
+            lifecycle: lifecycle.clone(),
             slots: slots.clone(),
             status_log: status_log.clone(),
             source: source.clone(),
@@ -209,7 +209,7 @@
             driver: driver.clone(),
             pool: pool.clone(),
             counters: counters.clone(),
-            life: life.clone(),
+            lifecycle: lifecycle.clone(),
             slots,
             classes,
             tenants,
@@ -219,7 +219,7 @@
         };
 
         // Who was out by hand stays out, whatever the list says; it must be known before it.
-        let changes = shared.as_ref().map(|shared| shared.poll_disabled());
+        let changes = shared.as_ref().map(|shared| shared.poll_operator_drains());
         match changes {
             Some(Ok((changes, strange))) => {
                 feed.by_word(&changes);
@@ -289,22 +289,23 @@
         }
         if let Some(address) = config.operator {
             let calls = operator_api::listen(address).map_err(|error| RunError::Listen(address, error))?;
-            let (executor, life, feed) = (executor.clone(), life.clone(), feed.clone());
+            let (executor, lifecycle, feed) = (executor.clone(), lifecycle.clone(), feed.clone());
             let (shared, open, leases) = (shared.clone(), open.clone(), leases.clone());
             let executor_of = executor.clone();
             let works = works.clone();
-            let desk = operator_api::Desk { executor: executor_of, life, feed, shared, open, leases, works };
+            let desk =
+                operator_api::Desk { executor: executor_of, lifecycle, feed, shared, open, leases, works };
             let desk = Rc::new(desk);
             executor.spawn(operator_api::run(desk, calls)).detach();
         }
         if let Some(addresses) = config.peers {
-            let (driver, life, replaced) = (driver.clone(), life.clone(), handed.is_some());
+            let (driver, lifecycle, replaced) = (driver.clone(), lifecycle.clone(), handed.is_some());
             let of_talk = leases.clone();
             let talk = async move { peers::Talk::open(addresses, driver, of_talk).await.run(told).await };
             // The address is the newer process's as soon as this one leaves, and so are its leases, which are given back first.
             let (own, taken) = (leases.clone(), shared.clone());
             let left = async move {
-                life.draining.raised().await;
+                lifecycle.draining.raised().await;
                 if let Some(leases) = &own {
                     leases.leave(taken.is_some_and(|shared| shared.is_superseded())).await;
                 }
@@ -326,7 +327,15 @@
                 frontend::run(Rc::new(context), listener, handed.is_some()).await;
             })
             .detach();
-        Ok(Self { executor, life, status_log, feed, driver: driver_of_start, name: config.name, listening })
+        Ok(Self {
+            executor,
+            lifecycle,
+            status_log,
+            feed,
+            driver: driver_of_start,
+            name: config.name,
+            listening,
+        })
     }
 
     /// The way in for what a further source of members tells.
@@ -343,8 +352,8 @@
 
     /// How far its life has come.
     #[must_use]
-    pub fn life(&self) -> Rc<Lifecycle> {
-        self.life.clone()
+    pub fn lifecycle(&self) -> Rc<Lifecycle> {
+        self.lifecycle.clone()
     }
 
     /// Has a task run beside the others, for as long as the pooler does.
@@ -361,7 +370,7 @@
     pub fn run(self, last: impl Future<Output = ()>) {
         tracing::info!("{} listening on {}", self.name, self.listening);
         async_io::block_on(self.executor.run(async {
-            self.life.terminated.raised().await;
+            self.lifecycle.terminated.raised().await;
             last.await;
         }));
         self.driver.check(|now, invariants| invariants.process_ended(now));
--- a/crates/net/src/operator_api.rs
+++ b/crates/net/src/operator_api.rs
@@ -37,7 +37,7 @@
 /// What calls act on.
 pub(crate) struct Desk {
     pub(crate) executor: Rc<LocalExecutor<'static>>,
-    pub(crate) life: Rc<Lifecycle>,
+    pub(crate) lifecycle: Rc<Lifecycle>,
     pub(crate) feed: Feed,
     /// Where it stands who is out by hand, for the process that takes this one's place, and from it.
     pub(crate) shared: Option<Rc<SharedState>>,
@@ -128,8 +128,8 @@
             return (StatusCode::METHOD_NOT_ALLOWED, format!("this call is made by {wanted}"));
         }
         match parts[..] {
-            ["ready"] if self.life.draining.is_up() => no(StatusCode::SERVICE_UNAVAILABLE, "ending"),
-            ["ready"] if self.life.drained.on_since().is_some() => {
+            ["ready"] if self.lifecycle.draining.is_up() => no(StatusCode::SERVICE_UNAVAILABLE, "ending"),
+            ["ready"] if self.lifecycle.drained.on_since().is_some() => {
                 no(StatusCode::SERVICE_UNAVAILABLE, "drained")
             }
             ["ready"] if self.works.as_ref().is_some_and(|works| !works.has_started()) => {
@@ -143,8 +143,8 @@
             ["servers", id, what] => self.server(id, what == "disable"),
             _ => {
                 let on = rest == "drain";
-                self.life.drained_by_operator.set(on);
-                self.life.drained.set_on(on);
+                self.lifecycle.drained_by_operator.set(on);
+                self.lifecycle.drained.set_on(on);
                 tracing::info!("{} by hand", if on { "drained" } else { "resumed" });
                 no(StatusCode::OK, if on { "draining" } else { "taking clients" })
             }
@@ -212,7 +212,7 @@
         let banned = self.feed.banned();
         tracing::info!("server {id} {} by hand, {} out", if out { "out" } else { "back" }, banned.len());
         if let Some(Err(error)) =
-            self.shared.as_ref().map(|shared| shared.set_disabled(&MemberId(Arc::from(id)), out))
+            self.shared.as_ref().map(|shared| shared.set_operator_drain(&MemberId(Arc::from(id)), out))
         {
             tracing::warn!("other processes of this pooler don't learn of it: {error}");
         }
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -34,7 +34,7 @@
     /// Runs the tasks.
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     /// The stages of the shutdown.
-    pub(crate) life: Rc<Lifecycle>,
+    pub(crate) lifecycle: Rc<Lifecycle>,
     /// The slots of client connections, with the number still connected.
     pub(crate) slots: Rc<ConnectionSlots>,
     /// The counters, and everything else that is logged on request.
@@ -171,20 +171,20 @@
 /// Drains the pooler on schedule: it keeps serving for a while, and ends early once no client is connected.
 async fn drain(handler: &Handler) {
     let started = Instant::now();
-    let life = &handler.life;
+    let lifecycle = &handler.lifecycle;
     let superseded = handler.shared.as_ref().is_some_and(|shared| shared.is_superseded());
     let plan = ShutdownSchedule::plan(span_of(handler.classes.longest_deadline()), superseded);
-    life.draining.raise();
+    lifecycle.draining.raise();
     let clients = handler.slots.in_use();
     tracing::info!(
         "draining with {clients} clients connected{}",
         if superseded { ", for a newer process" } else { "" }
     );
     if superseded && wait_for_successor(handler, &plan, started).await {
-        let life = &handler.life;
+        let lifecycle = &handler.lifecycle;
         tracing::warn!("the newer process is gone: clients are taken again");
-        life.handing_over_clients.set_on(false);
-        life.accept_paused.set_on(false);
+        lifecycle.handing_over_clients.set_on(false);
+        lifecycle.accept_paused.set_on(false);
         // Continues as a process without a successor, but with the same start of the schedule.
         let alone = ShutdownSchedule::plan(span_of(handler.classes.longest_deadline()), false);
         run_stages(handler, &alone, started).await;
@@ -195,9 +195,9 @@
 
 /// Leaves new clients to the newer process until the idle ones are to be closed. Returns true if the newer process died meanwhile.
 async fn wait_for_successor(handler: &Handler, plan: &ShutdownSchedule, started: Instant) -> bool {
-    let life = &handler.life;
-    life.handing_over_clients.set_on(true);
-    life.accept_paused.set_on(true);
+    let lifecycle = &handler.lifecycle;
+    lifecycle.handing_over_clients.set_on(true);
+    lifecycle.accept_paused.set_on(true);
     while started.elapsed() < duration(plan.close_idle) {
         if handler.shared.as_ref().is_some_and(|shared| shared.successor_is_dead()) {
             return true;
@@ -209,8 +209,8 @@
 
 /// Goes through the remaining stages of the schedule in order.
 async fn run_stages(handler: &Handler, plan: &ShutdownSchedule, started: Instant) {
-    let life = &handler.life;
-    let mut steps = vec![(plan.close_idle, None), (plan.stop_accepting, Some(&life.accept_paused))];
+    let lifecycle = &handler.lifecycle;
+    let mut steps = vec![(plan.close_idle, None), (plan.stop_accepting, Some(&lifecycle.accept_paused))];
     steps.sort_by_key(|(due, _)| *due);
     for (due, switch) in steps {
         if let Some(delay) = duration(due).checked_sub(started.elapsed()) {
@@ -218,11 +218,11 @@
         }
         match switch {
             Some(switch) => switch.set_on(true),
-            None => life.closing_idle.raise(),
+            None => lifecycle.closing_idle.raise(),
         }
     }
     let mut until = duration(plan.answer_open);
-    for stage in [&life.terminating, &life.terminated] {
+    for stage in [&lifecycle.terminating, &lifecycle.terminated] {
         while handler.slots.in_use() > 0 && started.elapsed() < until {
             Timer::after(POLL_INTERVAL).await;
         }
--- a/crates/net/src/succession.rs
+++ b/crates/net/src/succession.rs
@@ -16,8 +16,8 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-/// Folder with an empty file for each server disabled by an operator, named by the server's id in hexadecimal digits.
-const DISABLED_DIR: &str = "linnetdeal.out";
+/// Folder with an empty file for each server drained by an operator, named by the server's id in hexadecimal digits.
+const DRAINED_DIR: &str = "linnetdeal.out";
 /// File that names the newest process.
 const NEWEST_FILE: &str = "linnetdeal.newest";
 /// Prefix of the lock files. Each process locks a file of its own while it lives; the system releases the lock however the process
@@ -25,13 +25,13 @@
 const LOCK_PREFIX: &str = "linnetdeal.alive";
 /// Prefix of the files that hold the maintenance record known to the processes of this pooler.
 const WORK_PREFIX: &str = "linnetdeal.work";
-/// Interval between reads of the disabled servers. No new request may go to a server later than 0.25 s after the other process has
-/// confirmed that it is disabled.
+/// Interval between reads of the operator drains. No new request may go to a server later than 0.25 s after the other process has
+/// confirmed the drain.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// A folder modified more recently than this may have been modified again within the same tick of the file system's clock, so its
 /// modification time does not prove that nothing changed.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
-/// Limit on the files read from a folder: the maximum number of disabled servers, with room for foreign files.
+/// Limit on the files read from a folder: the maximum number of drained servers, with room for foreign files.
 const MAX_FILES: usize = MAX_OPERATOR_DRAINS + 100;
 /// Maximum length of a server's id, in bytes, that fits into a file name as hexadecimal digits.
 pub const MAX_ID_BYTES: usize = 120;
@@ -42,7 +42,7 @@
     folder: PathBuf,
     own_name: String,
     bans: RefCell<OperatorDrains>,
-    disabled_seen: Cell<Option<SystemTime>>,
+    drains_seen: Cell<Option<SystemTime>>,
     work_seen: Cell<Option<SystemTime>>,
     /// This process's lock file, held open while the process lives.
     own_lock: RefCell<Option<File>>,
@@ -55,15 +55,15 @@
     ///
     /// When the subfolder can't be created.
     pub fn open(folder: &Path) -> io::Result<Self> {
-        std::fs::create_dir_all(folder.join(DISABLED_DIR))?;
+        std::fs::create_dir_all(folder.join(DRAINED_DIR))?;
         let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         let own_name = format!("{}-{}", std::process::id(), now.as_nanos());
-        let (bans, disabled_seen, own_lock) = (RefCell::default(), Cell::new(None), RefCell::default());
+        let (bans, drains_seen, own_lock) = (RefCell::default(), Cell::new(None), RefCell::default());
         Ok(Self {
             folder: folder.to_owned(),
             own_name,
             bans,
-            disabled_seen,
+            drains_seen,
             work_seen: Cell::new(None),
             own_lock,
         })
@@ -182,23 +182,23 @@
         std::fs::read(self.work_files().ok()?.max()?).ok()
     }
 
-    /// Records that an operator has disabled a server, or has enabled it again.
+    /// Records that an operator has drained a server, or has ended that.
     ///
     /// # Errors
     ///
     /// When a file system operation fails. The change still applies in this process.
-    pub fn set_disabled(&self, member: &MemberId, disabled: bool) -> io::Result<()> {
+    pub fn set_operator_drain(&self, member: &MemberId, drained: bool) -> io::Result<()> {
         let hex: String = member.0.bytes().map(|byte| format!("{byte:02x}")).collect();
-        let file = self.folder.join(DISABLED_DIR).join(hex);
-        if disabled {
+        let file = self.folder.join(DRAINED_DIR).join(hex);
+        if drained {
             std::fs::write(file, "")?;
         } else if let Err(error) = std::fs::remove_file(file) {
-            // Enabling a server twice is no error.
+            // Ending a drain twice is no error.
             if error.kind() != io::ErrorKind::NotFound {
                 return Err(error);
             }
         }
-        self.bans.borrow_mut().record(member, disabled);
+        self.bans.borrow_mut().record(member, drained);
         Ok(())
     }
 
@@ -206,12 +206,12 @@
     ///
     /// # Errors
     ///
-    /// When the folder can't be read or holds more files than this program creates. Disabled servers stay disabled then.
-    pub fn poll_disabled(&self) -> io::Result<(DrainChanges, usize)> {
-        let folder = self.folder.join(DISABLED_DIR);
+    /// When the folder can't be read or holds more files than this program creates. Drained servers stay drained then.
+    pub fn poll_operator_drains(&self) -> io::Result<(DrainChanges, usize)> {
+        let folder = self.folder.join(DRAINED_DIR);
         let modified = std::fs::metadata(&folder)?.modified()?;
         let settled = modified.elapsed().is_ok_and(|age| age > SETTLE_TIME);
-        if settled && self.disabled_seen.replace(Some(modified)) == Some(modified) {
+        if settled && self.drains_seen.replace(Some(modified)) == Some(modified) {
             return Ok(Default::default());
         }
         let (mut found, mut foreign) = (BTreeSet::new(), 0);
@@ -219,7 +219,7 @@
             if found.len() + foreign >= MAX_FILES {
                 return Err(io::Error::new(
                     io::ErrorKind::InvalidData,
-                    "too many files in the folder of disabled servers",
+                    "too many files in the folder of drained servers",
                 ));
             }
             match entry?.file_name().to_str().and_then(decode_id) {
@@ -234,7 +234,7 @@
     pub async fn follow(&self, mut take: impl FnMut(DrainChanges)) {
         loop {
             Timer::after(POLL_INTERVAL).await;
-            if let Ok((changes, _)) = self.poll_disabled() {
+            if let Ok((changes, _)) = self.poll_operator_drains() {
                 take(changes);
             }
         }
--- a/crates/net/src/work.rs
+++ b/crates/net/src/work.rs
@@ -217,7 +217,7 @@
     pub(crate) members: Rc<Members>,
     pub(crate) driver: Rc<Driver>,
     pub(crate) pool: Rc<Pool>,
-    pub(crate) life: Rc<Lifecycle>,
+    pub(crate) lifecycle: Rc<Lifecycle>,
     pub(crate) slots: Rc<ConnectionSlots>,
     pub(crate) shared: Option<Rc<SharedState>>,
     pub(crate) executor: Rc<LocalExecutor<'static>>,
@@ -390,7 +390,10 @@
                         if out_for_work { "out" } else { "back" }
                     );
                     // A pooler drained by an operator stays drained.
-                    self.deps.life.drained.set_on(out_for_work || self.deps.life.drained_by_operator.get());
+                    self.deps
+                        .lifecycle
+                        .drained
+                        .set_on(out_for_work || self.deps.lifecycle.drained_by_operator.get());
                     self.deps.leases.abstain(out_for_work, &self.options.tasks);
                 }
             }
--- a/crates/net/tests/parsers.rs
+++ b/crates/net/tests/parsers.rs
@@ -102,8 +102,8 @@
     let (older, newer) = (SharedState::open(&folder).unwrap(), SharedState::open(&folder).unwrap());
     older.register_as_newest().unwrap();
     assert!(!older.is_superseded());
-    ids.iter().for_each(|id| older.set_disabled(id, true).unwrap());
-    let mut changes = newer.poll_disabled().unwrap().0;
+    ids.iter().for_each(|id| older.set_operator_drain(id, true).unwrap());
+    let mut changes = newer.poll_operator_drains().unwrap().0;
     changes.out.sort();
     assert_eq!(
         changes,
@@ -117,25 +117,28 @@
         }
     );
     // What either ends, both end; what one calls twice, changes nothing.
-    newer.set_disabled(&ids[0], false).unwrap();
-    newer.set_disabled(&ids[0], false).unwrap();
-    assert_eq!(older.poll_disabled().unwrap().0, DrainChanges { out: vec![], back: vec![ids[0].clone()] });
-    assert_eq!(newer.poll_disabled().unwrap().0, DrainChanges::default(), "the own call is no news");
+    newer.set_operator_drain(&ids[0], false).unwrap();
+    newer.set_operator_drain(&ids[0], false).unwrap();
+    assert_eq!(
+        older.poll_operator_drains().unwrap().0,
+        DrainChanges { out: vec![], back: vec![ids[0].clone()] }
+    );
+    assert_eq!(newer.poll_operator_drains().unwrap().0, DrainChanges::default(), "the own call is no news");
     newer.register_as_newest().unwrap();
     assert!(older.is_superseded() && !newer.is_superseded());
     // Files of nobody's are counted and passed over; a folder that is gone brings nobody back.
     for strange in ["zz", "7", "ff", "s-1"] {
         std::fs::write(folder.join("linnetdeal.out").join(strange), "x").unwrap();
     }
-    assert_eq!(older.poll_disabled().unwrap(), (DrainChanges::default(), 4));
+    assert_eq!(older.poll_operator_drains().unwrap(), (DrainChanges::default(), 4));
     // More than can be bans are not all held, and bring nobody back either.
     (0..10_200)
         .for_each(|at| std::fs::write(folder.join("linnetdeal.out").join(format!("z{at}")), "").unwrap());
-    assert!(older.poll_disabled().is_err());
+    assert!(older.poll_operator_drains().is_err());
     std::fs::remove_dir_all(&folder).unwrap();
     assert!(
-        older.poll_disabled().is_err()
-            && older.set_disabled(&ids[0], true).is_err()
+        older.poll_operator_drains().is_err()
+            && older.set_operator_drain(&ids[0], true).is_err()
             && !older.is_superseded()
     );
 }
