--- a/crates/coordination/src/work/coordinator.rs
+++ b/crates/coordination/src/work/coordinator.rs
@@ -1,9 +1,10 @@
-//! All of one pooler: its part in keeping the record, the plan's steps if it holds the lease, what it acts on itself, and staff's calls.
+//! One pooler's part in a maintenance plan: it helps to store the record if it is a voter, takes the plan's
+//! steps if it holds the lease, follows the record, and forwards operators' commands.
 
 use super::order::{FleetInfo, Limits, NextStep, WaitReason, check_feasible, next_step};
 use super::record::{
-    Command, CommandResult, GroupLoad, Heartbeat, MAX_MACHINES, MachineKind, MachineSet, MachineState,
-    Message, Mode, PART, Plan, PlanId, Record,
+    Command, CommandResult, GroupLoad, Heartbeat, MACHINES_PER_CHUNK, MAX_MACHINES, MachineKind, MachineSet,
+    MachineState, Message, Mode, Plan, PlanId, Record,
 };
 use super::register::{RegisterRules, VoterStore, Writer};
 use crate::lease::{FullLeaseRules, PoolerInstance, Token, VoterSet};
@@ -13,208 +14,218 @@
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Plans that are remembered, the latest.
-const MOST_PLANS: usize = 4;
-/// Calls of staff that wait at one pooler.
-const MOST_CALLS: usize = 32;
-/// A call is given up after so many words' time.
-const CALL_WORDS: i64 = 40;
-/// Groups that one pooler is heard to bear something of.
-const MOST_GROUPS: usize = 1_024;
-/// Lives of one pooler that are told apart.
-const MOST_LIVES: usize = 4;
-/// A holder that finds no plan takes none for so many words' time, in which others may tell of one.
-const COPIES: i64 = 4;
-/// The first step waits for so many words' time, and for as many as it takes a pooler to tell of all groups: until then too little is
-/// known of load and poolers.
-const FIRST_WORDS: i64 = 3;
-/// A word older than so many words' time says nothing of load.
-const STALE: i64 = 10;
-/// Letters with machines that answer one question.
-const PARTS_AT_ONCE: usize = 12;
+/// Number of plans that are remembered.
+const MAX_PLANS: usize = 4;
+/// Maximum number of operators' commands that wait at one pooler.
+const MAX_COMMANDS: usize = 32;
+/// A command is given up after this many heartbeat intervals.
+const COMMAND_TIMEOUT_INTERVALS: i64 = 40;
+/// Maximum number of groups whose load is remembered for each process.
+const MAX_GROUPS: usize = 1_024;
+/// Maximum number of incarnations of one pooler that are remembered.
+const MAX_INCARNATIONS: usize = 4;
+/// A holder that finds no plan accepts none for this many heartbeat intervals, in which others may report one
+/// that the voters have forgotten.
+const NEW_PLAN_DELAY_INTERVALS: i64 = 4;
+/// The first step waits for this many heartbeat intervals, and for as many as a pooler needs to report the load
+/// of all groups: until then too little is known of load and poolers.
+const FIRST_STEP_INTERVALS: i64 = 3;
+/// A heartbeat says nothing of load after this many heartbeat intervals.
+const STALE_INTERVALS: i64 = 10;
+/// Maximum number of chunks that answer one request for a plan.
+const MAX_CHUNKS_PER_REPLY: usize = 12;
 
-/// How a pooler takes part.
+/// Configuration of the coordinator of one pooler.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinatorSetup {
-    /// This life of this pooler.
+    /// This process.
     pub me: PoolerInstance,
-    /// For what is drawn by chance.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// How many poolers the platform names.
+    /// Number of poolers in the fleet.
     pub fleet: u16,
     /// The voters.
     pub voters: BTreeSet<u16>,
-    /// Sets that other processes may still go by.
+    /// Earlier sets of voters that other processes may still use.
     pub previous: Vec<BTreeSet<u16>>,
-    /// A word is said so often while a plan is under way; letters without an answer are sent again after half of it.
+    /// Interval of heartbeats while a plan is active; messages without an answer are sent again after half of
+    /// it.
     pub heartbeat_interval: Span,
-    /// A pooler that starts waits so long for a majority of voters before it serves by what it has heard.
+    /// How long a pooler that starts waits for a majority of voters before it serves by what it has received.
     pub start_timeout: Span,
     /// What must hold while servers are out.
     pub server_limits: Limits,
-    /// What must hold while poolers are.
+    /// What must hold while poolers are out.
     pub pooler_limits: Limits,
 }
 
-/// What the host knows of this pooler when it has things done.
+/// What the host knows of this pooler at each call of [`Coordinator::tick`].
 #[derive(Clone, Debug, Default)]
 pub struct LocalState {
-    /// The lease's token, if it is held now.
+    /// The lease's token, if held at present.
     pub token: Option<Token>,
-    /// Who holds the lease, as far as is known.
+    /// Who holds the lease, as far as known.
     pub holder: Option<u16>,
-    /// By the plan's machines: nothing is out and nothing idle there, in any process of this pooler.
+    /// The plan's machines at which no process of this pooler has requests or idle connections.
     pub clear: MachineSet,
-    /// The age of the record that `clear` is about.
+    /// The revision of the record that `clear` was determined for.
     pub clear_revision: (Token, u32),
-    /// What stands for its zone.
+    /// Hash of its zone's name.
     pub zone: u16,
-    /// Servers that fail it.
+    /// Servers that fail this pooler's requests.
     pub failing: Vec<u64>,
-    /// What it bears.
+    /// This pooler's load by group.
     pub loads: Vec<GroupLoad>,
 }
 
-/// A machine of the plan as shown.
+/// A machine of the plan, as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineView {
-    /// What stands for it.
+    /// Identifies the machine, as in [`Plan::machines`].
     pub machine: u64,
-    /// How far it is.
+    /// Its state.
     pub state: MachineState,
-    /// How long it has been so, as far as this pooler knows.
+    /// Time in this state, as far as this pooler knows.
     pub elapsed: Span,
-    /// Why it waits; only its holder knows.
+    /// Why it waits; known to the holder only.
     pub wait_reason: Option<WaitReason>,
-    /// Poolers that have not said that they have nothing there; only the holder knows.
+    /// Poolers that have not confirmed that they have nothing there; known to the holder only.
     pub unconfirmed: Vec<u16>,
 }
 
-/// The plan as shown.
+/// The plan, as shown to operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlanView {
     /// The plan.
     pub plan: PlanId,
-    /// What its machines are.
+    /// The kind of its machines.
     pub kind: MachineKind,
-    /// How it goes on.
+    /// Its mode.
     pub mode: Mode,
     /// Its machines.
     pub machines: Vec<MachineView>,
-    /// The record's age.
+    /// Token and version of the record.
     pub revision: (Token, u32),
-    /// Whether this pooler holds the lease and has read what there is.
+    /// Whether this pooler holds the lease and has a stored record.
     pub leads: bool,
-    /// This pooler is a voter that knows nothing yet.
+    /// Whether this pooler is a voter that has started with empty memory and has not read from a majority yet.
     pub blank: bool,
-    /// This pooler knows what is out.
+    /// Whether this pooler knows which machines are out.
     pub started: bool,
-    /// Poolers that were not heard lately; only the holder knows.
+    /// Poolers without a recent heartbeat; known to the holder only.
     pub silent_poolers: Vec<u16>,
 }
 
+/// A plan of which not all chunks have arrived.
 #[derive(Clone, Debug, Default)]
-struct Parts {
+struct PartialPlan {
     kind: MachineKind,
     nonce: u64,
     machines: Vec<Option<u64>>,
 }
 
-impl Parts {
-    fn whole(&self) -> Option<Plan> {
+impl PartialPlan {
+    fn complete(&self) -> Option<Plan> {
         let machines: Option<Vec<u64>> = self.machines.iter().copied().collect();
         Some(Plan { kind: self.kind, machines: machines?, nonce: self.nonce })
     }
 
-    fn lacks(&self) -> usize {
+    fn first_missing(&self) -> usize {
         self.machines.iter().position(Option::is_none).unwrap_or(self.machines.len())
     }
 }
 
+/// The latest heartbeat of one process of a pooler.
 #[derive(Clone, Debug)]
-struct Heard {
-    life: u64,
-    word: Heartbeat,
-    at: Time,
-    /// What it bears, by group, and when it said so: one word has room for some of them.
+struct ProcessState {
+    incarnation: u64,
+    heartbeat: Heartbeat,
+    heard_at: Time,
+    /// Load by group, with the time of the report: one heartbeat has room for some of the groups.
     loads: BTreeMap<u16, (GroupLoad, Time)>,
 }
 
-impl Heard {
-    fn take_loads(&mut self, now: Time, loads: &[GroupLoad]) {
+impl ProcessState {
+    fn update_loads(&mut self, now: Time, loads: &[GroupLoad]) {
         for load in loads {
-            if self.loads.len() < MOST_GROUPS || self.loads.contains_key(&load.group) {
+            if self.loads.len() < MAX_GROUPS || self.loads.contains_key(&load.group) {
                 self.loads.insert(load.group, (*load, now));
             }
         }
     }
 }
 
-struct Call {
-    verb: Command,
+/// An operator's command that waits for its result.
+struct PendingCommand {
+    command: Command,
     plan: PlanId,
-    at: u16,
-    until: Time,
-    sent: Time,
-    said: Option<CommandResult>,
+    index: u16,
+    expires_at: Time,
+    sent_at: Time,
+    result: Option<CommandResult>,
 }
 
-/// What a holder has beside what is written.
-struct Lead<K> {
+/// What the lease holder keeps in addition to the record.
+struct Leadership<K> {
     writer: Writer<K>,
-    since: Time,
-    /// When the plan began under it.
-    begun: Time,
-    /// Since when each machine is in its state.
-    times: Vec<Time>,
-    waits: BTreeMap<usize, WaitReason>,
-    /// Who was told the record, by its age.
-    told: BTreeMap<u16, Time>,
-    sent: Time,
-    /// What staff have called for that is not stored yet.
-    calls: VecDeque<(u16, u32, CommandResult)>,
-    /// The first record that is this holder's own.
-    own: Option<(Token, u32)>,
-    /// The version with which each machine left, where this holder has taken it out.
-    left: Vec<u32>,
+    led_since: Time,
+    /// When the plan began under this holder.
+    plan_since: Time,
+    /// When each machine entered its state.
+    state_since: Vec<Time>,
+    wait_reasons: BTreeMap<usize, WaitReason>,
+    /// When the present record was last sent to each pooler.
+    published_at: BTreeMap<u16, Time>,
+    sent_at: Time,
+    /// Replies to commands that are sent once their record is stored: sender, command id, result.
+    uncommitted_replies: VecDeque<(u16, u32, CommandResult)>,
+    /// Revision of the first record that this holder has stored.
+    first_own_revision: Option<(Token, u32)>,
+    /// The version with which each machine went out, if this holder took it out.
+    departure_versions: Vec<u32>,
 }
 
-/// One pooler.
+/// The coordinator of one pooler.
 pub struct Coordinator<K> {
     setup: CoordinatorSetup,
     voter_set: VoterSet,
     voters: BTreeSet<u16>,
     store: Option<VoterStore<K>>,
-    lead: Option<Lead<K>>,
-    /// The highest token that it has led with: with none twice, so that no two records are of one age.
-    led: Token,
-    /// Somebody with a later token has been heard of: the lease is of no more use.
-    beaten: bool,
+    leadership: Option<Leadership<K>>,
+    /// The highest token that this pooler has led with. No token is used twice, so that no two records have the
+    /// same revision.
+    last_led: Token,
+    /// A later token was observed: the lease is of no more use.
+    superseded: bool,
     plans: BTreeMap<PlanId, Plan>,
-    partial: BTreeMap<PlanId, Parts>,
-    order: VecDeque<PlanId>,
-    /// The newest that a majority has stored, as far as is known.
-    heard: Record,
-    /// Who knows the machines of its plan.
-    heard_from: u16,
-    /// Who told of it, and so waits for this pooler's words; nobody yet where it was read from voters, who don't say whose it is.
-    told_by: Option<u16>,
-    times: Vec<Time>,
+    partial_plans: BTreeMap<PlanId, PartialPlan>,
+    /// Ids of `plans`, the oldest first.
+    plan_order: VecDeque<PlanId>,
+    /// The newest record that a majority has stored, as far as known.
+    current: Record,
+    /// A pooler that knows the machines of its plan.
+    plan_source: u16,
+    /// The pooler that published the record and waits for heartbeats about it; `None` while the record was only
+    /// read from voters, which do not say who wrote it.
+    publisher: Option<u16>,
+    state_since: Vec<Time>,
     started: bool,
-    began: Time,
-    /// What voters have said to a start: round and answers.
-    start: (u32, BTreeMap<u16, (bool, Record)>),
-    words: BTreeMap<u16, Vec<Heard>>,
-    calls: BTreeMap<u32, Call>,
-    next_call: u32,
+    created: Time,
+    /// The read at start: its round, and the voters' answers.
+    start_read: (u32, BTreeMap<u16, (bool, Record)>),
+    /// By pooler, the one heard last at the end.
+    processes: BTreeMap<u16, Vec<ProcessState>>,
+    commands: BTreeMap<u32, PendingCommand>,
+    next_command: u32,
     round: u32,
-    word_due: Time,
-    asked: Time,
-    last_word: Option<Heartbeat>,
-    /// The place of the load that the next word begins with.
+    heartbeat_due: Time,
+    /// When voters were last queried and the plan requested; far in the past if that is due at once.
+    last_query: Time,
+    last_heartbeat: Option<Heartbeat>,
+    /// Index of the load that the next heartbeat begins with.
     next_load: usize,
-    out: Vec<(To, Message)>,
-    own: VecDeque<Message>,
+    outgoing: Vec<(To, Message)>,
+    local_queue: VecDeque<Message>,
     rng: ChaCha8Rng,
 }
 
@@ -231,125 +242,136 @@
             voter_set,
             voters,
             store,
-            lead: None,
-            led: Token(0),
-            beaten: false,
+            leadership: None,
+            last_led: Token(0),
+            superseded: false,
             plans: BTreeMap::new(),
-            partial: BTreeMap::new(),
-            order: VecDeque::new(),
-            heard: Record::default(),
-            heard_from: setup.me.number,
-            told_by: None,
-            times: Vec::new(),
+            partial_plans: BTreeMap::new(),
+            plan_order: VecDeque::new(),
+            current: Record::default(),
+            plan_source: setup.me.number,
+            publisher: None,
+            state_since: Vec::new(),
             started: false,
-            began: now,
-            start: (0, BTreeMap::new()),
-            words: BTreeMap::new(),
-            calls: BTreeMap::new(),
-            next_call: rng.next_u32(),
+            created: now,
+            start_read: (0, BTreeMap::new()),
+            processes: BTreeMap::new(),
+            commands: BTreeMap::new(),
+            next_command: rng.next_u32(),
             round: rng.next_u32(),
-            word_due: now,
-            asked: Time(i64::MIN / 4),
-            last_word: None,
+            heartbeat_due: now,
+            last_query: Time(i64::MIN / 4),
+            last_heartbeat: None,
             next_load: 0,
-            out: Vec::new(),
-            own: VecDeque::new(),
+            outgoing: Vec::new(),
+            local_queue: VecDeque::new(),
             rng,
             setup,
         }
     }
 
-    /// Whether the lease that is held is of no more use, since somebody with a later token has been heard of. Said once.
+    /// Whether a later token was observed, so that the held lease is of no more use; resets the flag.
     pub fn take_superseded(&mut self) -> bool {
-        std::mem::take(&mut self.beaten)
+        std::mem::take(&mut self.superseded)
     }
 
-    /// Letters to be sent.
+    /// Takes the messages to be sent.
     pub fn take_messages(&mut self) -> Vec<(To, Message)> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outgoing)
     }
 
-    /// Whether this pooler knows what is out: before that it serves nobody.
+    /// Whether this pooler knows which machines are out; before that it must not serve.
     #[must_use]
     pub fn has_started(&self) -> bool {
         self.started
     }
 
-    /// Another process of this pooler, which lives, knows what is out, and that was adopted.
+    /// Another live process of this pooler knows which machines are out, and its record was adopted.
     pub fn mark_started(&mut self) {
         self.started = true;
     }
 
-    /// The age of the record that this pooler acts on.
+    /// Token and version of the record that this pooler acts on.
     #[must_use]
     pub fn revision(&self) -> (Token, u32) {
-        self.heard.revision()
+        self.current.revision()
     }
 
-    /// Waited for a majority in vain: it is served by what was heard. True once, when that happens.
+    /// Starts serving by what was received, if no majority of voters has answered within the start timeout.
+    /// True once, when that happens.
     pub fn start_on_timeout(&mut self, now: Time) -> bool {
-        let over = !self.started && now - self.began >= self.setup.start_timeout;
-        self.started |= over;
-        over
+        let timed_out = !self.started && now - self.created >= self.setup.start_timeout;
+        self.started |= timed_out;
+        timed_out
     }
 
-    /// The plan and record that this pooler acts on, and the age of that.
+    /// The plan and the record that this pooler acts on.
     #[must_use]
     pub fn current_plan(&self) -> Option<(&Plan, &Record)> {
-        Some((self.plans.get(&self.heard.plan)?, &self.heard))
+        Some((self.plans.get(&self.current.plan)?, &self.current))
     }
 
-    /// What another process of this pooler acts on: taken if it is newer.
+    /// Adopts the plan and record of another process of this pooler, if newer.
     pub fn adopt(&mut self, now: Time, plan: Plan, record: &Record) {
         if plan.machines.len() <= MAX_MACHINES && plan.id() == record.plan {
-            self.keep(plan);
-            self.act_on(now, self.setup.me.number, record);
+            self.remember_plan(plan);
+            self.adopt_record(now, self.setup.me.number, record);
         }
     }
 
-    /// Who waits for this pooler's words: itself where it leads, who told it of the record, or who holds the lease as far as is known.
-    fn speaks_to(&self, holder: Option<u16>) -> u16 {
-        let own = self.lead.as_ref().and_then(|lead| lead.own).map(|_| self.setup.me.number);
-        own.or(self.told_by).or(holder).unwrap_or(self.heard_from)
+    /// Who waits for this pooler's heartbeats: itself if it leads, else who published the record, else the
+    /// lease holder as far as known.
+    fn heartbeat_target(&self, holder: Option<u16>) -> u16 {
+        let own_number = self
+            .leadership
+            .as_ref()
+            .and_then(|leadership| leadership.first_own_revision)
+            .map(|_| self.setup.me.number);
+        own_number.or(self.publisher).or(holder).unwrap_or(self.plan_source)
     }
 
-    /// Whether a plan is under way, as far as is known.
+    /// Whether a plan is active, as far as known.
     #[must_use]
     pub fn is_active(&self) -> bool {
-        self.heard.mode != Mode::Idle
+        self.current.mode != Mode::Idle
     }
 
-    /// The token of the lease must not be wanted by a pooler whose own machine is out.
+    /// Whether this pooler's own machine is out, in which case it must not claim the lease.
     #[must_use]
     pub fn own_machine_is_out(&self) -> bool {
         self.current_plan().is_some_and(|(plan, record)| {
             plan.kind == MachineKind::Poolers
-                && record.out().any(|at| plan.machines.get(at) == Some(&self.setup.me.number.into()))
+                && record.out().any(|index| plan.machines.get(index) == Some(&self.setup.me.number.into()))
         })
     }
 
-    /// The poolers' numbers whose zone is known by their words, for facts of a plan of poolers: number, zone, and whether the
-    /// pooler was heard lately and is whole.
+    /// For plans of poolers: each pooler's number, its zone as last reported, and whether it was heard recently
+    /// and is not a blank voter.
     #[must_use]
     pub fn poolers(&self, now: Time) -> Vec<(u16, u16, bool)> {
-        let stale = Span(self.setup.heartbeat_interval.0 * STALE);
-        let of = |number: u16| {
-            let last = self.words.get(&number).and_then(|lives| lives.last());
-            let zone = last.map_or(0, |heard| heard.word.zone);
-            (number, zone, last.is_some_and(|heard| now - heard.at < stale && !heard.word.blank))
+        let stale = Span(self.setup.heartbeat_interval.0 * STALE_INTERVALS);
+        let summary = |number: u16| {
+            let last = self.processes.get(&number).and_then(|incarnations| incarnations.last());
+            let zone = last.map_or(0, |process| process.heartbeat.zone);
+            (
+                number,
+                zone,
+                last.is_some_and(|process| now - process.heard_at < stale && !process.heartbeat.blank),
+            )
         };
-        (0..self.setup.fleet).map(of).collect()
+        (0..self.setup.fleet).map(summary).collect()
     }
 
-    /// What all poolers that were heard lately bear, by group: now, and at the busiest minute of the last hour.
+    /// The load of all poolers that were heard recently, by group: at present, and at the busiest minute of the
+    /// last hour.
     #[must_use]
     pub fn loads(&self, now: Time) -> BTreeMap<u16, (f64, f64)> {
         let mut loads: BTreeMap<u16, (f64, f64)> = BTreeMap::new();
-        for heard in self.words.values().filter_map(|lives| lives.last()) {
-            // Each group has its turn once in so many words.
-            let turns = heard.loads.len().div_ceil(Heartbeat::MOST_LOADS).max(1) as i64;
-            let stale = Span(self.setup.heartbeat_interval.0 * STALE * turns);
-            for (load, _) in heard.loads.values().filter(|(_, at)| now - *at < stale) {
+        for process in self.processes.values().filter_map(|incarnations| incarnations.last()) {
+            // Each group is reported once in this many heartbeats.
+            let turns = process.loads.len().div_ceil(Heartbeat::MAX_LOADS).max(1) as i64;
+            let stale = Span(self.setup.heartbeat_interval.0 * STALE_INTERVALS * turns);
+            for (load, _) in process.loads.values().filter(|(_, heard_at)| now - *heard_at < stale) {
                 let sum = loads.entry(load.group).or_default();
                 sum.0 += f64::from(load.current);
                 sum.1 += f64::from(load.peak);
@@ -358,26 +380,30 @@
         loads
     }
 
-    /// Servers that so many poolers say fail them.
+    /// Servers that fail, with the number of poolers that report it.
     #[must_use]
     pub fn failing(&self, now: Time) -> BTreeMap<u64, usize> {
-        let stale = Span(self.setup.heartbeat_interval.0 * STALE);
+        let stale = Span(self.setup.heartbeat_interval.0 * STALE_INTERVALS);
         let mut failing = BTreeMap::new();
-        for heard in
-            self.words.values().filter_map(|lives| lives.last()).filter(|heard| now - heard.at < stale)
+        for process in self
+            .processes
+            .values()
+            .filter_map(|incarnations| incarnations.last())
+            .filter(|process| now - process.heard_at < stale)
         {
-            for of in &heard.word.failing {
-                *failing.entry(*of).or_default() += 1;
+            for server in &process.heartbeat.failing {
+                *failing.entry(*server).or_default() += 1;
             }
         }
         failing
     }
 
-    /// A plan of staff's, to be begun; the call that asks for it.
+    /// Submits an operator's plan; returns its id and that of the command.
     ///
     /// # Errors
     ///
-    /// When it names nothing, too many, or one twice; nothing is asked then.
+    /// When it names no machine, too many or one twice, or when too many commands are waiting; nothing is
+    /// submitted then.
     pub fn submit(
         &mut self,
         now: Time,
@@ -393,257 +419,281 @@
         if machines.iter().collect::<BTreeSet<_>>().len() < machines.len() {
             return Err("a machine is named twice");
         }
-        // Sent again since nobody had answered in time: it may have been taken meanwhile.
-        let over = self.heard.mode == Mode::Idle;
+        // It may be a retry after a lost answer, and may have been accepted meanwhile.
+        let idle = self.current.mode == Mode::Idle;
         let same = self.plans.iter().find(|(id, plan)| {
-            plan.kind == kind && plan.machines == machines && !(over && **id == self.heard.plan)
+            plan.kind == kind && plan.machines == machines && !(idle && **id == self.current.plan)
         });
         let plan = match same {
             Some((_, plan)) => plan.clone(),
             None => Plan { kind, machines, nonce: self.rng.next_u64() },
         };
         let id = plan.id();
-        self.keep(plan);
+        self.remember_plan(plan);
         self.queue_command(now, Command::Submit, id, 0)
-            .map(|call| (id, call))
+            .map(|command| (id, command))
             .ok_or("too many calls are waiting")
     }
 
-    /// Has the holder asked for something; the call's number.
-    pub fn queue_command(&mut self, now: Time, verb: Command, plan: PlanId, at: u16) -> Option<u32> {
-        self.calls.retain(|_, call| now < call.until);
-        if self.calls.len() >= MOST_CALLS {
+    /// Queues a command for the holder; returns the command's id, or `None` if too many are waiting.
+    pub fn queue_command(&mut self, now: Time, command: Command, plan: PlanId, index: u16) -> Option<u32> {
+        self.commands.retain(|_, pending| now < pending.expires_at);
+        if self.commands.len() >= MAX_COMMANDS {
             return None;
         }
-        self.next_call = self.next_call.wrapping_add(1);
-        let until = now + Span(self.setup.heartbeat_interval.0 * CALL_WORDS);
-        let sent = Time(i64::MIN / 4);
-        self.calls.insert(self.next_call, Call { verb, plan, at, until, sent, said: None });
-        Some(self.next_call)
+        self.next_command = self.next_command.wrapping_add(1);
+        let expires_at = now + Span(self.setup.heartbeat_interval.0 * COMMAND_TIMEOUT_INTERVALS);
+        let sent_at = Time(i64::MIN / 4);
+        self.commands.insert(
+            self.next_command,
+            PendingCommand { command, plan, index, expires_at, sent_at, result: None },
+        );
+        Some(self.next_command)
     }
 
-    /// Nobody waits for a call any more.
-    pub fn forget_command(&mut self, call: u32) {
-        self.calls.remove(&call);
+    /// Drops a command that nobody waits for any more.
+    pub fn forget_command(&mut self, id: u32) {
+        self.commands.remove(&id);
     }
 
-    /// How a call came out; `None` while it is not known. A call that was answered is forgotten by this.
-    pub fn take_result(&mut self, call: u32) -> Option<CommandResult> {
-        let said = self.calls.get(&call)?.said?;
-        self.calls.remove(&call);
-        Some(said)
+    /// Takes the result of a command; `None` while it is not known. A command with a result is forgotten
+    /// afterwards.
+    pub fn take_result(&mut self, id: u32) -> Option<CommandResult> {
+        let result = self.commands.get(&id)?.result?;
+        self.commands.remove(&id);
+        Some(result)
     }
 
-    /// The plan as this pooler sees it.
+    /// The plan as seen by this pooler.
     #[must_use]
     pub fn view(&self, now: Time) -> PlanView {
         let mut view = PlanView {
-            mode: self.heard.mode,
-            revision: self.heard.revision(),
-            leads: self.lead.as_ref().is_some_and(|lead| lead.writer.settled().is_some()),
+            mode: self.current.mode,
+            revision: self.current.revision(),
+            leads: self.leadership.as_ref().is_some_and(|leadership| leadership.writer.committed().is_some()),
             blank: self.store.as_ref().is_some_and(VoterStore::is_blank),
             started: self.started,
             ..PlanView::default()
         };
         let Some((plan, record)) = self.current_plan() else { return view };
         (view.plan, view.kind) = (record.plan, plan.kind);
-        let stale = Span(self.setup.heartbeat_interval.0 * STALE);
-        if self.lead.is_some() {
-            let heard = |of: &u16| {
-                self.words.get(of).and_then(|lives| lives.last()).is_some_and(|heard| now - heard.at < stale)
+        let stale = Span(self.setup.heartbeat_interval.0 * STALE_INTERVALS);
+        if self.leadership.is_some() {
+            let is_heard = |number: &u16| {
+                self.processes
+                    .get(number)
+                    .and_then(|incarnations| incarnations.last())
+                    .is_some_and(|process| now - process.heard_at < stale)
             };
-            view.silent_poolers = (0..self.setup.fleet).filter(|of| !heard(of)).collect();
+            view.silent_poolers = (0..self.setup.fleet).filter(|number| !is_heard(number)).collect();
         }
-        for (at, machine) in plan.machines.iter().enumerate() {
-            let state = record.states.get(at).copied().unwrap_or_default();
-            let times = self.lead.as_ref().map_or(&self.times, |lead| &lead.times);
-            let lead = self.lead.as_ref();
+        for (index, machine) in plan.machines.iter().enumerate() {
+            let state = record.states.get(index).copied().unwrap_or_default();
+            let state_since =
+                self.leadership.as_ref().map_or(&self.state_since, |leadership| &leadership.state_since);
+            let leadership = self.leadership.as_ref();
             view.machines.push(MachineView {
                 machine: *machine,
                 state,
-                elapsed: times.get(at).map_or(Span(0), |since| now - *since),
-                wait_reason: lead.and_then(|lead| lead.waits.get(&at).cloned()),
-                unconfirmed: lead
+                elapsed: state_since.get(index).map_or(Span(0), |since| now - *since),
+                wait_reason: leadership.and_then(|leadership| leadership.wait_reasons.get(&index).cloned()),
+                unconfirmed: leadership
                     .filter(|_| state.is_leaving())
-                    .map_or(Vec::new(), |_| self.missing(plan, at)),
+                    .map_or(Vec::new(), |_| self.unconfirmed_poolers(plan, index)),
             });
         }
         view
     }
 
-    /// Who has not said that a machine is clear, by the record as its present holder wrote it.
-    fn missing(&self, plan: &Plan, at: usize) -> Vec<u16> {
-        let Some((lead, own)) = self.lead.as_ref().and_then(|lead| Some((lead, lead.own?))) else {
+    /// Poolers that have not confirmed that they have nothing at a machine. Only heartbeats about a record of
+    /// the present holder count.
+    fn unconfirmed_poolers(&self, plan: &Plan, index: usize) -> Vec<u16> {
+        let Some((leadership, own_revision)) = self
+            .leadership
+            .as_ref()
+            .and_then(|leadership| Some((leadership, leadership.first_own_revision?)))
+        else {
             return Vec::new();
         };
-        // What was said before it left, the last time, says nothing of now.
-        let own = own.max((own.0, lead.left.get(at).copied().unwrap_or(0)));
-        let says = |heard: &Heard| {
-            let age = (heard.word.token, heard.word.version);
-            heard.word.plan == self.heard.plan && age >= own && heard.word.clear.has(at)
+        // Heartbeats from before the machine's latest departure say nothing of now.
+        let own_revision = own_revision
+            .max((own_revision.0, leadership.departure_versions.get(index).copied().unwrap_or(0)));
+        let confirms = |process: &ProcessState| {
+            let revision = (process.heartbeat.token, process.heartbeat.version);
+            process.heartbeat.plan == self.current.plan
+                && revision >= own_revision
+                && process.heartbeat.clear.has(index)
         };
         let clear = |number: &u16| {
-            self.words.get(number).is_some_and(|lives| !lives.is_empty() && lives.iter().all(says))
+            self.processes
+                .get(number)
+                .is_some_and(|incarnations| !incarnations.is_empty() && incarnations.iter().all(confirms))
         };
         if plan.kind == MachineKind::Poolers {
-            let machine = plan.machines.get(at).and_then(|of| u16::try_from(*of).ok());
+            let machine = plan.machines.get(index).and_then(|id| u16::try_from(*id).ok());
             return machine.into_iter().filter(|number| !clear(number)).collect();
         }
         (0..self.setup.fleet).filter(|number| !clear(number)).collect()
     }
 
-    /// Something of the pooler of this number, by its present life.
-    pub fn receive(&mut self, now: Time, from: PoolerInstance, note: Message) {
-        self.read(now, from, note);
-        self.settle(now);
+    /// Handles a message from another pooler, or from this one.
+    pub fn receive(&mut self, now: Time, from: PoolerInstance, message: Message) {
+        self.handle(now, from, message);
+        self.handle_local(now);
     }
 
-    /// Does what is due: to be called some times in each word's time, and when something has changed.
-    pub fn tick(&mut self, now: Time, own: &LocalState, facts: &dyn Fn(MachineKind) -> FleetInfo) {
+    /// Does what is due: to be called several times per heartbeat interval, and whenever something has changed.
+    pub fn tick(&mut self, now: Time, local: &LocalState, facts: &dyn Fn(MachineKind) -> FleetInfo) {
         let half = Span(self.setup.heartbeat_interval.0 / 2);
-        if now - self.asked >= half {
-            self.asked = now;
-            self.ask();
-            self.fetch();
+        if now - self.last_query >= half {
+            self.last_query = now;
+            self.query_voters();
+            self.fetch_plan();
         }
-        self.take_lead(now, own);
-        self.lead(now, facts);
-        self.settle(now);
-        self.send_calls(now, half, own.holder);
-        self.say(now, own);
-        self.settle(now);
+        self.update_leadership(now, local);
+        self.run_leadership(now, facts);
+        self.handle_local(now);
+        self.send_commands(now, half, local.holder);
+        self.send_heartbeat(now, local);
+        self.handle_local(now);
     }
 
-    /// What a start and a blank voter ask, until they know.
-    fn ask(&mut self) {
+    /// Sends the reads of a start and of a blank voter, until both are complete.
+    fn query_voters(&mut self) {
         self.round = self.round.wrapping_add(1);
         let round = self.round;
-        if let Some(note) = self.store.as_mut().and_then(|store| store.ask(round)) {
+        if let Some(message) = self.store.as_mut().and_then(|store| store.recovery_read(round)) {
             let others: Vec<u16> =
-                self.voters.iter().copied().filter(|of| *of != self.setup.me.number).collect();
+                self.voters.iter().copied().filter(|voter| *voter != self.setup.me.number).collect();
             for voter in others {
-                self.post(voter, note.clone());
+                self.send(voter, message.clone());
             }
         }
         if !self.started {
-            self.start = (round, BTreeMap::new());
-            let note = Message::Read { round, promise: Token(0), own: 0 };
-            // A blank voter's own question is the same, and its answers count for both.
+            self.start_read = (round, BTreeMap::new());
+            let message = Message::Read { round, promise: Token(0), memory_id: 0 };
+            // A blank voter has just sent the same read to the others, and their answers count for both.
             let blank = self.store.as_ref().is_some_and(VoterStore::is_blank);
             for voter in self.voters.clone() {
                 if !blank || voter == self.setup.me.number {
-                    self.post(voter, note.clone());
+                    self.send(voter, message.clone());
                 }
             }
         }
     }
 
-    /// Asks for the machines of a plan that is named and not known.
-    fn fetch(&mut self) {
-        let id = self.heard.plan;
+    /// Requests the machines of the current plan if they are not known.
+    fn fetch_plan(&mut self) {
+        let id = self.current.plan;
         if id != PlanId::NONE && !self.plans.contains_key(&id) {
-            let at = self.partial.get(&id).map_or(0, Parts::lacks);
-            self.post(self.heard_from, Message::Wants { plan: id, at: at as u16 });
+            let index = self.partial_plans.get(&id).map_or(0, PartialPlan::first_missing);
+            self.send(self.plan_source, Message::FetchPlan { plan: id, index: index as u16 });
         }
     }
 
-    fn take_lead(&mut self, now: Time, own: &LocalState) {
-        let held = self.lead.as_ref().map(|lead| lead.writer.token());
-        self.beaten |= self.lead.as_ref().is_some_and(|lead| lead.writer.is_superseded());
-        if own.token == held && !self.beaten {
+    fn update_leadership(&mut self, now: Time, local: &LocalState) {
+        let held = self.leadership.as_ref().map(|leadership| leadership.writer.token());
+        self.superseded |=
+            self.leadership.as_ref().is_some_and(|leadership| leadership.writer.is_superseded());
+        if local.token == held && !self.superseded {
             return;
         }
-        self.lead = None;
-        let Some(token) = own.token else { return };
-        if token <= self.led {
-            self.beaten = true;
+        self.leadership = None;
+        let Some(token) = local.token else { return };
+        if token <= self.last_led {
+            self.superseded = true;
             return;
         }
-        (self.led, self.beaten) = (token, false);
+        (self.last_led, self.superseded) = (token, false);
         self.round = self.round.wrapping_add(1);
-        self.lead = Some(Lead {
+        self.leadership = Some(Leadership {
             writer: Writer::new(token, self.round, self.voters.clone()),
-            since: now,
-            begun: now,
-            times: Vec::new(),
-            waits: BTreeMap::new(),
-            told: BTreeMap::new(),
-            sent: Time(i64::MIN / 4),
-            calls: VecDeque::new(),
-            own: None,
-            left: Vec::new(),
+            led_since: now,
+            plan_since: now,
+            state_since: Vec::new(),
+            wait_reasons: BTreeMap::new(),
+            published_at: BTreeMap::new(),
+            sent_at: Time(i64::MIN / 4),
+            uncommitted_replies: VecDeque::new(),
+            first_own_revision: None,
+            departure_versions: Vec::new(),
         });
     }
 
-    fn lead(&mut self, now: Time, facts: &dyn Fn(MachineKind) -> FleetInfo) {
+    fn run_leadership(&mut self, now: Time, facts: &dyn Fn(MachineKind) -> FleetInfo) {
         let half = Span(self.setup.heartbeat_interval.0 / 2);
-        let Some(lead) = &mut self.lead else { return };
-        if let Some(record) = lead.writer.has_read().cloned() {
-            // A majority that lost its memory: this pooler may have heard of what was there; if not, others tell.
-            let lost = record.plan == PlanId::NONE && self.heard.plan != PlanId::NONE;
-            let record = if lost { self.heard.clone() } else { record };
-            let whole = record.plan == PlanId::NONE || self.plans.contains_key(&record.plan);
-            if whole {
-                lead.times = vec![now; record.states.len()];
-                lead.writer.write(record);
-                lead.sent = Time(i64::MIN / 4);
+        let Some(leadership) = &mut self.leadership else { return };
+        if let Some(record) = leadership.writer.recovered().cloned() {
+            // A majority of voters has lost its memory: this pooler may remember the record; if not, others
+            // report it.
+            let lost = record.plan == PlanId::NONE && self.current.plan != PlanId::NONE;
+            let record = if lost { self.current.clone() } else { record };
+            let plan_known = record.plan == PlanId::NONE || self.plans.contains_key(&record.plan);
+            if plan_known {
+                leadership.state_since = vec![now; record.states.len()];
+                leadership.writer.write(record);
+                leadership.sent_at = Time(i64::MIN / 4);
             } else {
-                // Its voters know the machines; who told of it last may be dead.
-                let at = self.partial.get(&record.plan).map_or(0, Parts::lacks);
+                // The voters know the machines; who published the record last may be dead.
+                let index = self.partial_plans.get(&record.plan).map_or(0, PartialPlan::first_missing);
                 let me = self.setup.me.number;
-                let ask: Vec<u16> = self.voters.iter().copied().filter(|of| *of != me).collect();
-                if now - lead.sent >= half {
-                    lead.sent = now;
-                    for voter in ask {
-                        self.post(voter, Message::Wants { plan: record.plan, at: at as u16 });
+                let recipients: Vec<u16> = self.voters.iter().copied().filter(|voter| *voter != me).collect();
+                if now - leadership.sent_at >= half {
+                    leadership.sent_at = now;
+                    for voter in recipients {
+                        self.send(voter, Message::FetchPlan { plan: record.plan, index: index as u16 });
                     }
                 }
                 return;
             }
         }
-        if let Some(settled) = lead.writer.settled().cloned() {
-            let first = lead.own.is_none();
-            lead.own.get_or_insert(settled.revision());
-            if first || settled.revision() > self.heard.revision() {
-                let calls = std::mem::take(&mut lead.calls);
-                lead.told.clear();
-                for (to, call, said) in calls {
-                    self.post(to, Message::Reply { call, said });
+        if let Some(committed) = leadership.writer.committed().cloned() {
+            let first = leadership.first_own_revision.is_none();
+            leadership.first_own_revision.get_or_insert(committed.revision());
+            if first || committed.revision() > self.current.revision() {
+                let replies = std::mem::take(&mut leadership.uncommitted_replies);
+                leadership.published_at.clear();
+                for (to, id, result) in replies {
+                    self.send(to, Message::CommandReply { id, result });
                 }
-                self.act_on(now, self.setup.me.number, &settled);
+                self.adopt_record(now, self.setup.me.number, &committed);
             }
-            self.step(now, &settled, facts);
+            self.take_step(now, &committed, facts);
         }
-        let Some(lead) = &mut self.lead else { return };
-        if now - lead.sent >= half {
-            lead.sent = now;
-            for (voter, note) in lead.writer.letters() {
-                self.post(voter, note);
+        let Some(leadership) = &mut self.leadership else { return };
+        if now - leadership.sent_at >= half {
+            leadership.sent_at = now;
+            for (voter, message) in leadership.writer.pending_messages() {
+                self.send(voter, message);
             }
         }
-        self.tell(now);
+        self.publish(now);
     }
 
-    /// The plan's next step, if there is one.
-    fn step(&mut self, now: Time, settled: &Record, facts: &dyn Fn(MachineKind) -> FleetInfo) {
-        if settled.mode == Mode::Idle {
+    /// Takes the plan's next step, if there is one.
+    fn take_step(&mut self, now: Time, committed: &Record, facts: &dyn Fn(MachineKind) -> FleetInfo) {
+        if committed.mode == Mode::Idle {
             return;
         }
-        let Some(plan) = self.plans.get(&settled.plan).cloned() else { return };
+        let Some(plan) = self.plans.get(&committed.plan).cloned() else { return };
         let mut facts = facts(plan.kind);
-        // Each pooler has to say first what it bears.
-        let begun = self.lead.as_ref().map_or(now, |lead| lead.begun.max(lead.since));
-        let groups: BTreeSet<u16> = facts.machines.iter().map(|of| of.group).collect();
-        let words = FIRST_WORDS + groups.len().div_ceil(Heartbeat::MOST_LOADS) as i64;
-        facts.load_unknown = now - begun < Span(self.setup.heartbeat_interval.0 * words);
-        let lead_times = self.lead.as_ref().map(|lead| lead.times.clone()).unwrap_or_default();
-        let clear = |at: usize| self.missing(&plan, at).is_empty();
-        let NextStep { states, mode, waits } =
-            next_step(now, &plan, settled, &lead_times, &facts, self.limits(plan.kind), &clear);
-        let Some(lead) = &mut self.lead else { return };
-        lead.waits = waits;
-        if states != settled.states || mode != settled.mode {
-            self.put(now, Record { states, mode, ..settled.clone() });
+        // The poolers have to report their load first.
+        let known_since = self
+            .leadership
+            .as_ref()
+            .map_or(now, |leadership| leadership.plan_since.max(leadership.led_since));
+        let groups: BTreeSet<u16> = facts.machines.iter().map(|info| info.group).collect();
+        let intervals = FIRST_STEP_INTERVALS + groups.len().div_ceil(Heartbeat::MAX_LOADS) as i64;
+        facts.load_unknown = now - known_since < Span(self.setup.heartbeat_interval.0 * intervals);
+        let state_since =
+            self.leadership.as_ref().map(|leadership| leadership.state_since.clone()).unwrap_or_default();
+        let clear = |index: usize| self.unconfirmed_poolers(&plan, index).is_empty();
+        let NextStep { states, mode, wait_reasons } =
+            next_step(now, &plan, committed, &state_since, &facts, self.limits(plan.kind), &clear);
+        let Some(leadership) = &mut self.leadership else { return };
+        leadership.wait_reasons = wait_reasons;
+        if states != committed.states || mode != committed.mode {
+            self.write_record(now, Record { states, mode, ..committed.clone() });
         }
     }
 
@@ -654,421 +704,473 @@
         }
     }
 
-    /// Has a record stored in place of the settled one.
-    fn put(&mut self, now: Time, record: Record) {
-        let Some(lead) = &mut self.lead else { return };
-        let Some(before) = lead.writer.settled().cloned() else { return };
+    /// Starts to store a record in place of the committed one.
+    fn write_record(&mut self, now: Time, record: Record) {
+        let Some(leadership) = &mut self.leadership else { return };
+        let Some(before) = leadership.writer.committed().cloned() else { return };
         if before.plan != record.plan {
-            lead.begun = now;
+            leadership.plan_since = now;
         }
-        lead.times.resize(record.states.len(), now);
-        lead.left.resize(record.states.len(), 0);
-        for (at, state) in record.states.iter().enumerate() {
-            if before.plan != record.plan || before.states.get(at) != Some(state) {
-                lead.times[at] = now;
+        leadership.state_since.resize(record.states.len(), now);
+        leadership.departure_versions.resize(record.states.len(), 0);
+        for (index, state) in record.states.iter().enumerate() {
+            if before.plan != record.plan || before.states.get(index) != Some(state) {
+                leadership.state_since[index] = now;
                 if state.is_leaving() {
-                    lead.left[at] = before.version + 1;
+                    leadership.departure_versions[index] = before.version + 1;
                 }
             }
         }
-        lead.writer.write(record);
-        // At once.
-        lead.sent = now;
-        for (voter, note) in lead.writer.letters() {
-            self.post(voter, note);
+        leadership.writer.write(record);
+        // Sends it at once.
+        leadership.sent_at = now;
+        for (voter, message) in leadership.writer.pending_messages() {
+            self.send(voter, message);
         }
     }
 
-    /// Tells those the record that have not said a word of it. While a plan is under way, who was heard and falls silent is told
-    /// again: it may have started again since, or speak to somebody else.
-    fn tell(&mut self, now: Time) {
+    /// Sends the record to the poolers whose heartbeats do not show it. While a plan is active, a pooler that
+    /// falls silent is told again: it may have restarted, or may send its heartbeats to somebody else.
+    fn publish(&mut self, now: Time) {
         let half = Span(self.setup.heartbeat_interval.0 / 2);
-        let stale = Span(self.setup.heartbeat_interval.0 * STALE);
-        let Some(lead) = &mut self.lead else { return };
-        let Some(record) = lead.writer.settled().cloned() else { return };
+        let stale = Span(self.setup.heartbeat_interval.0 * STALE_INTERVALS);
+        let Some(leadership) = &mut self.leadership else { return };
+        let Some(record) = leadership.writer.committed().cloned() else { return };
         let me = self.setup.me.number;
         let mut to = Vec::new();
         for number in (0..self.setup.fleet).filter(|number| *number != me) {
-            let knows = self.words.get(&number).and_then(|lives| lives.last()).is_some_and(|heard| {
-                let of_this = (heard.word.token, heard.word.version) == record.revision();
-                let lately = record.mode == Mode::Idle || now - heard.at < stale;
-                heard.word.plan == record.plan && of_this && lately
-            });
-            let told = lead.told.get(&number).copied();
-            if !knows && told.is_none_or(|told| now - told >= half) {
+            let knows = self.processes.get(&number).and_then(|incarnations| incarnations.last()).is_some_and(
+                |process| {
+                    let is_current =
+                        (process.heartbeat.token, process.heartbeat.version) == record.revision();
+                    let is_recent = record.mode == Mode::Idle || now - process.heard_at < stale;
+                    process.heartbeat.plan == record.plan && is_current && is_recent
+                },
+            );
+            let last_published = leadership.published_at.get(&number).copied();
+            if !knows && last_published.is_none_or(|last_published| now - last_published >= half) {
                 to.push(number);
-                lead.told.insert(number, now);
+                leadership.published_at.insert(number, now);
             }
         }
         for number in to {
-            self.post(number, Message::Tell { record: record.clone() });
+            self.send(number, Message::Publish { record: record.clone() });
         }
     }
 
-    /// A call that waits goes to whoever may hold the lease: by its own record, and by the word of voters.
-    fn send_calls(&mut self, now: Time, half: Span, holder: Option<u16>) {
-        let mut notes = Vec::new();
-        for (number, call) in &mut self.calls {
-            if call.said.is_none() && now - call.sent >= half {
-                call.sent = now;
-                notes.push(Message::Call { call: *number, verb: call.verb, plan: call.plan, at: call.at });
+    /// Sends waiting commands to whoever may hold the lease: by this pooler's record, and by the voters'
+    /// answers.
+    fn send_commands(&mut self, now: Time, half: Span, holder: Option<u16>) {
+        let mut messages = Vec::new();
+        for (number, pending) in &mut self.commands {
+            if pending.result.is_none() && now - pending.sent_at >= half {
+                pending.sent_at = now;
+                messages.push(Message::Command {
+                    id: *number,
+                    command: pending.command,
+                    plan: pending.plan,
+                    index: pending.index,
+                });
             }
         }
-        for note in notes {
+        for message in messages {
             let to: BTreeSet<u16> =
-                [self.speaks_to(holder), self.setup.me.number].into_iter().chain(holder).collect();
+                [self.heartbeat_target(holder), self.setup.me.number].into_iter().chain(holder).collect();
             for number in to {
-                self.post(number, note.clone());
+                self.send(number, message.clone());
             }
         }
     }
 
-    /// Says what is to be said.
-    fn say(&mut self, now: Time, own: &LocalState) {
-        let word = Heartbeat {
-            plan: self.heard.plan,
-            token: self.heard.token,
-            version: self.heard.version,
+    /// Sends a heartbeat if one is due.
+    fn send_heartbeat(&mut self, now: Time, local: &LocalState) {
+        let heartbeat = Heartbeat {
+            plan: self.current.plan,
+            token: self.current.token,
+            version: self.current.version,
             clear: if self.current_plan().is_some() && self.started {
-                own.clear.clone()
+                local.clear.clone()
             } else {
                 MachineSet::default()
             },
             blank: self.store.as_ref().is_some_and(VoterStore::is_blank),
-            zone: own.zone,
-            failing: own.failing.iter().copied().take(Heartbeat::MOST_FAILING).collect(),
+            zone: local.zone,
+            failing: local.failing.iter().copied().take(Heartbeat::MAX_FAILING).collect(),
             loads: Vec::new(),
         };
-        let changed = self.last_word.as_ref().is_none_or(|last| {
+        let changed = self.last_heartbeat.as_ref().is_none_or(|last| {
             (last.plan, last.token, last.version, &last.clear, last.blank)
-                != (word.plan, word.token, word.version, &word.clear, word.blank)
+                != (heartbeat.plan, heartbeat.token, heartbeat.version, &heartbeat.clear, heartbeat.blank)
         });
-        // Without a plan, who holds the lease needs no words but the first. What is clear was found out by an older record: the
-        // next word is about this one.
-        let late = own.clear_revision != self.heard.revision();
-        if !changed && now < self.word_due || self.heard.token == Token(0) || late {
+        // Without a plan the holder needs only the first heartbeat. If `clear` was determined for an older
+        // record, the heartbeat has to wait until it is about this one.
+        let clear_is_outdated = local.clear_revision != self.current.revision();
+        if !changed && now < self.heartbeat_due || self.current.token == Token(0) || clear_is_outdated {
             return;
         }
-        let pause = if self.is_active() {
+        let interval = if self.is_active() {
             self.setup.heartbeat_interval.0
         } else {
             self.setup.heartbeat_interval.0 * 60
         };
-        self.word_due =
-            now + Span(pause - pause / 8 + (self.rng.next_u64() >> 1) as i64 % (pause / 4).max(1));
-        self.last_word = Some(word.clone());
-        // Groups have their turns where one word has no room for all.
-        let first = self.next_load % own.loads.len().max(1);
-        let loads = own.loads.iter().cycle().skip(first).take(own.loads.len().min(Heartbeat::MOST_LOADS));
-        let word = Heartbeat { loads: loads.copied().collect(), ..word };
-        self.next_load = first + Heartbeat::MOST_LOADS;
-        self.post(self.speaks_to(own.holder), Message::Heartbeat(word));
+        self.heartbeat_due =
+            now + Span(interval - interval / 8 + (self.rng.next_u64() >> 1) as i64 % (interval / 4).max(1));
+        self.last_heartbeat = Some(heartbeat.clone());
+        // Groups take turns where one heartbeat has no room for all.
+        let first = self.next_load % local.loads.len().max(1);
+        let loads = local.loads.iter().cycle().skip(first).take(local.loads.len().min(Heartbeat::MAX_LOADS));
+        let heartbeat = Heartbeat { loads: loads.copied().collect(), ..heartbeat };
+        self.next_load = first + Heartbeat::MAX_LOADS;
+        self.send(self.heartbeat_target(local.holder), Message::Heartbeat(heartbeat));
     }
 
-    fn read(&mut self, now: Time, from: PoolerInstance, note: Message) {
-        match note {
-            Message::Read { round, promise, own } => {
+    fn handle(&mut self, now: Time, from: PoolerInstance, message: Message) {
+        match message {
+            Message::Read { round, promise, memory_id } => {
                 let Some(store) = &mut self.store else { return };
-                let answer = store.read(from.number, round, promise, own);
-                self.post(from.number, answer);
+                let answer = store.read(from.number, round, promise, memory_id);
+                self.send(from.number, answer);
             }
-            Message::Seen { round, own, blank, promised, record } => {
-                self.seen(now, from.number, (round, own, blank), promised, record);
+            Message::ReadReply { round, memory_id, blank, promised, record } => {
+                self.on_read_reply(now, from.number, (round, memory_id, blank), promised, record);
             }
-            Message::Write { numbers, record } => {
-                let whole = record.plan == PlanId::NONE || self.plans.contains_key(&record.plan);
+            Message::Write { memory_ids, record } => {
+                let plan_known = record.plan == PlanId::NONE || self.plans.contains_key(&record.plan);
                 let Some(store) = &mut self.store else { return };
-                if !whole {
-                    let at = self.partial.get(&record.plan).map_or(0, Parts::lacks);
-                    self.post(from.number, Message::Wants { plan: record.plan, at: at as u16 });
+                if !plan_known {
+                    let index = self.partial_plans.get(&record.plan).map_or(0, PartialPlan::first_missing);
+                    self.send(from.number, Message::FetchPlan { plan: record.plan, index: index as u16 });
                     return;
                 }
-                let answer = store.write(&self.voters, &numbers, &record);
-                self.post(from.number, answer);
+                let answer = store.write(&self.voters, &memory_ids, &record);
+                self.send(from.number, answer);
             }
-            Message::Stored { token, version, own, refused, promised } => {
-                let Some(lead) = &mut self.lead else { return };
-                lead.writer.stored(&self.voter_set, from.number, (token, version), own, refused, promised);
+            Message::WriteReply { token, version, memory_id, refused, promised } => {
+                let Some(leadership) = &mut self.leadership else { return };
+                leadership.writer.on_write_reply(
+                    &self.voter_set,
+                    from.number,
+                    (token, version),
+                    memory_id,
+                    refused,
+                    promised,
+                );
             }
-            Message::Tell { record } => {
-                self.act_on(now, from.number, &record);
-                if record.revision() == self.heard.revision() {
-                    self.told_by = Some(from.number);
+            Message::Publish { record } => {
+                self.adopt_record(now, from.number, &record);
+                if record.revision() == self.current.revision() {
+                    self.publisher = Some(from.number);
                 }
-                self.copy(now, from.number, &record);
+                self.restore_record(now, from.number, &record);
             }
-            Message::Heartbeat(word) => self.word(now, from, word),
-            Message::Wants { plan, at } => {
+            Message::Heartbeat(heartbeat) => self.on_heartbeat(now, from, heartbeat),
+            Message::FetchPlan { plan, index } => {
                 let Some(known) = self.plans.get(&plan).cloned() else { return };
                 let count = known.machines.len() as u16;
-                let parts = known.machines.chunks(PART).enumerate().skip(usize::from(at) / PART);
-                for (part, machines) in parts.take(PARTS_AT_ONCE) {
-                    let (kind, nonce, at) = (known.kind, known.nonce, (part * PART) as u16);
+                let chunks = known
+                    .machines
+                    .chunks(MACHINES_PER_CHUNK)
+                    .enumerate()
+                    .skip(usize::from(index) / MACHINES_PER_CHUNK);
+                for (chunk, machines) in chunks.take(MAX_CHUNKS_PER_REPLY) {
+                    let (kind, nonce, index) = (known.kind, known.nonce, (chunk * MACHINES_PER_CHUNK) as u16);
                     let machines = machines.to_vec();
-                    self.post(from.number, Message::Part { plan, kind, nonce, count, at, machines });
+                    self.send(from.number, Message::PlanChunk { plan, kind, nonce, count, index, machines });
                 }
             }
-            Message::Part { plan, kind, nonce, count, at, machines } => {
+            Message::PlanChunk { plan, kind, nonce, count, index, machines } => {
                 if usize::from(count) <= MAX_MACHINES {
-                    let parts = Parts { kind, nonce, machines: vec![None; count.into()] };
-                    self.part(from.number, plan, parts, at, &machines);
+                    let partial_plan = PartialPlan { kind, nonce, machines: vec![None; count.into()] };
+                    self.on_plan_chunk(from.number, plan, partial_plan, index, &machines);
                 }
             }
-            Message::Call { call, verb, plan, at } => self.called(now, from.number, call, verb, plan, at),
-            Message::Reply { call, said } => {
-                if let Some(call) = self.calls.get_mut(&call).filter(|_| said != CommandResult::NotHolder) {
-                    call.said.get_or_insert(said);
+            Message::Command { id, command, plan, index } => {
+                self.on_command(now, from.number, id, command, plan, index)
+            }
+            Message::CommandReply { id, result } => {
+                if let Some(pending) =
+                    self.commands.get_mut(&id).filter(|_| result != CommandResult::NotHolder)
+                {
+                    pending.result.get_or_insert(result);
                 }
             }
         }
     }
 
-    fn seen(
+    fn on_read_reply(
         &mut self,
         now: Time,
         from: u16,
-        (round, own, blank): (u32, u32, bool),
+        (round, memory_id, blank): (u32, u32, bool),
         promised: Token,
         record: Record,
     ) {
         if let Some(store) = &mut self.store {
-            store.seen(&self.voter_set, from, round, blank, promised, &record);
+            store.on_read_reply(&self.voter_set, from, round, blank, promised, &record);
         }
-        if !self.started && round == self.start.0 {
-            self.start.1.insert(from, (blank, record.clone()));
+        if !self.started && round == self.start_read.0 {
+            self.start_read.1.insert(from, (blank, record.clone()));
             let voted: BTreeSet<u16> =
-                self.start.1.iter().filter(|(_, (blank, _))| !blank).map(|(of, _)| *of).collect();
-            let own_known = self.store.as_ref().is_none_or(|store| !store.is_blank());
-            if self.voter_set.is_quorum::<FullLeaseRules>(&voted) && own_known {
-                let newest = self.start.1.iter().max_by_key(|(_, (_, record))| record.revision());
-                let newest = newest.map(|(of, (_, record))| (*of, record.clone()));
+                self.start_read.1.iter().filter(|(_, (blank, _))| !blank).map(|(voter, _)| *voter).collect();
+            let store_ready = self.store.as_ref().is_none_or(|store| !store.is_blank());
+            if self.voter_set.is_quorum::<FullLeaseRules>(&voted) && store_ready {
+                let newest = self.start_read.1.iter().max_by_key(|(_, (_, record))| record.revision());
+                let newest = newest.map(|(voter, (_, record))| (*voter, record.clone()));
                 self.started = true;
-                if let Some((of, record)) = newest {
-                    self.act_on(now, of, &record);
+                if let Some((voter, record)) = newest {
+                    self.adopt_record(now, voter, &record);
                 }
-                // What is named and not known yet is out all the same, once its machines are.
-                self.started = self.heard.plan == PlanId::NONE
-                    || self.heard.mode == Mode::Idle
-                    || self.plans.contains_key(&self.heard.plan);
+                // The start is complete only when the machines of the current plan are known.
+                self.started = self.current.plan == PlanId::NONE
+                    || self.current.mode == Mode::Idle
+                    || self.plans.contains_key(&self.current.plan);
             }
         }
-        if let Some(lead) = &mut self.lead {
-            lead.writer.seen(&self.voter_set, from, (round, own), blank, promised, record);
+        if let Some(leadership) = &mut self.leadership {
+            leadership.writer.on_read_reply(
+                &self.voter_set,
+                from,
+                (round, memory_id),
+                blank,
+                promised,
+                record,
+            );
         }
     }
 
-    fn word(&mut self, now: Time, from: PoolerInstance, mut word: Heartbeat) {
-        let loads = std::mem::take(&mut word.loads);
-        let stale = Span(self.setup.heartbeat_interval.0 * STALE);
-        let lives = self.words.entry(from.number).or_default();
-        match lives.iter_mut().find(|heard| heard.life == from.incarnation) {
-            // Of one life the later record counts: letters may overtake each other.
-            Some(heard) => {
-                heard.take_loads(now, &loads);
-                if (word.token, word.version) >= (heard.word.token, heard.word.version) {
-                    (heard.word, heard.at) = (word, now);
+    fn on_heartbeat(&mut self, now: Time, from: PoolerInstance, mut heartbeat: Heartbeat) {
+        let loads = std::mem::take(&mut heartbeat.loads);
+        let stale = Span(self.setup.heartbeat_interval.0 * STALE_INTERVALS);
+        let incarnations = self.processes.entry(from.number).or_default();
+        match incarnations.iter_mut().find(|process| process.incarnation == from.incarnation) {
+            // Datagrams may be reordered: of one incarnation the later record counts.
+            Some(process) => {
+                process.update_loads(now, &loads);
+                if (heartbeat.token, heartbeat.version)
+                    >= (process.heartbeat.token, process.heartbeat.version)
+                {
+                    (process.heartbeat, process.heard_at) = (heartbeat, now);
                 }
             }
             None => {
-                lives.retain(|heard| now - heard.at < stale);
-                if lives.len() == MOST_LIVES {
-                    lives.remove(0);
+                incarnations.retain(|process| now - process.heard_at < stale);
+                if incarnations.len() == MAX_INCARNATIONS {
+                    incarnations.remove(0);
                 }
-                let mut heard = Heard { life: from.incarnation, loads: BTreeMap::new(), word, at: now };
-                heard.take_loads(now, &loads);
-                lives.push(heard);
+                let mut process = ProcessState {
+                    incarnation: from.incarnation,
+                    loads: BTreeMap::new(),
+                    heartbeat,
+                    heard_at: now,
+                };
+                process.update_loads(now, &loads);
+                incarnations.push(process);
             }
         }
-        // A life that says no more has made room for the one that was heard last, which speaks for all processes of its place. A letter
-        // of an earlier life may come after the first of a later one: what comes first says nothing of who lives.
-        lives.sort_by_key(|heard| heard.at);
-        let newest = lives.last().map(|heard| heard.life);
-        lives.retain(|heard| Some(heard.life) == newest || now - heard.at < stale);
+        // The incarnation heard last speaks for all processes of its pooler and is kept; others are dropped
+        // when they are stale. The latest heartbeat decides, not the order of arrival of the first ones, since
+        // a late datagram of an earlier incarnation may arrive after the first one of its successor.
+        incarnations.sort_by_key(|process| process.heard_at);
+        let newest = incarnations.last().map(|process| process.incarnation);
+        incarnations.retain(|process| Some(process.incarnation) == newest || now - process.heard_at < stale);
     }
 
-    fn part(&mut self, from: u16, plan: PlanId, mut parts: Parts, at: u16, machines: &[u64]) {
-        let wanted = plan == self.heard.plan || self.lead.is_some() || self.store.is_some();
+    fn on_plan_chunk(
+        &mut self,
+        from: u16,
+        plan: PlanId,
+        mut partial_plan: PartialPlan,
+        index: u16,
+        machines: &[u64],
+    ) {
+        let wanted = plan == self.current.plan || self.leadership.is_some() || self.store.is_some();
         if self.plans.contains_key(&plan) || !wanted {
             return;
         }
-        if self.partial.len() >= MOST_PLANS && !self.partial.contains_key(&plan) {
-            self.partial.clear();
+        if self.partial_plans.len() >= MAX_PLANS && !self.partial_plans.contains_key(&plan) {
+            self.partial_plans.clear();
         }
-        let known = self.partial.entry(plan).or_insert_with(|| std::mem::take(&mut parts));
-        for (of, machine) in known.machines.iter_mut().skip(at.into()).zip(machines) {
-            *of = Some(*machine);
+        let known = self.partial_plans.entry(plan).or_insert_with(|| std::mem::take(&mut partial_plan));
+        for (slot, machine) in known.machines.iter_mut().skip(index.into()).zip(machines) {
+            *slot = Some(*machine);
         }
-        if let Some(whole) = known.whole() {
-            self.partial.remove(&plan);
-            // Its name says what is in it.
-            if whole.id() == plan {
-                self.keep(whole);
-                self.asked = Time(i64::MIN / 4);
+        if let Some(complete) = known.complete() {
+            self.partial_plans.remove(&plan);
+            // The id is a hash of the contents.
+            if complete.id() == plan {
+                self.remember_plan(complete);
+                self.last_query = Time(i64::MIN / 4);
             }
-        } else if known.lacks() >= usize::from(at) + machines.len()
-            && known.lacks() % (PART * PARTS_AT_ONCE) == 0
+        } else if known.first_missing() >= usize::from(index) + machines.len()
+            && known.first_missing() % (MACHINES_PER_CHUNK * MAX_CHUNKS_PER_REPLY) == 0
         {
-            let at = known.lacks() as u16;
-            self.post(from, Message::Wants { plan, at });
+            let index = known.first_missing() as u16;
+            self.send(from, Message::FetchPlan { plan, index });
         }
     }
 
-    fn keep(&mut self, plan: Plan) {
+    fn remember_plan(&mut self, plan: Plan) {
         let id = plan.id();
         if self.plans.insert(id, plan).is_none() {
-            self.order.push_back(id);
+            self.plan_order.push_back(id);
         }
-        while self.order.len() > MOST_PLANS {
-            let Some(oldest) = self.order.pop_front() else { return };
-            if oldest == self.heard.plan {
-                self.order.push_back(oldest);
+        while self.plan_order.len() > MAX_PLANS {
+            let Some(oldest) = self.plan_order.pop_front() else { return };
+            if oldest == self.current.plan {
+                self.plan_order.push_back(oldest);
             } else {
                 self.plans.remove(&oldest);
             }
         }
     }
 
-    fn act_on(&mut self, now: Time, from: u16, record: &Record) {
-        if record.revision() < self.heard.revision() {
+    fn adopt_record(&mut self, now: Time, from: u16, record: &Record) {
+        if record.revision() < self.current.revision() {
             return;
         }
-        // All voters have lost their memory, and this pooler has not: what it knows to be out stays out, and is told.
-        if record.plan == PlanId::NONE && self.heard.plan != PlanId::NONE {
-            self.post(from, Message::Tell { record: self.heard.clone() });
+        // All voters have lost their memory, and this pooler has not: machines that it knows to be out stay
+        // out, and it reports the record.
+        if record.plan == PlanId::NONE && self.current.plan != PlanId::NONE {
+            self.send(from, Message::Publish { record: self.current.clone() });
             return;
         }
-        if record.revision() == self.heard.revision() {
+        if record.revision() == self.current.revision() {
             if from != self.setup.me.number {
-                self.heard_from = from;
+                self.plan_source = from;
             }
             return;
         }
-        self.heard_from = from;
-        if record.token != self.heard.token {
-            self.told_by = None;
+        self.plan_source = from;
+        if record.token != self.current.token {
+            self.publisher = None;
         }
-        self.times.resize(record.states.len(), now);
-        for (at, state) in record.states.iter().enumerate() {
-            if self.heard.plan != record.plan || self.heard.states.get(at) != Some(state) {
-                self.times[at] = now;
+        self.state_since.resize(record.states.len(), now);
+        for (index, state) in record.states.iter().enumerate() {
+            if self.current.plan != record.plan || self.current.states.get(index) != Some(state) {
+                self.state_since[index] = now;
             }
         }
-        self.heard = record.clone();
-        self.asked = Time(i64::MIN / 4);
+        self.current = record.clone();
+        self.last_query = Time(i64::MIN / 4);
     }
 
-    /// Somebody has heard of a plan that the voters have forgotten.
-    fn copy(&mut self, now: Time, from: u16, record: &Record) {
-        let settled = self.lead.as_ref().and_then(|lead| lead.writer.settled());
-        if record.plan == PlanId::NONE || settled.is_none_or(|settled| settled.plan != PlanId::NONE) {
+    /// Restores a plan that the voters have forgotten and another pooler remembers.
+    fn restore_record(&mut self, now: Time, from: u16, record: &Record) {
+        let committed = self.leadership.as_ref().and_then(|leadership| leadership.writer.committed());
+        if record.plan == PlanId::NONE || committed.is_none_or(|committed| committed.plan != PlanId::NONE) {
             return;
         }
         if self.plans.contains_key(&record.plan) {
-            self.put(now, record.clone());
+            self.write_record(now, record.clone());
         } else {
-            let at = self.partial.get(&record.plan).map_or(0, Parts::lacks) as u16;
-            self.post(from, Message::Wants { plan: record.plan, at });
+            let index = self.partial_plans.get(&record.plan).map_or(0, PartialPlan::first_missing) as u16;
+            self.send(from, Message::FetchPlan { plan: record.plan, index });
         }
     }
 
-    fn called(&mut self, now: Time, from: u16, call: u32, verb: Command, plan: PlanId, at: u16) {
-        let Some(lead) = &mut self.lead else {
-            return self.post(from, Message::Reply { call, said: CommandResult::NotHolder });
+    fn on_command(&mut self, now: Time, from: u16, id: u32, command: Command, plan: PlanId, index: u16) {
+        let Some(leadership) = &mut self.leadership else {
+            return self.send(from, Message::CommandReply { id, result: CommandResult::NotHolder });
         };
-        if lead.calls.iter().any(|(of, number, _)| (*of, *number) == (from, call)) {
+        if leadership.uncommitted_replies.iter().any(|(sender, number, _)| (*sender, *number) == (from, id)) {
             return;
         }
-        // While something waits to be stored, it is asked again.
-        let Some(settled) = lead.writer.settled().cloned() else { return };
-        let said = self.answer(now, from, &settled, verb, plan, usize::from(at));
-        match said {
+        // While a write is pending there is no answer: the sender repeats the command.
+        let Some(committed) = leadership.writer.committed().cloned() else { return };
+        let outcome = self.evaluate_command(now, from, &committed, command, plan, usize::from(index));
+        match outcome {
             None => {}
-            Some((said, None)) => self.post(from, Message::Reply { call, said }),
-            Some((said, Some(record))) => {
-                if let Some(lead) = &mut self.lead {
-                    lead.calls.push_back((from, call, said));
+            Some((result, None)) => self.send(from, Message::CommandReply { id, result }),
+            Some((result, Some(record))) => {
+                if let Some(leadership) = &mut self.leadership {
+                    leadership.uncommitted_replies.push_back((from, id, result));
                 }
-                self.put(now, record);
+                self.write_record(now, record);
             }
         }
     }
 
-    /// What is said to a call, and what is to be stored before that; `None` where it is asked again.
-    fn answer(
+    /// The result of a command, and the record to be stored before it is sent; `None` if the sender has to
+    /// repeat the command.
+    fn evaluate_command(
         &mut self,
         now: Time,
         from: u16,
-        settled: &Record,
-        verb: Command,
+        committed: &Record,
+        command: Command,
         plan: PlanId,
-        at: usize,
+        index: usize,
     ) -> Option<(CommandResult, Option<Record>)> {
-        if verb == Command::Submit {
-            if settled.plan == plan {
+        if command == Command::Submit {
+            if committed.plan == plan {
                 return Some((CommandResult::Done, None));
             }
-            if settled.mode != Mode::Idle {
+            if committed.mode != Mode::Idle {
                 return Some((CommandResult::Busy, None));
             }
-            // Should the voters have lost their memory, others have had time to say what there was.
-            let since = self.lead.as_ref().map_or(now, |lead| lead.since);
-            if settled.plan == PlanId::NONE && now - since < Span(self.setup.heartbeat_interval.0 * COPIES) {
+            // Where the voters have lost their memory, others first get time to report the plan that they
+            // remember.
+            let since = self.leadership.as_ref().map_or(now, |leadership| leadership.led_since);
+            if committed.plan == PlanId::NONE
+                && now - since < Span(self.setup.heartbeat_interval.0 * NEW_PLAN_DELAY_INTERVALS)
+            {
                 return None;
             }
             let Some(known) = self.plans.get(&plan) else {
-                let at = self.partial.get(&plan).map_or(0, Parts::lacks) as u16;
-                self.post(from, Message::Wants { plan, at });
+                let index = self.partial_plans.get(&plan).map_or(0, PartialPlan::first_missing) as u16;
+                self.send(from, Message::FetchPlan { plan, index });
                 return None;
             };
             let states = vec![MachineState::Waiting; known.machines.len()];
             return Some((
                 CommandResult::Done,
-                Some(Record { plan, mode: Mode::Running, states, ..settled.clone() }),
+                Some(Record { plan, mode: Mode::Running, states, ..committed.clone() }),
             ));
         }
-        if settled.plan != plan || plan == PlanId::NONE {
+        if committed.plan != plan || plan == PlanId::NONE {
             return Some((CommandResult::NotFound, None));
         }
-        let whole = |from: &[Mode], to: Mode| {
-            if settled.mode == to {
+        let change_mode = |from: &[Mode], to: Mode| {
+            if committed.mode == to {
                 (CommandResult::Done, None)
-            } else if from.contains(&settled.mode) {
-                (CommandResult::Done, Some(Record { mode: to, ..settled.clone() }))
+            } else if from.contains(&committed.mode) {
+                (CommandResult::Done, Some(Record { mode: to, ..committed.clone() }))
             } else {
                 (CommandResult::InvalidState, None)
             }
         };
-        match verb {
-            Command::Pause => return Some(whole(&[Mode::Running], Mode::Paused)),
-            Command::Resume => return Some(whole(&[Mode::Paused], Mode::Running)),
-            Command::Cancel => return Some(whole(&[Mode::Running, Mode::Paused], Mode::Cancelled)),
+        match command {
+            Command::Pause => return Some(change_mode(&[Mode::Running], Mode::Paused)),
+            Command::Resume => return Some(change_mode(&[Mode::Paused], Mode::Running)),
+            Command::Cancel => return Some(change_mode(&[Mode::Running, Mode::Paused], Mode::Cancelled)),
             _ => {}
         }
-        let Some(state) = settled.states.get(at).copied() else {
+        let Some(state) = committed.states.get(index).copied() else {
             return Some((CommandResult::NotFound, None));
         };
-        let to = match (verb, state) {
+        let to = match (command, state) {
             (Command::Skip, MachineState::Waiting | MachineState::Forced | MachineState::HandingOver) => {
                 MachineState::Skipped
             }
             (Command::Skip, state) if state.is_leaving() || state.is_free() => MachineState::Skipped,
             (Command::Force, MachineState::Waiting | MachineState::HandingOver)
-                if settled.mode == Mode::Running =>
+                if committed.mode == Mode::Running =>
             {
                 MachineState::Forced
             }
-            // Staff know that who isn't heard sends nothing there.
+            // By forcing it the operator vouches that poolers that are not heard send nothing there.
             (Command::Force, state) if state.is_leaving() => MachineState::ForcedFree,
             (Command::Begin, state) if state.is_free() => {
-                // What was free by an earlier holder's word is so by this one's: somebody may have come back since.
+                // A machine that became free under an earlier holder must be confirmed free under this one: a
+                // pooler may have restarted since.
                 let known = self.plans.get(&plan)?;
-                if state == MachineState::Free && !self.missing(known, at).is_empty() {
+                if state == MachineState::Free && !self.unconfirmed_poolers(known, index).is_empty() {
                     return None;
                 }
                 MachineState::AtWork
             }
             (Command::Done, MachineState::AtWork) => MachineState::Warming,
-            // The answer was lost, and it is asked again.
+            // A retry after a lost answer.
             (Command::Skip, MachineState::Skipped)
             | (
                 Command::Force,
@@ -1080,34 +1182,34 @@
             }
             _ => return Some((CommandResult::InvalidState, None)),
         };
-        let mut record = settled.clone();
-        record.states[at] = to;
+        let mut record = committed.clone();
+        record.states[index] = to;
         Some((CommandResult::Done, Some(record)))
     }
 
-    /// Whether the limits can ever be met by a plan, by the facts of this pooler.
+    /// Whether the limits can ever be met for a plan, as far as this pooler knows.
     ///
     /// # Errors
     ///
-    /// The first machine that never may go out, by its place, and why.
+    /// The index of the first machine that may never go out, and why.
     pub fn check_feasible(&self, plan: PlanId, facts: &FleetInfo) -> Result<(), (usize, WaitReason)> {
         self.plans.get(&plan).map_or(Ok(()), |plan| check_feasible(plan, facts, self.limits(plan.kind)))
     }
 
-    fn post(&mut self, to: u16, note: Message) {
+    fn send(&mut self, to: u16, message: Message) {
         if to == self.setup.me.number {
-            self.own.push_back(note);
+            self.local_queue.push_back(message);
         } else {
-            self.out.push((To::One(to.into()), note));
+            self.outgoing.push((To::One(to.into()), message));
         }
     }
 
-    /// Reads what is for this pooler itself.
-    fn settle(&mut self, now: Time) {
-        // Each answer brings at most one more; the bound keeps a mistake from turning for ever.
+    /// Handles what this pooler has sent to itself.
+    fn handle_local(&mut self, now: Time) {
+        // Each message leads to at most one more; the bound prevents an endless loop in case of a bug.
         for _ in 0..64 {
-            let Some(note) = self.own.pop_front() else { return };
-            self.read(now, self.setup.me, note);
+            let Some(message) = self.local_queue.pop_front() else { return };
+            self.handle(now, self.setup.me, message);
         }
     }
 }
--- a/crates/coordination/src/work/order.rs
+++ b/crates/coordination/src/work/order.rs
@@ -1,115 +1,118 @@
-//! In which order machines go out, and what brings them back: facts, limits and a record in, the next states out.
+//! Decides which machines go out next and when they come back: from what is known of the fleet, the limits and
+//! the present record to the next states.
 
 use super::record::{MachineKind, MachineState, Mode, Plan, Record};
 use linnetdeal_core::{Span, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Which of several that may go out goes first.
+/// Which of several machines that may go out goes first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OrderPolicy {
-    /// As they were named.
+    /// In the order in which they were named.
     AsNamed,
-    /// Whose group has most to spare.
+    /// The one whose group has the most spare capacity.
     MostSpare,
-    /// Whose group and zone have the longest way still to go: nothing else can make that shorter later on.
+    /// The one whose group and zone have the most machines still to go in relation to the limits, since nothing
+    /// else can shorten that later.
     #[default]
     LongestRemaining,
 }
 
-/// What must hold while machines are out. Those that are dead count as out, whoever took them out.
+/// What must hold while machines are out. A machine that is dead counts as out, whatever the reason.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Out at once.
+    /// Maximum number of machines out at once.
     pub total: usize,
-    /// Of one zone.
+    /// Maximum number of machines out in one zone.
     pub per_zone: usize,
-    /// Of one group.
+    /// Maximum number of machines out in one group.
     pub per_group: usize,
-    /// In so many zones at once.
+    /// Maximum number of zones with machines out.
     pub zones: usize,
-    /// Warm replicas that a group keeps.
+    /// Minimum number of warm replicas that a group keeps.
     pub min_warm: usize,
-    /// What a group keeps can do so many times its load, now and at the last hour's peak.
+    /// The remaining capacity of a group must be at least this multiple of its load, both the present one and
+    /// the peak of the last hour.
     pub load_factor: f64,
-    /// Back, a machine counts as cold for so long.
+    /// How long a machine counts as cold after it is back.
     pub cold_period: Span,
-    /// Somebody else is primary after so long, or the machine is left out.
+    /// How long to wait for another member to become the primary before the machine is left out.
     pub handover_timeout: Span,
-    /// The order.
+    /// The order in which machines go out.
     pub order: OrderPolicy,
 }
 
-/// What is known of a machine, be it of the plan or not.
+/// What is known of a machine, whether it is in the plan or not.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MachineInfo {
-    /// Which it is.
+    /// Identifies the machine, as in [`Plan::machines`].
     pub machine: u64,
-    /// Its group; poolers have none.
+    /// Its group; 0 for poolers, which have none.
     pub group: u16,
-    /// What stands for its zone.
+    /// Hash of its zone's name.
     pub zone: u16,
-    /// Requests a second that it bears; 0 if that is not known.
+    /// Its capacity in requests per second; 0 if not known.
     pub capacity: f64,
-    /// It is its group's primary.
+    /// Whether it is its group's primary.
     pub primary: bool,
-    /// By all but the plan it is in service.
+    /// Whether it is in service, apart from the plan.
     pub in_service: bool,
-    /// It fails those who send to it.
+    /// Whether it fails requests sent to it.
     pub failing: bool,
-    /// It has not started lately.
+    /// Whether it has been running for longer than the cold period.
     pub warm: bool,
 }
 
-/// What is known of all.
+/// What is known of the whole fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetInfo {
     /// The machines, each once.
     pub machines: Vec<MachineInfo>,
-    /// Groups whose primary changes, or is not known.
+    /// Groups whose primary is changing or not known.
     pub changing_primary: BTreeSet<u16>,
-    /// Requests a second, by group: now, and at the last hour's peak.
+    /// Load by group in requests per second: at present, and at the peak of the last hour.
     pub loads: BTreeMap<u16, (f64, f64)>,
-    /// Machines that the list had, and has no more.
+    /// Machines that are no longer listed.
     pub gone: BTreeSet<u64>,
-    /// Nothing begins at this hour.
+    /// No machine may go out at this hour.
     pub quiet_hours: bool,
-    /// The poolers have not said yet what they bear.
+    /// The poolers have not had time to report their load.
     pub load_unknown: bool,
-    /// Poolers only: voters, of which a majority stays.
+    /// Poolers only: the voters, of which a majority has to stay.
     pub voters: BTreeSet<u64>,
 }
 
 /// Why a machine waits.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WaitReason {
-    /// So many are out of all, and no more may be.
+    /// This many machines are out, which is the limit.
     TotalLimit(usize),
-    /// So many are out in its zone.
+    /// This many machines of its zone are out.
     ZoneLimit(usize),
-    /// So many are out in its group.
+    /// This many machines of its group are out.
     GroupLimit(usize),
-    /// Machines are out in so many other zones.
+    /// Machines are out in this many other zones.
     OtherZones(usize),
-    /// Its group would have so few warm replicas.
+    /// Its group would keep only this many warm replicas.
     WarmReplicas(usize),
-    /// What its group kept could do this, and must do that, in requests a second.
+    /// The capacity that its group would keep, and the capacity that it needs, in requests per second.
     Capacity(f64, f64),
-    /// Others of its group come first.
+    /// It is the primary, and other machines of its group go first.
     ReplicasFirst,
-    /// The primary of its group changes.
+    /// The primary of its group is changing or not known.
     PrimaryChanging,
-    /// Nothing begins at this hour.
+    /// No machine may go out at this hour.
     QuietHours,
-    /// The poolers have not all had time to say what they bear.
+    /// The poolers have not all had time to report their load.
     LoadUnknown,
-    /// The list does not name it at present.
+    /// It is not listed at present.
     Unlisted,
     /// The plan is paused.
     Paused,
-    /// It would be one voter too many.
+    /// Another voter is out.
     Voters,
-    /// Something outside the plan fails, and what has not been touched comes back.
+    /// Failures outside the plan broke a limit, so that machines without work in progress come back.
     LimitsBroken,
 }
 
@@ -140,31 +143,31 @@
     }
 }
 
-/// What is to come of a record.
+/// The result of one step.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NextStep {
     /// The states.
     pub states: Vec<MachineState>,
-    /// How the plan goes on.
+    /// The plan's mode.
     pub mode: Mode,
-    /// By place, why machines wait.
-    pub waits: BTreeMap<usize, WaitReason>,
+    /// Why machines wait, by index.
+    pub wait_reasons: BTreeMap<usize, WaitReason>,
 }
 
-/// The machines as they stand, those that count as out among them.
-struct Board<'f> {
+/// Which machines are available, and which count as out.
+struct Availability<'f> {
     facts: &'f FleetInfo,
     limits: &'f Limits,
     kind: MachineKind,
-    by: BTreeMap<u64, &'f MachineInfo>,
+    by_machine: BTreeMap<u64, &'f MachineInfo>,
     members: BTreeMap<u16, Vec<&'f MachineInfo>>,
-    /// Out by the plan, or of no use.
+    /// Out because of the plan, or out of service or failing.
     out: BTreeSet<u64>,
-    /// Out by the plan.
+    /// Out because of the plan.
     planned: BTreeSet<u64>,
 }
 
-impl<'f> Board<'f> {
+impl<'f> Availability<'f> {
     fn new(
         kind: MachineKind,
         plan: &Plan,
@@ -172,34 +175,36 @@
         facts: &'f FleetInfo,
         limits: &'f Limits,
     ) -> Self {
-        let by: BTreeMap<u64, &MachineInfo> = facts.machines.iter().map(|of| (of.machine, of)).collect();
+        let by_machine: BTreeMap<u64, &MachineInfo> =
+            facts.machines.iter().map(|info| (info.machine, info)).collect();
         let mut members: BTreeMap<u16, Vec<&MachineInfo>> = BTreeMap::new();
-        for of in &facts.machines {
-            members.entry(of.group).or_default().push(of);
+        for info in &facts.machines {
+            members.entry(info.group).or_default().push(info);
         }
         let planned: BTreeSet<u64> = plan
             .machines
             .iter()
             .zip(states)
             .filter(|(_, state)| state.counts_against_limits())
-            .map(|(of, _)| *of)
+            .map(|(id, _)| *id)
             .collect();
-        let dead = facts.machines.iter().filter(|of| !of.in_service || of.failing).map(|of| of.machine);
+        let dead =
+            facts.machines.iter().filter(|info| !info.in_service || info.failing).map(|info| info.machine);
         let out = planned.iter().copied().chain(dead).collect();
-        Self { facts, limits, kind, by, members, out, planned }
+        Self { facts, limits, kind, by_machine, members, out, planned }
     }
 
-    fn count(&self, is: impl Fn(&MachineInfo) -> bool) -> usize {
-        self.out.iter().filter(|of| self.by.get(of).is_some_and(|of| is(of))).count()
+    fn count(&self, predicate: impl Fn(&MachineInfo) -> bool) -> usize {
+        self.out.iter().filter(|id| self.by_machine.get(id).is_some_and(|info| predicate(info))).count()
     }
 
-    /// What is broken in this group, or by all.
-    fn broken(&self, of: &MachineInfo) -> Option<WaitReason> {
+    /// The limit that is violated at present, overall or in the zone or group of this machine.
+    fn violated_limit(&self, info: &MachineInfo) -> Option<WaitReason> {
         let limits = self.limits;
         if self.out.len() > limits.total {
             return Some(WaitReason::TotalLimit(self.out.len() - 1));
         }
-        let zone = self.count(|one| one.zone == of.zone);
+        let zone = self.count(|other| other.zone == info.zone);
         if zone > limits.per_zone {
             return Some(WaitReason::ZoneLimit(zone - 1));
         }
@@ -207,47 +212,57 @@
             let voters = self.out.intersection(&self.facts.voters).count();
             return (voters > 1).then_some(WaitReason::Voters);
         }
-        let group = self.count(|one| one.group == of.group);
+        let group = self.count(|other| other.group == info.group);
         if group > limits.per_group {
             return Some(WaitReason::GroupLimit(group - 1));
         }
-        let left = || {
-            self.members.get(&of.group).into_iter().flatten().filter(|one| !self.out.contains(&one.machine))
+        let available = || {
+            self.members
+                .get(&info.group)
+                .into_iter()
+                .flatten()
+                .filter(|other| !self.out.contains(&other.machine))
         };
-        let warm = left().filter(|one| one.warm && !one.primary).count();
+        let warm = available().filter(|other| other.warm && !other.primary).count();
         if warm < limits.min_warm {
             return Some(WaitReason::WarmReplicas(warm));
         }
-        let (now, peak) = self.facts.loads.get(&of.group).copied().unwrap_or_default();
-        let keeps: f64 = left().filter(|one| one.warm).map(|one| one.capacity).sum();
+        let (now, peak) = self.facts.loads.get(&info.group).copied().unwrap_or_default();
+        let keeps: f64 = available().filter(|other| other.warm).map(|other| other.capacity).sum();
         let needs = now.max(peak) * limits.load_factor;
-        let known = left().any(|one| one.capacity > 0.0);
+        let known = available().any(|other| other.capacity > 0.0);
         (known && keeps < needs).then_some(WaitReason::Capacity(keeps, needs))
     }
 
-    /// What would be broken with one more out.
-    fn with(&mut self, of: &MachineInfo) -> Option<WaitReason> {
-        let zones: BTreeSet<u16> = self.planned.iter().filter_map(|of| Some(self.by.get(of)?.zone)).collect();
-        if !zones.contains(&of.zone) && zones.len() >= self.limits.zones {
+    /// The limit that would be violated if this machine went out as well.
+    fn blocked_by(&mut self, info: &MachineInfo) -> Option<WaitReason> {
+        let zones: BTreeSet<u16> =
+            self.planned.iter().filter_map(|id| Some(self.by_machine.get(id)?.zone)).collect();
+        if !zones.contains(&info.zone) && zones.len() >= self.limits.zones {
             return Some(WaitReason::OtherZones(zones.len()));
         }
-        let new = self.out.insert(of.machine);
-        let why = self.broken(of);
-        if new {
-            self.out.remove(&of.machine);
+        let newly_out = self.out.insert(info.machine);
+        let why = self.violated_limit(info);
+        if newly_out {
+            self.out.remove(&info.machine);
         }
-        if new {
+        if newly_out {
             return why;
         }
-        // One that is dead already: to take it out takes nothing away, and only those that the plan has out are counted.
-        let count = |is: &dyn Fn(&MachineInfo) -> bool| {
-            self.planned.iter().filter(|one| self.by.get(one).is_some_and(|one| is(one))).count()
+        // The machine is out of service already: taking it out reduces nothing, so that only machines out
+        // because of the plan are counted.
+        let count = |predicate: &dyn Fn(&MachineInfo) -> bool| {
+            self.planned
+                .iter()
+                .filter(|id| self.by_machine.get(id).is_some_and(|info| predicate(info)))
+                .count()
         };
-        let (all, zone) = (self.planned.len(), count(&|one| one.zone == of.zone));
-        let group = if self.kind == MachineKind::Servers { count(&|one| one.group == of.group) } else { 0 };
+        let (total, zone) = (self.planned.len(), count(&|other| other.zone == info.zone));
+        let group =
+            if self.kind == MachineKind::Servers { count(&|other| other.group == info.group) } else { 0 };
         let limits = self.limits;
-        if all >= limits.total {
-            Some(WaitReason::TotalLimit(all))
+        if total >= limits.total {
+            Some(WaitReason::TotalLimit(total))
         } else if zone >= limits.per_zone {
             Some(WaitReason::ZoneLimit(zone))
         } else {
@@ -255,48 +270,52 @@
         }
     }
 
-    fn take(&mut self, of: u64) {
-        self.out.insert(of);
-        self.planned.insert(of);
+    fn mark_out(&mut self, id: u64) {
+        self.out.insert(id);
+        self.planned.insert(id);
     }
 
-    /// Whether what is out at present must not be.
-    fn hurts(&self) -> bool {
-        self.planned.iter().filter_map(|of| self.by.get(of)).any(|of| self.broken(of).is_some())
+    /// Whether the machines that are out because of the plan violate a limit.
+    fn violates_limits(&self) -> bool {
+        self.planned
+            .iter()
+            .filter_map(|id| self.by_machine.get(id))
+            .any(|info| self.violated_limit(info).is_some())
     }
 }
 
-/// Whether a plan can be carried out once all others are as well as they can be; the first machine that never may go out.
+/// Whether a plan can be carried out when everything outside of it is healthy.
 ///
 /// # Errors
 ///
-/// That machine's place, and why.
+/// The index of the first machine that may never go out, and why.
 pub fn check_feasible(plan: &Plan, facts: &FleetInfo, limits: &Limits) -> Result<(), (usize, WaitReason)> {
     let mut best = facts.clone();
-    for of in &mut best.machines {
-        (of.in_service, of.failing, of.warm) = (true, false, true);
+    for info in &mut best.machines {
+        (info.in_service, info.failing, info.warm) = (true, false, true);
     }
     best.loads.clear();
-    for (at, machine) in plan.machines.iter().enumerate() {
+    for (index, machine) in plan.machines.iter().enumerate() {
         let mut best = best.clone();
-        let Some(place) = best.machines.iter().position(|of| of.machine == *machine) else { continue };
-        // Once it is handed over, another one is the primary.
+        let Some(place) = best.machines.iter().position(|info| info.machine == *machine) else { continue };
+        // After the handover another member is the primary.
         if best.machines[place].primary {
             let group = best.machines[place].group;
-            let heir = best.machines.iter_mut().find(|of| of.group == group && of.machine != *machine);
-            heir.into_iter().for_each(|of| of.primary = true);
+            let successor =
+                best.machines.iter_mut().find(|info| info.group == group && info.machine != *machine);
+            successor.into_iter().for_each(|info| info.primary = true);
             best.machines[place].primary = false;
         }
-        let mut board = Board::new(plan.kind, plan, &[], &best, limits);
-        if let Some(why) = board.with(&best.machines[place]) {
-            return Err((at, why));
+        let mut availability = Availability::new(plan.kind, plan, &[], &best, limits);
+        if let Some(why) = availability.blocked_by(&best.machines[place]) {
+            return Err((index, why));
         }
     }
     Ok(())
 }
 
-/// What comes next. `since` says of each machine since when it is in its state, `clear` where nobody has anything any more, and
-/// `settled` which poolers have come back whole.
+/// Computes the next states of a plan. `since` is when each machine entered its state, and `clear` says whether
+/// all poolers have confirmed that they have nothing at a machine.
 #[must_use]
 pub fn next_step(
     now: Time,
@@ -309,57 +328,62 @@
 ) -> NextStep {
     let mut states = record.states.clone();
     states.resize(plan.machines.len(), MachineState::Waiting);
-    let mut waits = BTreeMap::new();
+    let mut wait_reasons = BTreeMap::new();
     if record.mode == Mode::Idle {
-        return NextStep { states, mode: Mode::Idle, waits };
+        return NextStep { states, mode: Mode::Idle, wait_reasons };
     }
-    let known: BTreeMap<u64, &MachineInfo> = facts.machines.iter().map(|of| (of.machine, of)).collect();
-    let lasted = |at: usize| since.get(at).map_or(Span(0), |since| now - *since);
-    for (at, machine) in plan.machines.iter().enumerate() {
-        let fact = known.get(machine);
-        states[at] = match (states[at], fact) {
-            // A list that is not whole yet, or not believed, makes nobody go.
+    let known: BTreeMap<u64, &MachineInfo> = facts.machines.iter().map(|info| (info.machine, info)).collect();
+    let elapsed_in_state = |index: usize| since.get(index).map_or(Span(0), |since| now - *since);
+    for (index, machine) in plan.machines.iter().enumerate() {
+        let listed = known.get(machine);
+        states[index] = match (states[index], listed) {
+            // A list that is incomplete or not trusted yet makes no machine count as gone.
             (MachineState::Waiting | MachineState::Forced | MachineState::HandingOver, None)
                 if facts.gone.contains(machine) =>
             {
                 MachineState::Gone
             }
-            (MachineState::Leaving, _) if clear(at) => MachineState::Free,
-            (MachineState::ForcedLeaving, _) if clear(at) => MachineState::ForcedFree,
-            (MachineState::Warming, Some(of))
-                if of.in_service && !of.failing && of.warm && lasted(at) >= limits.cold_period =>
+            (MachineState::Leaving, _) if clear(index) => MachineState::Free,
+            (MachineState::ForcedLeaving, _) if clear(index) => MachineState::ForcedFree,
+            (MachineState::Warming, Some(info))
+                if info.in_service
+                    && !info.failing
+                    && info.warm
+                    && elapsed_in_state(index) >= limits.cold_period =>
             {
                 MachineState::Back
             }
-            (MachineState::HandingOver, Some(of)) if of.primary && lasted(at) >= limits.handover_timeout => {
+            (MachineState::HandingOver, Some(info))
+                if info.primary && elapsed_in_state(index) >= limits.handover_timeout =>
+            {
                 MachineState::NotHandedOver
             }
             (state, _) => state,
         };
-        if record.mode == Mode::Cancelled && !states[at].is_final() {
-            states[at] = match states[at] {
+        if record.mode == Mode::Cancelled && !states[index].is_final() {
+            states[index] = match states[index] {
                 state @ (MachineState::AtWork | MachineState::Warming) => state,
                 _ => MachineState::Cancelled,
             };
         }
     }
-    let mut board = Board::new(plan.kind, plan, &states, facts, limits);
-    if board.hurts() {
-        for (at, state) in states.iter_mut().enumerate() {
-            // One that is dead would be of no use back.
-            let dead = known.get(&plan.machines[at]).is_some_and(|of| !of.in_service || of.failing);
+    let mut availability = Availability::new(plan.kind, plan, &states, facts, limits);
+    if availability.violates_limits() {
+        for (index, state) in states.iter_mut().enumerate() {
+            // A machine that is dead would be of no use if it came back.
+            let dead = known.get(&plan.machines[index]).is_some_and(|info| !info.in_service || info.failing);
             if matches!(state, MachineState::Leaving | MachineState::Free) && !dead {
                 *state = MachineState::Waiting;
-                waits.insert(at, WaitReason::LimitsBroken);
+                wait_reasons.insert(index, WaitReason::LimitsBroken);
             }
         }
-        // Those come back before anything else is looked at.
+        // These come back before anything else is considered.
         if states != record.states {
-            return NextStep { states, mode: record.mode, waits };
+            return NextStep { states, mode: record.mode, wait_reasons };
         }
     }
     if record.mode == Mode::Running && !facts.quiet_hours && !facts.load_unknown {
-        go_out(plan, &mut states, &mut board, &known, &mut waits);
+        start_outages(plan, &mut states, &mut availability, &known, &mut wait_reasons);
     } else {
         let why = match record.mode {
             Mode::Running if facts.load_unknown => WaitReason::LoadUnknown,
@@ -367,113 +391,132 @@
             _ => WaitReason::Paused,
         };
         let waiting = states.iter().enumerate().filter(|(_, state)| **state == MachineState::Waiting);
-        waits.extend(waiting.map(|(at, _)| (at, why.clone())));
+        wait_reasons.extend(waiting.map(|(index, _)| (index, why.clone())));
     }
     let mode = if states.iter().all(|state| state.is_final()) { Mode::Idle } else { record.mode };
-    NextStep { states, mode, waits }
+    NextStep { states, mode, wait_reasons }
 }
 
-/// Takes out as many as may go.
-fn go_out(
+/// Takes out as many machines as the limits allow.
+fn start_outages(
     plan: &Plan,
     states: &mut [MachineState],
-    board: &mut Board<'_>,
+    availability: &mut Availability<'_>,
     known: &BTreeMap<u64, &MachineInfo>,
-    waits: &mut BTreeMap<usize, WaitReason>,
+    wait_reasons: &mut BTreeMap<usize, WaitReason>,
 ) {
-    let left: Vec<usize> = (0..states.len()).filter(|at| !states[*at].is_final()).collect();
-    let remaining = |is: &dyn Fn(&MachineInfo) -> bool| {
-        left.iter().filter(|at| known.get(&plan.machines[**at]).is_some_and(|of| is(of))).count()
+    let unfinished: Vec<usize> = (0..states.len()).filter(|index| !states[*index].is_final()).collect();
+    let remaining = |predicate: &dyn Fn(&MachineInfo) -> bool| {
+        unfinished
+            .iter()
+            .filter(|index| known.get(&plan.machines[**index]).is_some_and(|info| predicate(info)))
+            .count()
     };
-    let (limits, kind) = (board.limits, board.kind);
-    let rank = |at: usize, of: &MachineInfo, turn: &BTreeSet<u16>| {
-        // What is forced goes first, then what is of no use already, then the zone whose turn it is; primaries last.
-        let first =
-            (states_forced(states, at), of.failing || !of.in_service, turn.contains(&of.zone), !of.primary);
-        let (group, zone) = (of.group, of.zone);
-        let by = match limits.order {
+    let (limits, kind) = (availability.limits, availability.kind);
+    let rank = |index: usize, info: &MachineInfo, active_zones: &BTreeSet<u16>| {
+        // Forced machines go first, then those that are out of service already, then those of a zone that has
+        // machines out; primaries go last.
+        let priority = (
+            is_forced(states, index),
+            info.failing || !info.in_service,
+            active_zones.contains(&info.zone),
+            !info.primary,
+        );
+        let (group, zone) = (info.group, info.zone);
+        let score = match limits.order {
             OrderPolicy::AsNamed => 0.0,
             OrderPolicy::MostSpare => {
-                let load = board.facts.loads.get(&group).map_or(0.0, |(now, peak)| now.max(*peak));
-                let can: f64 = board.members.get(&group).into_iter().flatten().map(|of| of.capacity).sum();
-                can - load
+                let load = availability.facts.loads.get(&group).map_or(0.0, |(now, peak)| now.max(*peak));
+                let capacity: f64 =
+                    availability.members.get(&group).into_iter().flatten().map(|info| info.capacity).sum();
+                capacity - load
             }
             OrderPolicy::LongestRemaining => {
-                let in_zone = remaining(&|one| one.zone == zone) as f64 / limits.per_zone.max(1) as f64;
+                let in_zone = remaining(&|other| other.zone == zone) as f64 / limits.per_zone.max(1) as f64;
                 let in_group = match kind {
                     MachineKind::Servers => {
-                        remaining(&|one| one.group == group) as f64 / limits.per_group.max(1) as f64
+                        remaining(&|other| other.group == group) as f64 / limits.per_group.max(1) as f64
                     }
                     MachineKind::Poolers => 0.0,
                 };
                 in_group.max(in_zone)
             }
         };
-        (first, by)
+        (priority, score)
     };
-    let turn: BTreeSet<u16> = board.planned.iter().filter_map(|of| Some(known.get(of)?.zone)).collect();
-    let mut order: Vec<(usize, _)> = left
+    let active_zones: BTreeSet<u16> =
+        availability.planned.iter().filter_map(|id| Some(known.get(id)?.zone)).collect();
+    let mut order: Vec<(usize, _)> = unfinished
         .iter()
-        .filter(|at| {
-            matches!(states[**at], MachineState::Waiting | MachineState::Forced | MachineState::HandingOver)
+        .filter(|index| {
+            matches!(
+                states[**index],
+                MachineState::Waiting | MachineState::Forced | MachineState::HandingOver
+            )
         })
-        .filter_map(|at| Some((*at, rank(*at, known.get(&plan.machines[*at])?, &turn))))
+        .filter_map(|index| Some((*index, rank(*index, known.get(&plan.machines[*index])?, &active_zones))))
         .collect();
-    order.sort_by(|(a, one), (b, other)| other.0.cmp(&one.0).then(other.1.total_cmp(&one.1)).then(a.cmp(b)));
-    for at in &left {
-        if states[*at] == MachineState::Waiting && !known.contains_key(&plan.machines[*at]) {
-            waits.insert(*at, WaitReason::Unlisted);
+    order.sort_by(|(a, a_rank), (b, b_rank)| {
+        b_rank.0.cmp(&a_rank.0).then(b_rank.1.total_cmp(&a_rank.1)).then(a.cmp(b))
+    });
+    for index in &unfinished {
+        if states[*index] == MachineState::Waiting && !known.contains_key(&plan.machines[*index]) {
+            wait_reasons.insert(*index, WaitReason::Unlisted);
         }
     }
-    let mut handing: BTreeSet<u16> = BTreeSet::new();
-    for (at, _) in order {
-        let Some(of) = known.get(&plan.machines[at]) else { continue };
-        let forced = states[at] == MachineState::Forced;
-        let others = || {
-            (0..states.len()).any(|other| {
-                other != at
-                    && !states[other].is_final()
-                    && known.get(&plan.machines[other]).is_some_and(|one| one.group == of.group)
+    let mut handing_over: BTreeSet<u16> = BTreeSet::new();
+    for (index, _) in order {
+        let Some(info) = known.get(&plan.machines[index]) else { continue };
+        let forced = states[index] == MachineState::Forced;
+        let others_pending = || {
+            (0..states.len()).any(|other_index| {
+                other_index != index
+                    && !states[other_index].is_final()
+                    && known.get(&plan.machines[other_index]).is_some_and(|other| other.group == info.group)
             })
         };
         let why = match kind {
-            MachineKind::Servers if of.primary && of.in_service && !of.failing && !forced => {
-                if board.facts.changing_primary.contains(&of.group) || handing.contains(&of.group) {
+            MachineKind::Servers if info.primary && info.in_service && !info.failing && !forced => {
+                if availability.facts.changing_primary.contains(&info.group)
+                    || handing_over.contains(&info.group)
+                {
                     Some(WaitReason::PrimaryChanging)
-                } else if others() {
+                } else if others_pending() {
                     Some(WaitReason::ReplicasFirst)
                 } else {
-                    board.with(of)
+                    availability.blocked_by(info)
                 }
             }
             MachineKind::Servers
-                if board.facts.changing_primary.contains(&of.group) && of.in_service && !forced =>
+                if availability.facts.changing_primary.contains(&info.group)
+                    && info.in_service
+                    && !forced =>
             {
                 Some(WaitReason::PrimaryChanging)
             }
             _ if forced => None,
-            _ => board.with(of),
+            _ => availability.blocked_by(info),
         };
         match why {
             Some(why) => {
-                if states[at] == MachineState::HandingOver && !of.primary {
-                    states[at] = MachineState::Waiting;
+                if states[index] == MachineState::HandingOver && !info.primary {
+                    states[index] = MachineState::Waiting;
                 }
-                waits.insert(at, why);
+                wait_reasons.insert(index, why);
             }
-            // It stays in use until somebody else is primary.
-            None if of.primary && of.in_service && !of.failing && !forced => {
-                states[at] = MachineState::HandingOver;
-                handing.insert(of.group);
+            // It stays in use until another member is the primary.
+            None if info.primary && info.in_service && !info.failing && !forced => {
+                states[index] = MachineState::HandingOver;
+                handing_over.insert(info.group);
             }
             None => {
-                states[at] = if forced { MachineState::ForcedLeaving } else { MachineState::Leaving };
-                board.take(of.machine);
+                states[index] = if forced { MachineState::ForcedLeaving } else { MachineState::Leaving };
+                availability.mark_out(info.machine);
             }
         }
     }
 }
 
-fn states_forced(states: &[MachineState], at: usize) -> bool {
-    states[at] == MachineState::Forced
+fn is_forced(states: &[MachineState], index: usize) -> bool {
+    states[index] == MachineState::Forced
 }
--- a/crates/coordination/src/work/record.rs
+++ b/crates/coordination/src/work/record.rs
@@ -3,33 +3,33 @@
 use crate::lease::Token;
 use linnetdeal_core::membership::fnv1a;
 
-/// No plan names more machines: its record has to fit into one datagram.
+/// Maximum number of machines in a plan: its record has to fit into one datagram.
 pub const MAX_MACHINES: usize = 256;
-/// Machines that one letter names.
-pub const PART: usize = 22;
+/// Maximum number of machines in one [`Message::PlanChunk`].
+pub const MACHINES_PER_CHUNK: usize = 22;
 
 /// What kind of machines a plan is about.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum MachineKind {
-    /// Those of servers, known by what stands for their ids.
+    /// Machines of servers, identified by the hash of the server's id.
     #[default]
     Servers,
-    /// Those of poolers, known by their numbers.
+    /// Machines of poolers, identified by the pooler's number.
     Poolers,
 }
 
-/// Which machines need work, in the order in which they were named.
+/// The machines that need work, in the order in which they were named.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Plan {
-    /// What they are.
+    /// The kind of its machines.
     pub kind: MachineKind,
-    /// Which they are: what stands for a server's id (`membership::stands_for`), or a pooler's number.
+    /// The machines: hash of a server's id (`membership::id_hash`), or a pooler's number.
     pub machines: Vec<u64>,
-    /// Tells plans of the same machines apart.
+    /// Tells plans with the same machines apart.
     pub nonce: u64,
 }
 
-/// A plan's name: what stands for all that is in it.
+/// Identifies a plan: a hash of its contents.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PlanId(pub u64);
 
@@ -39,41 +39,41 @@
 }
 
 impl Plan {
-    /// Its name. A name that stands for no plan is not drawn.
+    /// Hash of its contents; never [`PlanId::NONE`].
     #[must_use]
     pub fn id(&self) -> PlanId {
         let head = [u8::from(self.kind == MachineKind::Poolers)].into_iter().chain(self.nonce.to_be_bytes());
-        PlanId(fnv1a(head.chain(self.machines.iter().flat_map(|of| of.to_be_bytes()))).max(1))
+        PlanId(fnv1a(head.chain(self.machines.iter().flat_map(|machine| machine.to_be_bytes()))).max(1))
     }
 }
 
 /// How far a machine is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MachineState {
-    /// In use, its turn is to come.
+    /// In use; its turn is still to come.
     #[default]
     Waiting,
-    /// Somebody else is to be made the primary first.
+    /// Another member is to be made the primary first.
     HandingOver,
-    /// It gets nothing new; some may have something out there.
+    /// It gets no new requests; some poolers may still have requests or connections there.
     Leaving,
-    /// Nobody has anything there: work may begin.
+    /// All poolers have confirmed that they have nothing there: work may begin.
     Free,
     /// Work has begun.
     AtWork,
-    /// Used as a cold one.
+    /// In use again, in slow start.
     Warming,
-    /// Used as before.
+    /// In use as before.
     Back,
-    /// Staff left it out.
+    /// Left out by an operator.
     Skipped,
-    /// It is not there any more.
+    /// No longer listed.
     Gone,
-    /// Nobody else became the primary.
+    /// Left out because no other member became the primary in time.
     NotHandedOver,
     /// The plan was cancelled before its turn.
     Cancelled,
-    /// Waiting, and to go next whatever the limits say.
+    /// Waiting, to go out next whatever the limits say.
     Forced,
     /// Leaving, whatever the limits say.
     ForcedLeaving,
@@ -82,7 +82,7 @@
 }
 
 impl MachineState {
-    /// All, by their numbers.
+    /// All states, in the order of their numbers in datagrams.
     pub const ALL: [Self; 14] = [
         Self::Waiting,
         Self::HandingOver,
@@ -100,13 +100,13 @@
         Self::ForcedFree,
     ];
 
-    /// Whether nothing new may go there.
+    /// Whether no new requests may go there.
     #[must_use]
     pub fn is_out(self) -> bool {
         self.is_leaving() || self.is_free() || self == Self::AtWork
     }
 
-    /// Whether it gets nothing new and isn't known to be empty.
+    /// Whether it gets no new requests and is not yet known to be free.
     #[must_use]
     pub fn is_leaving(self) -> bool {
         matches!(self, Self::Leaving | Self::ForcedLeaving)
@@ -124,13 +124,13 @@
         self.is_out() || self == Self::Warming
     }
 
-    /// Whether nothing more becomes of it.
+    /// Whether the state is final.
     #[must_use]
     pub fn is_final(self) -> bool {
         matches!(self, Self::Back | Self::Skipped | Self::Gone | Self::NotHandedOver | Self::Cancelled)
     }
 
-    /// In a word.
+    /// The state as shown to operators.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -152,154 +152,155 @@
     }
 }
 
-/// How a plan goes on.
+/// Mode of a plan.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Mode {
-    /// There is none, or all is done.
+    /// There is no plan, or all of its machines are in a final state.
     #[default]
     Idle,
     /// Steps are taken.
     Running,
-    /// Nothing more goes out.
+    /// No more machines go out.
     Paused,
-    /// What is not at work comes back, and no more goes out.
+    /// Machines that are not at work come back, and no more go out.
     Cancelled,
 }
 
 impl Mode {
-    /// All, by their numbers.
+    /// All modes, in the order of their numbers in datagrams.
     pub const ALL: [Self; 4] = [Self::Idle, Self::Running, Self::Paused, Self::Cancelled];
 
-    /// In a word.
+    /// The mode as shown to operators.
     #[must_use]
     pub fn label(self) -> &'static str {
         ["over", "running", "paused", "cancelled"][self as usize]
     }
 }
 
-/// How far a plan is. Of two records the one with the higher token counts, and of one token's the one with the higher version.
+/// The progress of a plan. Of two records the one with the higher token is newer, and among those with the same
+/// token the one with the higher version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Record {
-    /// Whose it is.
+    /// Token of the holder that wrote it.
     pub token: Token,
-    /// Grows with each change of one holder.
+    /// Grows with each change by one holder.
     pub version: u32,
     /// The plan.
     pub plan: PlanId,
-    /// How it goes on.
+    /// The plan's mode.
     pub mode: Mode,
-    /// By the plan's machines.
+    /// The states of the plan's machines, in their order.
     pub states: Vec<MachineState>,
 }
 
 impl Record {
-    /// What orders records.
+    /// Token and version, which order records.
     #[must_use]
     pub fn revision(&self) -> (Token, u32) {
         (self.token, self.version)
     }
 
-    /// The places of those that nothing new may go to.
+    /// Indexes of the machines to which no new requests may go.
     pub fn out(&self) -> impl Iterator<Item = usize> {
-        self.states.iter().enumerate().filter(|(_, state)| state.is_out()).map(|(at, _)| at)
+        self.states.iter().enumerate().filter(|(_, state)| state.is_out()).map(|(index, _)| index)
     }
 }
 
-/// Which places are meant: one bit each.
+/// A set of machines by their indexes in the plan, as a bitmap.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MachineSet(Vec<u8>);
 
 impl MachineSet {
-    /// These.
+    /// The set of these indexes.
     #[must_use]
-    pub fn of(places: impl IntoIterator<Item = usize>) -> Self {
+    pub fn of(indexes: impl IntoIterator<Item = usize>) -> Self {
         let mut bits = Vec::new();
-        for at in places.into_iter().filter(|at| *at < MAX_MACHINES) {
-            if bits.len() <= at / 8 {
-                bits.resize(at / 8 + 1, 0);
+        for index in indexes.into_iter().filter(|index| *index < MAX_MACHINES) {
+            if bits.len() <= index / 8 {
+                bits.resize(index / 8 + 1, 0);
             }
-            bits[at / 8] |= 1 << (at % 8);
+            bits[index / 8] |= 1 << (index % 8);
         }
         Self(bits)
     }
 
-    /// Whether a place is meant.
+    /// Whether an index is in the set.
     #[must_use]
-    pub fn has(&self, at: usize) -> bool {
-        self.0.get(at / 8).is_some_and(|bits| bits & 1 << (at % 8) != 0)
+    pub fn has(&self, index: usize) -> bool {
+        self.0.get(index / 8).is_some_and(|bits| bits & 1 << (index % 8) != 0)
     }
 
     pub(crate) fn bytes(&self) -> &[u8] {
         &self.0
     }
 
-    pub(crate) fn read(bytes: &[u8]) -> Self {
+    pub(crate) fn from_bytes(bytes: &[u8]) -> Self {
         Self(bytes.to_vec())
     }
 }
 
-/// What a pooler bears of one group, in requests a second.
+/// The load that one pooler puts on a group, in requests per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GroupLoad {
     /// The group.
     pub group: u16,
-    /// Now.
+    /// The present load.
     pub current: u16,
-    /// At the busiest minute of the last hour.
+    /// The load at the busiest minute of the last hour.
     pub peak: u16,
 }
 
-/// What a pooler says of itself.
+/// State that a pooler sends periodically.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// The record that it acts on.
+    /// The plan of the record that it acts on.
     pub plan: PlanId,
-    /// Its token.
+    /// The record's token.
     pub token: Token,
-    /// Its version.
+    /// The record's version.
     pub version: u32,
-    /// Of the machines that are out, those where it has nothing out and nothing idle.
+    /// The machines that are out and where it has neither requests nor idle connections.
     pub clear: MachineSet,
-    /// It is a voter that knows nothing yet.
+    /// It is a voter that has started with empty memory and has not read from a majority yet.
     pub blank: bool,
-    /// What stands for its zone.
+    /// Hash of its zone's name.
     pub zone: u16,
-    /// Servers that fail it.
+    /// Servers that fail its requests.
     pub failing: Vec<u64>,
-    /// What it bears, by group.
+    /// Its load by group.
     pub loads: Vec<GroupLoad>,
 }
 
 impl Heartbeat {
-    /// Servers that one names.
-    pub const MOST_FAILING: usize = 6;
-    /// Groups that one names.
-    pub const MOST_LOADS: usize = 12;
+    /// Maximum number of failing servers in one heartbeat.
+    pub const MAX_FAILING: usize = 6;
+    /// Maximum number of groups in one heartbeat.
+    pub const MAX_LOADS: usize = 12;
 }
 
-/// What staff want done with a plan, or with one of its machines.
+/// What an operator wants done with a plan, or with one of its machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Command {
-    /// Begin it.
+    /// Begin the plan.
     Submit,
-    /// Nothing more goes out.
+    /// Take no more machines out.
     Pause,
     /// Go on.
     Resume,
-    /// End it.
+    /// End the plan.
     Cancel,
     /// Leave this machine out.
     Skip,
-    /// This one next whatever the limits say; one that is leaving counts as free.
+    /// Take this machine out next whatever the limits say; one that is leaving counts as free.
     Force,
-    /// Work on it begins.
+    /// Work on this machine begins.
     Begin,
-    /// Work on it is done.
+    /// Work on this machine is done.
     Done,
 }
 
 impl Command {
-    /// All, by their numbers.
+    /// All commands, in the order of their numbers in datagrams.
     pub const ALL: [Self; 8] = [
         Self::Submit,
         Self::Pause,
@@ -312,119 +313,121 @@
     ];
 }
 
-/// How a call came out.
+/// Result of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CommandResult {
-    /// It is done, and outlives its holder.
+    /// It is done, and is kept when the holder changes.
     Done,
-    /// The plan or machine is not in a state for this.
+    /// The plan or machine is not in a state that allows it.
     InvalidState,
-    /// Another plan is under way.
+    /// Another plan is active.
     Busy,
     /// There is no such plan or machine.
     NotFound,
-    /// The limits can never be met, whatever comes back.
+    /// The limits can never be met.
     Infeasible,
-    /// Who was asked does not hold the lease.
+    /// The pooler that was asked does not hold the lease.
     NotHolder,
 }
 
 impl CommandResult {
-    /// All, by their numbers.
+    /// All results, in the order of their numbers in datagrams.
     pub const ALL: [Self; 6] =
         [Self::Done, Self::InvalidState, Self::Busy, Self::NotFound, Self::Infeasible, Self::NotHolder];
 }
 
-/// What poolers tell each other of work.
+/// What poolers send to each other about a plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// What is the newest record? With a token: and store nothing older from now on. `own` is the number of a blank voter that asks.
+    /// Asks a voter for its record. With a token the voter also promises to store nothing with a lower one from
+    /// now on.
     Read {
         /// The reader's round.
         round: u32,
-        /// Nothing older is to be stored.
+        /// The token to promise; 0 for none.
         promise: Token,
-        /// Drawn by a blank voter.
-        own: u32,
+        /// The memory id of a blank voter that reads; 0 for others.
+        memory_id: u32,
     },
-    /// The answer of a voter.
-    Seen {
-        /// The round.
+    /// Answers a read.
+    ReadReply {
+        /// The round that is answered.
         round: u32,
-        /// The number that this voter has drawn.
-        own: u32,
-        /// It knows nothing yet.
+        /// The voter's memory id.
+        memory_id: u32,
+        /// Whether the voter has started with empty memory and has not read from a majority yet.
         blank: bool,
-        /// It stores nothing older than this.
+        /// The voter stores nothing with a lower token.
         promised: Token,
-        /// What it has.
+        /// The voter's record.
         record: Record,
     },
-    /// Store this. `numbers` are those of the voters, in their order, as the writer knows them.
+    /// Asks a voter to store a record.
     Write {
-        /// The numbers; 0 for one that is not known.
-        numbers: Vec<u32>,
+        /// The voters' memory ids as known to the writer, in the order of the voters; 0 for one that is not
+        /// known.
+        memory_ids: Vec<u32>,
         /// The record.
         record: Record,
     },
-    /// A voter has stored a record, or has promised a later one.
-    Stored {
+    /// Answers a write.
+    WriteReply {
         /// The record's token.
         token: Token,
         /// The record's version.
         version: u32,
-        /// The number that this voter has drawn.
-        own: u32,
-        /// It is blank, or knows newer numbers: it has not stored it.
+        /// The voter's memory id.
+        memory_id: u32,
+        /// The voter has not stored it: it is blank, knows newer memory ids, or has promised a later token.
         refused: bool,
-        /// It stores nothing older than this.
+        /// The voter stores nothing with a lower token.
         promised: Token,
     },
-    /// A majority has stored this.
-    Tell {
+    /// Announces a record that a majority has stored.
+    Publish {
         /// The record.
         record: Record,
     },
-    /// What a pooler says of itself.
+    /// The sender's state.
     Heartbeat(Heartbeat),
-    /// I lack the plan's machines from this place on.
-    Wants {
+    /// Asks for the plan's machines from an index on.
+    FetchPlan {
         /// The plan.
         plan: PlanId,
-        /// The first place.
-        at: u16,
+        /// The first index.
+        index: u16,
     },
-    /// Machines of a plan.
-    Part {
+    /// A part of a plan's machines.
+    PlanChunk {
         /// The plan.
         plan: PlanId,
         /// Its kind.
         kind: MachineKind,
         /// Its nonce.
         nonce: u64,
-        /// How many machines it has.
+        /// The number of its machines.
         count: u16,
-        /// The first place of these.
-        at: u16,
+        /// Index of the first machine in this chunk.
+        index: u16,
         /// The machines.
         machines: Vec<u64>,
     },
-    /// Staff want this.
-    Call {
-        /// Tells calls of one pooler's life apart.
-        call: u32,
-        /// What.
-        verb: Command,
+    /// Forwards an operator's command to the holder.
+    Command {
+        /// Identifies the command among those of one process.
+        id: u32,
+        /// The command.
+        command: Command,
         /// The plan.
         plan: PlanId,
-        /// The place of the machine.
-        at: u16,
+        /// Index of the machine.
+        index: u16,
     },
-    /// How it came out.
-    Reply {
-        /// The call.
-        call: u32,
-        /// The outcome.
-        said: CommandResult,
+    /// Answers a command.
+    CommandReply {
+        /// The command's id.
+        id: u32,
+        /// The result.
+        result: CommandResult,
     },
 }
--- a/crates/coordination/src/work/register.rs
+++ b/crates/coordination/src/work/register.rs
@@ -1,114 +1,117 @@
-//! Where the record lives: in the memory of voters, none of which has a disk. [`Store`] is a voter's part, [`Writer`] that of who
-//! holds the lease. The argument for safety stands in `docs/design/work.md`.
+//! Replicated register that holds the record. It lives in the memory of the voters, none of which has a disk.
+//! [`VoterStore`] is a voter's part, and [`Writer`] that of the lease holder. `docs/design/work.md` has the
+//! safety argument.
 
 use super::record::{Message, Record};
 use crate::lease::{Token, VoterSet};
 use std::collections::{BTreeMap, BTreeSet};
 use std::marker::PhantomData;
 
-/// Numbers of other voters that one remembers of each: a late letter of an earlier number is known by them.
-const MOST_NUMBERS: usize = 8;
+/// How many memory ids are remembered of each other voter, so that a late datagram with an earlier id is
+/// recognized.
+const MAX_MEMORY_IDS: usize = 8;
 
-/// What safety rests on, each part by name, so that the lab can take one away. [`Whole`] is what serves.
+/// The rules on which safety rests. Each can be switched off by itself, so that tests can show that their
+/// checks detect the missing rule. [`FullRegisterRules`] is what production code uses.
 pub trait RegisterRules:
     Clone + Copy + std::fmt::Debug + Default + PartialEq + Eq + std::hash::Hash + 'static
 {
     /// A voter that starts with empty memory counts for nothing until it has read from a majority.
-    const BLANK: bool = true;
-    /// A voter promises to store nothing with a lower token than it was read with.
+    const BLANK_AFTER_START: bool = true;
+    /// A voter that was read with a token promises to store nothing with a lower one.
     const PROMISES: bool = true;
-    /// What was stored before a restart doesn't count after it.
-    const NUMBERS: bool = true;
-    /// A holder reads from a majority what its predecessor wrote.
-    const READS: bool = true;
+    /// What a voter stored before a restart does not count after it.
+    const MEMORY_IDS: bool = true;
+    /// A holder reads what its predecessor wrote from a majority before it writes.
+    const READ_FIRST: bool = true;
 }
 
-/// All parts in place.
+/// All rules in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FullRegisterRules;
 
 impl RegisterRules for FullRegisterRules {}
 
-/// What a voter has.
+/// The part of one voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct VoterStore<K> {
     me: u16,
-    /// Drawn when it began to read what there is; never 0.
-    own: u32,
+    /// Random number drawn when the memory was created, which identifies it; never 0.
+    memory_id: u32,
     blank: bool,
     promised: Token,
     record: Record,
-    /// The numbers that other voters have drawn, the latest last.
-    numbers: BTreeMap<u16, Vec<u32>>,
-    /// Of the own round: who is blank, and who has what.
-    heard: BTreeMap<u16, bool>,
+    /// Memory ids of the other voters, the latest last.
+    memory_ids: BTreeMap<u16, Vec<u32>>,
+    /// Answers to the own recovery round: which voters are blank.
+    answers: BTreeMap<u16, bool>,
     round: u32,
-    keeping: PhantomData<K>,
+    rules: PhantomData<K>,
 }
 
-/// The quorums of a council, by rules that are all in place.
-fn decides(voter_set: &VoterSet, heard: &BTreeSet<u16>) -> bool {
-    voter_set.is_quorum::<crate::lease::FullLeaseRules>(heard)
+/// Whether `answered` is a quorum of all sets, with all lease rules in force.
+fn is_quorum(voter_set: &VoterSet, answered: &BTreeSet<u16>) -> bool {
+    voter_set.is_quorum::<crate::lease::FullLeaseRules>(answered)
 }
 
 impl<K: RegisterRules> VoterStore<K> {
-    /// A voter that has just started; `own` is drawn by chance.
+    /// A voter that has just started; `memory_id` is drawn at random.
     #[must_use]
-    pub fn new(me: u16, own: u32) -> Self {
+    pub fn new(me: u16, memory_id: u32) -> Self {
         Self {
             me,
-            own: own.max(1),
-            blank: K::BLANK,
+            memory_id: memory_id.max(1),
+            blank: K::BLANK_AFTER_START,
             promised: Token(0),
             record: Record::default(),
-            numbers: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            memory_ids: BTreeMap::new(),
+            answers: BTreeMap::new(),
             round: 0,
-            keeping: PhantomData,
+            rules: PhantomData,
         }
     }
 
-    /// It knows nothing yet.
+    /// Whether the voter has started with empty memory and has not yet read what a majority has.
     #[must_use]
     pub fn is_blank(&self) -> bool {
         self.blank
     }
 
-    /// What it has.
+    /// The stored record.
     #[must_use]
     pub fn record(&self) -> &Record {
         &self.record
     }
 
-    /// What a blank one asks all other voters, again and again until it isn't.
-    pub fn ask(&mut self, round: u32) -> Option<Message> {
+    /// The read that a blank voter sends to all other voters, repeatedly until it is no longer blank.
+    pub fn recovery_read(&mut self, round: u32) -> Option<Message> {
         if !self.blank {
             return None;
         }
-        (self.round, self.heard) = (round, BTreeMap::new());
-        Some(Message::Read { round, promise: Token(0), own: self.own })
+        (self.round, self.answers) = (round, BTreeMap::new());
+        Some(Message::Read { round, promise: Token(0), memory_id: self.memory_id })
     }
 
-    /// Somebody reads.
-    pub fn read(&mut self, from: u16, round: u32, promise: Token, own: u32) -> Message {
-        if own != 0 && from != self.me {
-            let known = self.numbers.entry(from).or_default();
-            if !known.contains(&own) {
-                if known.len() == MOST_NUMBERS {
-                    known.remove(0);
+    /// Handles a read by a writer or a blank voter.
+    pub fn read(&mut self, from: u16, round: u32, promise: Token, memory_id: u32) -> Message {
+        if memory_id != 0 && from != self.me {
+            let known_ids = self.memory_ids.entry(from).or_default();
+            if !known_ids.contains(&memory_id) {
+                if known_ids.len() == MAX_MEMORY_IDS {
+                    known_ids.remove(0);
                 }
-                known.push(own);
+                known_ids.push(memory_id);
             }
         }
         if !self.blank && K::PROMISES {
             self.promised = self.promised.max(promise);
         }
         let (promised, record) = (self.promised, self.record.clone());
-        Message::Seen { round, own: self.own, blank: self.blank, promised, record }
+        Message::ReadReply { round, memory_id: self.memory_id, blank: self.blank, promised, record }
     }
 
-    /// An answer to what a blank one has asked.
-    pub fn seen(
+    /// Handles an answer to the own recovery read.
+    pub fn on_read_reply(
         &mut self,
         voter_set: &VoterSet,
         from: u16,
@@ -120,88 +123,98 @@
         if !self.blank || round != self.round {
             return;
         }
-        self.heard.insert(from, blank);
+        self.answers.insert(from, blank);
         if !blank {
             self.promised = self.promised.max(promised);
             if record.revision() > self.record.revision() {
                 self.record = record.clone();
             }
         }
-        let others = |want: bool| -> BTreeSet<u16> {
-            self.heard.iter().filter(|(_, blank)| want || !**blank).map(|(of, _)| *of).collect()
+        let answered = |include_blank: bool| -> BTreeSet<u16> {
+            self.answers
+                .iter()
+                .filter(|(_, blank)| include_blank || !**blank)
+                .map(|(voter, _)| *voter)
+                .collect()
         };
-        // A majority of all that does not count this one: it shares a voter with each that has stored anything. Or everybody: then
-        // nothing more is to be had anywhere.
-        let everybody = voter_set.all_voters().iter().all(|of| *of == self.me || self.heard.contains_key(of));
-        if decides(voter_set, &others(false)) || everybody && !others(true).is_empty() {
+        // A majority that does not include this voter has a voter in common with each majority that has stored
+        // anything. If all voters have answered, there is nothing more to be had anywhere.
+        let all_answered =
+            voter_set.all_voters().iter().all(|voter| *voter == self.me || self.answers.contains_key(voter));
+        if is_quorum(voter_set, &answered(false)) || all_answered && !answered(true).is_empty() {
             self.blank = false;
-            self.heard.clear();
+            self.answers.clear();
         }
     }
 
-    /// Somebody wants a record stored. `voters` are all that are asked, in the order of `numbers`.
-    pub fn write(&mut self, voters: &BTreeSet<u16>, numbers: &[u32], record: &Record) -> Message {
+    /// Handles a write. `voters` are all voters asked, in the order of `memory_ids`.
+    pub fn write(&mut self, voters: &BTreeSet<u16>, memory_ids: &[u32], record: &Record) -> Message {
         let (token, version) = record.revision();
-        let fits = |of: u16, number: u32| {
-            if of == self.me {
-                return number == self.own;
+        let matches = |voter: u16, id: u32| {
+            if voter == self.me {
+                return id == self.memory_id;
             }
             // A voter that does not count in this write need not be known.
-            number == 0
-                || self.numbers.get(&of).and_then(|known| known.last()).is_none_or(|last| *last == number)
+            id == 0
+                || self
+                    .memory_ids
+                    .get(&voter)
+                    .and_then(|known_ids| known_ids.last())
+                    .is_none_or(|last| *last == id)
         };
-        // A write that does not name all goes by another set of voters, or was cut.
-        let whole = voters.len() == numbers.len();
-        let known = !K::NUMBERS || whole && voters.iter().zip(numbers).all(|(of, number)| fits(*of, *number));
-        let refused = self.blank || !known || token < self.promised;
+        // A write that does not name all voters uses another voter set, or was truncated.
+        let complete = voters.len() == memory_ids.len();
+        let is_current = !K::MEMORY_IDS
+            || complete && voters.iter().zip(memory_ids).all(|(voter, id)| matches(*voter, *id));
+        let refused = self.blank || !is_current || token < self.promised;
         if !refused && record.revision() >= self.record.revision() {
             (self.promised, self.record) = (token, record.clone());
         }
-        Message::Stored { token, version, own: self.own, refused, promised: self.promised }
+        Message::WriteReply { token, version, memory_id: self.memory_id, refused, promised: self.promised }
     }
 }
 
-/// How far a writer is.
+/// State of a writer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// It asks a majority what there is.
+    /// It reads from a majority.
     Reading { answers: BTreeMap<u16, Record> },
-    /// This waits to be stored by a majority.
+    /// It waits for a majority to store this.
     Writing { record: Record, acks: BTreeSet<u16> },
-    /// What it wrote last is stored.
-    Settled,
-    /// Somebody with a later token has read or written.
-    Beaten,
+    /// Nothing is pending: what it read or wrote last is in `record`.
+    Idle,
+    /// A holder with a later token has read or written.
+    Superseded,
 }
 
-/// The part of who holds the lease.
+/// The part of the lease holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Writer<K> {
     token: Token,
     round: u32,
     voters: BTreeSet<u16>,
-    numbers: BTreeMap<u16, u32>,
+    memory_ids: BTreeMap<u16, u32>,
     phase: Phase,
     record: Record,
-    /// It has had something stored: what is to be read was.
-    first: bool,
-    keeping: PhantomData<K>,
+    /// Whether this writer has had a record stored; until then `record` is what it has read.
+    has_written: bool,
+    rules: PhantomData<K>,
 }
 
 impl<K: RegisterRules> Writer<K> {
-    /// One that begins to read.
+    /// A writer that begins to read.
     #[must_use]
     pub fn new(token: Token, round: u32, voters: BTreeSet<u16>) -> Self {
-        let phase = if K::READS { Phase::Reading { answers: BTreeMap::new() } } else { Phase::Settled };
+        let phase = if K::READ_FIRST { Phase::Reading { answers: BTreeMap::new() } } else { Phase::Idle };
         Self {
             token,
             round,
             voters,
-            numbers: BTreeMap::new(),
+            memory_ids: BTreeMap::new(),
             phase,
             record: Record::default(),
-            first: false,
-            keeping: PhantomData,
+            has_written: false,
+            rules: PhantomData,
         }
     }
 
@@ -211,61 +224,69 @@
         self.token
     }
 
-    /// What a majority has stored, once this writer has written, and nothing else waits.
+    /// The record that a majority has stored, once this writer has written and nothing is pending.
     #[must_use]
-    pub fn settled(&self) -> Option<&Record> {
-        (self.phase == Phase::Settled && self.first).then_some(&self.record)
+    pub fn committed(&self) -> Option<&Record> {
+        (self.phase == Phase::Idle && self.has_written).then_some(&self.record)
     }
 
-    /// It has read, and nothing waits: what there is, to be written anew.
+    /// The record that was read, before this writer's first write; it is to be written again with this writer's
+    /// token.
     #[must_use]
-    pub fn has_read(&self) -> Option<&Record> {
-        (self.phase == Phase::Settled && !self.first).then_some(&self.record)
+    pub fn recovered(&self) -> Option<&Record> {
+        (self.phase == Phase::Idle && !self.has_written).then_some(&self.record)
     }
 
-    /// Somebody with a later token has been here.
+    /// Whether a holder with a later token was observed.
     #[must_use]
     pub fn is_superseded(&self) -> bool {
-        self.phase == Phase::Beaten
+        self.phase == Phase::Superseded
     }
 
-    /// What is to be sent to which voters, now and again until it is answered.
+    /// Messages to be sent, with the voters to send them to; to be repeated until they are answered.
     #[must_use]
-    pub fn letters(&self) -> Vec<(u16, Message)> {
+    pub fn pending_messages(&self) -> Vec<(u16, Message)> {
         match &self.phase {
             Phase::Reading { answers } => {
-                let ask = Message::Read { round: self.round, promise: self.token, own: 0 };
+                let read = Message::Read { round: self.round, promise: self.token, memory_id: 0 };
                 self.voters
                     .iter()
-                    .filter(|of| !answers.contains_key(of))
-                    .map(|of| (*of, ask.clone()))
+                    .filter(|voter| !answers.contains_key(voter))
+                    .map(|voter| (*voter, read.clone()))
                     .collect()
             }
             Phase::Writing { record, acks } => {
-                let numbers =
-                    self.voters.iter().map(|of| self.numbers.get(of).copied().unwrap_or(0)).collect();
-                let write = Message::Write { numbers, record: record.clone() };
-                self.voters.iter().filter(|of| !acks.contains(of)).map(|of| (*of, write.clone())).collect()
+                let memory_ids = self
+                    .voters
+                    .iter()
+                    .map(|voter| self.memory_ids.get(voter).copied().unwrap_or(0))
+                    .collect();
+                let write = Message::Write { memory_ids, record: record.clone() };
+                self.voters
+                    .iter()
+                    .filter(|voter| !acks.contains(voter))
+                    .map(|voter| (*voter, write.clone()))
+                    .collect()
             }
-            Phase::Settled | Phase::Beaten => Vec::new(),
+            Phase::Idle | Phase::Superseded => Vec::new(),
         }
     }
 
-    /// Has this stored in place of what was; `record`'s token and version are put in.
+    /// Starts to store a record in place of the present one; sets its token and version.
     pub fn write(&mut self, mut record: Record) {
-        if self.phase != Phase::Settled {
+        if self.phase != Phase::Idle {
             return;
         }
         (record.token, record.version) = (self.token, self.record.version + 1);
         self.phase = Phase::Writing { record, acks: BTreeSet::new() };
     }
 
-    /// An answer to a read.
-    pub fn seen(
+    /// Handles an answer to a read.
+    pub fn on_read_reply(
         &mut self,
         voter_set: &VoterSet,
         from: u16,
-        (round, own): (u32, u32),
+        (round, memory_id): (u32, u32),
         blank: bool,
         promised: Token,
         record: Record,
@@ -276,29 +297,29 @@
             return;
         }
         if promised > token {
-            self.phase = Phase::Beaten;
+            self.phase = Phase::Superseded;
             return;
         }
-        // A promise of less is an answer to something else.
+        // An answer with a lower promise belongs to another read.
         if blank || K::PROMISES && promised < token {
             return;
         }
-        self.numbers.insert(from, own);
+        self.memory_ids.insert(from, memory_id);
         answers.insert(from, record);
-        if decides(voter_set, &answers.keys().copied().collect()) {
+        if is_quorum(voter_set, &answers.keys().copied().collect()) {
             let newest = answers.values().max_by_key(|record| record.revision()).cloned();
             self.record = newest.unwrap_or_default();
-            self.phase = Phase::Settled;
+            self.phase = Phase::Idle;
         }
     }
 
-    /// An answer to a write.
-    pub fn stored(
+    /// Handles an answer to a write.
+    pub fn on_write_reply(
         &mut self,
         voter_set: &VoterSet,
         from: u16,
         (token, version): (Token, u32),
-        own: u32,
+        memory_id: u32,
         refused: bool,
         promised: Token,
     ) {
@@ -308,23 +329,23 @@
         let own_token = self.token;
         let Phase::Writing { record, acks } = &mut self.phase else { return };
         if promised > own_token {
-            self.phase = Phase::Beaten;
+            self.phase = Phase::Superseded;
             return;
         }
         if version != record.version {
             return;
         }
-        let before = self.numbers.get(&from).copied();
-        if K::NUMBERS && before != Some(own) {
-            // It has started anew since. What others have stored without knowing that counts for nothing, and if it was one of
-            // those that were read, so does the promise that it gave.
-            if before.is_some() && !self.first {
+        let known_id = self.memory_ids.get(&from).copied();
+        if K::MEMORY_IDS && known_id != Some(memory_id) {
+            // The voter has restarted since. What others have stored without knowing that does not count, and
+            // if the voter was among those that were read, neither does the promise that it gave.
+            if known_id.is_some() && !self.has_written {
                 (self.round, self.phase) =
                     (self.round.wrapping_add(1), Phase::Reading { answers: BTreeMap::new() });
-                self.numbers.clear();
+                self.memory_ids.clear();
                 return;
             }
-            self.numbers.insert(from, own);
+            self.memory_ids.insert(from, memory_id);
             record.version += 1;
             acks.clear();
             return;
@@ -333,9 +354,9 @@
             return;
         }
         acks.insert(from);
-        if decides(voter_set, acks) {
+        if is_quorum(voter_set, acks) {
             let record = record.clone();
-            (self.record, self.phase, self.first) = (record, Phase::Settled, true);
+            (self.record, self.phase, self.has_written) = (record, Phase::Idle, true);
         }
     }
 }
--- a/crates/coordination/tests/register.rs
+++ b/crates/coordination/tests/register.rs
@@ -1,5 +1,5 @@
-//! What a majority has stored is seen by every later holder, whatever is lost, doubled, late or restarted; and without one of
-//! the parts that this rests on it is not.
+//! What a majority has stored is seen by every later holder, although messages are lost, duplicated or late and
+//! voters restart; and without one of the register's rules it is not.
 
 use linnetdeal_coordination::lease::{Token, VoterSet};
 use linnetdeal_coordination::work::*;
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct NoBlank;
 impl RegisterRules for NoBlank {
-    const BLANK: bool = false;
+    const BLANK_AFTER_START: bool = false;
 }
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct NoPromises;
@@ -18,113 +18,138 @@
     const PROMISES: bool = false;
 }
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-struct NoNumbers;
-impl RegisterRules for NoNumbers {
-    const NUMBERS: bool = false;
+struct NoMemoryIds;
+impl RegisterRules for NoMemoryIds {
+    const MEMORY_IDS: bool = false;
 }
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-struct NoReads;
-impl RegisterRules for NoReads {
-    const READS: bool = false;
+struct NoReadFirst;
+impl RegisterRules for NoReadFirst {
+    const READ_FIRST: bool = false;
 }
 
 struct Holder<K> {
     writer: Writer<K>,
     base: Option<(Token, u32)>,
-    settled: (Token, u32),
+    committed: (Token, u32),
 }
 
-/// Voters and holders that never know of each other's end; letters come in any order, twice or never. At most a minority of
-/// voters is blank at a time. Says whether a holder went on from something older than what was stored before it, or was
-/// overtaken by an older one.
-fn play<K: RegisterRules>(seed: u64, count: u16) -> (bool, usize) {
+/// Runs voters and holders that do not learn when others stop; messages arrive in any order, twice or never. At
+/// most a minority of voters is blank at a time. Returns whether a holder went on from something older than
+/// what a holder with a lower token has stored, before or afterwards, and how many records were stored.
+fn run_random<K: RegisterRules>(seed: u64, count: u16) -> (bool, usize) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut dice = move |of: usize| rng.next_u64() as usize % of;
+    let mut random_below = move |bound: usize| rng.next_u64() as usize % bound;
     let voters: BTreeSet<u16> = (0..count).collect();
     let voter_set = VoterSet::new(voters.clone(), vec![]);
     let mut stores: Vec<VoterStore<K>> =
         (0..count).map(|me| VoterStore::new(me, 1_000 + u32::from(me))).collect();
-    let mut drawn = 2_000;
+    let mut next_memory_id = 2_000;
     let mut round = 0;
-    // The fleet starts together: all have heard that all are blank.
+    // The fleet starts together: every voter has heard that all others are blank.
     for me in 0..count {
-        if let Some(Message::Read { round, .. }) = stores[usize::from(me)].ask(1) {
+        if let Some(Message::Read { round, .. }) = stores[usize::from(me)].recovery_read(1) {
             for other in (0..count).filter(|other| *other != me) {
-                stores[usize::from(me)].seen(&voter_set, other, round, true, Token(0), &Record::default());
+                stores[usize::from(me)].on_read_reply(
+                    &voter_set,
+                    other,
+                    round,
+                    true,
+                    Token(0),
+                    &Record::default(),
+                );
             }
         }
     }
     let mut holders: Vec<Holder<K>> = Vec::new();
-    // To a voter from a holder or a voter, and back.
-    let mut letters: Vec<(bool, usize, u16, Message)> = Vec::new();
-    let (mut bad, mut stored) = (false, 0);
+    // Messages between holders or voters on one side and voters on the other: from a holder, index of the
+    // sender, voter, message.
+    let mut in_flight: Vec<(bool, usize, u16, Message)> = Vec::new();
+    let (mut violated, mut stored) = (false, 0);
     for _ in 0..1_200 {
-        match dice(12) {
-            0 if holders.len() < 8 && dice(3) == 0 => {
+        match random_below(12) {
+            0 if holders.len() < 8 && random_below(3) == 0 => {
                 round += 1;
                 let token = Token(10 + holders.len() as u64);
                 let writer = Writer::new(token, 0x8000_0000 | round, voters.clone());
-                holders.push(Holder { writer, base: None, settled: (Token(0), 0) });
+                holders.push(Holder { writer, base: None, committed: (Token(0), 0) });
             }
             1 | 2 if !holders.is_empty() => {
-                // Any of them, the paused ones included.
-                let at = dice(holders.len());
-                let holder = &mut holders[at];
-                if let Some(base) = holder.writer.has_read().map(Record::revision) {
+                // Any holder, including one that was paused.
+                let index = random_below(holders.len());
+                let holder = &mut holders[index];
+                if let Some(base) = holder.writer.recovered().map(Record::revision) {
                     holder.base = Some(base);
                 }
-                if let Some(before) = holder.writer.has_read().or(holder.writer.settled()).cloned() {
+                if let Some(before) = holder.writer.recovered().or(holder.writer.committed()).cloned() {
                     holder.writer.write(before);
                 }
-                letters.extend(holder.writer.letters().into_iter().map(|(to, note)| (true, at, to, note)));
+                in_flight.extend(
+                    holder
+                        .writer
+                        .pending_messages()
+                        .into_iter()
+                        .map(|(to, message)| (true, index, to, message)),
+                );
             }
-            3 if dice(4) == 0 => {
+            3 if random_below(4) == 0 => {
                 let blank = stores.iter().filter(|store| store.is_blank()).count();
                 if blank < usize::from(count / 2) {
-                    drawn += 1;
-                    let at = dice(count.into());
-                    stores[at] = VoterStore::new(at as u16, drawn);
+                    next_memory_id += 1;
+                    let index = random_below(count.into());
+                    stores[index] = VoterStore::new(index as u16, next_memory_id);
                 }
             }
             4 => {
-                let at = dice(count.into());
+                let index = random_below(count.into());
                 round += 1;
-                if let Some(note) = stores[at].ask(round) {
-                    let others = (0..count).filter(|other| usize::from(*other) != at);
-                    letters.extend(others.map(|to| (false, at, to, note.clone())));
+                if let Some(message) = stores[index].recovery_read(round) {
+                    let others = (0..count).filter(|other| usize::from(*other) != index);
+                    in_flight.extend(others.map(|to| (false, index, to, message.clone())));
                 }
             }
-            _ if !letters.is_empty() => {
-                let at = dice(letters.len());
-                let letter = if dice(10) == 0 { letters[at].clone() } else { letters.swap_remove(at) };
-                if dice(8) == 0 {
+            _ if !in_flight.is_empty() => {
+                let index = random_below(in_flight.len());
+                let envelope = if random_below(10) == 0 {
+                    in_flight[index].clone()
+                } else {
+                    in_flight.swap_remove(index)
+                };
+                if random_below(8) == 0 {
                     continue;
                 }
-                let (of_holder, who, voter, note) = letter;
+                let (from_holder, sender, voter, message) = envelope;
                 let store = &mut stores[usize::from(voter)];
-                match note {
-                    Message::Read { round, promise, own } => {
-                        let from = if of_holder { 900 + who as u16 } else { who as u16 };
-                        let answer = store.read(from, round, promise, own);
-                        letters.push((of_holder, who, voter, answer));
+                match message {
+                    Message::Read { round, promise, memory_id } => {
+                        let from = if from_holder { 900 + sender as u16 } else { sender as u16 };
+                        let answer = store.read(from, round, promise, memory_id);
+                        in_flight.push((from_holder, sender, voter, answer));
                     }
-                    Message::Write { numbers, record } => {
-                        let answer = store.write(&voters, &numbers, &record);
-                        letters.push((true, who, voter, answer));
+                    Message::Write { memory_ids, record } => {
+                        let answer = store.write(&voters, &memory_ids, &record);
+                        in_flight.push((true, sender, voter, answer));
                     }
-                    Message::Seen { round, own, blank, promised, record } if of_holder => {
-                        let holder = &mut holders[who].writer;
-                        holder.seen(&voter_set, voter, (round, own), blank, promised, record);
+                    Message::ReadReply { round, memory_id, blank, promised, record } if from_holder => {
+                        let holder = &mut holders[sender].writer;
+                        holder.on_read_reply(&voter_set, voter, (round, memory_id), blank, promised, record);
                     }
-                    Message::Seen { round, blank, promised, record, .. } => {
-                        stores[who].seen(&voter_set, voter, round, blank, promised, &record);
+                    Message::ReadReply { round, blank, promised, record, .. } => {
+                        stores[sender].on_read_reply(&voter_set, voter, round, blank, promised, &record);
                     }
-                    Message::Stored { token, version, own, refused, promised } => {
-                        let holder = &mut holders[who];
-                        holder.writer.stored(&voter_set, voter, (token, version), own, refused, promised);
-                        if let Some(age) = holder.writer.settled().map(Record::revision) {
-                            stored += usize::from(age > holder.settled);
-                            holder.settled = holder.settled.max(age);
+                    Message::WriteReply { token, version, memory_id, refused, promised } => {
+                        let holder = &mut holders[sender];
+                        holder.writer.on_write_reply(
+                            &voter_set,
+                            voter,
+                            (token, version),
+                            memory_id,
+                            refused,
+                            promised,
+                        );
+                        if let Some(revision) = holder.writer.committed().map(Record::revision) {
+                            stored += usize::from(revision > holder.committed);
+                            holder.committed = holder.committed.max(revision);
                         }
                     }
                     _ => {}
@@ -132,14 +157,15 @@
             }
             _ => {}
         }
-        letters.truncate(400);
+        in_flight.truncate(400);
     }
     for (later, holder) in holders.iter().enumerate() {
-        // Who has had something stored went on from all that was stored with lower tokens, before or after.
-        let Some(base) = holder.base.filter(|_| holder.settled > (Token(0), 0)) else { continue };
-        bad |= holders[..later].iter().any(|earlier| earlier.settled > base);
+        // A holder that has stored something must have gone on from all that is stored with lower tokens, whether
+        // that was stored before its read or after it.
+        let Some(base) = holder.base.filter(|_| holder.committed > (Token(0), 0)) else { continue };
+        violated |= holders[..later].iter().any(|earlier| earlier.committed > base);
     }
-    (bad, stored)
+    (violated, stored)
 }
 
 #[test]
@@ -147,99 +173,113 @@
     let voters: BTreeSet<u16> = (0..3).collect();
     let voter_set = VoterSet::new(voters.clone(), vec![]);
     let mut store: VoterStore<FullRegisterRules> = VoterStore::new(2, 1_002);
-    store.ask(1);
+    store.recovery_read(1);
     for other in [0, 1] {
-        store.seen(&voter_set, other, 1, true, Token(0), &Record::default());
+        store.on_read_reply(&voter_set, other, 1, true, Token(0), &Record::default());
     }
     let record = Record { token: Token(5), version: 1, ..Record::default() };
-    for (numbers, refuses) in [(&[7, 8][..], true), (&[7, 8, 1_002, 9], true), (&[7, 8, 1_002], false)] {
-        let answer = store.write(&voters, numbers, &record);
-        assert!(matches!(answer, Message::Stored { refused, .. } if refused == refuses), "{numbers:?}");
+    for (memory_ids, expected) in [(&[7, 8][..], true), (&[7, 8, 1_002, 9], true), (&[7, 8, 1_002], false)] {
+        let answer = store.write(&voters, memory_ids, &record);
+        assert!(
+            matches!(answer, Message::WriteReply { refused, .. } if refused == expected),
+            "{memory_ids:?}"
+        );
     }
 }
 
-fn found<K: RegisterRules>(seeds: u64) -> Option<u64> {
-    (0..seeds).find(|seed| play::<K>(*seed, if seed % 2 == 0 { 3 } else { 5 }).0)
+fn find_violation<K: RegisterRules>(seeds: u64) -> Option<u64> {
+    (0..seeds).find(|seed| run_random::<K>(*seed, if seed % 2 == 0 { 3 } else { 5 }).0)
 }
 
 #[test]
 fn what_a_majority_has_stored_is_seen_by_every_later_holder() {
     let mut stored = 0;
     for seed in 0..6_000 {
-        let (bad, more) = play::<FullRegisterRules>(seed, if seed % 2 == 0 { 3 } else { 5 });
-        assert!(!bad, "seed {seed}");
+        let (violated, more) = run_random::<FullRegisterRules>(seed, if seed % 2 == 0 { 3 } else { 5 });
+        assert!(!violated, "seed {seed}");
         stored += more;
     }
-    assert!(!an_ack_from_before_a_restart::<FullRegisterRules>());
+    assert!(!misses_record_after_late_ack::<FullRegisterRules>());
     assert!(stored > 6_000, "{stored} records were stored");
 }
 
-/// A voter stores a record and starts anew; what it reads then is without it. Its answer from before comes late, and with one more
-/// the holder has a majority. Whether a later holder then misses what was stored.
-fn an_ack_from_before_a_restart<K: RegisterRules>() -> bool {
+/// A voter stores a record and restarts; what it then reads does not include the record. Its answer from before
+/// the restart arrives late and completes a majority for the holder. Returns whether a later holder misses what
+/// was stored.
+fn misses_record_after_late_ack<K: RegisterRules>() -> bool {
     let voters: BTreeSet<u16> = (0..3).collect();
     let voter_set = VoterSet::new(voters.clone(), vec![]);
     let mut stores: Vec<VoterStore<K>> =
         (0..3).map(|me| VoterStore::new(me, 1_000 + u32::from(me))).collect();
     for me in 0..3 {
-        stores[usize::from(me)].ask(1);
+        stores[usize::from(me)].recovery_read(1);
         for other in (0..3).filter(|other| *other != me) {
-            stores[usize::from(me)].seen(&voter_set, other, 1, true, Token(0), &Record::default());
+            stores[usize::from(me)].on_read_reply(&voter_set, other, 1, true, Token(0), &Record::default());
         }
     }
-    let read = |stores: &mut Vec<VoterStore<K>>, writer: &mut Writer<K>, of: &[u16]| {
-        for (voter, note) in writer.letters() {
-            let (true, Message::Read { round, promise, own }) = (of.contains(&voter), note) else { continue };
-            let answer = stores[usize::from(voter)].read(9, round, promise, own);
-            let Message::Seen { round, own, blank, promised, record } = answer else { unreachable!() };
-            writer.seen(&voter_set, voter, (round, own), blank, promised, record);
+    let read = |stores: &mut Vec<VoterStore<K>>, writer: &mut Writer<K>, from: &[u16]| {
+        for (voter, message) in writer.pending_messages() {
+            let (true, Message::Read { round, promise, memory_id }) = (from.contains(&voter), message) else {
+                continue;
+            };
+            let answer = stores[usize::from(voter)].read(9, round, promise, memory_id);
+            let Message::ReadReply { round, memory_id, blank, promised, record } = answer else {
+                unreachable!()
+            };
+            writer.on_read_reply(&voter_set, voter, (round, memory_id), blank, promised, record);
         }
     };
     let write = |stores: &mut Vec<VoterStore<K>>, writer: &Writer<K>, to: u16| {
-        let (_, note) = writer.letters().into_iter().find(|(voter, _)| *voter == to).unwrap();
-        let Message::Write { numbers, record } = note else { unreachable!() };
-        stores[usize::from(to)].write(&voters, &numbers, &record)
+        let (_, message) = writer.pending_messages().into_iter().find(|(voter, _)| *voter == to).unwrap();
+        let Message::Write { memory_ids, record } = message else { unreachable!() };
+        stores[usize::from(to)].write(&voters, &memory_ids, &record)
     };
     let take = |writer: &mut Writer<K>, from: u16, answer: Message| {
-        let Message::Stored { token, version, own, refused, promised } = answer else { unreachable!() };
-        writer.stored(&voter_set, from, (token, version), own, refused, promised);
+        let Message::WriteReply { token, version, memory_id, refused, promised } = answer else {
+            unreachable!()
+        };
+        writer.on_write_reply(&voter_set, from, (token, version), memory_id, refused, promised);
     };
     let mut first: Writer<K> = Writer::new(Token(10), 0x8000_0001, voters.clone());
     read(&mut stores, &mut first, &[0, 1, 2]);
     first.write(Record { plan: PlanId(7), ..Record::default() });
     let late = write(&mut stores, &first, 0);
-    // It starts anew, and reads from both others.
+    // It restarts, and reads from both others.
     stores[0] = VoterStore::new(0, 2_000);
-    let Some(Message::Read { round, promise, own }) = stores[0].ask(2) else { unreachable!() };
+    let Some(Message::Read { round, promise, memory_id }) = stores[0].recovery_read(2) else {
+        unreachable!()
+    };
     for other in [1, 2] {
-        let Message::Seen { blank, promised, record, .. } = stores[other].read(0, round, promise, own) else {
+        let Message::ReadReply { blank, promised, record, .. } =
+            stores[other].read(0, round, promise, memory_id)
+        else {
             unreachable!()
         };
-        stores[0].seen(&voter_set, other as u16, round, blank, promised, &record);
+        stores[0].on_read_reply(&voter_set, other as u16, round, blank, promised, &record);
     }
     assert!(!stores[0].is_blank());
     take(&mut first, 0, late);
     let answer = write(&mut stores, &first, 1);
     take(&mut first, 1, answer);
-    let Some(settled) = first.settled().map(Record::revision) else { return false };
+    let Some(committed) = first.committed().map(Record::revision) else { return false };
     let mut second: Writer<K> = Writer::new(Token(11), 0x8000_0002, voters.clone());
     read(&mut stores, &mut second, &[0, 2]);
-    second.has_read().is_some_and(|record| record.revision() < settled)
+    second.recovered().is_some_and(|record| record.revision() < committed)
 }
 
 #[test]
-fn without_one_of_its_parts_something_is_lost() {
-    let found = [
-        ("a blank voter counts", found::<NoBlank>(20_000)),
-        ("a voter promises nothing", found::<NoPromises>(20_000)),
+fn without_one_of_its_rules_a_stored_record_is_lost() {
+    let cases = [
+        ("a blank voter counts", find_violation::<NoBlank>(20_000)),
+        ("a voter promises nothing", find_violation::<NoPromises>(20_000)),
         (
             "what was stored before a restart counts after it",
-            an_ack_from_before_a_restart::<NoNumbers>().then_some(0),
+            misses_record_after_late_ack::<NoMemoryIds>().then_some(0),
         ),
-        ("a holder does not read", found::<NoReads>(20_000)),
+        ("a holder does not read", find_violation::<NoReadFirst>(20_000)),
     ];
-    for (part, seed) in found {
-        assert!(seed.is_some(), "{part}: not found");
-        println!("{part}: found with seed {seed:?}");
+    for (rule, seed) in cases {
+        assert!(seed.is_some(), "{rule}: no violation found");
+        println!("{rule}: found with seed {seed:?}");
     }
 }
