--- a/crates/net/src/frontend.rs
+++ b/crates/net/src/frontend.rs
@@ -54,7 +54,7 @@
 /// stream, which follows the unread bytes, is polled for at [`HANGUP_POLL_INTERVAL`]: no request may be sent on 0.3 s
 /// after its client has left.
 const MAX_READ_AHEAD: usize = 16 * 1024;
-/// [`Mutant::ForgottenAnswer`] drops the answer of every request whose number is a multiple of this.
+/// [`Mutant::ForgottenAnswer`] drops one answer in this many requests.
 const FORGET_ANSWER_EVERY: u64 = 50;
 const HANGUP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
--- a/crates/net/src/upstream.rs
+++ b/crates/net/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to servers: opened when none is free, reused last in first out, within a budget.
+//! The server side: connections to servers, opened when none is idle, reused last in first out, within a budget.
 
 use super::buffer::{ReadBuffer, write_all, write_now, write_rest};
 use super::connection::{Budget, Connection, ExchangeError, IdleState, MemberUse, PING_QUERY, Permit};
@@ -27,68 +27,70 @@
 
 const USER: &str = "backend";
 const DATABASE: &str = "store";
-/// The statement that asks for a load report, with its zero byte.
-const PROBE: &[u8] = b"SHOW gauges\0";
-/// The part of the servers' idle limit after which an idle connection is dropped here: one that the server
-/// closes while a request is on its way would lose that request.
+/// The statement that asks for a load report, with its terminating zero byte.
+const PROBE_QUERY: &[u8] = b"SHOW gauges\0";
+/// Idle connections are closed after this fraction of the servers' idle limit: if the server closed one while a request is on
+/// its way, that request would be lost.
 const IDLE_FRACTION: f64 = 2.0 / 3.0;
-/// A probe's time limit.
+/// Timeout of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long what waits for room looks away, should nobody tell it.
+/// Pause before a dial is retried after a shortage on this machine, and the longest wait for a connection permit before the
+/// budget is checked again.
 const SHORTAGE_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// A dial that this machine's system fails for a moment is tried again so often.
+/// How often a dial is retried that failed because of a transient error on this machine.
 const MAX_TRANSIENT_RETRIES: u32 = 5;
 
-/// So many bytes of a large answer are read at a time, and no more are held for each.
+/// Size of the chunks in which a large answer is read, and thereby its memory use.
 const STREAM_CHUNK_SIZE: usize = 32 * 1024;
-/// A large answer that brings nothing for so long has ended.
+/// A large answer that brings no bytes for this long counts as ended.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// More than this no answer takes up, notices and all.
+/// Upper limit for the size of an answer, including notices.
 const MAX_ANSWER_SIZE: usize = 2 * pg::MAX_VALUE_SIZE;
-/// What a server sends too much comes just behind an answer, and must not be taken for the next: a connection
-/// rests for this long after one while there are others.
+/// A connection is not reused for this long after an answer while there are others: excess bytes from a server arrive right
+/// behind an answer and must not be taken for the next one.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
-/// After so many kept connections that did not, a new one is opened; and at once where one stays silent for so
-/// long, ten times what the farthest servers take: others may still answer.
+/// After this many idle connections that failed the check before their reuse, a new one is opened; the same happens after a
+/// single one that does not answer within [`REUSE_CHECK_TIMEOUT`], which is ten times what the most distant servers take.
+/// Other connections may still answer.
 const MAX_REUSE_CHECKS: usize = 2;
 const REUSE_CHECK_TIMEOUT: Duration = Duration::from_millis(25);
 
-/// A statement of a client, in the buffer that it was read into. Only the wait is rewritten for an attempt.
+/// A client's statement in the buffer that it was read into. Only the timeout in it is rewritten for each attempt.
 #[derive(Debug)]
 pub struct Statement {
     /// The buffer.
     pub bytes: Vec<u8>,
-    /// The statement in it, with its zero byte.
+    /// The statement in the buffer, with its terminating zero byte.
     pub range: Range<usize>,
-    /// The digits of the wait in it.
+    /// The digits of the timeout in the buffer.
     pub timeout_range: Range<usize>,
-    /// It must not run twice: what is lost of it can't be sent again.
+    /// The statement must not run twice, so that it can't be sent again after its answer was lost.
     pub must_not_repeat: bool,
 }
 
-/// A server's answer, in the buffer that it was read into.
+/// A server's answer in the buffer that it was read into.
 #[derive(Debug)]
 pub struct Reply {
     bytes: Vec<u8>,
     pieces: Vec<Range<usize>>,
-    /// What is still to come of a large one, on the connection that brings it.
+    /// The part of a large answer that has not been read yet.
     remainder: Option<LargeAnswer>,
 }
 
-/// A row that has begun, and all that follows it.
+/// A large answer whose row has begun, with the connection that delivers the rest of it.
 #[derive(Debug)]
 struct LargeAnswer {
     member: MemberId,
     connection: Connection,
     answer: pg::Answer,
-    /// Bytes of the row that are not read yet, or not taken out of the buffer.
+    /// Bytes of the row that are not yet read or not yet taken out of the buffer.
     row_bytes_left: usize,
-    /// ReadyForQuery has come.
+    /// Whether ReadyForQuery has been received.
     complete: bool,
 }
 
 impl Reply {
-    /// Whether more of it is to come.
+    /// Whether more of the answer is still to be read.
     #[must_use]
     pub fn is_large(&self) -> bool {
         self.remainder.is_some()
@@ -100,7 +102,7 @@
     }
 }
 
-/// What `work` gives within a time limit.
+/// Runs `work` with a timeout.
 async fn with_timeout<T>(
     timers: &TimerQueue,
     timeout: Duration,
@@ -116,22 +118,22 @@
 /// How far an attempt has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Waiting for room in the own budget.
+    /// Waiting for a permit from the connection budget.
     Waiting,
-    /// Opening a connection, or asking whether a kept one lives.
+    /// Opening a connection, or checking that an idle one is alive.
     Dialing,
-    /// The statement's last byte is not written yet.
+    /// The last byte of the statement is not written yet.
     Writing,
-    /// All is written: it may run.
+    /// Everything is written: the statement may run.
     Sent,
 }
 
-/// What is known of an attempt under way, also when it is given up.
+/// The progress of an attempt, which remains available when the attempt is dropped.
 struct AttemptProgress {
     stage: Cell<Stage>,
-    /// It went at once on a kept connection and has had nothing of an answer.
+    /// The statement was sent on an idle connection without a check, and no byte of an answer has been received.
     unverified_reuse: Cell<bool>,
-    /// Bytes of the statement, and bytes that the system has taken of it and of what goes behind it.
+    /// Size of the statement; `written` counts the bytes that the system has accepted of it and of the ping behind it.
     size: Cell<usize>,
     written: Cell<usize>,
 }
@@ -148,7 +150,7 @@
 }
 
 impl AttemptProgress {
-    /// How far it has come. With its last byte out a statement may run, though what goes behind it was not written.
+    /// The stage reached. Once its last byte is written a statement may run, even if the ping behind it was not written.
     fn stage(&self) -> Stage {
         let (stage, size) = (self.stage.get(), self.size.get());
         let all = size > 0 && self.written.get() >= size;
@@ -158,13 +160,13 @@
 
 /// What is sent to a server.
 enum Query<'a> {
-    /// A request for its load report.
+    /// A request for the load report.
     Probe,
     /// A client's statement.
     Statement(&'a Statement),
 }
 
-/// A query as it goes out, with the wait that is told in it.
+/// A query as it is sent, with the timeout that is announced in it.
 struct Message<'a> {
     head: [u8; 5],
     before: &'a [u8],
@@ -173,14 +175,14 @@
 }
 
 impl<'a> Query<'a> {
-    /// It must not run twice.
+    /// Whether the query must not run twice.
     fn must_not_repeat(&self) -> bool {
         matches!(self, Self::Statement(statement) if statement.must_not_repeat)
     }
 
     fn message(&self, attempt_timeout: Duration) -> Message<'a> {
         let (before, timeout, after): (&[u8], String, &[u8]) = match self {
-            Self::Probe => (PROBE, String::new(), b""),
+            Self::Probe => (PROBE_QUERY, String::new(), b""),
             Self::Statement(Statement { bytes, range, timeout_range, .. }) => {
                 let digits = attempt_timeout.as_micros().div_ceil(1_000).max(1).to_string();
                 (&bytes[range.start..timeout_range.start], digits, &bytes[timeout_range.end..range.end])
@@ -201,7 +203,7 @@
     }
 }
 
-/// A probe goes to whoever takes new work, while it has time.
+/// Admits a probe as long as the member is in service and time remains.
 struct ProbeGate {
     until: Instant,
 }
@@ -215,19 +217,19 @@
     fn began(&self, _told: Duration) {}
 }
 
-/// What was read up to ReadyForQuery, or until the server ended the connection.
+/// What was read up to ReadyForQuery, or until the server closed the connection.
 struct Exchange {
     verdict: Verdict,
-    notes: StatusParameters,
+    status: StatusParameters,
     /// The answer's messages in the buffer.
     pieces: Vec<Range<usize>>,
-    /// The answer and what of its row is to come, if that is too long to be held; the buffer ends within it.
+    /// The answer and the missing bytes of its row, if the row is too large to be buffered; the buffer ends within it.
     large: Option<(pg::Answer, usize)>,
     /// The row's value in the buffer.
     value: Option<Range<usize>>,
-    /// The bytes of the exchange in the buffer.
+    /// Bytes of the exchange in the buffer.
     size: usize,
-    /// The connection is at ReadyForQuery.
+    /// Whether the connection is at ReadyForQuery.
     ready: bool,
 }
 
@@ -239,26 +241,26 @@
     stall: Rc<StallDetector>,
     budget: Rc<Budget>,
     idle: RefCell<HashMap<MemberId, VecDeque<Connection>>>,
-    trust: RefCell<ReusePolicy>,
+    reuse_policy: RefCell<ReusePolicy>,
     timers: TimerQueue,
     started: Instant,
-    /// What is open or under way, by member.
+    /// Number of connections and attempts by member, see [`MemberUse`].
     member_uses: RefCell<HashMap<MemberId, Rc<Cell<usize>>>>,
-    /// Where somebody wants to know what is sent and what fails.
+    /// Statistics of what is sent and what fails, if enabled.
     stats: RefCell<Option<SendStats>>,
 }
 
-/// What is sent, by group, and members that fail, with how many attempts in a row they have failed.
+/// Statistics of attempts and of failing members.
 #[derive(Debug, Default)]
 pub(crate) struct SendStats {
-    /// Attempts so far.
+    /// Number of attempts so far, by group.
     pub(crate) sent: HashMap<GroupId, u64>,
-    /// Attempts in a row that found nobody, of members that are known.
+    /// Number of consecutive attempts that could not reach the member, for members in the list.
     pub(crate) failed: HashMap<MemberId, u32>,
 }
 
 impl Pool {
-    /// A pool of at most `most` connections.
+    /// A pool of at most `max` connections.
     #[must_use]
     pub fn new(
         members: Rc<Members>,
@@ -275,7 +277,7 @@
             stall,
             budget,
             idle: RefCell::default(),
-            trust: RefCell::default(),
+            reuse_policy: RefCell::default(),
             timers: TimerQueue::default(),
             started: Instant::now(),
             member_uses: RefCell::default(),
@@ -283,17 +285,17 @@
         }
     }
 
-    /// Counts what is sent and what fails from now on.
+    /// Starts to collect statistics of what is sent and what fails.
     pub(crate) fn enable_stats(&self) {
         self.stats.borrow_mut().get_or_insert_default();
     }
 
-    /// What was counted.
+    /// Accesses the statistics, if they are enabled.
     pub(crate) fn with_stats<T>(&self, access: impl FnOnce(&mut SendStats) -> T) -> Option<T> {
         self.stats.borrow_mut().as_mut().map(access)
     }
 
-    /// Whether nothing is out, idle or being opened at a member.
+    /// Whether no connection to a member exists or is being opened, and no attempt at it is running.
     #[must_use]
     pub fn has_no_connections(&self, member: &MemberId) -> bool {
         self.member_uses.borrow().get(member).is_none_or(|count| count.get() == 0)
@@ -320,12 +322,12 @@
         }
     }
 
-    /// Goes by these settings from now on, also for connections that are kept already.
+    /// Applies new settings, also to connections that exist already.
     pub fn set_host_settings(&self, host: HostSettings) {
         self.host.replace(host);
     }
 
-    /// What load reports hold, by the present settings.
+    /// The fields of load reports by the current settings.
     pub(crate) fn report_fields(&self) -> Vec<Field> {
         self.host.borrow().report.iter().map(|(_, field)| *field).collect()
     }
@@ -334,7 +336,7 @@
         self.host.borrow().keepalive.mul_f64(IDLE_FRACTION)
     }
 
-    /// Closes idle connections that are of no more use.
+    /// Closes idle connections that can't be reused.
     pub fn close_stale_idle(&self) {
         let max_idle = self.max_idle();
         self.idle.borrow_mut().retain(|member, connections| {
@@ -345,24 +347,24 @@
         });
     }
 
-    /// Closes idle connections that are of no more use. Runs for ever.
+    /// Periodically closes idle connections that can't be reused and drops the state of forgotten members. Never returns.
     pub async fn run_upkeep(&self) {
         loop {
             Timer::after(Duration::from_millis(500)).await;
             self.close_stale_idle();
-            self.trust.borrow_mut().evict_stale(self.now());
+            self.reuse_policy.borrow_mut().evict_stale(self.now());
             self.member_uses.borrow_mut().retain(|_, count| Rc::strong_count(count) > 1);
-            // Who is forgotten is not held here either.
+            // Members that were forgotten need no statistics either.
             self.with_stats(|stats| stats.failed.retain(|member, _| self.members.group(member).is_some()));
         }
     }
 
-    /// Ends attempts whose time is over. Runs for ever.
+    /// Runs the timers that end attempts. Never returns.
     pub async fn run_timers(&self) {
         self.timers.run().await;
     }
 
-    /// Closes the connection that has been idle longest, if there is one.
+    /// Closes the connection that has been idle longest; false if there is none.
     pub fn close_one_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle
@@ -372,7 +374,7 @@
         oldest.is_some_and(|connections| connections.pop_front().is_some())
     }
 
-    /// On the clock of [`ReusePolicy`], which only counts differences.
+    /// The time for [`ReusePolicy`], which only uses differences.
     fn now(&self) -> Time {
         Time(0) + span_of(self.started.elapsed())
     }
@@ -390,14 +392,14 @@
         self.idle.borrow_mut().entry(member.clone()).or_default().push_back(connection);
     }
 
-    /// A kept connection broke, fell silent or brought what was nobody's.
+    /// Records that an idle connection was broken, did not answer, or had received unexpected data.
     fn record_unsettled(&self, member: &MemberId, used: Reuse) {
         self.counters.unsettled.add();
-        self.trust.borrow_mut().record_failure(member, self.now(), used);
+        self.reuse_policy.borrow_mut().record_failure(member, self.now(), used);
     }
 
-    /// A free connection; the latest used first, so that the others can grow old and go, but for those that
-    /// have only just brought an answer.
+    /// Takes an idle connection, the most recently used first so that the others can age out, except for those that have only
+    /// just brought an answer.
     fn take_idle(&self, member: &MemberId) -> Option<Connection> {
         let address = self.members.address(member);
         let mut idle = self.idle.borrow_mut();
@@ -414,8 +416,8 @@
         }
     }
 
-    /// Room for one more connection, made by closing an idle one if need be. It waits while there is none:
-    /// the own shortage must not look like the member's failure.
+    /// Takes a permit for one more connection, closing an idle one if necessary. Waits while there is none: a shortage on this
+    /// side must not look like a failure of the member.
     async fn permit(&self, member: &MemberId) -> Permit {
         while self.budget.used.get() >= self.budget.max && !self.close_one_idle() {
             self.counters.short.add();
@@ -428,7 +430,7 @@
         Permit::take(&self.budget, self.member_use(member))
     }
 
-    /// A connection for one request, and how it was come by: `None` if it is a new one.
+    /// A connection for one request, and how it is reused; `None` for a new connection.
     async fn connection(
         &self,
         member: &MemberId,
@@ -441,8 +443,9 @@
                 let Some(mut connection) = self.take_idle(member) else { break };
                 stage.set(Stage::Dialing);
                 let idle_for = span_of(connection.idle_since.elapsed());
-                let mut reuse = self.trust.borrow().reuse(member, self.now(), idle_for, must_not_repeat);
-                // Nothing told yet that its last answer came alone.
+                let mut reuse =
+                    self.reuse_policy.borrow().reuse(member, self.now(), idle_for, must_not_repeat);
+                // Nothing has shown yet that the last answer on it was followed by nothing else.
                 if connection.is_settled() && !connection.boundary_verified {
                     reuse = Reuse::AfterPing;
                 }
@@ -458,7 +461,7 @@
                 if settled.is_ok() {
                     return Ok((connection, Some(reuse)));
                 }
-                // It has ended, fell silent, or brought what was nobody's: it is closed, with nothing sent on it.
+                // It was closed, did not answer, or had received unexpected data: drop it, with nothing sent on it.
                 self.record_unsettled(member, Reuse::AfterPing);
                 if matches!(settled, Err(ExchangeError::NoResponse)) {
                     break;
@@ -466,14 +469,14 @@
             }
             stage.set(Stage::Waiting);
             let permit = self.permit(member).await;
-            // Room may have been long in coming: who was taken out meanwhile is not called either.
+            // The permit may have taken long: a member that was withdrawn meanwhile is not dialled either.
             if !self.members.in_service(member) {
                 return Err(ExchangeError::MemberWithdrawn);
             }
             stage.set(Stage::Dialing);
             let dial_timeout = self.host.borrow().dial_timeout;
             match with_timeout(&self.timers, dial_timeout, self.dial(member, permit)).await {
-                // The system is out of something though the budget is not: wait, and let an idle one go.
+                // The system lacks a resource although the budget is not used up: close an idle connection and wait.
                 Err(ExchangeError::LocalShortage) => {
                     stage.set(Stage::Waiting);
                     self.counters.short.add();
@@ -486,7 +489,7 @@
                     self.counters.short.add();
                     Timer::after(SHORTAGE_RETRY_DELAY).await;
                 }
-                // It lasts: as far as this machine can tell, nobody is there.
+                // The error persists: as far as this machine can tell, the member does not respond.
                 Err(ExchangeError::LocalTransient) => return Err(ExchangeError::NoResponse),
                 other => return other.map(|connection| (connection, None)),
             }
@@ -527,7 +530,7 @@
         }
     }
 
-    /// Sends one simple query and reads up to ReadyForQuery. The caller learns through `course` how far it came.
+    /// Sends one simple query and reads up to ReadyForQuery. `progress` tells the caller how far it came.
     async fn exchange(
         &self,
         member: &MemberId,
@@ -536,13 +539,13 @@
         gate: &dyn SendGate,
     ) -> Result<(Connection, Exchange), ExchangeError> {
         let AttemptProgress { stage, unverified_reuse, .. } = progress;
-        // Who has been taken out since is not even called: work may begin there as soon as nothing is under way.
+        // A withdrawn member is not even dialled: maintenance may begin there as soon as nothing is in use.
         if !self.members.in_service(member) {
             return Err(ExchangeError::MemberWithdrawn);
         }
         let (mut connection, reuse) = self.connection(member, query.must_not_repeat(), stage).await?;
-        // What came while the process stood still is taken first: it may say that the member is withdrawn. The connection may
-        // have ended meanwhile.
+        // Events that arrived while the process was stalled are handled first: they may withdraw the member. The connection may
+        // also have been closed meanwhile.
         if self.stall.just_resumed() {
             yield_now().await;
             if connection.check_idle(self.members.address(member), self.max_idle()) != IdleState::Usable {
@@ -550,9 +553,9 @@
             }
         }
         stage.set(Stage::Writing);
-        // Behind it goes an empty query whose answer nobody waits for: it shows, before the next request is sent,
-        // that nothing but one answer came.
-        let with_ping = self.trust.borrow().needs_trailing_ping(member, self.now());
+        // The ping, an empty query sent behind the statement, is not waited for: its answer shows, before the next request is
+        // sent on this connection, that exactly one answer was received.
+        let with_ping = self.reuse_policy.borrow().needs_trailing_ping(member, self.now());
         if with_ping {
             connection.sent_with_ping();
         } else {
@@ -565,13 +568,14 @@
         unverified_reuse.set(unverified_reuse.get() && connection.buffer.data().is_empty());
         let exchange = exchange?;
         unverified_reuse.set(false);
-        self.trust.borrow_mut().record_answer(member, self.now());
+        self.reuse_policy.borrow_mut().record_answer(member, self.now());
         Ok((connection, exchange))
     }
 
-    /// Writes a query. **The one place before a first byte**: whatever was waited for before (room, a dial, a proof, and here
-    /// that the socket takes anything), the list may have changed meanwhile, the client have left, and its time have passed.
-    /// So the gate is asked whenever the first byte is about to be written, and the time that is told is what is left then.
+    /// Writes a query. **This is the only place that writes a first byte.** Whatever was waited for before (a permit, a dial, a
+    /// check, or here the socket becoming writable), meanwhile the list may have changed, the client may have left, and its time
+    /// may have passed. So the gate is consulted each time the first byte is about to be written, and the timeout announced to
+    /// the member is the time that remains then.
     async fn write_query(
         &self,
         connection: &Connection,
@@ -604,7 +608,7 @@
         }
     }
 
-    /// [`Pool::exchange`] within a time limit, with its end told apart by how far it came.
+    /// Runs [`Pool::exchange`] until a deadline and derives the verdict from how far it came.
     async fn exchange_within(
         &self,
         until: Instant,
@@ -626,10 +630,10 @@
         match (ended, progress.stage()) {
             (Some(Ok(exchange)), _) => Ok(exchange),
             (Some(Err(ExchangeError::ServerError(code))), _) => Err(startup_error_verdict(code)),
-            // Nothing was sent, and nothing is known of the member.
+            // Nothing was sent, and nothing is known about the member.
             (Some(Err(ExchangeError::MemberWithdrawn)), _) | (None, Stage::Waiting) => Err(Verdict::Moot),
             (None, Stage::Sent) => Err(Verdict::Timeout),
-            // Silence for less than the dial's own limit: nothing was sent, and it may be this connection's alone.
+            // No response for less than the dial timeout: nothing was sent, and the cause may be this connection alone.
             (None, Stage::Dialing) => Err(Verdict::Broken),
             (Some(Err(_)), Stage::Sent) => Err(lost_answer_verdict()),
             (None, Stage::Writing) | (Some(Err(ExchangeError::ConnectRefused)), _) => {
@@ -640,7 +644,7 @@
         }
     }
 
-    /// StatementKind a member for its load report.
+    /// Requests a member's load report.
     pub async fn probe(&self, member: &MemberId) -> (Verdict, Option<Vec<f64>>) {
         let until = Instant::now() + PROBE_TIMEOUT;
         match self.exchange_within(until, member, &Query::Probe, &ProbeGate { until }).await {
@@ -664,12 +668,12 @@
 }
 
 impl Pool {
-    /// The next piece of a large answer, its last messages included; `None` once all of it is out. The server is read no
-    /// faster than pieces are taken.
+    /// The next chunk of a large answer, including its last messages; `None` once all of it has been returned. The server is
+    /// read no faster than chunks are taken.
     ///
     /// # Errors
     ///
-    /// When it ends too soon, is spoilt or falls silent: what was passed on is not whole.
+    /// When the answer ends early, is malformed or stops coming: what was passed on is incomplete.
     pub async fn next_chunk(&self, reply: &mut Reply) -> io::Result<Option<Vec<u8>>> {
         let truncated = || io::Error::from(io::ErrorKind::UnexpectedEof);
         let Some(remainder) = reply.remainder.as_mut() else { return Ok(None) };
@@ -745,7 +749,7 @@
             }
             Ok((mut connection, exchange)) => {
                 self.record_stats(member, true, exchange.verdict);
-                let Exchange { verdict, notes, pieces, large, size, ready, .. } = exchange;
+                let Exchange { verdict, status, pieces, large, size, ready, .. } = exchange;
                 let mut reply = (verdict == Verdict::Ok).then(|| {
                     let (bytes, range) = connection.buffer.detach(size);
                     let moved = |piece: Range<usize>| piece.start + range.start..piece.end + range.start;
@@ -767,8 +771,8 @@
                 }
                 AttemptResult {
                     verdict,
-                    note: notes.note(),
-                    report: notes.report(&self.host.borrow().report),
+                    note: status.note(),
+                    report: status.report(&self.host.borrow().report),
                     reply,
                 }
             }
@@ -776,17 +780,17 @@
     }
 }
 
-/// What an error tells that came in place of a session: no statement was sent.
+/// The verdict for an error that the server sent instead of starting a session: no statement was sent.
 fn startup_error_verdict(code: Code) -> Verdict {
     if &code.0 == b"57P03" { Verdict::Full } else { error_verdict(code) }
 }
 
-/// The end of an attempt whose answer was lost once all of it was written: it may have run.
+/// The verdict for an attempt whose answer was lost after all of it was written: it may have run.
 fn lost_answer_verdict() -> Verdict {
     if mutants::is_active(Mutant::LostAnswerNeverRan) { Verdict::ConnectFailed } else { Verdict::Reset }
 }
 
-/// What a server's error in answer to a statement tells: only these codes prove that nothing ran.
+/// The verdict for a server's error in answer to a statement: only these codes prove that nothing ran.
 fn error_verdict(code: Code) -> Verdict {
     match &code.0 {
         b"53300" => Verdict::Full,
@@ -795,8 +799,8 @@
     }
 }
 
-/// Reads one answer up to ReadyForQuery; what was whole before the connection ended counts. A spoilt one may
-/// have run, like one that never came.
+/// Reads one answer up to ReadyForQuery. An answer that was complete before the connection ended is valid; after a malformed
+/// one the statement may have run, as after none at all.
 async fn read_answer(stream: &Async<TcpStream>, buffer: &mut ReadBuffer) -> Result<Exchange, ExchangeError> {
     let mut answer = pg::Answer::default();
     let mut pieces: Vec<Range<usize>> = Vec::new();
@@ -807,8 +811,8 @@
                 let (end, all) = (at + row, buffer.data().len());
                 pieces.push(at..all.min(end));
                 let (large, size) = (Some((answer, end.saturating_sub(all))), all.min(end));
-                let notes = StatusParameters::default();
-                return Ok(Exchange { verdict: Verdict::Ok, notes, pieces, large, value, size, ready });
+                let status = StatusParameters::default();
+                return Ok(Exchange { verdict: Verdict::Ok, status, pieces, large, value, size, ready });
             }
             let Some(message) = pg::server_message(&buffer.data()[at..])? else { break };
             let piece = at..at + message.size;
@@ -831,7 +835,7 @@
                 }
             }
         }
-        // More than any answer has means that the stream makes no sense; it is not kept in memory.
+        // A larger answer means that the stream is not valid; it is not buffered any further.
         if buffer.data().len() > MAX_ANSWER_SIZE {
             return Err(ExchangeError::Broken);
         }
@@ -842,17 +846,17 @@
         }
     }
     let verdict = answer.error_code().map_or(Verdict::Ok, error_verdict);
-    Ok(Exchange { verdict, notes: answer.into_status(), pieces, large: None, value, size: at, ready })
+    Ok(Exchange { verdict, status: answer.into_status(), pieces, large: None, value, size: at, ready })
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    /// The system may take the statement and not the empty query behind it, and then the connection breaks: a write that was
-    /// taken for never run would be sent again, and run twice.
+    /// The system may accept the statement but not the ping behind it before the connection breaks. If that counted as never
+    /// sent, the write would be sent again and run twice.
     #[test]
-    fn a_statement_may_run_from_its_last_byte_on_whatever_goes_behind_it() {
+    fn a_statement_may_run_once_its_last_byte_is_written_whether_or_not_the_ping_is() {
         let progress = AttemptProgress::default();
         assert_eq!(progress.stage(), Stage::Waiting);
         progress.stage.set(Stage::Writing);
