--- a/crates/net/src/arrivals.rs
+++ b/crates/net/src/arrivals.rs
@@ -1,24 +1,24 @@
-//! When the bytes of a client came: a request's time counts from its last byte, also while it waits behind another.
+//! Arrival times of a client's bytes: the time of a request counts from its last byte, even if it waits behind another one.
 
 use linnetdeal_core::{Span, Time};
 use std::collections::VecDeque;
 
-/// Requests tell their time in whole milliseconds: what comes within one counts as one arrival.
+/// Bytes that arrive within this time count as one arrival, since clients give their timeouts in whole milliseconds.
 const RESOLUTION: Span = Span::millis(1);
-/// So many arrivals are told apart; what comes beyond them while all are held counts with the last, so as too early.
+/// Maximum number of arrivals that are tracked. Further bytes are added to the last one, which makes their time too early.
 const MAX_TRACKED: usize = 64;
 
 /// The arrivals on one connection.
 #[derive(Debug, Default)]
 pub struct Arrivals {
-    /// Bytes that have come in all.
+    /// Total number of bytes received.
     received: u64,
-    /// How many had come by the end of each arrival, and when it began.
+    /// For each arrival, the total number of bytes up to its end, and when it began.
     chunks: VecDeque<(u64, Time)>,
 }
 
 impl Arrivals {
-    /// So many bytes came now.
+    /// Records that `count` bytes arrived at `now`.
     pub fn record(&mut self, count: usize, now: Time) {
         self.received += count as u64;
         let full = self.chunks.len() >= MAX_TRACKED;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// When the last byte came of the command that has `behind` more bytes read after it; earlier ones are forgotten.
+    /// Arrival time of the last byte of a command that is followed by `bytes_after` bytes; earlier arrivals are forgotten.
     pub fn arrival_time(&mut self, bytes_after: usize) -> Option<Time> {
         let end = self.received.saturating_sub(bytes_after as u64);
         while self.chunks.front().is_some_and(|chunk| chunk.0 < end) {
--- a/crates/net/src/buffer.rs
+++ b/crates/net/src/buffer.rs
@@ -1,4 +1,4 @@
-//! Reading into buffers that shrink when idle, and writing from several places at once.
+//! Read buffers that shrink when idle, and vectored writes.
 
 use async_io::Async;
 use std::cell::{Cell, RefCell};
@@ -7,12 +7,12 @@
 use std::ops::Range;
 
 const INITIAL_SIZE: usize = 2 * 1024;
-/// So many pieces are written with one call; a request has five.
+/// Maximum number of slices per write; a request has five.
 const MAX_SLICES: usize = 8;
-/// An idle buffer keeps no more than this.
+/// Size above which an empty buffer is released.
 const MAX_IDLE_SIZE: usize = 4 * 1024;
 
-/// Bytes that were read and not yet used up.
+/// Bytes that were read and not yet consumed.
 #[derive(Debug, Default)]
 pub struct ReadBuffer {
     bytes: Vec<u8>,
@@ -21,13 +21,13 @@
 }
 
 impl ReadBuffer {
-    /// What has been read and not used up.
+    /// The bytes that were read and not yet consumed.
     #[must_use]
     pub fn data(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 
-    /// Uses up so many bytes.
+    /// Consumes `count` bytes.
     pub fn consume(&mut self, count: usize) {
         self.start = (self.start + count).min(self.end);
         if self.start == self.end {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Reads once; the count is 0 at the end of the stream.
+    /// Waits for bytes and reads once; returns 0 at the end of the stream.
     ///
     /// # Errors
     ///
@@ -48,11 +48,11 @@
         Ok(count)
     }
 
-    /// Reads once what is there already; the count is 0 at the end of the stream.
+    /// Reads once without waiting; returns 0 at the end of the stream.
     ///
     /// # Errors
     ///
-    /// When reading fails, or nothing is there.
+    /// When reading fails, or would have to wait.
     pub fn try_fill(&mut self, mut stream: &TcpStream) -> io::Result<usize> {
         self.make_room();
         let room = &mut self.bytes[self.end..];
@@ -72,14 +72,14 @@
         }
     }
 
-    /// Takes the first `count` bytes out with the buffer that they stand in, so that they outlive further
-    /// reading uncopied. Only what was read beyond them is copied.
+    /// Takes the first `count` bytes out together with the underlying buffer, so that they are not copied. Only the bytes read
+    /// beyond them are copied, to a new buffer.
     pub fn detach(&mut self, count: usize) -> (Vec<u8>, Range<usize>) {
         let taken = self.start..(self.start + count).min(self.end);
         let rest = self.bytes[taken.end..self.end].to_vec();
         (self.start, self.end) = (0, rest.len());
         let mut bytes = std::mem::replace(&mut self.bytes, rest);
-        // A large value may be held for seconds, beside hundreds of others: not in a buffer twice its size.
+        // Hundreds of large values may be held for seconds: none should occupy a buffer of twice its size.
         if bytes.len() - taken.end > MAX_IDLE_SIZE {
             bytes.truncate(taken.end);
             bytes.shrink_to_fit();
@@ -87,21 +87,21 @@
         (bytes, taken)
     }
 
-    /// Takes a detached buffer back for further use, unless it is large.
+    /// Takes a detached buffer back for reuse, unless it is large.
     pub fn reuse(&mut self, bytes: Vec<u8>) {
         if self.bytes.is_empty() && bytes.len() <= MAX_IDLE_SIZE {
             self.bytes = bytes;
         }
     }
 
-    /// Makes room for so many bytes where there is nothing.
+    /// Grows an empty buffer to at least `size` bytes.
     pub fn grow(&mut self, size: usize) {
         if self.start == self.end && self.bytes.len() < size {
             self.bytes.resize(size, 0);
         }
     }
 
-    /// Takes out what is there, up to `most` bytes of it, and leaves the buffer's memory for what comes.
+    /// Consumes and returns up to `max_count` bytes, and keeps the buffer's memory for further reading.
     pub fn take_up_to(&mut self, max_count: usize) -> &[u8] {
         let end = self.end.min(self.start + max_count);
         let piece = self.start..end;
@@ -112,7 +112,7 @@
         &self.bytes[piece]
     }
 
-    /// Lets go of a large buffer while there is nothing in it.
+    /// Releases the memory of a large buffer that is empty.
     pub fn release_if_empty(&mut self) {
         if self.start == self.end && self.bytes.len() > MAX_IDLE_SIZE {
             *self = Self::default();
@@ -120,7 +120,7 @@
     }
 }
 
-/// Reads once into a buffer that many share, and forgets it; the count is 0 at the end of the stream.
+/// Reads once into a shared scratch buffer and discards the bytes; returns 0 at the end of the stream.
 ///
 /// # Errors
 ///
@@ -129,21 +129,21 @@
     stream.read_with(|mut stream| retry_interrupted(|| stream.read(&mut scratch.borrow_mut()))).await
 }
 
-/// Writes all pieces, one after another, in as few calls as the system allows.
+/// Writes all pieces, one after another, with as few system calls as possible.
 ///
 /// # Errors
 ///
-/// When writing fails, or the other side takes nothing more.
+/// When writing fails, or the peer accepts no more bytes.
 pub async fn write_all(stream: &Async<TcpStream>, pieces: &[&[u8]]) -> io::Result<()> {
     write_counted(stream, pieces, &Cell::new(0)).await
 }
 
-/// [`write_all`], with how many bytes the system has taken added to `written` as it takes them: that is known also when
-/// it fails or is given up.
+/// Like [`write_all`]; also updates `written` with the number of bytes that the system has accepted, so that it is known
+/// when the write fails or is dropped.
 ///
 /// # Errors
 ///
-/// When writing fails, or the other side takes nothing more.
+/// When writing fails, or the peer accepts no more bytes.
 pub async fn write_counted(
     stream: &Async<TcpStream>,
     pieces: &[&[u8]],
@@ -153,11 +153,11 @@
     write_rest(stream, pieces, written).await
 }
 
-/// Writes what is behind the first `written` bytes of all pieces.
+/// Writes everything after the first `written` bytes of the pieces.
 ///
 /// # Errors
 ///
-/// When writing fails, or the other side takes nothing more.
+/// When writing fails, or the peer accepts no more bytes.
 pub async fn write_rest(
     stream: &Async<TcpStream>,
     pieces: &[&[u8]],
@@ -173,11 +173,11 @@
     Ok(())
 }
 
-/// Writes once what is behind the first `written` bytes of all pieces, as far as the system takes it at once.
+/// Writes once, as far as possible without waiting, what follows the first `written` bytes of the pieces.
 ///
 /// # Errors
 ///
-/// When writing fails, would have to wait, or the other side takes nothing more.
+/// When writing fails, would have to wait, or the peer accepts no more bytes.
 pub fn write_now(mut stream: &TcpStream, pieces: &[&[u8]], written: &Cell<usize>) -> io::Result<()> {
     let mut already_written = written.get();
     let mut slices = [IoSlice::new(&[]); MAX_SLICES];
@@ -202,7 +202,7 @@
     }
 }
 
-/// What a call of the system gives that a signal does not interrupt: nothing has happened when one does.
+/// Repeats a system call until it is not interrupted by a signal; an interrupted call has had no effect.
 fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
--- a/crates/net/src/classes.rs
+++ b/crates/net/src/classes.rs
@@ -1,10 +1,10 @@
-//! The classes as a client's side needs them: by name those of the present settings, by number those of all.
+//! Lookup of classes for the client side: by name among the current settings, by number among all versions of the settings.
 
 use linnetdeal_core::{Class, ClassId, Effect, Need};
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-/// All classes.
+/// The classes of all versions of the settings.
 #[derive(Debug, Default)]
 pub struct Classes {
     all: RefCell<Vec<(String, Need, Effect)>>,
@@ -14,7 +14,7 @@
 }
 
 impl Classes {
-    /// Those of one version of the settings take the place of the ones before.
+    /// Replaces the classes by those of a new version of the settings; `present` are the current ones.
     pub fn set(&self, all: &[Class], present: Vec<ClassId>, longest_deadline: Duration, second_copies: bool) {
         let entries = all.iter().map(|class| (class.name.clone(), class.need, class.effect));
         *self.all.borrow_mut() = entries.collect();
@@ -23,7 +23,7 @@
         self.second_copies.set(second_copies);
     }
 
-    /// The class that is called so now.
+    /// The class with this name in the current settings.
     #[must_use]
     pub fn named(&self, name: &str) -> Option<ClassId> {
         let all = self.all.borrow();
@@ -34,21 +34,21 @@
             .find(|id| all.get(id.0).is_some_and(|(class_name, ..)| class_name == name))
     }
 
-    /// Name, need and effect of one, be it of an earlier version.
+    /// Name, need and effect of a class, also of one from an earlier version.
     #[must_use]
     pub fn get(&self, id: ClassId) -> Option<(String, Need, Effect)> {
         self.all.borrow().get(id.0).cloned()
     }
 
-    /// Whether two attempts of a request of this class may be out at once: the settings say so, and it may run any number
-    /// of times.
+    /// Whether a request of this class may have two concurrent attempts: the settings must allow it, and the class must be safe to
+    /// run any number of times.
     #[must_use]
     pub fn may_be_copied(&self, id: ClassId) -> bool {
         let safe = |(_, _, effect): &(String, Need, Effect)| *effect == Effect::Safe;
         self.second_copies.get() && self.all.borrow().get(id.0).is_some_and(safe)
     }
 
-    /// The longest deadline of any present class.
+    /// The longest deadline of the current classes.
     #[must_use]
     pub fn longest_deadline(&self) -> Duration {
         self.longest_deadline.get()
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,5 +1,5 @@
-//! The clock of the sockets: Unix time in microseconds, read once and carried on by the steady clock, so that
-//! it never runs backwards.
+//! The clocks of the process. The main one is Unix time in microseconds, read once and advanced by the monotonic clock, so
+//! that it never goes backwards.
 
 use linnetdeal_core::{Span, Time};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -12,7 +12,7 @@
 }
 
 impl Clock {
-    /// A clock anchored at the system's time.
+    /// A clock set to the system's time.
     #[must_use]
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -25,30 +25,30 @@
         self.unix + Span(micros(self.started.elapsed()))
     }
 
-    /// When `at` is on the steady clock.
+    /// Converts `at` to the monotonic clock.
     #[must_use]
     pub fn instant(&self, at: Time) -> Instant {
         self.started + crate::config::duration(at - self.unix)
     }
 }
 
-/// A clock that no one sets and that goes on while the process is stopped and while its machine sleeps, for what must be
-/// over in time whatever happened meanwhile. It tells nothing but how much later it is.
+/// A monotonic clock (boot time) that also advances while the process is stopped or the machine is suspended, for anything
+/// that must expire in time in every case. Only its differences have a meaning.
 #[must_use]
 pub fn steady() -> Time {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     skew::steady(Time(now.tv_sec * 1_000_000 + now.tv_nsec / 1_000))
 }
 
-/// The wall clock, in ms since 1970. It may be wrong, and may go back.
+/// The wall clock, in ms since 1970. It may be wrong, and may go backwards.
 #[must_use]
 pub fn wall_ms() -> u64 {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     skew::wall(u64::try_from(unix.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// Clocks that run wrong, for the lab: `LINNETDEAL_BEND` holds `rate=0.95`, `jump=3000:500` (after 3 s, 0.5 s on) or
-/// `wall=-3600000` (an hour behind), apart by commas. A release build has none of it.
+/// Clock errors for the lab: `LINNETDEAL_BEND` holds, separated by commas, `rate=0.95`, `jump=3000:500` (after 3 s, forward by
+/// 0.5 s) or `wall=-3600000` (one hour behind). Not compiled into release builds.
 #[cfg(debug_assertions)]
 mod skew {
     use linnetdeal_core::Time;
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a server: whether it can carry a request, and what it still owes.
+//! One connection to a server: whether it can carry a request, and which answers are still outstanding on it.
 
 use super::buffer::{ReadBuffer, write_all};
 use super::pg::{self, Code, PgError};
@@ -11,10 +11,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// An empty query. Its answer shows that the connection lives, and that nothing else was to come before.
+/// An empty query, used as a ping: its answer shows that the connection is alive and that nothing else was received before.
 pub(crate) const PING_QUERY: &[u8] = b"Q\0\0\0\x05\0";
 
-/// How many connections there may be, and are.
+/// The connection budget: the number of connections in use and its limit.
 #[derive(Debug)]
 pub(crate) struct Budget {
     pub(crate) used: Cell<usize>,
@@ -22,7 +22,7 @@
     pub(crate) released: Event,
 }
 
-/// What is open or under way at a member: connections, and attempts that may still open one.
+/// Counts one use of a member while it exists: a connection, or an attempt that may still open one.
 #[derive(Debug)]
 pub(crate) struct MemberUse(Rc<Cell<usize>>);
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// The right to one connection.
+/// The permit for one connection.
 #[derive(Debug)]
 pub(crate) struct Permit {
     budget: Rc<Budget>,
@@ -47,7 +47,7 @@
 }
 
 impl Permit {
-    /// Takes one of the budget, for a connection to where `presence` is.
+    /// Takes one permit from the budget for a connection to the member that `member_use` counts.
     pub(crate) fn take(budget: &Rc<Budget>, member_use: MemberUse) -> Self {
         budget.used.set(budget.used.get() + 1);
         Self { budget: budget.clone(), _member_use: member_use }
@@ -61,26 +61,26 @@
     }
 }
 
-/// Why no answer came.
+/// Why an exchange with a server failed.
 pub(crate) enum ExchangeError {
-    /// No descriptor or port was to be had here.
+    /// This machine is out of descriptors, memory or ports.
     LocalShortage,
-    /// A call of this machine's system failed for a moment.
+    /// A system call failed because of a transient condition on this machine.
     LocalTransient,
-    /// Nobody listens.
+    /// The server refused the connection.
     ConnectRefused,
-    /// Nobody answers.
+    /// The server did not respond.
     NoResponse,
-    /// The connection broke: somebody was there.
+    /// The connection was closed or the stream was invalid: a server was there.
     Broken,
-    /// The member is not to be sent anything new.
+    /// The member may not be sent anything new.
     MemberWithdrawn,
-    /// The server said no before the query.
+    /// The server answered the startup message with an error.
     ServerError(Code),
 }
 
 impl From<io::Error> for ExchangeError {
-    /// What this machine ran out of says nothing of the member.
+    /// A shortage on this machine says nothing about the member.
     fn from(error: io::Error) -> Self {
         if is_shortage(&error) { Self::LocalShortage } else { Self::Broken }
     }
@@ -92,37 +92,37 @@
     }
 }
 
-/// A connection that stands at ReadyForQuery, but for the answers of empty queries.
+/// A connection at ReadyForQuery, except for the outstanding answers to pings.
 #[derive(Debug)]
 pub(crate) struct Connection {
-    // Declared first: the descriptor is closed before the budget learns of it.
+    // Declared first, so that the descriptor is closed before the permit is released.
     pub(crate) stream: Async<TcpStream>,
     pub(crate) address: SocketAddr,
     pub(crate) buffer: ReadBuffer,
     pub(crate) idle_since: Instant,
-    /// What brings one more answer is known to bring nothing else: an empty query behind the last request was
-    /// answered, or none was sent yet.
+    /// Whether the last answer is known to have been followed by nothing else: the ping behind the last request was answered,
+    /// or no request has been sent yet.
     pub(crate) boundary_verified: bool,
-    /// Empty queries whose answers have not come.
+    /// Pings whose answers have not been received.
     pending_pings: u8,
-    /// The first of them has had its EmptyQueryResponse.
+    /// Whether the EmptyQueryResponse of the first of them has been received.
     ping_response_seen: bool,
     _permit: Permit,
 }
 
-/// What a look at an idle connection shows.
+/// The state of an idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum IdleState {
-    /// It can carry a request, or will when what it owes has come.
+    /// It can carry a request, possibly after the outstanding answers to pings.
     Usable,
-    /// It has ended, is too old, or leads to where the member no longer listens.
+    /// It was closed, is too old, or leads to an address at which the member no longer listens.
     Closed,
-    /// It brought what was nobody's.
+    /// It received data that belongs to no request.
     UnexpectedData,
 }
 
 impl Connection {
-    /// One that has just been opened.
+    /// A connection that has just been opened.
     pub(crate) fn new(
         stream: Async<TcpStream>,
         address: SocketAddr,
@@ -142,8 +142,8 @@
         }
     }
 
-    /// Whether it can carry a request: to where the member listens, open, and with nothing unread. Takes in what has
-    /// come of what it owes.
+    /// Checks whether it can carry a request: it must lead to the member's address, be open and have nothing unread. Consumes
+    /// the answers to pings that have been received.
     pub(crate) fn check_idle(&mut self, address: Option<SocketAddr>, max_idle: Duration) -> IdleState {
         if address != Some(self.address) || self.idle_since.elapsed() >= max_idle {
             return IdleState::Closed;
@@ -157,7 +157,7 @@
                 Err(_) => return IdleState::Closed,
             }
         }
-        // The end of the stream may stand right behind what came.
+        // The end of the stream may follow right behind these answers.
         match self.stream.get_ref().peek(&mut [0]) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => IdleState::Usable,
             Err(_) | Ok(0) => IdleState::Closed,
@@ -166,27 +166,27 @@
         }
     }
 
-    /// An empty query was written behind a request.
+    /// Records that a request is sent with a ping behind it.
     pub(crate) fn sent_with_ping(&mut self) {
         self.pending_pings += 1;
         self.boundary_verified = false;
     }
 
-    /// The request that is sent on it next has none behind it.
+    /// Records that a request is sent without a ping behind it.
     pub(crate) fn sent_without_ping(&mut self) {
         self.boundary_verified = false;
     }
 
-    /// Whether nothing is outstanding.
+    /// Whether no answer to a ping is outstanding.
     pub(crate) fn is_settled(&self) -> bool {
         self.pending_pings == 0
     }
 
-    /// Takes from the buffer what is there of the answers that it owes; false while there is more to come.
+    /// Consumes the answers to pings that are in the buffer; returns false while more are outstanding.
     ///
     /// # Errors
     ///
-    /// When anything else comes before them or behind them.
+    /// When anything else precedes or follows them.
     pub(crate) fn consume_ping_answers(&mut self) -> Result<bool, ExchangeError> {
         self.boundary_verified |= self.pending_pings > 0;
         while self.pending_pings > 0 {
@@ -206,7 +206,7 @@
         if self.buffer.data().is_empty() { Ok(true) } else { Err(ExchangeError::Broken) }
     }
 
-    /// Waits for what it owes.
+    /// Waits for the outstanding answers to pings.
     pub(crate) async fn settle(&mut self) -> Result<(), ExchangeError> {
         while !self.consume_ping_answers()? {
             if self.buffer.fill(&self.stream).await? == 0 {
@@ -216,7 +216,7 @@
         Ok(())
     }
 
-    /// Has an empty query answered, with nothing before the answer and nothing behind it.
+    /// Sends a ping and waits for its answer; fails if anything else precedes or follows it.
     pub(crate) async fn ping(&mut self) -> Result<(), ExchangeError> {
         write_all(&self.stream, &[PING_QUERY]).await?;
         self.pending_pings += 1;
--- a/crates/net/src/connection_slots.rs
+++ b/crates/net/src/connection_slots.rs
@@ -1,10 +1,10 @@
-//! The seats of client connections: how many there are, and who makes room for whom.
+//! Slots for client connections: how many there are, and which clients are evicted to make room for others.
 //!
-//! A client with an open request keeps its seat. Of the others those go first that were told that they have to
-//! go, then those that have asked nothing yet, oldest first, then those idle longest. Clients that have asked
-//! nothing share a part of the seats among themselves, so that a silent crowd pushes out nobody but its own.
-//! Who has asked gets a part as well: where clients may hold only so many connections, those that ask once and
-//! keep theirs would leave none for others.
+//! A client with an open request keeps its slot. Of the others, clients that were told that their connection ends are evicted
+//! first, then clients that have made no request yet, the oldest first, then the clients that have been idle longest. Clients
+//! without a request share a limited part of the slots, so that many of them displace only each other. Clients that have
+//! made a request are limited to a part as well: where a platform limits the number of connections, clients that send one
+//! request and keep their connections would otherwise leave no slots for others.
 
 use super::flag::Flag;
 use async_io::Timer;
@@ -16,19 +16,19 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How readily a client without an open request makes room.
+/// The order in which clients without an open request are evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionRank {
-    /// It was told that its connection ends.
+    /// The client was told that its connection ends.
     Closing,
-    /// It has asked nothing yet.
+    /// The client has made no request yet.
     New,
-    /// It is between two requests.
+    /// The client is between two requests.
     Idle,
 }
 
 impl EvictionRank {
-    /// One that came to its seat more lately may be about to send.
+    /// Minimum time in this state before an eviction: a client that entered it more recently may be about to send.
     const fn min_age(self) -> Duration {
         match self {
             Self::Closing | Self::New => Duration::from_millis(5),
@@ -39,27 +39,27 @@
 
 type EvictionKey = (EvictionRank, Instant, u64);
 
-/// All seats.
+/// All slots for client connections.
 #[derive(Debug)]
 pub struct ConnectionSlots {
     max_slots: usize,
-    /// For clients that are accepted only to be refused.
+    /// Additional slots for clients that are accepted only to be refused.
     reject_reserve: usize,
     max_new: usize,
-    /// Clients that have asked, busy ones included, beyond which the idle make room.
+    /// Number of clients with a request, busy ones included, from which on idle ones are evicted.
     max_established: usize,
     in_use: Cell<usize>,
     last_id: Cell<u64>,
     released: Event,
-    /// Who can be asked to go.
+    /// The clients that can be evicted.
     evictable: RefCell<BTreeMap<EvictionKey, Rc<Flag>>>,
     new_clients: Cell<usize>,
-    /// Nobody came before.
+    /// No client was accepted before this time.
     created_at: Instant,
 }
 
 impl ConnectionSlots {
-    /// So many seats, a few more for those that are refused, and so many for clients that have asked.
+    /// Creates `max_slots` slots, `reject_reserve` more for clients to be refused, and a limit for clients with a request.
     #[must_use]
     pub fn new(max_slots: usize, reject_reserve: usize, max_established: usize) -> Self {
         Self {
@@ -76,20 +76,20 @@
         }
     }
 
-    /// How many are taken, but for those whose clients have been asked to go.
+    /// How many slots are in use, except those whose clients are being evicted.
     #[must_use]
     pub fn in_use(&self) -> usize {
         self.in_use.get()
     }
 
-    /// Whether a client that comes now finds a seat.
+    /// Whether a slot is free for a new client.
     #[must_use]
     pub fn has_free_slot(&self) -> bool {
         self.in_use.get() < self.max_slots
     }
 
-    /// Waits until one more client can be accepted, others being asked to make room if need be. False if it
-    /// can only be refused: all who sit there are being served.
+    /// Waits until another client can be accepted, evicting one if necessary. Returns false if it can only be refused because
+    /// all others are being served.
     pub async fn wait_for_room(&self) -> bool {
         loop {
             let not_established =
@@ -106,7 +106,7 @@
             {
                 return true;
             }
-            // The crowd is too young to be told from clients that are about to send.
+            // The new clients connected too recently to be distinguished from clients that are about to send.
             if !too_many_new && self.in_use.get() < self.max_slots + self.reject_reserve {
                 return false;
             }
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Asks one client of these ranks to make room; false if nobody can be asked.
+    /// Evicts one client of these ranks; returns false if there is none to evict.
     pub fn evict_one(&self, ranks: RangeInclusive<EvictionRank>) -> bool {
         let evictable = self.evictable.borrow();
         let ranks = [EvictionRank::Closing, EvictionRank::New, EvictionRank::Idle]
@@ -149,7 +149,7 @@
         flag
     }
 
-    /// Takes a seat for a new client.
+    /// Takes a slot for a new client.
     pub fn acquire(&self) -> ConnectionSlot<'_> {
         self.last_id.set(self.last_id.get() + 1);
         self.in_use.set(self.in_use.get() + 1);
@@ -157,18 +157,18 @@
     }
 }
 
-/// A client's seat, given up when it is dropped.
+/// A client's slot, released when it is dropped.
 #[derive(Debug)]
 pub struct ConnectionSlot<'a> {
     slots: &'a ConnectionSlots,
     id: u64,
-    /// Its client has been asked to go: the seat counts no longer.
+    /// The client is being evicted: the slot is no longer counted as in use.
     evicted: Cell<bool>,
 }
 
 impl ConnectionSlot<'_> {
-    /// Does `work` in a state in which the client can be asked to make room; `None` if it was, and `work` had
-    /// not ended by then. What has ended goes before: a client whose request can be read stays.
+    /// Runs `work` while the client may be evicted. Returns `None` if it was evicted before `work` completed. Completion takes
+    /// precedence: a client whose request can be read stays.
     pub async fn run_evictable<T>(
         &self,
         rank: EvictionRank,
@@ -188,7 +188,7 @@
         let done = done.await;
         drop(guard);
         if done.is_some() && self.evicted.replace(false) {
-            // It stays after all.
+            // It was asked to leave, but stays after all.
             self.slots.in_use.set(self.slots.in_use.get() + 1);
         }
         done
@@ -204,7 +204,7 @@
     }
 }
 
-/// A client that can be asked to go.
+/// Registers a client as evictable until dropped.
 struct EvictableGuard<'a> {
     slot: &'a ConnectionSlot<'a>,
     key: EvictionKey,
--- a/crates/net/src/flag.rs
+++ b/crates/net/src/flag.rs
@@ -1,10 +1,10 @@
-//! Flags that can be waited for.
+//! Flags that tasks can wait for.
 
 use event_listener::Event;
 use std::cell::Cell;
 use std::time::Instant;
 
-/// Raised once, never lowered.
+/// A flag that is raised once and never lowered.
 #[derive(Debug, Default)]
 pub struct Flag {
     up: Cell<bool>,
@@ -12,19 +12,19 @@
 }
 
 impl Flag {
-    /// Whether it is up.
+    /// Whether it is raised.
     #[must_use]
     pub fn is_up(&self) -> bool {
         self.up.get()
     }
 
-    /// Raises it and wakes all who wait.
+    /// Raises it and wakes all tasks that wait for it.
     pub fn raise(&self) {
         self.up.set(true);
         self.event.notify(usize::MAX);
     }
 
-    /// Waits until it is up.
+    /// Waits until it is raised.
     pub async fn raised(&self) {
         while !self.is_up() {
             let listener = self.event.listen();
@@ -35,7 +35,7 @@
     }
 }
 
-/// Turned on and off, any number of times.
+/// A switch that can be turned on and off any number of times.
 #[derive(Debug, Default)]
 pub struct Switch {
     since: Cell<Option<Instant>>,
@@ -43,13 +43,13 @@
 }
 
 impl Switch {
-    /// Since when it is on.
+    /// Since when it has been on, if it is on.
     #[must_use]
     pub fn on_since(&self) -> Option<Instant> {
         self.since.get()
     }
 
-    /// Turns it on or off and wakes all who wait. On once more changes nothing.
+    /// Turns it on or off and wakes all tasks that wait for it. Turning it on again does not change [`Switch::on_since`].
     pub fn set_on(&self, on: bool) {
         let since = self.since.get().or_else(|| Some(Instant::now()));
         self.since.set(since.filter(|_| on));
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Waits until it is on.
+    /// Waits until it is on; returns since when it has been.
     pub async fn wait_on(&self) -> Instant {
         loop {
             let listener = self.event.listen();
--- a/crates/net/src/in_doubt.rs
+++ b/crates/net/src/in_doubt.rs
@@ -1,14 +1,14 @@
-//! Writes whose outcome nobody knows: all of it was sent, no answer came, and it must not be sent again. Their clients are
-//! told "failed"; operators find them here, by the clients' ids, to look them up where they would have run.
+//! Writes whose outcome is unknown: the whole statement was sent, no answer was received, and it must not be sent again. Their
+//! clients are told that they failed. Operators find the clients' ids here and can look the writes up on the servers.
 
 use linnetdeal_core::{MemberId, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::fmt;
 
-/// So many of the latest are kept.
+/// How many of the latest writes are kept.
 const MAX_KEPT: usize = 256;
-/// An id is kept up to this length.
+/// Maximum length of an id that is kept.
 const MAX_ID_LEN: usize = 64;
 
 #[derive(Debug)]
@@ -19,7 +19,7 @@
     given_up_at: Time,
 }
 
-/// The writes in doubt since the start, the latest of them by name.
+/// Count of the writes in doubt since the start, with details of the latest.
 #[derive(Debug, Default)]
 pub struct InDoubtWrites {
     total: Cell<u64>,
@@ -27,7 +27,7 @@
 }
 
 impl InDoubtWrites {
-    /// One more: the client's id, its class, the member that may have run it, and when that was given up.
+    /// Records a write in doubt: the client's id, its class, the member that may have run it, and when waiting ended.
     pub fn add(&self, id: &str, class: &str, member: Option<MemberId>, given_up_at: Time) {
         self.total.set(self.total.get().saturating_add(1));
         let mut latest = self.latest.borrow_mut();
--- a/crates/net/src/mutants.rs
+++ b/crates/net/src/mutants.rs
@@ -1,26 +1,26 @@
-//! Broken variants of the program, by which the soak shows that it would find such a fault. `LINNETDEAL_MUTANT` names one; a
-//! release build has none of them.
+//! Deliberately broken variants of the program, with which the soak test proves that it detects such faults.
+//! `LINNETDEAL_MUTANT` selects one; release builds contain none.
 
-/// A way in which the program is broken.
+/// One way in which the program can be broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
-    /// The guard before a first byte is passed over.
+    /// The check before the first byte of an attempt is skipped.
     UnguardedSend,
-    /// A member is told the wait that was ordered, however much of it has passed.
+    /// The timeout announced to a member is the one ordered originally, regardless of the time that has passed since.
     OrderedDeadline,
-    /// What was lost after its last byte counts as never run.
+    /// An attempt whose answer was lost after its last byte was written counts as never run.
     LostAnswerNeverRan,
     /// One request in fifty is closed without an answer.
     ForgottenAnswer,
-    /// What the list says of drains is not taken.
+    /// Drains in the list of servers are ignored.
     IgnoredDrains,
-    /// A signal that can't be read counts as one to end.
+    /// A signal that can't be read counts as a request to terminate.
     SignalErrorEnds,
 }
 
 #[cfg(debug_assertions)]
 impl Mutant {
-    /// The name by which it is called for.
+    /// The name that selects it.
     const fn name(self) -> &'static str {
         match self {
             Self::UnguardedSend => "unguarded-send",
@@ -33,7 +33,7 @@
     }
 }
 
-/// Whether this variant was called for.
+/// Whether this variant is selected.
 #[cfg(debug_assertions)]
 #[must_use]
 pub fn is_active(mutant: Mutant) -> bool {
@@ -41,7 +41,7 @@
     REQUESTED.get_or_init(|| std::env::var("LINNETDEAL_MUTANT").ok()).as_deref() == Some(mutant.name())
 }
 
-/// Whether this variant was called for.
+/// Whether this variant is selected.
 #[cfg(not(debug_assertions))]
 #[must_use]
 pub const fn is_active(_mutant: Mutant) -> bool {
--- a/crates/net/src/stall.rs
+++ b/crates/net/src/stall.rs
@@ -1,15 +1,15 @@
-//! Whether this process has just stood still: stopped, starved of its core, or swapped out. What came meanwhile is found all at
-//! once, in no order that means anything.
+//! Detects whether this process has just been stalled: stopped, starved of its core, or swapped out. Events that arrived
+//! meanwhile are found all at once, in no meaningful order.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// A process to which nothing happens for so long may have stood still; a fifth of the least grace of drains in use.
+/// Without any activity for this long the process may have been stalled; a fifth of the shortest drain grace in use.
 const STALL_THRESHOLD: Duration = Duration::from_millis(50);
-/// The turn in which all is found lasts no longer than this.
+/// Upper limit for the turn of the reactor in which everything that arrived meanwhile is found.
 const RESUME_WINDOW: Duration = Duration::from_millis(5);
 
-/// Notes when things happen.
+/// Tracks when the process was last active.
 #[derive(Debug)]
 pub struct StallDetector {
     last_activity: Cell<Instant>,
@@ -24,7 +24,7 @@
 }
 
 impl StallDetector {
-    /// Something happens now.
+    /// Records activity at this moment.
     pub fn record_activity(&self) {
         let now = Instant::now();
         if now - self.last_activity.replace(now) > STALL_THRESHOLD {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Whether nothing had happened for long until just now; who asks may be the first to whom something happens.
+    /// Whether the process has just resumed after a stall. Calling this counts as activity: the caller may be the first to run.
     #[must_use]
     pub fn just_resumed(&self) -> bool {
         self.record_activity();
--- a/crates/net/src/system_errors.rs
+++ b/crates/net/src/system_errors.rs
@@ -1,21 +1,21 @@
-//! What errors of the system tell of: of this machine, or of whoever was called.
+//! Classifies system errors: whether they concern this machine or the peer.
 
 use rustix::io::Errno;
 use std::io;
 
-/// This machine is out of something.
+/// This machine is out of a resource.
 const SHORTAGES: [Errno; 5] = [Errno::MFILE, Errno::NFILE, Errno::NOMEM, Errno::NOBUFS, Errno::ADDRNOTAVAIL];
-/// This machine failed for a moment; the same call may do a little later.
+/// A transient failure of this machine; the same call may succeed a little later.
 const TRANSIENT: [Errno; 5] =
     [Errno::CONNABORTED, Errno::NETUNREACH, Errno::NETDOWN, Errno::INTR, Errno::AGAIN];
 
-/// Whether an error tells that this machine is out of descriptors, memory or ports.
+/// Whether an error means that this machine is out of descriptors, memory or ports.
 #[must_use]
 pub fn is_shortage(error: &io::Error) -> bool {
     is_one_of(error, &SHORTAGES)
 }
 
-/// Whether an error tells of a moment's failure of this machine, and nothing of whoever was called.
+/// Whether an error means a transient failure of this machine and says nothing about the peer.
 #[must_use]
 pub fn is_transient(error: &io::Error) -> bool {
     is_one_of(error, &TRANSIENT)
--- a/crates/net/src/tenants.rs
+++ b/crates/net/src/tenants.rs
@@ -1,10 +1,10 @@
-//! The tenants as a client's side needs them: by name those of the present settings, by number those of all.
+//! Lookup of tenants for the client side: by name among the current settings, by number among all versions of the settings.
 
 use linnetdeal_core::{Tenant, TenantId};
 use std::cell::{Ref, RefCell};
 use std::collections::HashMap;
 
-/// All tenants.
+/// The tenants of all versions of the settings.
 #[derive(Debug, Default)]
 pub struct Tenants {
     all: RefCell<Vec<Tenant>>,
@@ -12,20 +12,20 @@
 }
 
 impl Tenants {
-    /// Those of one version of the settings take the place of the ones before.
+    /// Replaces the tenants by those of a new version of the settings; `present` are the current ones.
     pub fn set(&self, all: &[Tenant], present: Vec<TenantId>) {
         let name = |id: &TenantId| all.get(id.0).map(|tenant| (tenant.name.clone(), *id));
         *self.present.borrow_mut() = present.iter().filter_map(name).collect();
         *self.all.borrow_mut() = all.to_vec();
     }
 
-    /// The tenant that is called so now; `None` for one that the settings don't name.
+    /// The tenant with this name in the current settings.
     #[must_use]
     pub fn named(&self, name: &str) -> Option<TenantId> {
         self.present.borrow().get(name).copied()
     }
 
-    /// Those of all versions, by number.
+    /// The tenants of all versions, by number.
     #[must_use]
     pub fn all(&self) -> Ref<'_, [Tenant]> {
         Ref::map(self.all.borrow(), Vec::as_slice)
--- a/crates/net/src/timer_queue.rs
+++ b/crates/net/src/timer_queue.rs
@@ -1,8 +1,8 @@
-//! Time limits, many of which are set and hardly any ever reached.
+//! A queue of timeouts that share one timer, for many timeouts of which hardly any expires.
 //!
-//! A timer of the reactor costs a call to the system and a needless turn of its loop whenever one is set, since the
-//! loop may be asleep for longer. All limits of attempts share one: it is set anew only where a limit is sooner
-//! than all before, and finds the next one when it rings.
+//! Setting a timer of the reactor costs a system call and a needless turn of its loop, which may be asleep for longer. All
+//! timeouts of attempts therefore share one timer. It is re-armed only for a timeout that is sooner than all others, and for
+//! the next one when it fires.
 
 use async_io::Timer;
 use event_listener::Event;
@@ -16,24 +16,24 @@
 
 type Key = (Instant, u64);
 
-/// All limits: one for each that waits.
+/// The timeouts that are being waited for.
 #[derive(Debug, Default)]
 pub struct TimerQueue {
     due: RefCell<BTreeMap<Key, Waker>>,
     last_id: Cell<u64>,
-    /// When the timer rings.
+    /// The time for which the shared timer is armed.
     armed_for: Cell<Option<Instant>>,
     rearm: Event,
 }
 
 impl TimerQueue {
-    /// Ends at `when`, or a little later.
+    /// A future that completes at `deadline` or shortly after.
     pub fn wait_until(&self, deadline: Instant) -> Timeout<'_> {
         self.last_id.set(self.last_id.get() + 1);
         Timeout { timers: self, key: (deadline, self.last_id.get()), registered: false }
     }
 
-    /// Wakes those whose time has come. Runs for ever.
+    /// Wakes the tasks whose timeouts have expired. Never returns.
     pub async fn run(&self) {
         loop {
             let rearm = self.rearm.listen();
@@ -54,7 +54,7 @@
         }
     }
 
-    /// How many limits are being waited for.
+    /// Number of timeouts that are being waited for.
     #[must_use]
     pub fn pending(&self) -> usize {
         self.due.borrow().len()
@@ -69,7 +69,7 @@
     }
 }
 
-/// A limit; it is set when it is first waited for, and taken back when dropped.
+/// A timeout; registered when it is first polled, and removed when dropped.
 #[derive(Debug)]
 pub struct Timeout<'a> {
     timers: &'a TimerQueue,
