--- a/crates/net/src/pg/backend.rs
+++ b/crates/net/src/pg/backend.rs
@@ -1,29 +1,29 @@
-//! What a server sends.
+//! Messages sent by a server.
 
 use super::{MAX_STREAMED_VALUE_SIZE, MAX_VALUE_SIZE, Message, PgError, bounded, text};
 use linnetdeal_core::{Field, Note, Role, Time};
 
-/// No position of a log is a Unix time in seconds beyond this.
+/// Upper limit for a log position, given as Unix time in seconds.
 const MAX_POSITION_S: f64 = 1e11;
 
 /// The SQLSTATE of an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Code(pub [u8; 5]);
 
-/// What matters among the fields of an ErrorResponse.
+/// The relevant fields of an ErrorResponse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorFields {
-    /// Its code.
+    /// The SQLSTATE.
     pub code: Code,
-    /// The connection ends with it.
+    /// Whether the connection ends with the error.
     pub fatal: bool,
 }
 
-/// Reads the fields of an ErrorResponse.
+/// Parses the fields of an ErrorResponse.
 ///
 /// # Errors
 ///
-/// When they don't hold together or there is no code of five bytes.
+/// When a field is not terminated or there is no code of five bytes.
 pub fn error_fields(body: &[u8]) -> Result<ErrorFields, PgError> {
     let malformed = PgError::Malformed("error fields");
     let (mut code, mut fatal, mut rest) = (None, false, body);
@@ -39,18 +39,18 @@
     code.map(|code| ErrorFields { code, fatal }).ok_or(malformed)
 }
 
-/// The first message in `data` from a server; `None` while it is not all there. What no answer has is known
-/// from its head, so that nothing of it is waited for.
+/// The first message in `data` from a server; `None` while it is incomplete. A message that no answer contains is recognized by
+/// its header, so that the rest of it is not waited for.
 ///
 /// # Errors
 ///
-/// When it is of no kind that a server sends here, or its length is not one that its kind has.
+/// When its type is not one that servers send here, or its length is not valid for its type.
 pub fn server_message(data: &[u8]) -> Result<Option<Message<'_>>, PgError> {
     let Some(&tag) = data.first() else { return Ok(None) };
     let is_large = |length: usize| (MAX_VALUE_SIZE + 11..=MAX_STREAMED_VALUE_SIZE + 10).contains(&length);
     let length =
         data.get(1..5).and_then(|word| word.first_chunk()).map(|word| u32::from_be_bytes(*word) as usize);
-    // Whether it is a row that is passed on in pieces shows in its whole head, which may come in pieces itself.
+    // Whether a row is one that is streamed is only known from its complete header, which may arrive in pieces itself.
     if tag == b'D' && data.len() < 11 && length.is_some_and(is_large) {
         return Ok(None);
     }
@@ -66,8 +66,8 @@
     bounded(data, max_length)
 }
 
-/// The size of the message at the front of `data`, if it is a row of one value that is too long to be held: it is known from
-/// its head. A length that no such row has is left for [`server_message`] to refuse.
+/// The size of the message at the front of `data` if it is a row with one value that is too large to be buffered, which is
+/// known from its header. A length that no such row has is left to [`server_message`] to reject.
 #[must_use]
 pub fn large_row(data: &[u8]) -> Option<usize> {
     let (&[b'D', a, b, c, d, 0, 1, e, f, g, h], _) = data.split_first_chunk::<11>()? else { return None };
@@ -76,8 +76,8 @@
     large.then_some(1 + length)
 }
 
-/// One answer, taken message by message: RowDescription of one column, one DataRow, CommandComplete; or an
-/// ErrorResponse. ReadyForQuery ends it. Anything else spoils it, and nothing that it told counts.
+/// The state of one answer, which takes its messages one by one: RowDescription of one column, one DataRow and
+/// CommandComplete, or an ErrorResponse; then ReadyForQuery. Any other message invalidates the whole answer.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
     stage: Stage,
@@ -95,16 +95,16 @@
     Ready,
 }
 
-/// What a message is in an answer.
+/// The meaning of a message within an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerPart {
-    /// A message of the value, to be passed on; the row's value is the last so many bytes of it.
+    /// Part of the result, to be passed on. The value of a row is the last bytes of its message; this is their number.
     Value(usize),
-    /// Nothing to pass on.
+    /// Not passed on.
     Ignored,
-    /// The end of the connection comes with it.
+    /// An error with which the connection ends.
     Fatal,
-    /// The answer is over.
+    /// The end of the answer.
     Ready,
 }
 
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     ///
-    /// When it has no place there, or does not hold together: the answer is spoilt.
+    /// When the message is not allowed here or is malformed: the answer is invalid.
     pub fn take(&mut self, message: &Message<'_>) -> Result<AnswerPart, PgError> {
         let (body, part) = (message.body, AnswerPart::Value(0));
         let (stage, part) = match (self.stage, message.tag) {
@@ -150,39 +150,39 @@
         self.stage == Stage::Described
     }
 
-    /// The row has been passed on by other means.
+    /// Records that the row was streamed, without [`Answer::take`].
     pub fn skip_row(&mut self) {
         if self.expects_row() {
             self.stage = Stage::Row;
         }
     }
 
-    /// Whether the value, or the error, is all there.
+    /// Whether the result, or the error, is complete.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         matches!(self.stage, Stage::Complete | Stage::Failed(_))
     }
 
-    /// The code of the error that it is, if it is one.
+    /// The code of the error, if the answer is one.
     #[must_use]
     pub fn error_code(&self) -> Option<Code> {
         if let Stage::Failed(fields) = self.stage { Some(fields.code) } else { None }
     }
 
-    /// What came beside it.
+    /// What the server reported beside the answer.
     #[must_use]
     pub fn into_status(self) -> StatusParameters {
         self.status
     }
 }
 
-/// Whether a RowDescription describes one column.
+/// Whether a RowDescription describes exactly one column.
 fn describes_one_column(body: &[u8]) -> bool {
     let Some((&[0, 1], rest)) = body.split_first_chunk::<2>() else { return false };
     text(rest, "column").is_ok_and(|(_, rest)| rest.len() == 18)
 }
 
-/// Whether the body of a CommandComplete is one.
+/// Whether the body of a CommandComplete is valid.
 fn is_command_tag(body: &[u8]) -> bool {
     text(body, "tag").is_ok_and(|(tag, rest)| {
         rest.is_empty() && !tag.is_empty() && tag.bytes().all(|byte| byte == b' ' || byte.is_ascii_graphic())
@@ -193,7 +193,7 @@
 ///
 /// # Errors
 ///
-/// When they are not two texts.
+/// When the body does not consist of two strings.
 pub fn parameter(body: &[u8]) -> Result<(&str, &str), PgError> {
     let (name, rest) = text(body, "parameter")?;
     match text(rest, "parameter")? {
@@ -202,7 +202,7 @@
     }
 }
 
-/// Whether the body of a ReadyForQuery is one.
+/// Whether the body of a ReadyForQuery is valid.
 #[must_use]
 pub fn is_ready_for_query(body: &[u8]) -> bool {
     matches!(body, [b'I' | b'T' | b'E'])
@@ -212,7 +212,7 @@
 ///
 /// # Errors
 ///
-/// When it is no row of just one column.
+/// When the row does not have exactly one column.
 pub fn row_value(body: &[u8]) -> Result<Option<&[u8]>, PgError> {
     let malformed = PgError::Malformed("row");
     let Some((&[0, 1], rest)) = body.split_first_chunk::<2>() else { return Err(malformed) };
@@ -224,22 +224,22 @@
     }
 }
 
-/// What the ParameterStatus messages beside an answer tell of its server.
+/// What the ParameterStatus messages beside an answer tell about its server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StatusParameters {
     role: Option<Role>,
     position: Option<Time>,
-    /// The load report, by name.
+    /// The load report as it was sent.
     gauges: Option<String>,
 }
 
 impl StatusParameters {
-    /// Takes one parameter; those that mean nothing here are passed over.
+    /// Records one parameter; unknown ones are ignored.
     pub fn record(&mut self, name: &str, value: &str) {
         match (name, value) {
             ("part", "master") => self.role = Some(Role::Primary),
             ("part", "replica") => self.role = Some(Role::Replica),
-            // A Unix time in milliseconds; the module counts in microseconds.
+            // Unix time in milliseconds; the router uses microseconds.
             ("caught_up_to", value) => {
                 let ms = value.parse().ok().filter(|ms| (0.0..1e14).contains(ms));
                 self.position = ms.map(|ms: f64| Time((ms * 1_000.0) as i64));
@@ -249,22 +249,22 @@
         }
     }
 
-    /// The note, if the server said anything of its role or position.
+    /// The server's role and position, if it reported either.
     #[must_use]
     pub fn note(&self) -> Option<Note> {
         let known = self.role.is_some() || self.position.is_some();
         known.then_some(Note { role: self.role, position: self.position })
     }
 
-    /// The load report that came along, in the order of `fields`.
+    /// The load report, with the values in the order of `fields`.
     #[must_use]
     pub fn report(&self, fields: &[(String, Field)]) -> Option<Vec<f64>> {
         self.gauges.as_deref().and_then(|gauges| load_report(gauges, fields))
     }
 }
 
-/// A load report such as `inflight=7,util=0.61` in the order of `fields`. One that lacks a field, has it twice or
-/// gives it a value that it can't have is no report, and changes nothing.
+/// Parses a load report such as `inflight=7,util=0.61`, with the values in the order of `fields`. A report in which a field is
+/// missing, repeated or out of range is ignored.
 #[must_use]
 pub fn load_report(gauges: &str, fields: &[(String, Field)]) -> Option<Vec<f64>> {
     let pairs: Option<Vec<_>> = gauges.split(',').map(|pair| pair.trim().split_once('=')).collect();
--- a/crates/net/src/pg/comment.rs
+++ b/crates/net/src/pg/comment.rs
@@ -1,50 +1,50 @@
-//! The statement of a request: the comment that says what is asked, and the quoted key.
+//! The statement of a request: the comment that describes the request, and the quoted key.
 
 use super::PgError;
 use std::ops::Range;
 
-/// The longest id that a request may have.
+/// Maximum length of a request's id.
 const MAX_ID_LEN: usize = 64;
 
-/// What the comment of a request says.
+/// The contents of a request's comment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Comment<'a> {
     /// The client's id of the request.
     pub id: &'a str,
-    /// The class.
+    /// Name of the class.
     pub class: &'a str,
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: Option<&'a str>,
-    /// Its client marks it as a retry.
+    /// Whether the client marked the request as a retry.
     pub retry: bool,
     /// How long the client waits, in milliseconds.
     pub timeout_ms: f64,
-    /// Where that number stands in the statement: it is rewritten for each attempt.
+    /// The position of that number in the statement; it is rewritten for each attempt.
     pub timeout_range: Range<usize>,
     /// The group.
     pub group: i64,
-    /// The time of the session's last commit, Unix time in milliseconds, where clients carry it.
+    /// The session's last commit as Unix time in milliseconds, if the client reports it.
     pub last_commit_ms: Option<f64>,
 }
 
-/// What a statement asks of the pooler.
+/// The kind of a statement.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StatementKind<'a> {
-    /// Nothing at all.
+    /// An empty statement.
     Empty,
-    /// A change of the session's own state, which has no effect here: the command's tag.
+    /// A change of session state, which has no effect in the pooler; holds the command tag.
     SessionCommand(&'static str),
-    /// A request to route.
+    /// A request to be routed.
     Request(Comment<'a>),
-    /// Anything else, which is not served.
+    /// Any other statement, which is not served.
     Unsupported,
 }
 
-/// Reads a statement.
+/// Parses a statement.
 ///
 /// # Errors
 ///
-/// When it has a comment of a request that lacks a part or has an unreadable one.
+/// When it has a request's comment in which a field is missing or malformed.
 pub fn parse_statement(statement: &str) -> Result<StatementKind<'_>, PgError> {
     let trimmed = statement.trim_matches(|c: char| c.is_ascii_whitespace() || c == ';');
     if trimmed.is_empty() {
@@ -58,7 +58,7 @@
     Ok(command.map_or(StatementKind::Unsupported, StatementKind::SessionCommand))
 }
 
-/// Where the inside of the comment at the end stands.
+/// The position of the text within the comment at the end of a statement.
 fn comment_at(statement: &str) -> Option<Range<usize>> {
     let end =
         statement.trim_end_matches(|c: char| c.is_ascii_whitespace() || c == ';').strip_suffix("*/")?.len();
@@ -88,7 +88,7 @@
     }
     let missing = PgError::Malformed("request comment");
     let (timeout, timeout_range) = timeout.ok_or(missing)?;
-    // No sign, no exponent, no 'inf' or 'nan', all of which the standard library would read.
+    // The standard library would also accept a sign, an exponent, 'inf' and 'nan'.
     let is_decimal = timeout.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     let timeout_ms =
         timeout.parse().ok().filter(|ms| is_decimal && (0.0..1e9).contains(ms)).ok_or(missing)?;
@@ -97,13 +97,13 @@
     Ok(Comment { id, class, tenant, retry, timeout_ms, timeout_range, group, last_commit_ms })
 }
 
-/// Whether a client's id of a request can be one.
+/// Whether a client's id of a request is valid.
 fn is_id(id: &str) -> bool {
     (1..=MAX_ID_LEN).contains(&id.len())
         && id.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-')
 }
 
-/// The first quoted text of a statement, without its quotes; a doubled quote in it stays doubled.
+/// The first quoted string of a statement, without its quotes; doubled quotes in it stay doubled.
 #[must_use]
 pub fn quoted_key(statement: &str) -> Option<&str> {
     let start = statement.find('\'')? + 1;
--- a/crates/net/src/pg/frontend.rs
+++ b/crates/net/src/pg/frontend.rs
@@ -1,15 +1,15 @@
-//! What a client sends.
+//! Messages sent by a client.
 
 use super::{MAX_STARTUP_SIZE, PgError, length, text};
 
 /// The message that opens a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Startup {
-    /// A wish for TLS or GSS encryption, answered with one byte; another startup message follows.
+    /// A request for TLS or GSS encryption, answered with one byte; another startup message follows.
     Encryption,
     /// A request to cancel a query; it gets no answer.
     Cancel,
-    /// A session begins.
+    /// The start of a session.
     Session,
 }
 
@@ -18,11 +18,11 @@
 const TLS: u16 = 5679;
 const GSS: u16 = 5680;
 
-/// The startup message in `data` and its size; `None` while it is not all there.
+/// The startup message in `data` and its size; `None` while it is incomplete.
 ///
 /// # Errors
 ///
-/// When its length or version is impossible.
+/// When its length or version is not valid.
 pub fn startup(data: &[u8]) -> Result<Option<(Startup, usize)>, PgError> {
     let Some(size) = length(data, MAX_STARTUP_SIZE)? else { return Ok(None) };
     let Some(body) = data.get(4..size) else { return Ok(None) };
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// When it is no text with a zero byte at its end.
+/// When it is not UTF-8 text with a terminating zero byte.
 pub fn query_text(body: &[u8]) -> Result<&str, PgError> {
     match text(body, "query")? {
         (statement, []) => Ok(statement),
--- a/crates/net/src/pg/write.rs
+++ b/crates/net/src/pg/write.rs
@@ -1,6 +1,6 @@
-//! Messages that the pooler itself writes, appended to a buffer.
+//! Messages that the pooler writes, appended to a buffer.
 
-/// How grave an error is.
+/// The severity of an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
     /// The query has failed.
@@ -9,7 +9,7 @@
     Fatal,
 }
 
-/// Appends a message whose body `fill` writes.
+/// Appends a message whose body is written by `fill`.
 fn message(out: &mut Vec<u8>, tag: u8, fill: impl FnOnce(&mut Vec<u8>)) {
     out.push(tag);
     let at = out.len();
@@ -24,7 +24,7 @@
     out.push(0);
 }
 
-/// The answer to a startup message: welcome, and ready.
+/// The answer to a startup message: AuthenticationOk, parameters, BackendKeyData and ReadyForQuery.
 pub fn session_start(out: &mut Vec<u8>, process: u32, secret: u32) {
     message(out, b'R', |out| out.extend_from_slice(&0_u32.to_be_bytes()));
     let parameters = [
@@ -63,7 +63,7 @@
     message(out, b'C', |out| text(out, tag));
 }
 
-/// ErrorResponse; `detail` is its field D.
+/// ErrorResponse; `detail` becomes its field D.
 pub fn error_response(
     out: &mut Vec<u8>,
     severity: Severity,
@@ -103,7 +103,7 @@
     message(out, b'Q', |out| text(out, statement));
 }
 
-/// The head of a simple query whose statement, of so many bytes with its zero byte, is written after it.
+/// The header of a simple query. Its statement of `statement` bytes, including the zero byte, is written after it.
 #[must_use]
 pub fn query_head(statement: usize) -> [u8; 5] {
     let [a, b, c, d] = u32::try_from(statement + 4).unwrap_or(u32::MAX).to_be_bytes();
--- a/crates/net/tests/parsers.rs
+++ b/crates/net/tests/parsers.rs
@@ -1,4 +1,5 @@
-//! The parsers on anything at all: no panic, and no message before its last byte is there.
+//! The parsers on arbitrary input: no panic, and no message before its last byte has arrived. Also files that processes share,
+//! inherited sockets and invalid configurations.
 
 use linnetdeal_core::Field;
 use linnetdeal_net::{http, pg};
@@ -9,7 +10,7 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_bytes_make_a_parser_panic(data in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_make_no_parser_panic(data in prop::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(Some(message)) = pg::message(&data) {
             prop_assert!(message.size <= data.len() && message.body.len() == message.size - 5);
         }
@@ -23,7 +24,7 @@
     }
 
     #[test]
-    fn a_cut_message_is_waited_for(body in prop::collection::vec(any::<u8>(), 0..100), tag: u8, cut in 0.0..1.0) {
+    fn an_incomplete_message_is_waited_for(body in prop::collection::vec(any::<u8>(), 0..100), tag: u8, cut in 0.0..1.0) {
         let mut data = vec![tag];
         data.extend_from_slice(&(body.len() as u32 + 4).to_be_bytes());
         data.extend_from_slice(&body);
@@ -33,7 +34,7 @@
     }
 
     #[test]
-    fn an_answer_is_one_value_or_one_error_and_nothing_else(tags in "[TDCESNZ]{1,7}") {
+    fn an_answer_is_one_value_or_one_error(tags in "[TDCESNZ]{1,7}") {
         let column = [&b"\0\x01content\0"[..], &[0; 18]].concat();
         let body = |tag: char| match tag {
             'T' => column.clone(),
@@ -46,53 +47,53 @@
         };
         let mut answer = pg::Answer::default();
         let mut passed = 0;
-        let ended = tags.chars().map(|tag| {
+        let parts = tags.chars().map(|tag| {
             let body = body(tag);
             let part = answer.take(&pg::Message { tag: tag as u8, body: &body, size: 5 + body.len() });
             passed += usize::from(matches!(part, Ok(pg::AnswerPart::Value(_))));
             part
         });
-        // Up to what spoils or ends it.
-        let ended = ended.take_while(Result::is_ok).map(Result::unwrap).find(|part| *part == pg::AnswerPart::Ready);
-        let own: String = tags.chars().filter(|tag| !"SN".contains(*tag)).collect();
-        let good = own.starts_with("TDCZ") || own.starts_with("EZ");
-        prop_assert_eq!(ended.is_some(), good, "{}", tags);
-        if good {
-            prop_assert_eq!((passed, answer.error_code().is_none()), if own.starts_with('T') { (3, true) } else { (0, false) });
+        // Up to the message that invalidates or ends the answer.
+        let ended = parts.take_while(Result::is_ok).map(Result::unwrap).find(|part| *part == pg::AnswerPart::Ready);
+        let relevant: String = tags.chars().filter(|tag| !"SN".contains(*tag)).collect();
+        let valid = relevant.starts_with("TDCZ") || relevant.starts_with("EZ");
+        prop_assert_eq!(ended.is_some(), valid, "{}", tags);
+        if valid {
+            prop_assert_eq!((passed, answer.error_code().is_none()), if relevant.starts_with('T') { (3, true) } else { (0, false) });
         }
     }
 
     #[test]
-    fn a_load_report_that_can_not_be_is_none(gauges in "(x0=(1767225600.5|inf|1e99|-1|)|x1=(0|1|2|nan)|x2=1|noise){1}(,(x1=(0|1|7)|x0=5))?") {
+    fn an_invalid_load_report_is_ignored(gauges in "(x0=(1767225600.5|inf|1e99|-1|)|x1=(0|1|2|nan)|x2=1|noise){1}(,(x1=(0|1|7)|x0=5))?") {
         let fields = [("x0".to_owned(), Field::Position), ("x1".to_owned(), Field::Primary)];
-        let good = ["x0=1767225600.5,x1=0", "x0=1767225600.5,x1=1", "x1=0,x0=5", "x1=1,x0=5"];
-        prop_assert_eq!(pg::load_report(&gauges, &fields).is_some(), good.contains(&gauges.as_str()), "{}", gauges);
+        let valid = ["x0=1767225600.5,x1=0", "x0=1767225600.5,x1=1", "x1=0,x0=5", "x1=1,x0=5"];
+        prop_assert_eq!(pg::load_report(&gauges, &fields).is_some(), valid.contains(&gauges.as_str()), "{}", gauges);
     }
 
     #[test]
-    fn a_request_comment_gives_the_place_of_its_wait(wait in 0_u32..100_000, key in "[a-z'é/*]{0,12}") {
+    fn a_request_comment_has_the_position_of_its_timeout(timeout_ms in 0_u32..100_000, key in "[a-z'é/*]{0,12}") {
         let key = key.replace('\'', "''");
-        let statement = format!("SELECT content FROM kv WHERE name = '{key}' /* id=9b, c=menu,d={wait}, cluster=2 */");
+        let statement = format!("SELECT content FROM kv WHERE name = '{key}' /* id=9b, c=menu,d={timeout_ms}, cluster=2 */");
         let Ok(pg::StatementKind::Request(comment)) = pg::parse_statement(&statement) else { panic!("{statement}") };
-        prop_assert_eq!(&statement[comment.timeout_range.clone()], wait.to_string());
+        prop_assert_eq!(&statement[comment.timeout_range.clone()], timeout_ms.to_string());
         prop_assert_eq!((comment.class, comment.group, comment.last_commit_ms), ("menu", 2, None));
         prop_assert_eq!(pg::quoted_key(&statement), Some(key.as_str()));
     }
 }
 
 #[test]
-fn a_request_comment_tells_whose_it_is_and_what_its_client_marks_as_a_retry() {
-    let told = |more: &str| match pg::parse_statement(&format!("SELECT 1 /* id=9b,c=menu{more},d=480 */")) {
+fn a_request_comment_has_the_tenant_and_the_retry_mark() {
+    let parse = |more: &str| match pg::parse_statement(&format!("SELECT 1 /* id=9b,c=menu{more},d=480 */")) {
         Ok(pg::StatementKind::Request(comment)) => (comment.tenant.map(str::to_owned), comment.retry),
         other => panic!("{other:?}"),
     };
-    assert_eq!(told(""), (None, false));
-    assert_eq!(told(", t = acme & sons ,r=1"), (Some("acme & sons".to_owned()), true));
-    assert_eq!(told(",r=0,t="), (Some(String::new()), false));
+    assert_eq!(parse(""), (None, false));
+    assert_eq!(parse(", t = acme & sons ,r=1"), (Some("acme & sons".to_owned()), true));
+    assert_eq!(parse(",r=0,t="), (Some(String::new()), false));
 }
 
 #[test]
-fn two_processes_share_who_is_out_by_hand_and_which_is_the_newest() {
+fn two_processes_share_the_operator_drains_and_which_process_is_the_newest() {
     use linnetdeal_core::MemberId;
     use linnetdeal_core::hot_restart::DrainChanges;
     use linnetdeal_net::succession::SharedState;
@@ -116,22 +117,26 @@
             back: vec![]
         }
     );
-    // What either ends, both end; what one calls twice, changes nothing.
+    // Either process can end a drain for both; repeating a call changes nothing.
     newer.set_operator_drain(&ids[0], false).unwrap();
     newer.set_operator_drain(&ids[0], false).unwrap();
     assert_eq!(
         older.poll_operator_drains().unwrap().0,
         DrainChanges { out: vec![], back: vec![ids[0].clone()] }
     );
-    assert_eq!(newer.poll_operator_drains().unwrap().0, DrainChanges::default(), "the own call is no news");
+    assert_eq!(
+        newer.poll_operator_drains().unwrap().0,
+        DrainChanges::default(),
+        "a process does not see its own calls as changes"
+    );
     newer.register_as_newest().unwrap();
     assert!(older.is_superseded() && !newer.is_superseded());
-    // Files of nobody's are counted and passed over; a folder that is gone brings nobody back.
-    for strange in ["zz", "7", "ff", "s-1"] {
-        std::fs::write(folder.join("linnetdeal.out").join(strange), "x").unwrap();
+    // Unknown files are counted and ignored, and end no drain.
+    for unknown in ["zz", "7", "ff", "s-1"] {
+        std::fs::write(folder.join("linnetdeal.out").join(unknown), "x").unwrap();
     }
     assert_eq!(older.poll_operator_drains().unwrap(), (DrainChanges::default(), 4));
-    // More than can be bans are not all held, and bring nobody back either.
+    // Too many files are an error, and so is a missing folder; neither ends a drain.
     (0..10_200)
         .for_each(|at| std::fs::write(folder.join("linnetdeal.out").join(format!("z{at}")), "").unwrap());
     assert!(older.poll_operator_drains().is_err());
@@ -144,12 +149,12 @@
 }
 
 #[test]
-fn processes_of_one_place_see_each_other_live_and_keep_no_more_than_the_newest_record() {
+fn processes_see_whether_another_one_lives_and_keep_only_the_newest_record() {
     use linnetdeal_net::succession::SharedState;
     let folder = std::env::temp_dir().join(format!("linnetdeal-alive-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let older = SharedState::open(&folder).unwrap();
-    assert!(!older.is_alone(), "nothing is said to be clear without an own lock");
+    assert!(!older.is_alone(), "without a lock of its own a process can't tell");
     older.register_as_newest().unwrap();
     assert!(older.is_alone() && !older.has_other_process());
     older.write_work((7, 1), b"one").unwrap();
@@ -161,8 +166,12 @@
     assert_eq!(newer.read_work().as_deref(), Some(&b"one"[..]));
     newer.write_work((7, 2), b"two").unwrap();
     older.write_work((6, 9), b"old").unwrap();
-    assert_eq!(older.read_work().as_deref(), Some(&b"two"[..]), "the newest counts, whoever wrote last");
-    // Whoever ends, however it ends, leaves the place; and what many have left behind goes.
+    assert_eq!(
+        older.read_work().as_deref(),
+        Some(&b"two"[..]),
+        "the newest record counts, whichever process wrote last"
+    );
+    // A process that ends in any way counts as gone, and the files of many ended ones are removed.
     drop(newer);
     assert!(older.successor_is_dead() && older.is_alone() && !older.is_superseded());
     for start in 0..20 {
@@ -178,25 +187,26 @@
 }
 
 #[test]
-fn a_listener_that_was_handed_down_takes_clients() {
+fn an_inherited_listener_accepts_clients() {
     use std::os::fd::AsRawFd;
-    let held = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let own = linnetdeal_net::frontend::inherit(held.as_raw_fd()).unwrap();
-    let client = std::net::TcpStream::connect(held.local_addr().unwrap()).unwrap();
-    let (_, from) = futures_lite::future::block_on(own.accept()).unwrap();
+    let platform_socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let inherited = linnetdeal_net::frontend::inherit(platform_socket.as_raw_fd()).unwrap();
+    let client = std::net::TcpStream::connect(platform_socket.local_addr().unwrap()).unwrap();
+    let (_, from) = futures_lite::future::block_on(inherited.accept()).unwrap();
     assert_eq!(from, client.local_addr().unwrap());
-    // What is no listening TCP socket is refused with its number.
+    // Any other descriptor is refused, and the error names its number.
     let (file, udp) =
         (std::fs::File::open("/dev/null").unwrap(), std::net::UdpSocket::bind("127.0.0.1:0").unwrap());
-    for wrong in [1_000_000, file.as_raw_fd(), udp.as_raw_fd(), client.as_raw_fd()] {
-        let error = linnetdeal_net::frontend::inherit(wrong).unwrap_err().to_string();
-        assert!(error.starts_with(&format!("descriptor {wrong}")), "{error}");
+    for number in [1_000_000, file.as_raw_fd(), udp.as_raw_fd(), client.as_raw_fd()] {
+        let error = linnetdeal_net::frontend::inherit(number).unwrap_err().to_string();
+        assert!(error.starts_with(&format!("descriptor {number}")), "{error}");
     }
 }
 
-/// A file that is broken in one place is refused whole, with the place: taken in part, its address of discovery led nowhere.
+/// A file with one invalid value is refused as a whole, with the place of the error: in a partly accepted one, the address of
+/// discovery led nowhere.
 #[test]
-fn a_configuration_with_a_deadline_or_attempts_not_above_0_is_refused() {
+fn a_configuration_with_a_deadline_or_attempt_limit_not_above_0_is_refused() {
     use linnetdeal_net::config::Config;
     let with = |deadline: &str, attempts: &str| {
         format!(
--- a/crates/net/tests/timer_queue.rs
+++ b/crates/net/tests/timer_queue.rs
@@ -1,4 +1,4 @@
-//! Limits that share one timer end each at its own time.
+//! Timeouts that share one timer expire each at its own time.
 
 use async_io::{Timer, block_on};
 use futures_lite::future::{or, poll_once, zip};
@@ -6,27 +6,27 @@
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
 
-const AN_HOUR: Duration = Duration::from_secs(3_600);
+const ONE_HOUR: Duration = Duration::from_secs(3_600);
 
-/// Does `work` while the timers run; a broken one fails in place of hanging.
-fn with<T>(timers: &TimerQueue, work: impl Future<Output = T>) -> T {
+/// Runs `work` together with the timers. If a timeout never expires, the test fails instead of hanging.
+fn run_with<T>(timers: &TimerQueue, work: impl Future<Output = T>) -> T {
     let run = async {
         timers.run().await;
         None
     };
-    let hangs = async {
+    let test_timeout = async {
         Timer::after(Duration::from_secs(30)).await;
         None
     };
-    block_on(or(or(async { Some(work.await) }, run), hangs)).expect("a limit was never told")
+    block_on(or(or(async { Some(work.await) }, run), test_timeout)).expect("a timeout did not expire")
 }
 
 #[test]
-fn one_that_is_sooner_than_those_before_rings_first() {
+fn timeouts_expire_in_order_of_time_not_of_registration() {
     let timers = TimerQueue::default();
     let now = Instant::now();
     let order = RefCell::new(Vec::new());
-    let one = |ms: u64| {
+    let timeout = |ms: u64| {
         let (timers, order) = (&timers, &order);
         async move {
             let at = now + Duration::from_millis(ms);
@@ -35,12 +35,12 @@
             order.borrow_mut().push(ms);
         }
     };
-    // The hour is set first, and the timer with it.
+    // The longest timeout is registered first, which arms the timer.
     let hour = async {
-        timers.wait_until(now + AN_HOUR).await;
+        timers.wait_until(now + ONE_HOUR).await;
     };
-    let work = zip(one(60), zip(one(20), one(40)));
-    with(
+    let work = zip(timeout(60), zip(timeout(20), timeout(40)));
+    run_with(
         &timers,
         or(
             async {
@@ -54,25 +54,25 @@
 }
 
 #[test]
-fn what_is_dropped_is_forgotten_and_nobody_is_woken_for_it() {
+fn a_dropped_timeout_is_removed() {
     let timers = TimerQueue::default();
-    let at = Instant::now() + AN_HOUR;
-    with(&timers, async {
-        let mut many: Vec<_> = (0..100).map(|_| timers.wait_until(at)).collect();
-        assert_eq!(timers.pending(), 0, "set only once they are waited for");
-        for one in &mut many {
-            assert!(poll_once(one).await.is_none());
+    let at = Instant::now() + ONE_HOUR;
+    run_with(&timers, async {
+        let mut timeouts: Vec<_> = (0..100).map(|_| timers.wait_until(at)).collect();
+        assert_eq!(timers.pending(), 0, "registered only when first polled");
+        for timeout in &mut timeouts {
+            assert!(poll_once(timeout).await.is_none());
         }
         assert_eq!(timers.pending(), 100);
-        drop(many);
+        drop(timeouts);
         assert_eq!(timers.pending(), 0);
-        // One that follows is told all the same.
+        // A later timeout still expires.
         timers.wait_until(Instant::now() + Duration::from_millis(10)).await;
     });
 }
 
 #[test]
-fn a_time_that_is_over_ends_at_once() {
+fn a_time_in_the_past_expires_at_once() {
     let timers = TimerQueue::default();
     assert!(block_on(poll_once(timers.wait_until(Instant::now()))).is_some());
     assert_eq!(timers.pending(), 0);
