--- a/crates/core/src/choice.rs
+++ b/crates/core/src/choice.rs
@@ -643,9 +643,9 @@
                     self.observe_primary(now, &member, at.min(now));
                     self.peers.suppress_announcement(&member);
                 }
-                Observation::Answers { member, answers, late, pace } => {
+                Observation::Answers { member, answers, late, latency_ratio } => {
                     let Some(m) = self.members.get_mut(&member) else { continue };
-                    m.slowness.observe(now, answers, pace);
+                    m.slowness.observe(now, answers, latency_ratio);
                     m.record_success(answers - late);
                     let (gid, role, late_counts) = (m.group, m.role(), [f64::from(late), f64::from(answers)]);
                     self.late_answers[role].add(now, DECAY_US, late_counts);
--- a/crates/core/src/peers.rs
+++ b/crates/core/src/peers.rs
@@ -1,332 +1,356 @@
-//! What poolers tell each other: who was shown to be a primary, and how members have answered. Pure: the host carries
-//! datagrams, which may come late, twice or never; nothing here is needed for a decision to be right.
+//! Gossip between poolers: which member was shown to be a primary, and how quickly members have answered. No I/O: the host
+//! carries the datagrams, which may be late, duplicated or lost. Decisions are correct without them.
 //!
-//! Of a hundred poolers each sees one request in a hundred, and learns alone that a primary has changed or that a
-//! member is slow after so much time that it no longer matters. So each tells *news*, a primary that was not known to be
-//! one, to all at once, unless it has heard the same; and at intervals what it has *seen* of members since, to a few
-//! others by chance. Both are paid for from one allowance of bytes, which the own requests earn by the price in the
-//! settings, so that the whole fleet's messages cost a fixed small part of G whatever its size.
+//! With a hundred poolers each sees one request in a hundred. On its own it would notice a change of primary or a slow
+//! member so late that the knowledge would be of no use. A pooler therefore announces a new primary to all others at once,
+//! unless it has learned of it from one of them, and sends its answer statistics at intervals to a few others chosen at
+//! random. Both are limited by one budget of bytes that the pooler's own requests earn at the price in the settings, so that
+//! the messages of the whole fleet cost a fixed small fraction of the service objective G, whatever its size.
 //!
-//! A datagram is a header (version, site, time of sending), facts of seven bytes each and a checksum. What is cut,
-//! altered, of another site, from the future, old, or no newer than the last from the same pooler is dropped whole. A
-//! fact of a member that is not on the own list is passed over.
+//! A datagram consists of a header (version, site, time of sending), observations of seven bytes each and a checksum. One
+//! that is truncated, altered, from another site, from the future, too old, or not newer than the last from the same pooler
+//! is dropped as a whole. Observations of members that are not on this pooler's list are ignored.
 
 use crate::interface::*;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::BTreeMap;
 
-/// No datagram is longer, in bytes.
+/// The maximum length of a datagram, in bytes.
 pub const MAX_DATAGRAM_LEN: usize = 256;
 const VERSION: u8 = 1;
-const HEADER: usize = 11;
-const FACT: usize = 7;
-const CHECK: usize = 4;
-/// Facts in a datagram at most.
-pub const MAX_OBSERVATIONS: usize = (MAX_DATAGRAM_LEN - HEADER - CHECK) / FACT;
-/// The part of G that messages may cost, all in all.
-const ALLOWED: f64 = 0.004;
-/// Bytes of one full message for each request cost the price in the settings.
-const FULL: f64 = 256.0;
-/// How much of the allowance is saved up, and how far news may overdraw it: so many full messages to all.
-const SAVED: f64 = 1.0;
-const OVERDRAWN: f64 = 2.0;
-/// How often what was seen is told, at the least; up to half as much is added by chance.
-const EVERY: Span = Span::millis(400);
-/// So many others are told of what was seen at most; some are drawn twice.
-const MOST_TOLD: u32 = 16;
-/// A datagram older than this, or from later than the clocks' difference allows, is of no use.
-const OLDEST: Span = Span::millis(5_000);
-const AHEAD: Span = Span::millis(1_000);
-/// A member's pace as a byte: so many steps to a doubling.
-const STEPS: f64 = 16.0;
+const HEADER_LEN: usize = 11;
+const OBSERVATION_LEN: usize = 7;
+const CHECKSUM_LEN: usize = 4;
+/// The maximum number of observations in a datagram.
+pub const MAX_OBSERVATIONS: usize = (MAX_DATAGRAM_LEN - HEADER_LEN - CHECKSUM_LEN) / OBSERVATION_LEN;
+/// The fraction of G that all messages together may cost.
+const COST_SHARE: f64 = 0.004;
+/// The size of the full message to which the price in the settings refers: one of them per request costs that price.
+const FULL_DATAGRAM_BYTES: f64 = 256.0;
+/// How much unspent budget may accumulate, and how far announcements may overdraw it, in full messages to all poolers.
+const MAX_SAVED_BROADCASTS: f64 = 1.0;
+const MAX_OVERDRAWN_BROADCASTS: f64 = 2.0;
+/// The minimum interval between sending answer statistics; random jitter adds up to half as much.
+const SEND_INTERVAL: Span = Span::millis(400);
+/// The number of receivers drawn for answer statistics; the draws are independent, so that some are drawn twice.
+const FANOUT: u32 = 16;
+/// Datagrams older than the maximum age are dropped, as are those sent in the future by more than the allowed clock skew.
+const MAX_AGE: Span = Span::millis(5_000);
+const MAX_CLOCK_SKEW: Span = Span::millis(1_000);
+/// A latency ratio is encoded logarithmically in one byte, with this many steps per factor of two.
+const STEPS_PER_DOUBLING: f64 = 16.0;
 
-/// Whom a datagram is for.
+/// The receivers of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum To {
-    /// Every other pooler.
+    /// All other poolers.
     All,
-    /// The pooler of this number.
+    /// The pooler with this number.
     One(u32),
 }
 
-/// What a pooler tells of a member.
+/// What a pooler has observed of a member.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
-    /// It was shown to be the primary as of this time.
+    /// The member proved to be the primary.
     Primary {
         /// The member.
         member: MemberId,
-        /// When.
+        /// When it proved so.
         at: Time,
     },
-    /// It answered, or did not in time.
+    /// Statistics of the member's answers, including those that timed out.
     Answers {
         /// The member.
         member: MemberId,
-        /// How often.
+        /// The number of answers.
         answers: u32,
-        /// How many of these not in good time.
+        /// How many of them were late.
         late: u32,
-        /// The mean time that they took, as a multiple of what is usual for their classes.
-        pace: f64,
+        /// Their mean latency, as a multiple of the usual latency of their classes.
+        latency_ratio: f64,
     },
 }
 
+/// Answers of a member since they were last sent to other poolers.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct AnswerStats {
     answers: u32,
     late: u32,
-    pace: f64,
+    latency_ratio_sum: f64,
 }
 
-/// One pooler's side of the talk.
+/// One pooler's side of the gossip.
 #[derive(Clone, Debug)]
 pub struct Gossip {
-    on: bool,
-    /// The settings allow it still.
-    allowed: bool,
+    /// Whether gossip was possible at the start: the settings allowed it and the fleet has other poolers.
+    available: bool,
+    /// Whether the current settings allow messages.
+    enabled: bool,
     fleet: u32,
     rank: u32,
-    site: u32,
+    site_digest: u32,
     rng: ChaCha8Rng,
-    /// Bytes that each request earns.
-    earns: f64,
-    allowance: f64,
-    /// Members by what stands for them in a datagram; `None` where two have the same.
-    names: BTreeMap<u32, Option<MemberId>>,
-    /// Of members that are known, until it is told.
-    seen: BTreeMap<MemberId, Seen>,
-    /// The latest that is known of each group's primary, and whether it has yet to be told.
+    /// The budget that each request earns, in bytes.
+    bytes_per_request: f64,
+    /// The available budget, in bytes times receivers.
+    budget: f64,
+    /// Members by the digest that identifies them in datagrams; `None` if two members have the same digest.
+    members_by_digest: BTreeMap<u32, Option<MemberId>>,
+    /// Answer statistics that have not been sent yet.
+    answer_stats: BTreeMap<MemberId, AnswerStats>,
+    /// The latest known primary of each group, when it proved so, and whether it is still to be announced.
     primaries: BTreeMap<GroupId, (MemberId, Time, bool)>,
-    due: Time,
-    /// When the latest datagram of each pooler was sent: as many entries as there are poolers.
-    heard: BTreeMap<u32, i64>,
+    /// When answer statistics are sent next.
+    next_exchange: Time,
+    /// The time of sending of the latest datagram from each pooler, in milliseconds; at most one entry per pooler.
+    latest_received: BTreeMap<u32, i64>,
 }
 
 impl Gossip {
-    /// A pooler's side; silent and deaf where the settings allow no messages, or nobody is there.
+    /// Creates a pooler's side of the gossip. It neither sends nor receives anything if the settings allow no messages or the
+    /// fleet has no other pooler.
     #[must_use]
     pub fn new(seed: u64, settings: &Settings) -> Self {
-        let mut site = Vec::new();
+        let mut class_names = Vec::new();
         for class in &settings.classes {
-            site.extend_from_slice(class.name.as_bytes());
-            site.push(0);
+            class_names.extend_from_slice(class.name.as_bytes());
+            class_names.push(0);
         }
         let price = settings.peer_price.max(1e-6);
         Self {
-            on: settings.peers && settings.fleet > 1,
-            allowed: true,
+            available: settings.peers && settings.fleet > 1,
+            enabled: true,
             fleet: settings.fleet,
-            // Who was told no number is taken for the first, as ever.
+            // A router without a configured number counts as number 0.
             rank: if settings.rank == Settings::NO_RANK { 0 } else { settings.rank },
-            site: digest(&site),
+            site_digest: digest(&class_names),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            earns: ALLOWED / price * FULL,
-            allowance: 0.0,
-            names: BTreeMap::new(),
-            seen: BTreeMap::new(),
+            bytes_per_request: COST_SHARE / price * FULL_DATAGRAM_BYTES,
+            budget: 0.0,
+            members_by_digest: BTreeMap::new(),
+            answer_stats: BTreeMap::new(),
             primaries: BTreeMap::new(),
-            due: Time(i64::MIN / 4),
-            heard: BTreeMap::new(),
+            next_exchange: Time(i64::MIN / 4),
+            latest_received: BTreeMap::new(),
         }
     }
 
-    /// Whether the settings allow talk now. Where they did not at the start there is no way to others.
-    pub fn set_enabled(&mut self, allowed: bool) {
-        self.allowed = allowed;
+    /// Enables or disables messages after a change of settings. If the settings at the start did not allow them, there is no
+    /// connection to other poolers and this has no effect.
+    pub fn set_enabled(&mut self, enabled: bool) {
+        self.enabled = enabled;
     }
 
-    /// A member that may be told of.
+    /// Adds a member of the list, of which observations may be sent and received.
     pub fn add_member(&mut self, member: &MemberId) {
-        if !self.on {
+        if !self.available {
             return;
         }
-        let entry = self.names.entry(digest(member.0.as_bytes())).or_insert_with(|| Some(member.clone()));
+        let entry =
+            self.members_by_digest.entry(digest(member.0.as_bytes())).or_insert_with(|| Some(member.clone()));
         if entry.as_ref() != Some(member) {
             *entry = None;
         }
     }
 
-    /// A member that is told of no more.
+    /// Removes a member that has left the list.
     pub fn remove_member(&mut self, member: &MemberId) {
-        self.names.remove(&digest(member.0.as_bytes()));
-        self.seen.remove(member);
-        self.primaries.retain(|_, (of, ..)| of != member);
+        self.members_by_digest.remove(&digest(member.0.as_bytes()));
+        self.answer_stats.remove(member);
+        self.primaries.retain(|_, (primary, ..)| primary != member);
     }
 
-    /// An own request has come, which earns part of a message.
+    /// Credits the budget with what one request of this pooler earns.
     pub fn credit_request(&mut self) {
-        if self.on {
-            let most = SAVED * FULL * f64::from(self.fleet);
-            self.allowance = (self.allowance + self.earns).min(most);
+        if self.available {
+            let max_budget = MAX_SAVED_BROADCASTS * FULL_DATAGRAM_BYTES * f64::from(self.fleet);
+            self.budget = (self.budget + self.bytes_per_request).min(max_budget);
         }
     }
 
-    /// A member answered, or did not in time; `pace` is what it took as a multiple of the usual.
-    pub fn record_answer(&mut self, member: &MemberId, late: bool, pace: f64) {
-        if self.on {
-            let seen = self.seen.entry(member.clone()).or_default();
-            seen.answers += 1;
-            seen.late += u32::from(late);
-            seen.pace += pace;
+    /// Records an answer of a member, or a timeout as `late`. `latency_ratio` is its latency as a multiple of the usual one.
+    pub fn record_answer(&mut self, member: &MemberId, late: bool, latency_ratio: f64) {
+        if self.available {
+            let stats = self.answer_stats.entry(member.clone()).or_default();
+            stats.answers += 1;
+            stats.late += u32::from(late);
+            stats.latency_ratio_sum += latency_ratio;
         }
     }
 
-    /// A member was shown here to be its group's primary; news if it was not the one known, or not known so lately.
+    /// Records that a member proved to be its group's primary. If another member was known as the primary before, the change
+    /// is announced with the next [`Self::send_due`].
     pub fn record_primary(&mut self, group: GroupId, member: &MemberId, at: Time) {
         let known = self.primaries.get(&group);
-        if self.on && known.is_none_or(|(_, known, _)| at > *known) {
-            let news = known.is_none_or(|(of, _, tell)| of != member || *tell);
-            // What was known from the list's start is no news to anybody.
-            let news = news && known.is_some();
-            self.primaries.insert(group, (member.clone(), at, news));
+        if self.available && known.is_none_or(|(_, known, _)| at > *known) {
+            let announce = known.is_none_or(|(primary, _, pending)| primary != member || *pending);
+            // The first primary known of a group is not announced: the other poolers know it from the list too.
+            let announce = announce && known.is_some();
+            self.primaries.insert(group, (member.clone(), at, announce));
         }
     }
 
-    /// All have been told that a member is the primary.
+    /// Cancels the announcement of a primary that another pooler has already announced to all.
     pub fn suppress_announcement(&mut self, member: &MemberId) {
-        let of = self.primaries.values_mut().filter(|(of, ..)| of == member);
-        of.for_each(|(.., tell)| *tell = false);
+        let matching = self.primaries.values_mut().filter(|(primary, ..)| primary == member);
+        matching.for_each(|(.., pending)| *pending = false);
     }
 
-    /// What is to be told now.
+    /// Appends the datagrams that are due: announcements of new primaries to all poolers, and at intervals answer statistics
+    /// to some chosen at random.
     pub fn send_due(&mut self, now: Time, actions: &mut Vec<Action>) {
-        if !self.on || !self.allowed {
+        if !self.available || !self.enabled {
             return;
         }
-        let mut news = Vec::new();
-        for (member, at, tell) in
-            self.primaries.values_mut().filter(|(.., tell)| *tell).take(MAX_OBSERVATIONS)
+        let mut announcements = Vec::new();
+        for (member, at, pending) in
+            self.primaries.values_mut().filter(|(.., pending)| *pending).take(MAX_OBSERVATIONS)
         {
-            *tell = false;
-            // Who was cut off may still say that it is the primary, as of long ago: older than its age can be told.
-            if now - *at < OLDEST {
-                news.push(Observation::Primary { member: member.clone(), at: *at });
+            *pending = false;
+            // A former primary that was partitioned off may still claim the role, as of long ago. The age field could not
+            // represent that, so the claim would appear more recent than it is.
+            if now - *at < MAX_AGE {
+                announcements.push(Observation::Primary { member: member.clone(), at: *at });
             }
         }
-        let bytes = self.encode(now, &news);
-        let costs = bytes.len() as f64 * f64::from(self.fleet - 1);
-        if !news.is_empty() && self.allowance - costs > -OVERDRAWN * FULL * f64::from(self.fleet) {
-            self.allowance -= costs;
+        let bytes = self.encode(now, &announcements);
+        let cost = bytes.len() as f64 * f64::from(self.fleet - 1);
+        if !announcements.is_empty()
+            && self.budget - cost > -MAX_OVERDRAWN_BROADCASTS * FULL_DATAGRAM_BYTES * f64::from(self.fleet)
+        {
+            self.budget -= cost;
             actions.push(Action::Tell { to: To::All, bytes });
         }
-        if now < self.due || self.seen.is_empty() {
+        if now < self.next_exchange || self.answer_stats.is_empty() {
             return;
         }
-        self.due = now + EVERY + EVERY.times(0.5 * self.chance());
-        let mut facts: Vec<Observation> = std::mem::take(&mut self.seen).into_iter().map(fact).collect();
-        // The slowest first, should there be more than one datagram holds.
-        facts.sort_by(|a, b| weight(b).total_cmp(&weight(a)));
-        facts.truncate(MAX_OBSERVATIONS);
-        let bytes = self.encode(now, &facts);
-        let each = bytes.len() as f64;
-        for _ in 0..MOST_TOLD {
+        self.next_exchange = now + SEND_INTERVAL + SEND_INTERVAL.times(0.5 * self.random_fraction());
+        let mut observations: Vec<Observation> =
+            std::mem::take(&mut self.answer_stats).into_iter().map(to_observation).collect();
+        // The slowest members first, in case there are more than fit in a datagram.
+        observations.sort_by(|a, b| priority(b).total_cmp(&priority(a)));
+        observations.truncate(MAX_OBSERVATIONS);
+        let bytes = self.encode(now, &observations);
+        let cost = bytes.len() as f64;
+        for _ in 0..FANOUT {
             let to = self.rng.next_u32() % self.fleet;
-            if self.allowance >= each && to != self.rank {
-                self.allowance -= each;
+            if self.budget >= cost && to != self.rank {
+                self.budget -= cost;
                 actions.push(Action::Tell { to: To::One(to), bytes: bytes.clone() });
             }
         }
     }
 
-    /// The facts of a datagram from the pooler `from`; none of one that is no use.
+    /// Decodes a datagram from the pooler `from`; returns no observations if it is invalid or out of date.
     pub fn receive(&mut self, now: Time, from: u32, bytes: &[u8]) -> Vec<Observation> {
-        if !self.on || !self.allowed || from >= self.fleet || from == self.rank {
+        if !self.available || !self.enabled || from >= self.fleet || from == self.rank {
             return Vec::new();
         }
-        let Some((sent, facts)) = open(self.site, bytes) else { return Vec::new() };
-        let last = self.heard.entry(from).or_insert(i64::MIN);
-        let at = Time(sent.saturating_mul(1_000));
-        if sent <= *last || now - at > OLDEST || at - now > AHEAD {
+        let Some((sent, observations)) = split_datagram(self.site_digest, bytes) else { return Vec::new() };
+        let last = self.latest_received.entry(from).or_insert(i64::MIN);
+        let sent_at = Time(sent.saturating_mul(1_000));
+        if sent <= *last || now - sent_at > MAX_AGE || sent_at - now > MAX_CLOCK_SKEW {
             return Vec::new();
         }
         *last = sent;
-        facts.chunks_exact(FACT).filter_map(|fact| self.read(at, fact)).collect()
+        observations
+            .chunks_exact(OBSERVATION_LEN)
+            .filter_map(|observation| self.decode(sent_at, observation))
+            .collect()
     }
 
-    fn read(&self, sent: Time, fact: &[u8]) -> Option<Observation> {
-        let name = u32::from_be_bytes(fact.get(1..5)?.try_into().ok()?);
-        let member = self.names.get(&name)?.clone()?;
-        let (a, b) = (fact[5], fact[6]);
-        match fact[0] {
+    fn decode(&self, sent: Time, observation: &[u8]) -> Option<Observation> {
+        let member_digest = u32::from_be_bytes(observation.get(1..5)?.try_into().ok()?);
+        let member = self.members_by_digest.get(&member_digest)?.clone()?;
+        let (a, b) = (observation[5], observation[6]);
+        match observation[0] {
             b'P' => Some(Observation::Primary {
                 member,
                 at: sent - Span::millis(i64::from(u16::from_be_bytes([a, b]))),
             }),
             b'S' => {
                 let (answers, late) = (u32::from(a >> 4), u32::from(a & 15));
-                let pace = ((f64::from(b) - 128.0) / STEPS).exp2();
+                let latency_ratio = ((f64::from(b) - 128.0) / STEPS_PER_DOUBLING).exp2();
                 (late <= answers && answers > 0).then_some(Observation::Answers {
                     member,
                     answers,
                     late,
-                    pace,
+                    latency_ratio,
                 })
             }
             _ => None,
         }
     }
 
-    fn chance(&mut self) -> f64 {
+    fn random_fraction(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
     }
 
-    fn encode(&self, now: Time, facts: &[Observation]) -> Vec<u8> {
+    fn encode(&self, now: Time, observations: &[Observation]) -> Vec<u8> {
         let sent = now.0 / 1_000;
-        let mut bytes = Vec::with_capacity(HEADER + FACT * facts.len() + CHECK);
+        let mut bytes = Vec::with_capacity(HEADER_LEN + OBSERVATION_LEN * observations.len() + CHECKSUM_LEN);
         bytes.push(VERSION);
-        bytes.extend_from_slice(&self.site.to_be_bytes());
+        bytes.extend_from_slice(&self.site_digest.to_be_bytes());
         bytes.extend_from_slice(&sent.to_be_bytes()[2..]);
-        for fact in facts.iter().take(MAX_OBSERVATIONS) {
-            let (kind, member, rest) = match fact {
+        for observation in observations.iter().take(MAX_OBSERVATIONS) {
+            let (kind, member, payload) = match observation {
                 Observation::Primary { member, at } => {
-                    // Rounded down: a primary is not claimed for later than it was shown.
+                    // Rounded down, so that the primary is not claimed for a later time than it proved so.
                     let age = (sent - at.0.div_euclid(1_000)).clamp(0, i64::from(u16::MAX)) as u16;
                     (b'P', member, age.to_be_bytes())
                 }
-                Observation::Answers { member, answers, late, pace } => {
-                    // More than fifteen are told as fifteen, with the same part of them late.
-                    let (all, most) = (f64::from((*answers).max(1)), (*answers).clamp(1, 15));
-                    let late = (f64::from(*late) * f64::from(most) / all).round();
-                    let pace = (pace.max(1e-9).log2() * STEPS + 128.0).round().clamp(0.0, 255.0);
-                    (b'S', member, [(most << 4) as u8 | late as u8, pace as u8])
+                Observation::Answers { member, answers, late, latency_ratio } => {
+                    // More than 15 answers are sent as 15 with the same fraction of late ones.
+                    let (total, encoded) = (f64::from((*answers).max(1)), (*answers).clamp(1, 15));
+                    let late = (f64::from(*late) * f64::from(encoded) / total).round();
+                    let latency_ratio = (latency_ratio.max(1e-9).log2() * STEPS_PER_DOUBLING + 128.0)
+                        .round()
+                        .clamp(0.0, 255.0);
+                    (b'S', member, [(encoded << 4) as u8 | late as u8, latency_ratio as u8])
                 }
             };
             bytes.push(kind);
             bytes.extend_from_slice(&digest(member.0.as_bytes()).to_be_bytes());
-            bytes.extend_from_slice(&rest);
+            bytes.extend_from_slice(&payload);
         }
-        let check = digest(&bytes);
-        bytes.extend_from_slice(&check.to_be_bytes());
+        let checksum = digest(&bytes);
+        bytes.extend_from_slice(&checksum.to_be_bytes());
         bytes
     }
 }
 
-fn fact((member, seen): (MemberId, Seen)) -> Observation {
-    let Seen { answers, late, pace } = seen;
-    Observation::Answers { member, answers, late, pace: pace / f64::from(answers.max(1)) }
+fn to_observation((member, stats): (MemberId, AnswerStats)) -> Observation {
+    let AnswerStats { answers, late, latency_ratio_sum } = stats;
+    Observation::Answers {
+        member,
+        answers,
+        late,
+        latency_ratio: latency_ratio_sum / f64::from(answers.max(1)),
+    }
 }
 
-fn weight(fact: &Observation) -> f64 {
-    if let Observation::Answers { pace, .. } = fact { *pace } else { f64::INFINITY }
+fn priority(observation: &Observation) -> f64 {
+    if let Observation::Answers { latency_ratio, .. } = observation { *latency_ratio } else { f64::INFINITY }
 }
 
-/// When a datagram was sent, in milliseconds, and its facts; `None` if it is none of this site's.
-fn open(site: u32, bytes: &[u8]) -> Option<(i64, &[u8])> {
-    if bytes.len() > MAX_DATAGRAM_LEN || bytes.len() < HEADER + CHECK {
+/// Splits a datagram into its time of sending, in milliseconds, and its encoded observations; `None` if it is malformed or
+/// from another site.
+fn split_datagram(site_digest: u32, bytes: &[u8]) -> Option<(i64, &[u8])> {
+    if bytes.len() > MAX_DATAGRAM_LEN || bytes.len() < HEADER_LEN + CHECKSUM_LEN {
         return None;
     }
-    let (body, check) = bytes.split_at(bytes.len() - CHECK);
-    let (head, facts) = body.split_at(HEADER);
-    let whole = digest(body).to_be_bytes() == *check && facts.len() % FACT == 0;
-    if !whole || head[0] != VERSION || head[1..5] != site.to_be_bytes() {
+    let (body, checksum) = bytes.split_at(bytes.len() - CHECKSUM_LEN);
+    let (head, observations) = body.split_at(HEADER_LEN);
+    let intact = digest(body).to_be_bytes() == *checksum && observations.len() % OBSERVATION_LEN == 0;
+    if !intact || head[0] != VERSION || head[1..5] != site_digest.to_be_bytes() {
         return None;
     }
-    Some((head[5..].iter().fold(0, |all, byte| all << 8 | i64::from(*byte)), facts))
+    Some((head[5..].iter().fold(0, |value, byte| value << 8 | i64::from(*byte)), observations))
 }
 
-/// FNV-1a: against accidents, not against forgers, whom the host keeps out by their addresses.
+/// FNV-1a. It detects accidental corruption; forged datagrams are rejected by the host, which checks the sender's address.
 fn digest(bytes: &[u8]) -> u32 {
-    bytes.iter().fold(0x811c_9dc5, |all, byte| (all ^ u32::from(*byte)).wrapping_mul(0x0100_0193))
+    bytes.iter().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(*byte)).wrapping_mul(0x0100_0193))
 }
