--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -1,10 +1,11 @@
-//! The five rules, each kept by one router alone, and one test for each failure found on the bench.
+//! The rules of routing, as each router keeps them on its own, with one test for each failure that was found in the
+//! simulator or on real sockets.
 
 mod common;
 use common::*;
 use linnetdeal_core::*;
 
-/// A router that has member 1 shown as primary of three.
+/// A router that knows member 1 as the primary of three members.
 fn with_primary(settings: Settings) -> Host {
     let mut host = Host::new(settings, 3);
     host.probe_result(1, true, 0);
@@ -27,8 +28,9 @@
 }
 
 #[test]
-fn a_write_that_the_host_could_not_send_says_nothing_of_the_primary() {
-    // A host short of descriptors sends nothing at all; the mark would have walked away from a sound primary.
+fn a_write_that_the_host_could_not_send_is_no_evidence_against_the_primary() {
+    // A host that is out of file descriptors sends nothing at all. If that counted as proof, the mark would move away
+    // from a healthy primary.
     let mut host = with_primary(settings());
     let (id, _) = host.request(UNSAFE);
     assert_eq!(sends(&host.end_attempt(id, 0, 1, Verdict::Moot)), [member(1)]);
@@ -36,18 +38,19 @@
 }
 
 #[test]
-fn a_request_that_fails_anywhere_harms_no_members_standing() {
-    // Seen on the bench: a third of the requests got an error at any member, and four in a row ejected it.
+fn a_request_that_fails_everywhere_ejects_no_member() {
+    // Guards against ejections for faulty requests: with a third of the requests answered by an error at every member,
+    // four such answers in a row ejected it.
     let mut host = Host::new(settings(), 3);
     for _ in 0..60 {
         let (id, mut actions) = host.request(ANY);
         let mut attempt = 0;
         while let Some(to) = sends(&actions).first().cloned() {
-            let at = (1..=3).find(|at| member(*at) == to).unwrap();
-            actions = host.end_attempt(id, attempt, at, Verdict::Error);
+            let n = (1..=3).find(|n| member(*n) == to).unwrap();
+            actions = host.end_attempt(id, attempt, n, Verdict::Error);
             attempt += 1;
         }
-        assert!(attempt <= 2, "{attempt} attempts for a request that is itself at fault");
+        assert!(attempt <= 2, "{attempt} attempts for a request that is at fault itself");
         assert!(refused(&actions, id).is_some());
     }
     let used: std::collections::BTreeSet<MemberId> =
@@ -56,19 +59,20 @@
 }
 
 #[test]
-fn many_routers_together_do_not_push_a_cold_member_over() {
-    // Seen on the bench: 510 routers that may each always send one to a member that just started.
+fn many_routers_together_do_not_overload_a_cold_member() {
+    // Guards against the sum of many small budgets: 510 routers that could each always send one request to a member
+    // that just started.
     let routers = 500;
     let mut together = 0;
     for seed in 0..routers {
         let many = Settings { fleet: routers as u32, ..settings() };
         let mut host = Host::seeded(seed, many, 2);
-        // Each serves two requests, then one of two members starts anew, and two more come.
+        // Each router serves two requests, then one of its two members restarts, and two more requests arrive.
         for _ in 0..2 {
             let (id, actions) = host.request(ANY);
             host.now = host.now + Span::millis(20);
-            let at = if sends(&actions) == [member(1)] { 1 } else { 2 };
-            host.end_attempt(id, 0, at, Verdict::Ok);
+            let n = if sends(&actions) == [member(1)] { 1 } else { 2 };
+            host.end_attempt(id, 0, n, Verdict::Ok);
         }
         let started = Some(host.now);
         host.handle(Event::List(Listing::Changes(vec![Entry { started, ..entry(2) }])));
@@ -79,13 +83,13 @@
         }
     }
     assert!(together <= 120, "{together} sends in 0.4 s by 500 routers");
-    assert!(together >= 10, "{together}: thinned by chance, not shut out");
+    assert!(together >= 10, "{together} sends: the member should get a random part of the requests");
 }
 
 #[test]
-fn a_member_that_refused_a_connection_is_cold_when_it_is_back() {
-    // Seen on the bench: the list did not follow; members that came back were pushed over for good.
-    // Seen on sockets: one that was cut off for a while is not, and was kept from its work for 16 s.
+fn a_member_that_refused_a_connection_is_cold_when_it_returns() {
+    // Where the list did not report restarts, members that returned were overloaded for good. A member that was only cut
+    // off for a while is not cold; treated as cold, it was kept from its work for 16 s.
     for (verdict, down) in
         [(Verdict::Ok, false), (Verdict::Unreachable, false), (Verdict::ConnectFailed, true)]
     {
@@ -99,18 +103,18 @@
         }
         host.now = host.now + Span::millis(50);
         let burst: usize = (0..10).map(|_| sends(&host.request(ANY).1).len()).sum();
-        assert_eq!(burst == 0, down, "{burst} sends at once");
+        assert_eq!(burst == 0, down, "{burst} sends in a burst");
     }
 }
 
 #[test]
-fn what_a_warm_member_was_sent_is_no_debt_when_it_is_cold() {
+fn sends_to_a_warm_member_do_not_reduce_its_budget_when_cold() {
     let mut host = Host::new(settings(), 1);
     let ask = |host: &mut Host| {
         let (id, actions) = host.request(ANY);
         (id, !sends(&actions).is_empty())
     };
-    // More than the cold budget would ever allow, all of it served well.
+    // More than the budget of a cold member would ever allow, all of it answered in time.
     for _ in 0..400 {
         let (id, sent) = ask(&mut host);
         assert!(sent);
@@ -130,22 +134,22 @@
 }
 
 #[test]
-fn a_connection_that_broke_unsent_is_no_restart_and_moves_no_mark() {
+fn a_connection_that_broke_before_the_send_is_no_restart_and_keeps_the_mark() {
     let mut host = with_primary(settings());
     let (id, actions) = host.request(UNSAFE);
     assert_eq!(sends(&actions), [member(1)]);
     let actions = host.end_attempt(id, 0, 1, Verdict::Broken);
-    assert_eq!(sends(&actions), [member(1)], "sent again, to the same, at once");
+    assert_eq!(sends(&actions), [member(1)], "sent again at once to the same member");
     host.end_attempt_as(id, 1, 1, Verdict::Ok, Some(Role::Primary));
-    // It is not taken for cold: a burst of writes goes through.
+    // The member does not count as cold: a burst of writes is sent.
     let burst: Vec<_> = (0..3).map(|_| host.request(UNSAFE).1).collect();
     assert!(burst.iter().all(|actions| sends(actions) == [member(1)]), "{burst:?}");
 }
 
 #[test]
-fn work_that_was_given_up_still_counts_while_it_may_run() {
-    // Seen on the wide day: clients gave up early and asked again; what they left behind filled the members,
-    // which looked idle.
+fn abandoned_work_still_counts_while_it_may_run() {
+    // Guards against members that look idle but are busy: clients gave up early and retried, and their abandoned
+    // requests filled the members.
     let mut host = Host::new(settings(), 1);
     let mut sent = Vec::new();
     loop {
@@ -161,14 +165,14 @@
         host.end_attempt(*id, 0, 1, Verdict::Cancelled);
     }
     let (id, actions) = host.request(ANY);
-    assert!(sends(&actions).is_empty(), "it is full of what nobody waits for");
+    assert!(sends(&actions).is_empty(), "the member is full of abandoned work");
     let actions = host.advance(150);
-    assert_eq!(sends(&actions).len(), 1, "and done with it after the usual time");
+    assert_eq!(sends(&actions).len(), 1, "which is done after the usual latency");
     host.end_attempt(id, 0, 1, Verdict::Ok);
 }
 
 #[test]
-fn a_connection_that_never_came_up_beside_good_ones_is_no_restart() {
+fn a_failed_connection_beside_answered_requests_is_no_restart() {
     for answered in [false, true] {
         let mut host = with_primary(settings());
         let (lost, _) = host.request(UNSAFE);
@@ -187,14 +191,14 @@
             closed: false,
             report: None,
         }));
-        // It stays where it was if others were answered there, and the walk begins if not.
+        // The write stays at the member if others were answered there, and tries the next one if not.
         assert_eq!(sends(&actions), [member(if answered { 1 } else { 2 })]);
     }
 }
 
 #[test]
-fn a_member_that_comes_and_goes_is_remembered_across_its_turns() {
-    // One good answer used to clear a member's ejections, so a flapping one was trusted anew at each turn.
+fn repeated_ejections_of_a_flapping_member_are_remembered() {
+    // If one answer cleared all of a member's ejections, a flapping member would be trusted again each time.
     for turns in [1, 4] {
         let mut host = Host::new(Settings { cold_share: 1.0, max_attempts: 1, ..settings() }, 1);
         for _ in 0..turns {
@@ -207,18 +211,18 @@
         let (id, _) = host.request(FRESH);
         host.answer_after(id, 0, 1, 20);
         assert_eq!(sends(&host.request(FRESH).1).len(), 1);
-        // One that is still remembered gets one attempt at a time.
+        // With ejections still remembered, it gets one attempt at a time.
         assert_eq!(sends(&host.request(FRESH).1).len(), usize::from(turns == 1), "{turns} turns");
     }
 }
 
 #[test]
-fn what_expires_while_the_router_stands_still_is_not_held_against_members() {
+fn timeouts_after_a_pause_of_the_process_do_not_count_against_members() {
     for stall in [false, true] {
         let mut host = Host::new(settings(), 3);
         let (id, actions) = host.request(ANY);
         let to = sends(&actions).remove(0);
-        let at = (1..=3).find(|at| member(*at) == to).unwrap();
+        let n = (1..=3).find(|n| member(*n) == to).unwrap();
         let ids: Vec<RequestId> = (0..12).map(|_| host.request(ANY).0).collect();
         if stall {
             host.now = host.now + Span::millis(900);
@@ -226,7 +230,7 @@
         }
         for id in ids.into_iter().chain([id]) {
             for attempt in 0..2 {
-                host.end_attempt(id, attempt, at, Verdict::Timeout);
+                host.end_attempt(id, attempt, n, Verdict::Timeout);
             }
         }
         host.now = host.now + Span::millis(20);
@@ -236,8 +240,8 @@
 }
 
 #[test]
-fn a_router_that_has_seen_little_waits_for_its_first_answers() {
-    // Seen on the bench: with a short first guess a tenth of a quiet day's attempts were timed out.
+fn a_router_with_few_answers_uses_long_timeouts() {
+    // With a short initial estimate a tenth of a quiet day's attempts timed out.
     let mut host = Host::new(settings(), 3);
     for _ in 0..5 {
         let (_, actions) = host.request(ANY);
@@ -251,8 +255,8 @@
 }
 
 #[test]
-fn reads_spill_over_to_a_primary_that_is_less_crowded_than_its_replicas() {
-    // Seen on the bench: replicas answered nobody in time while primaries stood half idle.
+fn reads_spill_over_to_a_primary_that_is_less_overloaded_than_its_replicas() {
+    // Guards against replicas that answer nothing in time while their primaries are half idle.
     for slow_ms in [20, 200] {
         let mut host = Host::new(settings(), 3);
         let mut to_primary = 0;
@@ -260,10 +264,10 @@
             host.probe_result(1, true, 0);
             let (id, actions) = host.request(ANY);
             for to in sends(&actions) {
-                let at = (1..=3).find(|at| member(*at) == to).unwrap();
-                let took = if at == 1 { 20 } else { slow_ms };
-                to_primary += usize::from(at == 1);
-                host.answer_after(id, 0, at, took);
+                let n = (1..=3).find(|n| member(*n) == to).unwrap();
+                let took = if n == 1 { 20 } else { slow_ms };
+                to_primary += usize::from(n == 1);
+                host.answer_after(id, 0, n, took);
             }
         }
         assert_eq!(to_primary > 10, slow_ms > 100, "{to_primary} of 80 at {slow_ms} ms");
@@ -282,23 +286,23 @@
 }
 
 #[test]
-fn a_read_that_is_never_sent_is_refused_while_its_client_has_time_to_come_back() {
-    // Seen on real sockets: with the primary down, reads with a late worth were held to the end of their time.
+fn a_read_that_is_never_sent_is_refused_while_its_client_has_time_to_retry() {
+    // Guards against reads with a late worth that are held until their deadline while the primary is down.
     let mut settings = settings();
     settings.classes[READ.0].late_worth = 0.2;
     let mut host = Host::new(settings, 1);
     host.handle(Event::List(Listing::Changes(vec![Entry { state: ListState::Draining, ..entry(1) }])));
     let (id, actions) = host.request(READ);
-    assert!(actions.iter().all(|action| matches!(action, Action::Wake { .. })), "it waits: {actions:?}");
-    assert!(refused(&host.advance(300), id).is_none(), "a member may still come");
-    let retry_after = refused(&host.advance(195), id).expect("half its time has not passed");
-    assert!(retry_after.is_some(), "and the client is told when to come back");
+    assert!(actions.iter().all(|action| matches!(action, Action::Wake { .. })), "it is held: {actions:?}");
+    assert!(refused(&host.advance(300), id).is_none(), "a member may still return");
+    let retry_after = refused(&host.advance(195), id).expect("refused before half of its time has passed");
+    assert!(retry_after.is_some(), "the client is told when to retry");
 }
 
 #[test]
-fn a_write_that_waits_for_room_at_its_primary_is_refused_in_time_and_frees_what_is_behind() {
+fn a_write_held_for_a_busy_primary_is_refused_in_time_and_unblocks_later_ones() {
     let mut host = with_primary(settings());
-    // Far more than it has room for, at once; it answers one each 100 ms.
+    // Far more writes at once than the primary has room for; it answers one per 100 ms.
     let (mut out, mut asked) = (std::collections::VecDeque::new(), Vec::new());
     let sent = |actions: &[Action], out: &mut std::collections::VecDeque<_>| {
         out.extend(actions.iter().filter_map(|action| match action {
@@ -322,30 +326,30 @@
         assert!(now == 0 || step >= 12, "{now} refused in step {step}");
         refusals.push(now);
     }
-    // Before this, all of them waited on, and went out with what was left of their time: of 2.85 s, 17 ms.
+    // Otherwise all of them would be held until they are sent with almost no time remaining: 17 ms of 2.85 s.
     let refusals: usize = refusals.iter().sum();
-    assert!(refusals >= 20, "{refusals} were told to come back, with a time");
-    assert!(sends(&host.advance(1_600)).is_empty(), "nothing is left that goes out too late");
-    // Where there is no primary, it is held as long as it takes.
+    assert!(refusals >= 20, "{refusals} were refused with a retry-after");
+    assert!(sends(&host.advance(1_600)).is_empty(), "nothing is sent too late");
+    // Without a primary a write is held on.
     let mut without = Host::new(settings(), 3);
     let (id, _) = without.request_within(UNSAFE, 3_000);
     for _ in 0..3 {
-        (1..=3).for_each(|at| drop(without.probe_result(at, false, 0)));
+        (1..=3).for_each(|n| drop(without.probe_result(n, false, 0)));
         let actions = without.advance(500);
-        assert_eq!(refused(&actions, id), None, "held");
+        assert_eq!(refused(&actions, id), None, "the write is held");
     }
 }
 
 #[test]
-fn no_retry_after_where_clients_are_not_shown_one() {
+fn no_retry_after_where_the_settings_disable_it() {
     let mut host = Host::new(Settings { retry_after: false, max_attempts: 1, ..settings() }, 2);
     let (id, actions) = host.request(ANY);
-    let at = if sends(&actions) == [member(1)] { 1 } else { 2 };
-    assert_eq!(refused(&host.end_attempt(id, 0, at, Verdict::Error), id), Some(None));
+    let n = if sends(&actions) == [member(1)] { 1 } else { 2 };
+    assert_eq!(refused(&host.end_attempt(id, 0, n, Verdict::Error), id), Some(None));
 }
 
 #[test]
-fn nothing_goes_to_a_draining_or_removed_member() {
+fn nothing_is_sent_to_a_draining_or_removed_member() {
     for state in [ListState::Draining, ListState::Gone] {
         let mut host = Host::new(settings(), 2);
         host.handle(Event::List(Listing::Changes(vec![Entry { state, ..entry(1) }])));
@@ -355,11 +359,11 @@
     }
     let mut host = Host::new(settings(), 2);
     host.handle(Event::List(Listing::Full(vec![entry(2)])));
-    assert!(!sends(&host.request(KEYED).1).contains(&member(1)), "absent from a whole list is gone");
+    assert!(!sends(&host.request(KEYED).1).contains(&member(1)), "a member that a full list lacks is gone");
 }
 
 #[test]
-fn where_removal_does_not_bind_only_a_drain_does() {
+fn with_soft_removal_only_a_drain_is_binding() {
     let soft = Settings { soft_removal: true, ..settings() };
     let mut host = Host::new(soft.clone(), 1);
     host.handle(Event::List(Listing::Changes(vec![Entry { state: ListState::Gone, ..entry(1) }])));
@@ -367,7 +371,7 @@
     let mut host = Host::new(soft, 1);
     host.handle(Event::List(Listing::Changes(vec![Entry { state: ListState::Draining, ..entry(1) }])));
     host.handle(Event::List(Listing::Full(vec![])));
-    assert!(sends(&host.request(ANY).1).is_empty(), "it was seen draining before it left the list");
+    assert!(sends(&host.request(ANY).1).is_empty(), "it was draining before it left the list");
 }
 
 #[test]
@@ -380,15 +384,15 @@
 }
 
 #[test]
-fn rejected_sends_do_not_swell_the_cold_budget() {
-    // Seen on the bench: in a surge warm members turned most work away, and counting that work as their
-    // usual load let cold ones be pushed over.
+fn rejected_sends_do_not_raise_the_slow_start_budget() {
+    // In a surge warm members refuse most requests. If these counted as their usual load, cold members would get too
+    // large a budget.
     let mut host = Host::new(settings(), 2);
     for _ in 0..200 {
         let (id, actions) = host.request(ANY);
         for (attempt, to) in sends(&actions).into_iter().enumerate() {
-            let at = if to == member(1) { 1 } else { 2 };
-            host.end_attempt(id, attempt as u32, at, Verdict::Full);
+            let n = if to == member(1) { 1 } else { 2 };
+            host.end_attempt(id, attempt as u32, n, Verdict::Full);
         }
     }
     let started = Some(host.now);
@@ -399,8 +403,8 @@
 }
 
 #[test]
-fn a_full_member_is_not_hammered() {
-    // Seen on the bench: up to 15 attempts a request, nearly all of them turned away as full.
+fn a_full_member_is_not_flooded_with_attempts() {
+    // Guards against up to 15 attempts per request, nearly all of them refused as full.
     let mut host = Host::new(settings(), 2);
     let mut all = 0;
     for _ in 0..100 {
@@ -409,8 +413,8 @@
         while let Some(to) = sends(&actions).first() {
             all += 1;
             host.now = host.now + Span::millis(1);
-            let at = if *to == member(1) { 1 } else { 2 };
-            actions = host.end_attempt(id, attempt, at, Verdict::Full);
+            let n = if *to == member(1) { 1 } else { 2 };
+            actions = host.end_attempt(id, attempt, n, Verdict::Full);
             attempt += 1;
         }
     }
@@ -418,8 +422,8 @@
 }
 
 #[test]
-fn an_attempt_is_waited_for_as_long_as_its_client_waits() {
-    // Seen on the bench: reads given up at their aim went on at the servers, and their clients came again.
+fn an_attempt_is_awaited_until_its_clients_deadline() {
+    // Reads that are abandoned at their objective still run at the servers, and their clients retry them.
     for waits in [1_000, 700, 450] {
         let mut host = Host::new(settings(), 1);
         let (id, actions) = host.request_within(ANY, waits);
@@ -429,24 +433,27 @@
         });
         assert_eq!(timeout, Some(Span::millis(waits)));
         let meanwhile = host.advance(waits - 20);
-        assert!(refused(&meanwhile, id).is_none() && !failed(&meanwhile, id), "given up while it is out");
+        assert!(
+            refused(&meanwhile, id).is_none() && !failed(&meanwhile, id),
+            "given up while its attempt is in flight"
+        );
         assert!(!meanwhile.iter().any(|action| matches!(action, Action::Cancel { .. })));
         assert!(refused(&host.answer_after(id, 0, 1, 5), id).is_none(), "a late answer is the final one");
     }
 }
 
 #[test]
-fn retries_of_clients_give_way_to_first_tries_where_replicas_are_crowded() {
-    // Seen on the bench: with every marked retry refused, far more first tries were served in time.
+fn retries_of_clients_give_way_to_first_tries_where_replicas_are_overloaded() {
+    // Where marked retries are refused, far more first tries are served in time.
     for (slow_ms, crowded) in [(20, false), (200, true)] {
         let mut host = Host::new(settings(), 3);
         let mut answered = 0;
         while answered < 20 {
             let (id, actions) = host.request(ANY);
             let to = sends(&actions).remove(0);
-            let at = (1..=3).find(|at| member(*at) == to).unwrap();
-            // A third of the answers is slow: more than in an idle fleet, fewer than from where first tries are shed.
-            host.answer_after(id, 0, at, if answered % 3 == 0 { slow_ms } else { 20 });
+            let n = (1..=3).find(|n| member(*n) == to).unwrap();
+            // A third of the answers is slow: more than in an idle fleet, but too few for first tries to be shed.
+            host.answer_after(id, 0, n, if answered % 3 == 0 { slow_ms } else { 20 });
             answered += 1;
         }
         let (again, actions) = host.request_retry(ANY);
@@ -454,21 +461,21 @@
         assert_eq!(
             refused(&actions, again).is_some_and(|after| after.is_some()),
             crowded,
-            "told when to come back"
+            "refused with a retry-after"
         );
         assert_eq!(sends(&host.request(ANY).1).len(), 1, "a first try");
         host.probe_result(1, true, 0);
         let (write, actions) = host.request_retry(UNSAFE);
         assert!(
             refused(&actions, write).is_none() && sends(&actions).len() == 1,
-            "a write comes again only if it never ran"
+            "a retried write is sent: clients repeat writes only if they never ran"
         );
     }
 }
 
 #[test]
 fn nothing_is_sent_with_less_time_left_than_an_answer_takes() {
-    // Seen on the bench: held reads went out with 40 ms left for 145 ms of work.
+    // Guards against held reads that are sent with 40 ms remaining for 145 ms of work.
     let mut host = Host::new(settings(), 2);
     let (id, actions) = host.request(FRESH);
     assert!(sends(&actions).is_empty());
@@ -478,7 +485,7 @@
 }
 
 #[test]
-fn a_member_that_fails_fast_is_left_though_it_looks_idle() {
+fn a_member_that_fails_fast_is_avoided_although_it_looks_idle() {
     let mut host = Host::new(settings(), 3);
     let mut to_bad = 0;
     for _ in 0..60 {
@@ -486,10 +493,10 @@
         let mut attempt = 0;
         while let Some(to) = sends(&actions).first().cloned() {
             host.now = host.now + Span::millis(1);
-            let at = (1..=3).find(|at| member(*at) == to).unwrap();
-            to_bad += usize::from(at == 2);
-            let verdict = if at == 2 { Verdict::Error } else { Verdict::Ok };
-            actions = host.end_attempt(id, attempt, at, verdict);
+            let n = (1..=3).find(|n| member(*n) == to).unwrap();
+            to_bad += usize::from(n == 2);
+            let verdict = if n == 2 { Verdict::Error } else { Verdict::Ok };
+            actions = host.end_attempt(id, attempt, n, verdict);
             attempt += 1;
         }
     }
@@ -497,8 +504,8 @@
 }
 
 #[test]
-fn a_write_outlasts_a_primary_that_drains_before_anybody_tells() {
-    // It turns all away for a second and a half; the list tells of the drain only then.
+fn a_write_survives_a_drain_that_the_list_reports_late() {
+    // The primary refuses everything for 1.5 s before the list reports its drain.
     let mut host = with_primary(settings());
     let (id, actions) = host.request_within(UNSAFE, 5_000);
     assert_eq!(sends(&actions), [member(1)]);
@@ -506,10 +513,13 @@
     for _ in 0..150 {
         if out {
             let actions = host.end_attempt(id, attempts - 1, 1, Verdict::Full);
-            assert!(refused(&actions, id).is_none() && !failed(&actions, id), "given up after {attempts}");
+            assert!(
+                refused(&actions, id).is_none() && !failed(&actions, id),
+                "given up after {attempts} attempts"
+            );
         }
         let sent = sends(&host.advance(10));
-        assert!(sent.iter().all(|to| *to == member(1)), "nobody else is the primary");
+        assert!(sent.iter().all(|to| *to == member(1)), "no other member is the primary");
         out = !sent.is_empty();
         attempts += sent.len() as u32;
     }
@@ -517,12 +527,12 @@
 }
 
 #[test]
-fn who_is_forgotten_leaves_nothing_behind_and_may_come_back() {
+fn a_forgotten_member_leaves_no_state_and_may_return() {
     let mut host = with_primary(settings());
     let gone = Entry { state: ListState::Gone, ..entry(1) };
     host.handle(Event::List(Listing::Changes(vec![gone])));
     host.handle(Event::List(Listing::Forgotten(vec![member(1), member(9)])));
-    // Who is in service is not forgotten, whoever asks for it.
+    // A member in service is not forgotten.
     host.handle(Event::List(Listing::Forgotten(vec![member(2)])));
     let (_, actions) = host.request(ANY);
     assert!(!sends(&actions).contains(&member(1)) && !sends(&actions).is_empty());
@@ -533,22 +543,25 @@
 }
 
 #[test]
-fn a_primary_whose_connections_fell_silent_is_tried_by_one_fresh_read_at_a_time() {
-    // Seen on an incident: three writes without an answer, and the group stood still until their deadline.
+fn a_silent_primary_is_tried_with_one_fresh_read_at_a_time() {
+    // Guards against a group that sends nothing to its primary until the deadline of three unanswered writes.
     let mut host = with_primary(settings());
     let lost: Vec<_> = (0..3).map(|_| host.request_within(UNSAFE, 5_000).0).collect();
     host.advance(1_500);
     let (write, actions) = host.request_within(UNSAFE, 3_000);
-    assert!(sends(&actions).is_empty(), "a write is not what tries it");
+    assert!(sends(&actions).is_empty(), "it is not tried with a write");
     let (trial, actions) = host.request(FRESH);
     assert_eq!(sends(&actions), [member(1)]);
     let (held, actions) = host.request(FRESH);
-    assert!(sends(&actions).is_empty(), "one at a time");
+    assert!(sends(&actions).is_empty(), "one read at a time");
     let actions = host.end_attempt_as(trial, 0, 1, Verdict::Ok, Some(Role::Primary));
-    assert_eq!(sends(&actions), [member(1), member(1)], "its answer shows that the member lives");
+    assert_eq!(sends(&actions), [member(1), member(1)], "its answer shows that the member is alive");
     host.end_attempt_as(held, 0, 1, Verdict::Ok, Some(Role::Primary));
     host.end_attempt_as(write, 0, 1, Verdict::Ok, Some(Role::Primary));
-    assert!(lost.iter().all(|id| !host.end_attempt(*id, 0, 1, Verdict::Timeout).is_empty()), "they fail");
+    assert!(
+        lost.iter().all(|id| !host.end_attempt(*id, 0, 1, Verdict::Timeout).is_empty()),
+        "the lost writes fail"
+    );
 }
 
 #[test]
@@ -558,12 +571,12 @@
     for round in 0..40 {
         let (id, actions) = host.request(ANY);
         for to in sends(&actions) {
-            let at = (1..=3).find(|at| member(*at) == to).unwrap();
-            if at == 3 {
+            let n = (1..=3).find(|n| member(*n) == to).unwrap();
+            if n == 3 {
                 silent += usize::from(round >= 20);
             } else {
                 host.now = host.now + Span::millis(10);
-                host.end_attempt(id, 0, at, Verdict::Ok);
+                host.end_attempt(id, 0, n, Verdict::Ok);
             }
         }
         host.now = host.now + Span::millis(40);
@@ -572,7 +585,7 @@
 }
 
 #[test]
-fn a_timeout_leaves_one_attempt_out_where_copies_are_forbidden() {
+fn without_second_copies_only_one_attempt_is_in_flight() {
     let mut host = Host::new(settings(), 3);
     let (_, actions) = host.request(ANY);
     assert_eq!(sends(&actions).len(), 1);
@@ -580,46 +593,47 @@
 }
 
 #[test]
-fn a_second_copy_goes_elsewhere_and_the_slower_one_is_called_off() {
+fn a_second_copy_goes_elsewhere_and_the_slower_one_is_cancelled() {
     let mut host = Host::new(Settings { second_copies: true, ..settings() }, 3);
     for _ in 0..40 {
         let (id, actions) = host.request(ANY);
         let to = sends(&actions).remove(0);
-        host.answer_after(id, 0, (1..=3).find(|at| member(*at) == to).unwrap(), 20);
+        host.answer_after(id, 0, (1..=3).find(|n| member(*n) == to).unwrap(), 20);
     }
     let (id, actions) = host.request(ANY);
     let first = sends(&actions).remove(0);
     let copies = sends(&host.advance(250));
     assert_eq!(copies.len(), 1);
     assert_ne!(copies[0], first);
-    let at = (1..=3).find(|at| member(*at) == copies[0]).unwrap();
-    let actions = host.end_attempt(id, 1, at, Verdict::Ok);
+    let n = (1..=3).find(|n| member(*n) == copies[0]).unwrap();
+    let actions = host.end_attempt(id, 1, n, Verdict::Ok);
     assert!(actions.contains(&Action::Cancel { request: id, attempt: AttemptNo(0) }));
 }
 
 #[test]
-fn work_that_varies_by_chance_is_no_reason_for_a_second_attempt() {
-    // Seen in the simulator: second attempts after four deviations came beside sound answers, and cost a busy fleet more.
+fn random_variation_of_latency_triggers_no_second_attempt() {
+    // Second attempts after four deviations would duplicate attempts that are about to be answered, and add load to a
+    // busy fleet.
     for second_copies in [true, false] {
         let mut host = Host::new(Settings { second_copies, ..settings() }, 3);
-        // Answers of 40 ms in the mean, spread exponentially; the order is fixed, the step shares no factor with the count.
+        // Exponentially distributed latencies with a mean of 40 ms, in a fixed order: 77 and the count share no factor.
         let (count, mut early) = (200, Vec::new());
-        for at in 0..count {
-            let takes = -40.0 * (1.0 - (f64::from(at * 77 % count) + 0.5) / f64::from(count)).ln();
+        for n in 0..count {
+            let takes = -40.0 * (1.0 - (f64::from(n * 77 % count) + 0.5) / f64::from(count)).ln();
             let (id, actions) = host.request(ANY);
             let (to, timeout) = actions.iter().find_map(sent).unwrap();
             let again =
                 !sends(&host.advance(takes as i64)).is_empty() || timeout < Span::millis(takes as i64);
-            early.extend(Some(takes).filter(|_| again && at >= 40));
-            host.answer_now(id, 0, (1..=3).find(|at| member(*at) == to).unwrap(), Span::millis(takes as i64));
+            early.extend(Some(takes).filter(|_| again && n >= 40));
+            host.answer_now(id, 0, (1..=3).find(|n| member(*n) == to).unwrap(), Span::millis(takes as i64));
         }
-        assert!(early.is_empty(), "second attempts before answers that took so many ms: {early:?}");
+        assert!(early.is_empty(), "second attempts before answers that took these ms: {early:?}");
     }
 }
 
 #[test]
-fn a_read_that_is_worth_little_when_late_gives_its_room_to_others_at_its_aim_where_replicas_are_crowded() {
-    // Seen in the simulator: reads with a late worth of 0.2 waited past their aims and were answered late, beside others refused.
+fn a_read_of_little_late_worth_is_refused_at_its_objective_where_replicas_are_overloaded() {
+    // Guards against reads with a late worth of 0.2 that are answered late while others are refused.
     for (slow_ms, late_worth, crowded) in [(200, 0.2, true), (20, 0.2, false), (200, 0.6, false)] {
         let mut settings = settings();
         settings.classes[ANY.0].late_worth = late_worth;
@@ -627,11 +641,11 @@
         for answered in 0..20 {
             let (id, actions) = host.request(ANY);
             let to = sends(&actions).remove(0);
-            let at = (1..=3).find(|at| member(*at) == to).unwrap();
-            // A third of the answers is slow: more than in an idle fleet, fewer than from where first tries are shed.
-            host.answer_after(id, 0, at, if answered % 3 == 0 { slow_ms } else { 20 });
+            let n = (1..=3).find(|n| member(*n) == to).unwrap();
+            // A third of the answers is slow: more than in an idle fleet, but too few for first tries to be shed.
+            host.answer_after(id, 0, n, if answered % 3 == 0 { slow_ms } else { 20 });
         }
-        let drained = |at| Entry { state: ListState::Draining, ..entry(at) };
+        let drained = |n| Entry { state: ListState::Draining, ..entry(n) };
         host.handle(Event::List(Listing::Changes((1..=3).map(drained).collect())));
         let (id, actions) = host.request_within(ANY, 2_000);
         assert!(sends(&actions).is_empty());
@@ -641,7 +655,7 @@
 }
 
 #[test]
-fn a_list_that_must_be_asked_for_is_asked_for_again_after_a_failure() {
+fn a_failed_subscription_to_the_list_is_repeated() {
     let asked = Settings { discovery: Discovery::Ask, ..settings() };
     let mut host = Host::new(asked, 0);
     let mut actions = Vec::new();
@@ -653,11 +667,14 @@
 }
 
 #[test]
-fn odd_events_are_answered_or_passed_over() {
+fn unexpected_events_are_answered_or_ignored() {
     let mut host = Host::new(settings(), 0);
     let (id, actions) = host.request(ANY);
     assert!(sends(&actions).is_empty());
-    assert!(refused(&host.advance(400), id).is_some(), "a group without members still gets its answer");
+    assert!(
+        refused(&host.advance(400), id).is_some(),
+        "a request for a group without members still gets an answer"
+    );
     host.end_attempt(RequestId(999), 7, 9, Verdict::Ok);
     host.handle(Event::Gone(RequestId(999)));
     host.handle(Event::Streaming(RequestId(999)));
@@ -674,20 +691,24 @@
 }
 
 #[test]
-fn an_answered_probe_is_no_sign_that_requests_are_answered() {
-    // A member that takes work and answers nothing still answers probes beside its queue.
+fn an_answered_probe_does_not_show_that_requests_are_answered() {
+    // A member that accepts work and answers none still answers probes, which bypass its queue.
     let mut host = with_primary(settings());
     let (_, actions) = host.request(UNSAFE);
     assert_eq!(sends(&actions), [member(1)]);
     host.now = host.now + Span::millis(700);
     host.probe_result(1, true, 0);
-    assert!(sends(&host.request(KEYED).1).is_empty(), "the silent primary is fed nothing more");
+    assert!(sends(&host.request(KEYED).1).is_empty(), "nothing more is sent to the silent primary");
     host.now = host.now + Span::millis(20);
-    assert_eq!(sends(&host.probe_result(2, true, 0)), [member(2)], "a primary shown later gets what waited");
+    assert_eq!(
+        sends(&host.probe_result(2, true, 0)),
+        [member(2)],
+        "a primary seen later gets the held write"
+    );
 }
 
 #[test]
-fn held_work_goes_out_by_worth() {
+fn held_requests_are_released_by_worth() {
     let mut settings = settings();
     settings.classes[FRESH.0].worth = 1.0;
     settings.classes[KEYED.0].worth = 6.0;
@@ -706,18 +727,19 @@
 }
 
 #[test]
-fn a_search_for_the_primary_starts_only_when_none_is_shown() {
-    // Seen on the bench: reads that found every member at its limit set off probes, though a primary was shown.
+fn a_search_for_the_primary_starts_only_when_none_is_known() {
+    // Guards against probes by reads that find every member at its limit, although the primary is known.
     let mut host = with_primary(settings());
     let probed: usize = (0..200).map(|_| probes(&host.request(ANY).1).len()).sum();
     assert_eq!(probed, 0);
 }
 
 #[test]
-fn second_copies_come_back_after_a_surge() {
-    // Found on review: every time-out of a surge was charged to the purse, and the debt outlived the surge.
+fn second_copies_resume_after_a_surge() {
+    // If every timeout of a surge were charged to the retry budget without a lower bound, the debt would outlast the
+    // surge.
     let mut host = Host::new(Settings { second_copies: true, ..settings() }, 3);
-    let number = |to: &MemberId| (1..=3).find(|at| member(*at) == *to).unwrap();
+    let number = |to: &MemberId| (1..=3).find(|n| member(*n) == *to).unwrap();
     for _ in 0..300 {
         let (id, actions) = host.request(ANY);
         host.now = host.now + Span::millis(395);
@@ -739,20 +761,20 @@
 }
 
 #[test]
-fn a_client_with_little_time_is_served_while_nothing_is_crowded() {
-    // Clients that come with little time left must not be turned away by a defence against crowds.
+fn a_client_with_little_time_is_served_without_overload() {
+    // Checks against overload must not refuse clients that arrive with little time left.
     let mut host = Host::new(settings(), 3);
     for _ in 0..20 {
         let (id, actions) = host.request_within(ANY, 120);
         let to = sends(&actions);
         assert_eq!(to.len(), 1);
-        let at = (1..=3).find(|at| member(*at) == to[0]).unwrap();
-        host.answer_after(id, 0, at, 20);
+        let n = (1..=3).find(|n| member(*n) == to[0]).unwrap();
+        host.answer_after(id, 0, n, 20);
     }
 }
 
 #[test]
-fn drains_in_waves_leave_the_rest_to_serve_and_their_deaths_eject_nobody_else() {
+fn drains_in_waves_eject_no_other_member() {
     let mut host = Host::new(settings(), 6);
     for wave in [[1, 2], [3, 4]] {
         let mut out = Vec::new();
@@ -761,14 +783,14 @@
             out.extend(sends(&actions).into_iter().map(|to| (id, to)));
         }
         let state = ListState::Draining;
-        host.handle(Event::List(Listing::Changes(wave.map(|at| Entry { state, ..entry(at) }).to_vec())));
+        host.handle(Event::List(Listing::Changes(wave.map(|n| Entry { state, ..entry(n) }).to_vec())));
         for (id, to) in out {
-            let at = (1..=6).find(|at| member(*at) == to).unwrap();
-            host.end_attempt(id, 0, at, if wave.contains(&at) { Verdict::Reset } else { Verdict::Ok });
+            let n = (1..=6).find(|n| member(*n) == to).unwrap();
+            host.end_attempt(id, 0, n, if wave.contains(&n) { Verdict::Reset } else { Verdict::Ok });
         }
         host.now = host.now + Span::millis(500);
         let to: Vec<MemberId> = (0..8).flat_map(|_| sends(&host.request(ANY).1)).collect();
-        assert!(to.len() >= 4 && !wave.iter().any(|at| to.contains(&member(*at))), "{to:?}");
+        assert!(to.len() >= 4 && !wave.iter().any(|n| to.contains(&member(*n))), "{to:?}");
         host.now = host.now + Span::millis(1_500);
         host.handle(Event::Wake);
     }
