--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,9 +1,10 @@
-//! A small host for the module's tests: plain settings, and a router with its clock.
+//! Support for the routing module's tests: settings, members, and a host that drives a router with a manual clock.
 #![allow(dead_code)]
 
 use linnetdeal_core::*;
 use std::sync::Arc;
 
+/// Classes of [`settings`].
 pub const READ: ClassId = ClassId(0);
 pub const ANY: ClassId = ClassId(1);
 pub const OWN: ClassId = ClassId(2);
@@ -11,6 +12,7 @@
 pub const KEYED: ClassId = ClassId(4);
 pub const UNSAFE: ClassId = ClassId(5);
 
+/// A class with an objective of 400 ms.
 pub fn class(name: &str, need: Need, effect: Effect) -> Class {
     let late_worth = if need == Need::Write { 0.5 } else { 0.0 };
     Class {
@@ -24,6 +26,7 @@
     }
 }
 
+/// Settings with the above classes, for members that check their reads.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
@@ -51,13 +54,15 @@
     }
 }
 
-pub fn member(at: usize) -> MemberId {
-    MemberId(Arc::from(format!("10.0.0.{at}:7000")))
+/// The id of a member by its number.
+pub fn member(number: usize) -> MemberId {
+    MemberId(Arc::from(format!("10.0.0.{number}:7000")))
 }
 
-pub fn entry(at: usize) -> Entry {
+/// The list's entry of a healthy member of group 0.
+pub fn entry(number: usize) -> Entry {
     Entry {
-        member: member(at),
+        member: member(number),
         group: GroupId(0),
         state: ListState::Healthy,
         primary: false,
@@ -66,6 +71,7 @@
     }
 }
 
+/// Drives a router: passes events to it and returns its actions.
 pub struct Host {
     pub router: Router,
     pub now: Time,
@@ -73,7 +79,7 @@
 }
 
 impl Host {
-    /// A router that knows members 1 to `count` of group 0.
+    /// A router that knows members 1 to `count` of group 0, with seed 1.
     pub fn new(settings: Settings, count: usize) -> Self {
         Self::seeded(1, settings, count)
     }
@@ -90,7 +96,7 @@
         actions
     }
 
-    /// Lets time pass and wakes the router.
+    /// Lets time pass in steps of 5 ms, and wakes the router after each.
     pub fn advance(&mut self, ms: i64) -> Vec<Action> {
         let mut all = Vec::new();
         for _ in 0..ms.div_euclid(5) {
@@ -100,6 +106,7 @@
         all
     }
 
+    /// A request of a client that waits for a second.
     pub fn request(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
         self.request_in_session(class, None)
     }
@@ -108,7 +115,7 @@
         self.request_for(class, session, 1_000)
     }
 
-    /// A request of a client that waits so many milliseconds.
+    /// A request of a client that waits for `ms` milliseconds.
     pub fn request_within(&mut self, class: ClassId, ms: i64) -> (RequestId, Vec<Action>) {
         self.request_for(class, None, ms)
     }
@@ -145,22 +152,30 @@
         (id, self.handle(Event::Request(request)))
     }
 
-    pub fn end_attempt(&mut self, id: RequestId, attempt: u32, at: usize, verdict: Verdict) -> Vec<Action> {
-        self.end_attempt_as(id, attempt, at, verdict, None)
+    /// An attempt at a member ends after 5 ms.
+    pub fn end_attempt(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        number: usize,
+        verdict: Verdict,
+    ) -> Vec<Action> {
+        self.end_attempt_as(id, attempt, number, verdict, None)
     }
 
+    /// The same, where the member reports its role.
     pub fn end_attempt_as(
         &mut self,
         id: RequestId,
         attempt: u32,
-        at: usize,
+        number: usize,
         verdict: Verdict,
         role: Option<Role>,
     ) -> Vec<Action> {
         self.handle(Event::Outcome(Outcome {
             request: id,
             attempt: AttemptNo(attempt),
-            member: member(at),
+            member: member(number),
             verdict,
             note: role.map(|role| Note { role: Some(role), position: None }),
             took: Span::millis(5),
@@ -169,18 +184,18 @@
         }))
     }
 
-    /// Lets that time pass, then member `at` answers.
-    pub fn answer_after(&mut self, id: RequestId, attempt: u32, at: usize, ms: i64) -> Vec<Action> {
+    /// Lets `ms` milliseconds pass, then the member answers.
+    pub fn answer_after(&mut self, id: RequestId, attempt: u32, number: usize, ms: i64) -> Vec<Action> {
         self.now = self.now + Span::millis(ms);
-        self.answer_now(id, attempt, at, Span::millis(ms))
+        self.answer_now(id, attempt, number, Span::millis(ms))
     }
 
-    /// Member `at` answers now what took so long.
-    pub fn answer_now(&mut self, id: RequestId, attempt: u32, at: usize, took: Span) -> Vec<Action> {
+    /// The member answers now; the attempt took this long.
+    pub fn answer_now(&mut self, id: RequestId, attempt: u32, number: usize, took: Span) -> Vec<Action> {
         self.handle(Event::Outcome(Outcome {
             request: id,
             attempt: AttemptNo(attempt),
-            member: member(at),
+            member: member(number),
             verdict: Verdict::Ok,
             note: None,
             took,
@@ -189,11 +204,11 @@
         }))
     }
 
-    /// A probe's answer: role, and a position that is `behind_ms` old.
-    pub fn probe_result(&mut self, at: usize, primary: bool, behind_ms: i64) -> Vec<Action> {
+    /// A probe is answered with a role and a position that is `behind_ms` old.
+    pub fn probe_result(&mut self, number: usize, primary: bool, behind_ms: i64) -> Vec<Action> {
         let seconds = (self.now - Span::millis(behind_ms)).0 as f64 / 1e6;
         self.handle(Event::Probed {
-            member: member(at),
+            member: member(number),
             verdict: Verdict::Ok,
             took: Span::millis(1),
             report: Some(vec![seconds, f64::from(u8::from(primary))]),
@@ -201,8 +216,7 @@
     }
 }
 
-/// Where the sends among the actions go.
-/// Where an attempt is sent, and how long it is waited for.
+/// The member to which an action sends an attempt, and the attempt's timeout.
 pub fn sent(action: &Action) -> Option<(MemberId, Span)> {
     match action {
         Action::Send { member, timeout, .. } => Some((member.clone(), *timeout)),
@@ -210,18 +224,21 @@
     }
 }
 
+/// The members to which the actions send attempts.
 pub fn sends(actions: &[Action]) -> Vec<MemberId> {
-    let to = |action: &Action| match action {
+    let target = |action: &Action| match action {
         Action::Send { member, .. } => Some(member.clone()),
         _ => None,
     };
-    actions.iter().filter_map(to).collect()
+    actions.iter().filter_map(target).collect()
 }
 
+/// Whether the actions fail this request.
 pub fn failed(actions: &[Action], id: RequestId) -> bool {
     actions.contains(&Action::Fail { request: id })
 }
 
+/// Whether the actions refuse this request, and with which retry-after.
 pub fn refused(actions: &[Action], id: RequestId) -> Option<Option<Span>> {
     actions.iter().find_map(|action| match action {
         Action::Refuse { request, retry_after } if *request == id => Some(*retry_after),
@@ -229,8 +246,9 @@
     })
 }
 
+/// The members that the actions probe.
 pub fn probes(actions: &[Action]) -> Vec<MemberId> {
-    let to =
+    let target =
         |action: &Action| if let Action::Probe { member } = action { Some(member.clone()) } else { None };
-    actions.iter().filter_map(to).collect()
+    actions.iter().filter_map(target).collect()
 }
--- a/crates/core/tests/mechanism.rs
+++ b/crates/core/tests/mechanism.rs
@@ -1,4 +1,4 @@
-//! The mechanism of the design page, part by part.
+//! The routing mechanism, part by part: placement of reads and writes, freshness, and the search for a primary.
 
 mod common;
 use common::*;
@@ -8,29 +8,29 @@
 #[test]
 fn idle_reads_spread_over_all_members() {
     let mut host = Host::new(settings(), 4);
-    let mut seen = BTreeMap::new();
+    let mut counts = BTreeMap::new();
     for _ in 0..400 {
         let (id, actions) = host.request(ANY);
         let to = sends(&actions).remove(0);
-        let at = (1..=4).find(|at| member(*at) == to).unwrap();
-        *seen.entry(at).or_insert(0) += 1;
+        let n = (1..=4).find(|n| member(*n) == to).unwrap();
+        *counts.entry(n).or_insert(0) += 1;
         host.now = host.now + Span::millis(5);
-        host.end_attempt(id, 0, at, Verdict::Ok);
+        host.end_attempt(id, 0, n, Verdict::Ok);
     }
-    assert!((1..=4).all(|at| seen[&at] > 60), "{seen:?}");
+    assert!((1..=4).all(|n| counts[&n] > 60), "{counts:?}");
 }
 
 #[test]
-fn a_loaded_first_pick_is_stepped_over() {
+fn a_loaded_first_pick_is_skipped() {
     let mut host = Host::new(settings(), 2);
     let busy = sends(&host.request(ANY).1).remove(0);
-    // The second and later reads must leave a member that holds more than its part.
+    // The next read must avoid the member that has more than its share of the load.
     let second = sends(&host.request(ANY).1).remove(0);
     assert_ne!(busy, second);
 }
 
 #[test]
-fn a_fresh_router_starts_its_walk_at_the_lowest_id_and_moves_on_proof() {
+fn a_new_router_tries_writes_from_the_lowest_id_on_and_moves_on_proof() {
     let mut host = Host::new(settings(), 3);
     let (id, actions) = host.request(UNSAFE);
     assert_eq!(sends(&actions), [member(1)]);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_list_shows_where_a_walk_starts() {
+fn the_list_names_the_first_member_to_try() {
     let mut host = Host::new(settings(), 3);
     let listed = Entry { primary: true, ..entry(2) };
     host.handle(Event::List(Listing::Changes(vec![listed])));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn after_one_round_of_misses_a_write_waits_for_a_shown_primary() {
+fn after_one_round_of_misses_a_write_is_held_until_a_primary_is_known() {
     let mut host = Host::new(settings(), 3);
     let (id, _) = host.request(UNSAFE);
     host.end_attempt_as(id, 0, 1, Verdict::Miss, Some(Role::Replica));
@@ -60,17 +60,17 @@
     assert!(sends(&actions).is_empty());
     let waiting = host.advance(300);
     assert!(sends(&waiting).is_empty());
-    assert!(!probes(&waiting).is_empty(), "the primary is looked for meanwhile");
+    assert!(!probes(&waiting).is_empty(), "the primary is searched for meanwhile");
     let (other, actions) = host.request(KEYED);
-    assert!(sends(&actions).is_empty(), "the next write waits too");
+    assert!(sends(&actions).is_empty(), "the next write is held too");
     let actions = host.probe_result(2, true, 1);
-    assert_eq!(sends(&actions), [member(2), member(2)], "both are released, once");
+    assert_eq!(sends(&actions), [member(2), member(2)], "both are released, each once");
     assert!(sends(&host.advance(100)).is_empty());
     assert!(!failed(&host.end_attempt_as(other, 0, 2, Verdict::Ok, Some(Role::Primary)), other));
 }
 
 #[test]
-fn half_the_attempts_bound_the_walk() {
+fn a_write_tries_members_with_at_most_half_of_its_attempts() {
     let mut host = Host::new(Settings { max_attempts: 4, ..settings() }, 6);
     let (id, _) = host.request(UNSAFE);
     let second = host.end_attempt_as(id, 0, 1, Verdict::Miss, Some(Role::Replica));
@@ -90,34 +90,34 @@
 }
 
 #[test]
-fn bounded_reads_keep_to_known_positions_where_members_do_not_check() {
+fn bounded_reads_use_only_known_positions_where_members_do_not_check() {
     let mut host = Host::new(Settings { checks: Checks::None, ..settings() }, 3);
     let (_, actions) = host.request(READ);
-    assert!(sends(&actions).is_empty(), "nothing is known of any member");
+    assert!(sends(&actions).is_empty(), "no member's position is known");
     assert_eq!(probes(&actions).len(), 3);
-    assert!(probes(&host.request(READ).1).is_empty(), "at most one probe a bound");
+    assert!(probes(&host.request(READ).1).is_empty(), "at most one probe per staleness bound");
     host.now = host.now + Span::millis(2);
     let actions = host.probe_result(2, false, 10);
     assert_eq!(sends(&actions), [member(2), member(2)]);
     host.probe_result(3, false, 5_000);
-    assert_eq!(sends(&host.request(READ).1), [member(2)], "member 3 is shown to lag");
+    assert_eq!(sends(&host.request(READ).1), [member(2)], "member 3 is known to lag");
 }
 
 #[test]
-fn meanwhile_the_groups_reads_go_to_a_shown_primary() {
+fn reads_go_to_a_known_primary_while_no_replica_is_known_to_be_fresh() {
     let mut host = Host::new(Settings { checks: Checks::None, ..settings() }, 3);
     host.probe_result(1, true, 0);
     assert_eq!(sends(&host.request(READ).1), [member(1)]);
 }
 
 #[test]
-fn unknown_members_count_where_members_check() {
+fn members_of_unknown_position_serve_where_members_check() {
     let mut host = Host::new(settings(), 3);
     assert_eq!(sends(&host.request(READ).1).len(), 1);
 }
 
 #[test]
-fn a_member_that_refused_a_read_as_behind_is_passed_over_for_a_while() {
+fn a_member_that_refused_a_read_as_too_far_behind_is_skipped_for_a_while() {
     let mut host = Host::new(settings(), 2);
     let (id, actions) = host.request(READ);
     let behind = if sends(&actions) == [member(1)] { 1 } else { 2 };
@@ -154,7 +154,7 @@
     assert_eq!(
         sends(&host.request_in_session(OWN, Some(9)).1),
         [member(1)],
-        "member 2 has not shown the write"
+        "member 2 is not known to have the write"
     );
     assert_eq!(sends(&host.request_in_session(OWN, Some(8)).1).len(), 1, "another session may read anywhere");
     host.now = host.now + Span::millis(50);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_carried_token_is_met_by_position() {
+fn a_carried_token_selects_members_by_position() {
     let settings = Settings { checks: Checks::None, tokens: Tokens::Carried, ..settings() };
     let mut host = Host::new(settings, 2);
     host.probe_result(1, false, 300);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn fresh_reads_wait_for_a_shown_primary() {
+fn fresh_reads_are_held_until_a_primary_is_known() {
     let mut host = Host::new(settings(), 3);
     let (_, actions) = host.request(FRESH);
     assert!(sends(&actions).is_empty());
@@ -192,18 +192,18 @@
 }
 
 #[test]
-fn reads_spill_over_to_a_primary_that_is_less_crowded() {
+fn reads_spill_over_to_a_primary_that_is_less_overloaded() {
     let mut host = Host::new(settings(), 4);
     host.probe_result(1, true, 0);
     let (mut to_primary, mut answered) = (0, 0);
     for _ in 0..600 {
         let (id, actions) = host.request(ANY);
         let Some(to) = sends(&actions).pop() else { continue };
-        let at = (1..=4).find(|at| member(*at) == to).unwrap_or(1);
+        let n = (1..=4).find(|n| member(*n) == to).unwrap_or(1);
         answered += 1;
-        to_primary += usize::from(at == 1);
-        // One answer in three of a replica is not in good time; all of the primary are.
-        host.answer_after(id, 0, at, if at > 1 && answered % 3 == 0 { 180 } else { 20 });
+        to_primary += usize::from(n == 1);
+        // A third of the replicas' answers are late, and none of the primary's.
+        host.answer_after(id, 0, n, if n > 1 && answered % 3 == 0 { 180 } else { 20 });
     }
     assert!(to_primary * 6 > answered && to_primary * 2 < answered, "{to_primary} of {answered}");
 }
@@ -215,13 +215,13 @@
     host.probe_result(2, false, 900);
     host.probe_result(3, false, 60_000);
     let (id, actions) = host.request(READ);
-    assert_eq!(sends(&actions), [member(2)], "within the bound of a second");
+    assert_eq!(sends(&actions), [member(2)], "within the bound of one second");
     assert!(host.router.is_fresh(host.now, id, &member(2)));
     let later = host.now + Span::millis(150);
-    assert!(!host.router.is_fresh(later, id, &member(2)), "it has fallen out of it meanwhile");
-    assert!(host.router.is_fresh(later, id, &member(1)), "the primary stands at the present");
+    assert!(!host.router.is_fresh(later, id, &member(2)), "meanwhile its data is older than the bound");
+    assert!(host.router.is_fresh(later, id, &member(1)), "the primary is always fresh");
     host.probe_result(2, false, 100);
-    assert!(host.router.is_fresh(later, id, &member(2)), "it was heard of since");
+    assert!(host.router.is_fresh(later, id, &member(2)), "a newer position was reported");
     let checked = Host::new(settings(), 3);
-    assert!(checked.router.is_fresh(later, id, &member(2)), "where members check, they say so themselves");
+    assert!(checked.router.is_fresh(later, id, &member(2)), "where members check, they refuse themselves");
 }
--- a/crates/core/tests/primary.rs
+++ b/crates/core/tests/primary.rs
@@ -1,4 +1,4 @@
-//! The states of a group, turn by turn; what is learned of changes; and what the router makes of both.
+//! The primary tracker and its transitions, the durations of changes, and how the router uses both.
 
 mod common;
 use common::*;
@@ -11,7 +11,7 @@
     Time(1_000_000_000 + ms * 1_000)
 }
 
-fn standing(at: usize, position: i64) -> MemberView {
+fn view(at: usize, position: i64) -> MemberView {
     MemberView {
         member: member(at),
         position: ms(position),
@@ -24,106 +24,106 @@
     }
 }
 
-/// A group whose primary is the first of three, and was shown at 0 ms.
+/// A tracker whose primary is the first of three members and was seen at 0 ms, with views and durations.
 fn settled() -> (PrimaryTracker, Vec<MemberView>, ChangeDurations) {
-    let (mut change, mut lengths) = (PrimaryTracker::default(), ChangeDurations::default());
-    let mut family: Vec<_> = (1..=3).map(|at| standing(at, -10 * at as i64)).collect();
-    change.set_mark(ms(0), &member(1), Evidence::Shown);
-    change.update(ms(0), Some(ms(0)), false, 0, &mut lengths);
-    assert_eq!(change.phase(), Phase::Settled);
-    family[0].was_primary = true;
-    (change, family, lengths)
+    let (mut tracker, mut durations) = (PrimaryTracker::default(), ChangeDurations::default());
+    let mut views: Vec<_> = (1..=3).map(|at| view(at, -10 * at as i64)).collect();
+    tracker.set_mark(ms(0), &member(1), Evidence::Shown);
+    tracker.update(ms(0), Some(ms(0)), false, 0, &mut durations);
+    assert_eq!(tracker.phase(), Phase::Settled);
+    views[0].was_primary = true;
+    (tracker, views, durations)
 }
 
 fn place(
-    change: &mut PrimaryTracker,
+    tracker: &mut PrimaryTracker,
     at: i64,
-    family: &[MemberView],
-    shown: bool,
+    views: &[MemberView],
+    confirmed: bool,
     walk_steps: u32,
 ) -> Option<WritePlacement> {
-    change.place(ms(at), family, shown, walk_steps, &settings())
+    tracker.place(ms(at), views, confirmed, walk_steps, &settings())
 }
 
 #[test]
-fn a_drain_that_is_told_needs_no_walk_and_tries_who_has_most_of_the_log() {
-    let (mut change, family, mut lengths) = settled();
-    change.update(ms(10), Some(ms(10)), true, 0, &mut lengths);
-    assert_eq!(change.phase(), Phase::Without);
-    let left = &family[1..];
+fn after_a_drain_writes_are_tried_at_the_member_with_the_latest_position() {
+    let (mut tracker, views, mut durations) = settled();
+    tracker.update(ms(10), Some(ms(10)), true, 0, &mut durations);
+    assert_eq!(tracker.phase(), Phase::Without);
+    let left = &views[1..];
     assert!(
-        matches!(place(&mut change, 10, left, false, 0), Some(WritePlacement::Wait(Some(to), _)) if to == member(2))
+        matches!(place(&mut tracker, 10, left, false, 0), Some(WritePlacement::Wait(Some(to), _)) if to == member(2))
     );
     assert!(
-        matches!(place(&mut change, 11, left, false, 0), Some(WritePlacement::Wait(Some(to), _)) if to == member(3))
+        matches!(place(&mut tracker, 11, left, false, 0), Some(WritePlacement::Wait(Some(to), _)) if to == member(3))
     );
     assert!(
-        matches!(place(&mut change, 12, left, false, 0), Some(WritePlacement::Wait(None, _))),
-        "then with pauses"
+        matches!(place(&mut tracker, 12, left, false, 0), Some(WritePlacement::Wait(None, _))),
+        "later trials are at intervals"
     );
     assert!(
-        matches!(place(&mut change, 60, left, false, 0), Some(WritePlacement::Wait(Some(to), _)) if to == member(2))
+        matches!(place(&mut tracker, 60, left, false, 0), Some(WritePlacement::Wait(Some(to), _)) if to == member(2))
     );
     assert!(
-        matches!(place(&mut change, 200, left, false, 9), Some(WritePlacement::Wait(None, _))),
-        "it has walked enough"
+        matches!(place(&mut tracker, 200, left, false, 9), Some(WritePlacement::Wait(None, _))),
+        "it has tried enough members"
     );
-    change.set_mark(ms(300), &member(2), Evidence::Shown);
-    change.update(ms(300), Some(ms(300)), false, 4, &mut lengths);
-    assert_eq!((change.phase(), change.window()), (Phase::Found, 2.0));
-    let why: Vec<Evidence> = change.record.transitions().map(|line| line.why).collect();
+    tracker.set_mark(ms(300), &member(2), Evidence::Shown);
+    tracker.update(ms(300), Some(ms(300)), false, 4, &mut durations);
+    assert_eq!((tracker.phase(), tracker.window()), (Phase::Found, 2.0));
+    let why: Vec<Evidence> = tracker.record.transitions().map(|line| line.why).collect();
     assert_eq!(why, [Evidence::Shown, Evidence::Drain, Evidence::Shown]);
 }
 
 #[test]
-fn one_write_at_a_time_tries_an_heir() {
-    let (mut change, mut family, mut lengths) = settled();
-    change.update(ms(10), Some(ms(10)), true, 0, &mut lengths);
-    family[2].write_in_flight = true;
-    assert!(matches!(place(&mut change, 10, &family[1..], false, 0), Some(WritePlacement::Wait(None, _))));
-    family[2].write_in_flight = false;
-    family[1].suspect = true;
+fn one_write_at_a_time_is_tried_at_a_candidate() {
+    let (mut tracker, mut views, mut durations) = settled();
+    tracker.update(ms(10), Some(ms(10)), true, 0, &mut durations);
+    views[2].write_in_flight = true;
+    assert!(matches!(place(&mut tracker, 10, &views[1..], false, 0), Some(WritePlacement::Wait(None, _))));
+    views[2].write_in_flight = false;
+    views[1].suspect = true;
     assert!(
-        matches!(place(&mut change, 10, &family[1..], false, 0), Some(WritePlacement::Wait(Some(to), _)) if to == member(3))
+        matches!(place(&mut tracker, 10, &views[1..], false, 0), Some(WritePlacement::Wait(Some(to), _)) if to == member(3))
     );
 }
 
 #[test]
-fn proof_moves_the_mark_and_the_end_of_the_walk_holds() {
-    let (mut change, family, _) = settled();
-    change.write_not_run(ms(5), &member(1), Evidence::TurnedAway, &family);
-    assert_eq!((change.phase(), change.mark()), (Phase::Doubted, Some(&member(2))));
-    change.write_not_run(ms(6), &member(1), Evidence::TurnedAway, &family);
-    assert_eq!(change.mark(), Some(&member(2)), "an old answer moves nothing more");
-    assert_eq!(place(&mut change, 7, &family, false, 1), Some(WritePlacement::Mark(member(2))));
-    assert!(matches!(place(&mut change, 8, &family, false, 3), Some(WritePlacement::Wait(None, _))));
-    assert_eq!(change.phase(), Phase::Without);
+fn proof_moves_the_mark_and_writes_are_held_after_the_last_member() {
+    let (mut tracker, views, _) = settled();
+    tracker.write_not_run(ms(5), &member(1), Evidence::TurnedAway, &views);
+    assert_eq!((tracker.phase(), tracker.mark()), (Phase::Doubted, Some(&member(2))));
+    tracker.write_not_run(ms(6), &member(1), Evidence::TurnedAway, &views);
+    assert_eq!(tracker.mark(), Some(&member(2)), "an old answer does not move the mark again");
+    assert_eq!(place(&mut tracker, 7, &views, false, 1), Some(WritePlacement::Mark(member(2))));
+    assert!(matches!(place(&mut tracker, 8, &views, false, 3), Some(WritePlacement::Wait(None, _))));
+    assert_eq!(tracker.phase(), Phase::Without);
 }
 
 #[test]
-fn a_release_grows_with_each_answer_and_ends_when_nothing_waits() {
-    let (mut change, _, mut lengths) = settled();
-    change.invalidate_mark(ms(10), Evidence::Walked);
-    change.set_mark(ms(2_000), &member(3), Evidence::Shown);
-    change.update(ms(2_000), Some(ms(2_000)), false, 100, &mut lengths);
-    let mut windows = vec![change.window()];
+fn a_release_window_grows_with_each_answer_until_nothing_is_held() {
+    let (mut tracker, _, mut durations) = settled();
+    tracker.invalidate_mark(ms(10), Evidence::Walked);
+    tracker.set_mark(ms(2_000), &member(3), Evidence::Shown);
+    tracker.update(ms(2_000), Some(ms(2_000)), false, 100, &mut durations);
+    let mut windows = vec![tracker.window()];
     for at in 1..=4 {
-        change.record_outcome(ms(2_000 + at), &member(2), Verdict::Ok);
-        change.record_outcome(ms(2_000 + at), &member(3), Verdict::Ok);
-        windows.push(change.window());
+        tracker.record_outcome(ms(2_000 + at), &member(2), Verdict::Ok);
+        tracker.record_outcome(ms(2_000 + at), &member(3), Verdict::Ok);
+        windows.push(tracker.window());
     }
     assert_eq!(windows, [2.0, 3.0, 4.0, 5.0, 6.0]);
-    assert_eq!(change.phase(), Phase::Releasing);
-    change.update(ms(2_010), Some(ms(2_010)), false, 0, &mut lengths);
-    assert_eq!((change.phase(), change.window()), (Phase::Settled, f64::INFINITY));
+    assert_eq!(tracker.phase(), Phase::Releasing);
+    tracker.update(ms(2_010), Some(ms(2_010)), false, 0, &mut durations);
+    assert_eq!((tracker.phase(), tracker.window()), (Phase::Settled, f64::INFINITY));
 }
 
 #[test]
-fn what_a_slow_release_can_not_reach_in_time_is_told_so() {
-    let (mut change, _, mut lengths) = settled();
-    change.invalidate_mark(ms(10), Evidence::Walked);
-    change.set_mark(ms(2_000), &member(3), Evidence::Shown);
-    change.update(ms(2_000), Some(ms(2_000)), false, 100, &mut lengths);
+fn requests_that_a_slow_release_cannot_reach_in_time_are_refused() {
+    let (mut tracker, _, mut durations) = settled();
+    tracker.invalidate_mark(ms(10), Evidence::Walked);
+    tracker.set_mark(ms(2_000), &member(3), Evidence::Shown);
+    tracker.update(ms(2_000), Some(ms(2_000)), false, 100, &mut durations);
     let held = |at: u64| HeldRequest {
         id: RequestId(at),
         merit: 1.0,
@@ -134,27 +134,27 @@
         write: false,
         walk_steps: 0,
     };
-    let late = |change: &PrimaryTracker, now| {
-        change.release_order(ms(now), (0..100).map(held).collect(), &ChangeDurations::default()).1.len()
+    let late = |tracker: &PrimaryTracker, now| {
+        tracker.release_order(ms(now), (0..100).map(held).collect(), &ChangeDurations::default()).1.len()
     };
     for at in 1..=10 {
-        assert_eq!(late(&change, 2_000 + at * 50), 0, "its pace is not told yet");
-        change.record_outcome(ms(2_000 + at * 50 + 40), &member(3), Verdict::Ok);
+        assert_eq!(late(&tracker, 2_000 + at * 50), 0, "the rate is not known yet");
+        tracker.record_outcome(ms(2_000 + at * 50 + 40), &member(3), Verdict::Ok);
     }
-    // Ten in 540 ms, so it may become 27 ms each: 55 until the deadline, and one that asks for no primary.
-    assert_eq!(late(&change, 2_540), 44);
-    change.update(ms(2_540), Some(ms(2_540)), false, 100, &mut lengths);
+    // Ten answers in 540 ms, so at best 27 ms each: 55 until the deadline, and one request that needs no primary.
+    assert_eq!(late(&tracker, 2_540), 44);
+    tracker.update(ms(2_540), Some(ms(2_540)), false, 100, &mut durations);
     assert_eq!(
-        change.expected_wait(ms(2_540), &lengths),
+        tracker.expected_wait(ms(2_540), &durations),
         Some(Span::millis(2_700)),
-        "when all of them would be done"
+        "until all of them are done"
     );
 }
 
 #[test]
-fn of_many_held_writes_a_few_are_tried_and_all_are_told_when_their_time_is_over() {
-    let (mut change, _, _) = settled();
-    change.invalidate_mark(ms(10), Evidence::Walked);
+fn of_many_held_writes_a_few_are_tried_and_expired_ones_are_always_listed() {
+    let (mut tracker, _, _) = settled();
+    tracker.invalidate_mark(ms(10), Evidence::Walked);
     let held = |at: u64| HeldRequest {
         id: RequestId(at),
         merit: 1.0,
@@ -165,95 +165,99 @@
         write: true,
         walk_steps: u32::from(at < 500),
     };
-    let lengths =
+    let durations =
         ChangeDurations::new([None, Some(Expected { least: Span::millis(100), usual: Span::millis(200) })]);
-    let (go, late) = change.release_order(ms(5_000), (0..1_000).map(held).collect(), &lengths);
+    let (go, late) = tracker.release_order(ms(5_000), (0..1_000).map(held).collect(), &durations);
     let first: Vec<_> = (500..516).chain([900]).map(RequestId).collect();
-    assert_eq!((go, late.len()), (first, 0), "those that may walk, and who is out of time");
+    assert_eq!((go, late.len()), (first, 0), "the first that may try a member, and the one that expires");
 }
 
 #[test]
-fn the_same_primary_again_is_no_change() {
-    let (mut change, _, mut lengths) = settled();
+fn the_same_primary_again_is_not_a_change() {
+    let (mut tracker, _, mut durations) = settled();
     for round in 0..5 {
-        change.invalidate_mark(ms(round * 100 + 10), Evidence::Silent);
+        tracker.invalidate_mark(ms(round * 100 + 10), Evidence::Silent);
         assert!(
-            !change.update(ms(round * 100 + 90), Some(ms(round * 100 + 90)), false, 9, &mut lengths),
-            "nothing to tell"
+            !tracker.update(ms(round * 100 + 90), Some(ms(round * 100 + 90)), false, 9, &mut durations),
+            "no new primary"
         );
-        assert_eq!((change.phase(), change.window()), (Phase::Settled, f64::INFINITY));
+        assert_eq!((tracker.phase(), tracker.window()), (Phase::Settled, f64::INFINITY));
     }
     assert_eq!(
-        (lengths.minimum(ChangeKind::Unplanned), change.expected_wait(ms(600), &lengths)),
+        (durations.minimum(ChangeKind::Unplanned), tracker.expected_wait(ms(600), &durations)),
         (None, None)
     );
 }
 
 #[test]
-fn lengths_are_learned_by_kind_and_give_the_time_to_come_back() {
-    let (mut change, _, mut lengths) = settled();
+fn durations_are_kept_by_kind_and_give_the_expected_wait() {
+    let (mut tracker, _, mut durations) = settled();
     let mut at = 0;
     for (round, took) in [3_000, 4_000, 5_000].into_iter().enumerate() {
         at += 10_000;
-        change.invalidate_mark(ms(at), Evidence::Walked);
-        assert_eq!(lengths.minimum(ChangeKind::Unplanned).is_some(), round >= 2, "two say enough");
-        change.set_mark(ms(at + took), &member(2 + round % 2), Evidence::Shown);
-        change.update(ms(at + took), Some(ms(at + took)), false, 0, &mut lengths);
+        tracker.invalidate_mark(ms(at), Evidence::Walked);
+        assert_eq!(
+            durations.minimum(ChangeKind::Unplanned).is_some(),
+            round >= 2,
+            "two observations are enough"
+        );
+        tracker.set_mark(ms(at + took), &member(2 + round % 2), Evidence::Shown);
+        tracker.update(ms(at + took), Some(ms(at + took)), false, 0, &mut durations);
     }
-    assert_eq!(lengths.minimum(ChangeKind::Unplanned), Some(Span::millis(2_400)));
-    assert_eq!(lengths.minimum(ChangeKind::Planned), None);
-    change.invalidate_mark(ms(50_000), Evidence::Walked);
-    assert!(change.outlasts(ms(52_000), &lengths) && !change.outlasts(ms(52_500), &lengths));
-    assert_eq!(change.expected_wait(ms(51_000), &lengths), Some(Span::millis(4_000)));
-    assert_eq!(
-        change.expected_wait(ms(60_000), &lengths),
-        Some(Span(0)),
-        "it is late; nobody knows for how long"
-    );
+    assert_eq!(durations.minimum(ChangeKind::Unplanned), Some(Span::millis(2_400)));
+    assert_eq!(durations.minimum(ChangeKind::Planned), None);
+    tracker.invalidate_mark(ms(50_000), Evidence::Walked);
+    assert!(tracker.outlasts(ms(52_000), &durations) && !tracker.outlasts(ms(52_500), &durations));
+    assert_eq!(tracker.expected_wait(ms(51_000), &durations), Some(Span::millis(4_000)));
+    assert_eq!(tracker.expected_wait(ms(60_000), &durations), Some(Span(0)), "overdue by an unknown time");
 }
 
 #[test]
-fn what_an_operator_says_counts_until_enough_was_seen() {
-    let says = Expected { least: Span::millis(2_800), usual: Span::millis(5_000) };
-    let mut lengths = ChangeDurations::new([None, Some(says)]);
+fn the_operators_estimate_counts_until_enough_changes_were_observed() {
+    let expected = Expected { least: Span::millis(2_800), usual: Span::millis(5_000) };
+    let mut durations = ChangeDurations::new([None, Some(expected)]);
     assert_eq!(
-        (lengths.minimum(ChangeKind::Planned), lengths.minimum(ChangeKind::Unplanned)),
+        (durations.minimum(ChangeKind::Planned), durations.minimum(ChangeKind::Unplanned)),
         (None, Some(Span::millis(2_800)))
     );
-    lengths.observe(ChangeKind::Unplanned, Span::millis(1_000));
-    assert_eq!(lengths.typical(ChangeKind::Unplanned), Some(Span::millis(5_000)));
-    lengths.observe(ChangeKind::Unplanned, Span::millis(2_000));
-    assert_eq!(lengths.minimum(ChangeKind::Unplanned), Some(Span::millis(800)));
+    durations.observe(ChangeKind::Unplanned, Span::millis(1_000));
+    assert_eq!(durations.typical(ChangeKind::Unplanned), Some(Span::millis(5_000)));
+    durations.observe(ChangeKind::Unplanned, Span::millis(2_000));
+    assert_eq!(durations.minimum(ChangeKind::Unplanned), Some(Span::millis(800)));
     for _ in 0..1_000 {
-        lengths.observe(ChangeKind::Unplanned, Span::millis(7_000));
+        durations.observe(ChangeKind::Unplanned, Span::millis(7_000));
     }
-    assert_eq!(lengths.minimum(ChangeKind::Unplanned), Some(Span::millis(5_600)), "old ones are forgotten");
+    assert_eq!(
+        durations.minimum(ChangeKind::Unplanned),
+        Some(Span::millis(5_600)),
+        "old observations are dropped"
+    );
 }
 
 #[test]
-fn the_record_is_bounded_and_tells_turn_by_turn() {
-    let (mut change, _, mut lengths) = settled();
+fn the_record_is_bounded_and_lists_the_transitions() {
+    let (mut tracker, _, mut durations) = settled();
     for round in 0..1_000 {
-        change.invalidate_mark(ms(round * 10), Evidence::Silent);
-        change.update(ms(round * 10 + 5), Some(ms(round * 10 + 5)), false, 0, &mut lengths);
+        tracker.invalidate_mark(ms(round * 10), Evidence::Silent);
+        tracker.update(ms(round * 10 + 5), Some(ms(round * 10 + 5)), false, 0, &mut durations);
     }
-    assert_eq!((change.record.transitions().count(), change.record.total()), (48, 2_001));
+    assert_eq!((tracker.record.transitions().count(), tracker.record.total()), (48, 2_001));
     assert!(
-        change.record.to_string().contains("Settled -> Doubted by Silent at 10.0.0.1:7000"),
+        tracker.record.to_string().contains("Settled -> Doubted by Silent at 10.0.0.1:7000"),
         "{}",
-        change.record
+        tracker.record
     );
 }
 
-fn with_changes_seen() -> Host {
-    let says = Expected { least: Span::millis(700), usual: Span::millis(900) };
-    let mut host = Host::new(Settings { changes: [None, Some(says)], ..settings() }, 3);
+fn host_with_expected_changes() -> Host {
+    let expected = Expected { least: Span::millis(700), usual: Span::millis(900) };
+    let mut host = Host::new(Settings { changes: [None, Some(expected)], ..settings() }, 3);
     host.probe_result(1, true, 0);
     host
 }
 
-/// All three turn a write away, as after a death.
-fn walk(host: &mut Host) -> RequestId {
+/// A write that all three members reject, as after the death of the primary.
+fn reject_write(host: &mut Host) -> RequestId {
     let (id, _) = host.request_within(UNSAFE, 950);
     host.now = host.now + Span::millis(2);
     host.end_attempt(id, 0, 1, Verdict::ConnectFailed);
@@ -263,21 +267,21 @@
 }
 
 #[test]
-fn a_write_that_can_not_outlast_the_change_is_refused_at_once_with_an_honest_time() {
-    let mut host = with_changes_seen();
-    walk(&mut host);
+fn a_write_that_the_change_outlasts_is_refused_at_once_with_the_expected_wait() {
+    let mut host = host_with_expected_changes();
+    reject_write(&mut host);
     host.advance(100);
     let (short, actions) = host.request_within(UNSAFE, 400);
-    let back = refused(&actions, short).expect("refused at once").expect("with a time");
+    let back = refused(&actions, short).expect("refused at once").expect("with a retry-after");
     assert!((Span::millis(790)..=Span::millis(800)).contains(&back), "{back:?}");
     let (long, actions) = host.request_within(UNSAFE, 700);
-    assert!(refused(&actions, long).is_none(), "this one may outlast it");
+    assert!(refused(&actions, long).is_none(), "its deadline is late enough");
     let (read, actions) = host.request(READ);
-    assert!(refused(&actions, read).is_none(), "other reads have other members");
+    assert!(refused(&actions, read).is_none(), "other reads do not need the primary");
 }
 
 #[test]
-fn a_box_that_started_anew_is_not_taken_for_the_primary_that_it_was() {
+fn a_restarted_member_is_not_taken_for_the_primary_that_it_was() {
     let mut host = Host::new(Settings { cold_share: 1.0, ..settings() }, 3);
     host.probe_result(1, true, 0);
     assert_eq!(sends(&host.request(FRESH).1), [member(1)]);
@@ -285,12 +289,12 @@
     host.now = host.now + Span::millis(1_000);
     host.handle(Event::List(Listing::Changes(vec![again])));
     let (_, actions) = host.request(FRESH);
-    assert!(sends(&actions).is_empty(), "it has to show it anew");
+    assert!(sends(&actions).is_empty(), "the member has to report the role again");
     assert_eq!(sends(&host.probe_result(1, true, 1)).len(), 1);
 }
 
 #[test]
-fn a_start_that_lies_ahead_of_our_clock_does_not_keep_a_primary_from_being_shown() {
+fn a_start_time_ahead_of_the_clock_does_not_hide_a_primary() {
     let mut host = Host::new(Settings { cold_share: 1.0, ..settings() }, 3);
     host.probe_result(1, true, 0);
     let ahead = Entry { started: Some(host.now + Span::millis(3_600_000)), ..entry(1) };
@@ -301,22 +305,22 @@
 }
 
 #[test]
-fn a_report_from_before_the_change_does_not_undo_an_answer_from_behind_it() {
-    let mut host = with_changes_seen();
-    let held = walk(&mut host);
+fn a_report_from_before_the_change_does_not_override_a_later_answer() {
+    let mut host = host_with_expected_changes();
+    let held = reject_write(&mut host);
     host.advance(200);
-    // The old primary's report is from before its death; it came late.
+    // A delayed report of the old primary, from before its death.
     host.probe_result(1, true, 190);
     let actions = host.probe_result(2, true, 1);
     assert_eq!(sends(&actions), [member(2)]);
     host.now = host.now + Span::millis(4);
     host.end_attempt_as(held, 3, 2, Verdict::Ok, Some(Role::Primary));
     host.probe_result(1, true, 150);
-    assert_eq!(sends(&host.request(UNSAFE).1), [member(2)], "what it was is not what it is");
+    assert_eq!(sends(&host.request(UNSAFE).1), [member(2)], "an old report does not override a newer answer");
 }
 
-/// An answer from a primary whose position is so old.
-fn claims(host: &mut Host, at: usize, behind_ms: i64) -> Vec<Action> {
+/// A read is answered by the member as a primary whose position is this old, if it is sent there.
+fn claim_primary(host: &mut Host, at: usize, behind_ms: i64) -> Vec<Action> {
     let (id, actions) = host.request(ANY);
     let to = sends(&actions).first().cloned();
     let note = Note { role: Some(Role::Primary), position: Some(host.now - Span::millis(behind_ms)) };
@@ -334,18 +338,18 @@
 }
 
 #[test]
-fn an_old_primary_that_still_says_it_is_one_moves_no_mark() {
-    let mut host = with_changes_seen();
-    let held = walk(&mut host);
+fn a_former_primary_that_still_claims_the_role_does_not_get_the_mark() {
+    let mut host = host_with_expected_changes();
+    let held = reject_write(&mut host);
     host.advance(200);
     host.probe_result(2, true, 1);
     host.now = host.now + Span::millis(4);
     host.end_attempt_as(held, 3, 2, Verdict::Ok, Some(Role::Primary));
-    // It is back and answers reads, with where it stood.
+    // The former primary is back and answers reads at its old position.
     host.probe_result(1, true, 400);
     for _ in 0..60 {
         host.now = host.now + Span::millis(5);
-        claims(&mut host, 1, 400);
+        claim_primary(&mut host, 1, 400);
     }
     assert_eq!(sends(&host.request(UNSAFE).1), [member(2)]);
 }
@@ -353,10 +357,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(29), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// In a release, each session's writes keep their order, and no one with a later deadline and no session goes before one
-    /// with an earlier deadline and none.
+    /// In a release, the requests of each session keep their order, and those without a session are sorted by deadline.
     #[test]
-    fn a_release_is_by_deadline_and_each_session_in_its_order(asked in prop::collection::vec((0..4_u64, 1..60_i64), 0..40)) {
+    fn a_release_is_sorted_by_deadline_and_keeps_the_order_of_each_session(asked in prop::collection::vec((0..4_u64, 1..60_i64), 0..40)) {
         let mut held: Vec<HeldRequest> = asked.iter().enumerate().map(|(at, (session, left))| HeldRequest {
             id: RequestId(at as u64),
             merit: 1.0,
@@ -379,39 +382,39 @@
             }
         }
         sort_held(&mut held, Phase::Settled);
-        prop_assert!(held.is_sorted_by_key(|one| one.arrived), "else by arrival");
+        prop_assert!(held.is_sorted_by_key(|one| one.arrived), "otherwise by arrival");
     }
 
-    /// Whatever happens in whatever order: writes go to the mark or wait, a scout is never who was the primary or is suspect,
-    /// the mark is a member, and the record keeps its bound.
+    /// For any order of evidence: writes go to the mark or are held, they are never tried at the former primary or at a
+    /// suspect member, the mark is a member, and the record stays within its bound.
     #[test]
-    fn any_order_of_evidence_keeps_the_state_sound(steps in prop::collection::vec((0..9_u8, 1..4_usize, 0..400_i64), 0..80)) {
-        let (mut change, mut family, mut lengths) = settled();
+    fn any_order_of_evidence_keeps_the_state_valid(steps in prop::collection::vec((0..9_u8, 1..4_usize, 0..400_i64), 0..80)) {
+        let (mut tracker, mut views, mut durations) = settled();
         let mut now = 0;
-        for (what, who, after) in steps {
+        for (step, number, after) in steps {
             now += after;
-            match what {
-                0 => change.write_not_run(ms(now), &member(who), Evidence::TurnedAway, &family),
-                1 => change.invalidate_mark(ms(now), Evidence::Silent),
-                2 => drop(change.update(ms(now), None, true, 3, &mut lengths)),
+            match step {
+                0 => tracker.write_not_run(ms(now), &member(number), Evidence::TurnedAway, &views),
+                1 => tracker.invalidate_mark(ms(now), Evidence::Silent),
+                2 => drop(tracker.update(ms(now), None, true, 3, &mut durations)),
                 3 => {
-                    change.set_mark(ms(now), &member(who), Evidence::Shown);
-                    change.update(ms(now), Some(ms(now)), false, 3, &mut lengths);
+                    tracker.set_mark(ms(now), &member(number), Evidence::Shown);
+                    tracker.update(ms(now), Some(ms(now)), false, 3, &mut durations);
                 }
-                4 => change.record_outcome(ms(now), &member(who), Verdict::Ok),
-                5 => family[who - 1].suspect ^= true,
-                6 => family[who - 1].was_primary ^= true,
-                _ => match place(&mut change, now, &family, false, u32::from(what == 8)) {
-                    Some(WritePlacement::Mark(mark)) => prop_assert_eq!(Some(&mark), change.mark()),
+                4 => tracker.record_outcome(ms(now), &member(number), Verdict::Ok),
+                5 => views[number - 1].suspect ^= true,
+                6 => views[number - 1].was_primary ^= true,
+                _ => match place(&mut tracker, now, &views, false, u32::from(step == 8)) {
+                    Some(WritePlacement::Mark(mark)) => prop_assert_eq!(Some(&mark), tracker.mark()),
                     Some(WritePlacement::Wait(Some(to), _)) => {
-                        let of = family.iter().find(|of| of.member == to).expect("a member");
+                        let of = views.iter().find(|of| of.member == to).expect("a member");
                         prop_assert!(!of.was_primary && !of.suspect);
                     }
                     _ => {}
                 },
             }
-            prop_assert!(change.mark().is_some() && change.record.transitions().count() <= 48 && change.window() >= 2.0);
-            prop_assert!(change.lost_since().is_none() || !matches!(change.phase(), Phase::Found | Phase::Releasing));
+            prop_assert!(tracker.mark().is_some() && tracker.record.transitions().count() <= 48 && tracker.window() >= 2.0);
+            prop_assert!(tracker.lost_since().is_none() || !matches!(tracker.phase(), Phase::Found | Phase::Releasing));
         }
     }
 }
