--- a/crates/net/src/frontend.rs
+++ b/crates/net/src/frontend.rs
@@ -41,9 +41,10 @@
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long a client may go on sending after it was told that its connection ends; enough for 60 MB.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Delay after each command that can't be served, and the number of such errors after which the connection is closed:
-/// a client that repeats such a command as soon as it is rejected would otherwise keep other clients waiting.
+/// Delay after each command that can't be served: a client that repeats such a command as soon as it is rejected would
+/// otherwise keep other clients waiting.
 const ERROR_DELAY: Duration = Duration::from_millis(50);
+/// Number of commands that can't be served after which the connection is closed.
 const MAX_ERRORS: u32 = 8;
 /// A client may request each of TLS and GSS encryption once, as in PostgreSQL.
 const MAX_ENCRYPTION_REQUESTS: u32 = 2;
@@ -56,6 +57,7 @@
 const MAX_READ_AHEAD: usize = 16 * 1024;
 /// [`Mutant::ForgottenAnswer`] drops one answer in this many requests.
 const FORGET_ANSWER_EVERY: u64 = 50;
+/// How often the end of the stream is polled for while no more is read ahead.
 const HANGUP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Opens the listening socket.
@@ -126,8 +128,8 @@
 pub(crate) async fn run(context: Rc<FrontendContext>, listener: Async<TcpListener>, inherited: bool) {
     loop {
         let accepted = async {
-            let room = context.slots.wait_for_room().await;
-            Some(listener.accept().await.map(|(stream, _)| (stream, room)))
+            let has_room = context.slots.wait_for_room().await;
+            Some(listener.accept().await.map(|(stream, _)| (stream, has_room)))
         };
         let accept_paused = async {
             context.lifecycle.accept_paused.wait_on().await;
@@ -136,10 +138,10 @@
         match or(accepted, accept_paused).await {
             None if inherited => context.lifecycle.accept_paused.wait_off().await,
             None => return,
-            Some(Ok((stream, room))) => {
+            Some(Ok((stream, has_room))) => {
                 // With all slots in use the connection may have been waited for so long that a slot is free by now.
-                let room = room || context.slots.has_free_slot();
-                admit(&context, stream, room);
+                let has_room = has_room || context.slots.has_free_slot();
+                admit(&context, stream, has_room);
                 // A burst of connections must not hold up the clients that are already connected.
                 yield_now().await;
             }
@@ -159,9 +161,9 @@
     }
 }
 
-fn admit(context: &Rc<FrontendContext>, stream: Async<TcpStream>, room: bool) {
+fn admit(context: &Rc<FrontendContext>, stream: Async<TcpStream>, has_room: bool) {
     context.counters.clients.add();
-    // Otherwise an answer that the system delays until an earlier one is acknowledged would be lost on a reset.
+    // Without TCP_NODELAY, an answer that the system delays until an earlier one is acknowledged would be lost on a reset.
     if let Err(error) = stream.get_ref().set_nodelay(true) {
         tracing::debug!(target: "clients", "TCP_NODELAY: {error}");
     }
@@ -170,7 +172,7 @@
         let slot = owner.slots.acquire();
         let mut client = Client {
             context: &owner,
-            // Declared before the slot, so that the descriptor is closed before the slot is released.
+            // Dropped before the slot: the descriptor is closed before the slot counts as free.
             stream,
             buffer: ReadBuffer::default(),
             arrivals: Arrivals::default(),
@@ -181,7 +183,7 @@
             close_reason: Cell::new(CloseReason::ClientLeft),
         };
         // An error on one client's connection affects no other: the connection is closed.
-        let ended = client.run(room).await;
+        let ended = client.run(has_room).await;
         client.note_close(ended);
     };
     context.executor.spawn(task).detach();
@@ -217,6 +219,7 @@
     Known,
 }
 
+/// One client connection.
 struct Client<'a> {
     context: &'a Rc<FrontendContext>,
     stream: Async<TcpStream>,
@@ -245,8 +248,8 @@
 }
 
 impl Client<'_> {
-    async fn run(&mut self, room: bool) -> Result<(), ClientError> {
-        let ended = match self.start_session(room).await {
+    async fn run(&mut self, has_room: bool) -> Result<(), ClientError> {
+        let ended = match self.start_session(has_room).await {
             Ok(true) => self.run_commands().await,
             other => other.map(drop),
         };
@@ -288,7 +291,7 @@
     }
 
     /// Handles the startup messages; returns false if no session follows.
-    async fn start_session(&mut self, room: bool) -> Result<bool, ClientError> {
+    async fn start_session(&mut self, has_room: bool) -> Result<bool, ClientError> {
         let mut encryption_requests = 0;
         loop {
             if let Some((kind, size)) = pg::startup(self.buffer.data())? {
@@ -306,7 +309,7 @@
                 return Ok(false);
             }
         }
-        if !room {
+        if !has_room {
             self.context.counters.crowded_out.add();
             self.close_reason.set(CloseReason::NoRoom);
             self.close_with_error("53300", "too many clients", Some("250")).await?;
@@ -349,16 +352,16 @@
                     }
                     self.send(&[&out]).await?;
                 }
-                Command::Rejected(code, words) => {
+                Command::Rejected(code, error_text) => {
                     self.context.counters.rejected.add();
                     self.errors += 1;
                     // A request that was already read behind this command must be answered before the connection may close.
                     let may_close = self.close_facts().may_close();
                     if self.errors >= MAX_ERRORS && may_close {
                         self.close_reason.set(CloseReason::Errors);
-                        return self.close_with_error(code, &words, None).await;
+                        return self.close_with_error(code, &error_text, None).await;
                     }
-                    write::error_response(&mut out, Severity::Error, code, &words, None);
+                    write::error_response(&mut out, Severity::Error, code, &error_text, None);
                     skipping = tag != b'Q';
                     if !skipping {
                         write::ready_for_query(&mut out);
@@ -409,7 +412,7 @@
             arrivals.record(count, context.driver.clock.now());
             Ok(if count > 0 { ReadOutcome::More } else { ReadOutcome::End(CloseReason::ClientLeft) })
         };
-        let late = async {
+        let timed_out = async {
             match limit {
                 Some(at) => drop(Timer::at(at).await),
                 None => std::future::pending().await,
@@ -425,8 +428,8 @@
             flag.raised().await;
             Ok(ReadOutcome::End(CloseReason::ProcessEnds))
         };
-        // Drained: idle clients that have made a request are closed once the front sends no more clients.
-        let emptied = async {
+        // While the pooler is drained, idle clients that have made a request are closed once the front sends no more clients.
+        let drained = async {
             if !between_commands || *stage != Stage::Known {
                 std::future::pending::<()>().await;
             }
@@ -434,14 +437,14 @@
             let _ = Timer::at(since + DRAINED_GRACE).await;
             Ok(ReadOutcome::End(CloseReason::Emptied))
         };
-        let ending = or(ending, emptied);
+        let ending = or(ending, drained);
         let rank = if *stage == Stage::Known { EvictionRank::Idle } else { EvictionRank::New };
-        let done: Option<Result<ReadOutcome, ClientError>> =
-            slot.run_evictable(rank, *since, or(read, or(late, ending))).await;
+        let outcome: Option<Result<ReadOutcome, ClientError>> =
+            slot.run_evictable(rank, *since, or(read, or(timed_out, ending))).await;
         if between_commands && *stage == Stage::Known {
             *since = Instant::now();
         }
-        match done.unwrap_or(Ok(ReadOutcome::End(CloseReason::MadeRoom)))? {
+        match outcome.unwrap_or(Ok(ReadOutcome::End(CloseReason::MadeRoom)))? {
             ReadOutcome::More => Ok(true),
             ReadOutcome::End(why) => {
                 self.close_reason.set(why);
@@ -494,7 +497,7 @@
                 match pg::parse_statement(statement) {
                     Ok(StatementKind::Request(comment)) => {
                         let client_request = self.context.client_request(statement, &comment, arrived);
-                        let open = OpenId::enter(self.context, comment.id);
+                        let open = OpenId::reserve(self.context, comment.id);
                         if let (Some(client_request), Some(open)) = (client_request, open) {
                             let timeout_range = comment.timeout_range.clone();
                             let effect =
@@ -537,7 +540,7 @@
             _ => return Err(PgError::Malformed("message type").into()),
         }
         self.buffer.consume(size);
-        Ok(rejected.map_or(Command::Answered, |(code, words)| Command::Rejected(code, words)))
+        Ok(rejected.map_or(Command::Answered, |(code, error_text)| Command::Rejected(code, error_text)))
     }
 
     /// Serves a request and writes its answer; returns false if the connection ends with it.
@@ -588,8 +591,8 @@
         match answer {
             FinalAnswer::Gone => Ok(false),
             FinalAnswer::Served(mut reply) if reply.is_large() => {
-                let sent_so_far: Vec<&[u8]> = reply.pieces().collect();
-                self.send(&sent_so_far).await?;
+                let first_pieces: Vec<&[u8]> = reply.pieces().collect();
+                self.send(&first_pieces).await?;
                 // If the answer can't be completed, the connection ends: the client sees that the answer is truncated.
                 while let Some(piece) = self.context.pool.next_chunk(&mut reply).await? {
                     self.send(&[&piece]).await?;
@@ -671,10 +674,10 @@
                 yield_now().await;
             }
         };
-        let enough = async {
+        let time_limit = async {
             Timer::after(LINGER_TIMEOUT).await;
         };
-        let work = or(discarded, or(enough, self.context.lifecycle.terminating.raised()));
+        let work = or(discarded, or(time_limit, self.context.lifecycle.terminating.raised()));
         self.slot.run_evictable(EvictionRank::Closing, Instant::now(), work).await;
     }
 }
@@ -744,10 +747,10 @@
 /// Whether the peer has closed the connection, even if unread bytes precede the end of the stream.
 fn peer_closed(stream: &Async<TcpStream>) -> bool {
     use rustix::event::{PollFd, PollFlags, Timespec, poll};
-    let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+    let closed = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     let mut polled = [PollFd::new(stream, PollFlags::RDHUP)];
     poll(&mut polled, Some(&Timespec { tv_sec: 0, tv_nsec: 0 })).is_ok_and(|count| count > 0)
-        && polled[0].revents().intersects(ends)
+        && polled[0].revents().intersects(closed)
 }
 
 /// The id of an open request, which no other request may use until this is dropped.
@@ -758,7 +761,7 @@
 
 impl OpenId {
     /// Returns `None` if a request with this id is open.
-    fn enter(context: &Rc<FrontendContext>, id: &str) -> Option<Self> {
+    fn reserve(context: &Rc<FrontendContext>, id: &str) -> Option<Self> {
         let id: Box<str> = id.into();
         let new = context.open_ids.borrow_mut().insert(id.clone());
         new.then(|| Self { context: context.clone(), id })
@@ -781,7 +784,7 @@
         arrived: Option<Time>,
     ) -> Option<ClientRequest<()>> {
         let class = self.classes.named(comment.class)?;
-        let longest = Span(i64::try_from(self.classes.longest_deadline().as_micros()).unwrap_or(i64::MAX));
+        let max_wait = Span(i64::try_from(self.classes.longest_deadline().as_micros()).unwrap_or(i64::MAX));
         let has_session = matches!(self.classes.get(class)?.1, Need::Write | Need::Session);
         let session = pg::quoted_key(statement).filter(|_| has_session).map(|key| {
             let mut hasher = DefaultHasher::new();
@@ -794,7 +797,7 @@
             session,
             group: GroupId(comment.group),
             deadline: arrived.unwrap_or_else(|| self.driver.clock.now())
-                + Span((comment.timeout_ms * 1_000.0) as i64).min(longest),
+                + Span((comment.timeout_ms * 1_000.0) as i64).min(max_wait),
             last_write: comment.last_commit_ms.map(|ms| Time((ms * 1_000.0) as i64)),
             retry: comment.retry,
             copies_allowed: self.classes.may_be_copied(class),
--- a/crates/net/src/upstream.rs
+++ b/crates/net/src/upstream.rs
@@ -42,17 +42,17 @@
 
 /// Size of the chunks in which a large answer is read, and thereby its memory use.
 const STREAM_CHUNK_SIZE: usize = 32 * 1024;
-/// A large answer that brings no bytes for this long counts as ended.
+/// A large answer that brings no bytes for this long is abandoned.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Upper limit for the size of an answer, including notices.
 const MAX_ANSWER_SIZE: usize = 2 * pg::MAX_VALUE_SIZE;
 /// A connection is not reused for this long after an answer while there are others: excess bytes from a server arrive right
 /// behind an answer and must not be taken for the next one.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
-/// After this many idle connections that failed the check before their reuse, a new one is opened; the same happens after a
-/// single one that does not answer within [`REUSE_CHECK_TIMEOUT`], which is ten times what the most distant servers take.
-/// Other connections may still answer.
+/// After this many idle connections that failed the check before their reuse, a new one is opened.
 const MAX_REUSE_CHECKS: usize = 2;
+/// A new connection is also opened after a single idle one that does not answer the check within this time, ten times what
+/// the most distant servers take: servers may still answer on other connections.
 const REUSE_CHECK_TIMEOUT: Duration = Duration::from_millis(25);
 
 /// A client's statement in the buffer that it was read into. Only the timeout in it is rewritten for each attempt.
@@ -133,8 +133,9 @@
     stage: Cell<Stage>,
     /// The statement was sent on an idle connection without a check, and no byte of an answer has been received.
     unverified_reuse: Cell<bool>,
-    /// Size of the statement; `written` counts the bytes that the system has accepted of it and of the ping behind it.
+    /// Size of the statement in bytes.
     size: Cell<usize>,
+    /// Bytes that the system has accepted of the statement and of the ping behind it.
     written: Cell<usize>,
 }
 
@@ -214,7 +215,7 @@
         if member_in_service { Ok(remaining) } else { Err(SendDenied::MemberWithdrawn) }
     }
 
-    fn began(&self, _told: Duration) {}
+    fn began(&self, _timeout: Duration) {}
 }
 
 /// What was read up to ReadyForQuery, or until the server closed the connection.
@@ -469,7 +470,7 @@
             }
             stage.set(Stage::Waiting);
             let permit = self.permit(member).await;
-            // The permit may have taken long: a member that was withdrawn meanwhile is not dialled either.
+            // The permit may have taken long: a member that was withdrawn meanwhile is not dialed either.
             if !self.members.in_service(member) {
                 return Err(ExchangeError::MemberWithdrawn);
             }
@@ -539,7 +540,7 @@
         gate: &dyn SendGate,
     ) -> Result<(Connection, Exchange), ExchangeError> {
         let AttemptProgress { stage, unverified_reuse, .. } = progress;
-        // A withdrawn member is not even dialled: maintenance may begin there as soon as nothing is in use.
+        // A withdrawn member is not even dialed: maintenance may begin there as soon as nothing is in use.
         if !self.members.in_service(member) {
             return Err(ExchangeError::MemberWithdrawn);
         }
@@ -633,7 +634,7 @@
             // Nothing was sent, and nothing is known about the member.
             (Some(Err(ExchangeError::MemberWithdrawn)), _) | (None, Stage::Waiting) => Err(Verdict::Moot),
             (None, Stage::Sent) => Err(Verdict::Timeout),
-            // No response for less than the dial timeout: nothing was sent, and the cause may be this connection alone.
+            // Silence for less than the dial timeout: nothing was sent, and the cause may be this connection alone.
             (None, Stage::Dialing) => Err(Verdict::Broken),
             (Some(Err(_)), Stage::Sent) => Err(lost_answer_verdict()),
             (None, Stage::Writing) | (Some(Err(ExchangeError::ConnectRefused)), _) => {
@@ -804,23 +805,23 @@
 async fn read_answer(stream: &Async<TcpStream>, buffer: &mut ReadBuffer) -> Result<Exchange, ExchangeError> {
     let mut answer = pg::Answer::default();
     let mut pieces: Vec<Range<usize>> = Vec::new();
-    let (mut value, mut at, mut ready) = (None, 0, false);
+    let (mut value, mut offset, mut ready) = (None, 0, false);
     'reading: loop {
         loop {
-            if let Some(row) = pg::large_row(&buffer.data()[at..]).filter(|_| answer.expects_row()) {
-                let (end, all) = (at + row, buffer.data().len());
-                pieces.push(at..all.min(end));
-                let (large, size) = (Some((answer, end.saturating_sub(all))), all.min(end));
+            if let Some(row) = pg::large_row(&buffer.data()[offset..]).filter(|_| answer.expects_row()) {
+                let (end, available) = (offset + row, buffer.data().len());
+                pieces.push(offset..available.min(end));
+                let (large, size) = (Some((answer, end.saturating_sub(available))), available.min(end));
                 let status = StatusParameters::default();
                 return Ok(Exchange { verdict: Verdict::Ok, status, pieces, large, value, size, ready });
             }
-            let Some(message) = pg::server_message(&buffer.data()[at..])? else { break };
-            let piece = at..at + message.size;
-            at = piece.end;
+            let Some(message) = pg::server_message(&buffer.data()[offset..])? else { break };
+            let piece = offset..offset + message.size;
+            offset = piece.end;
             match answer.take(&message)? {
                 AnswerPart::Value(size) => {
                     if message.tag == b'D' {
-                        value = Some(at - size..at);
+                        value = Some(offset - size..offset);
                     }
                     match pieces.last_mut().filter(|last| last.end == piece.start) {
                         Some(last) => last.end = piece.end,
@@ -846,7 +847,7 @@
         }
     }
     let verdict = answer.error_code().map_or(Verdict::Ok, error_verdict);
-    Ok(Exchange { verdict, status: answer.into_status(), pieces, large: None, value, size: at, ready })
+    Ok(Exchange { verdict, status: answer.into_status(), pieces, large: None, value, size: offset, ready })
 }
 
 #[cfg(test)]
@@ -860,7 +861,7 @@
         let progress = AttemptProgress::default();
         assert_eq!(progress.stage(), Stage::Waiting);
         progress.stage.set(Stage::Writing);
-        assert_eq!(progress.stage(), Stage::Writing, "nothing is known of its size yet");
+        assert_eq!(progress.stage(), Stage::Writing, "its size is not known yet");
         progress.size.set(100);
         for (written, stage) in
             [(0, Stage::Writing), (99, Stage::Writing), (100, Stage::Sent), (103, Stage::Sent)]
