--- a/crates/net/src/classes.rs
+++ b/crates/net/src/classes.rs
@@ -8,17 +8,17 @@
 #[derive(Debug, Default)]
 pub struct Classes {
     all: RefCell<Vec<(String, Need, Effect)>>,
-    present: RefCell<Vec<ClassId>>,
+    current: RefCell<Vec<ClassId>>,
     longest_deadline: Cell<Duration>,
     second_copies: Cell<bool>,
 }
 
 impl Classes {
-    /// Replaces the classes by those of a new version of the settings; `present` are the current ones.
-    pub fn set(&self, all: &[Class], present: Vec<ClassId>, longest_deadline: Duration, second_copies: bool) {
+    /// Applies a new version of the settings: `all` are the classes of every version, `current` those of the new one.
+    pub fn set(&self, all: &[Class], current: Vec<ClassId>, longest_deadline: Duration, second_copies: bool) {
         let entries = all.iter().map(|class| (class.name.clone(), class.need, class.effect));
         *self.all.borrow_mut() = entries.collect();
-        *self.present.borrow_mut() = present;
+        *self.current.borrow_mut() = current;
         self.longest_deadline.set(longest_deadline);
         self.second_copies.set(second_copies);
     }
@@ -27,7 +27,7 @@
     #[must_use]
     pub fn named(&self, name: &str) -> Option<ClassId> {
         let all = self.all.borrow();
-        self.present
+        self.current
             .borrow()
             .iter()
             .copied()
@@ -40,8 +40,8 @@
         self.all.borrow().get(id.0).cloned()
     }
 
-    /// Whether a request of this class may have two concurrent attempts: the settings must allow it, and the class must be safe to
-    /// run any number of times.
+    /// Whether a request of this class may have two concurrent attempts: the settings must allow it, and the class must be
+    /// safe to run any number of times.
     #[must_use]
     pub fn may_be_copied(&self, id: ClassId) -> bool {
         let safe = |(_, _, effect): &(String, Need, Effect)| *effect == Effect::Safe;
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -17,8 +17,11 @@
 /// The connection budget: the number of connections in use and its limit.
 #[derive(Debug)]
 pub(crate) struct Budget {
+    /// Permits in use.
     pub(crate) used: Cell<usize>,
+    /// Maximum number of permits.
     pub(crate) max: usize,
+    /// Notified when a permit is released.
     pub(crate) released: Event,
 }
 
--- a/crates/net/src/connection_slots.rs
+++ b/crates/net/src/connection_slots.rs
@@ -37,22 +37,27 @@
     }
 }
 
+/// Sort key of an evictable client: its rank, since when it has had it, and the id of its slot.
 type EvictionKey = (EvictionRank, Instant, u64);
 
 /// All slots for client connections.
 #[derive(Debug)]
 pub struct ConnectionSlots {
+    /// Slots for clients that are served.
     max_slots: usize,
     /// Additional slots for clients that are accepted only to be refused.
     reject_reserve: usize,
+    /// Limit for evictable clients that have made no request.
     max_new: usize,
     /// Number of clients with a request, busy ones included, from which on idle ones are evicted.
     max_established: usize,
+    /// Slots in use, except those whose clients are being evicted.
     in_use: Cell<usize>,
     last_id: Cell<u64>,
     released: Event,
     /// The clients that can be evicted.
     evictable: RefCell<BTreeMap<EvictionKey, Rc<Flag>>>,
+    /// Number of evictable clients that have made no request.
     new_clients: Cell<usize>,
     /// No client was accepted before this time.
     created_at: Instant,
@@ -106,7 +111,8 @@
             {
                 return true;
             }
-            // The new clients connected too recently to be distinguished from clients that are about to send.
+            // New clients that connected very recently can't be told from clients that are about to send: with too many of
+            // them, wait until one is old enough.
             if !too_many_new && self.in_use.get() < self.max_slots + self.reject_reserve {
                 return false;
             }
@@ -181,17 +187,17 @@
             self.slots.new_clients.set(self.slots.new_clients.get() + 1);
         }
         let guard = EvictableGuard { slot: self, key, flag };
-        let done = or(async { Some(work.await) }, async {
+        let outcome = or(async { Some(work.await) }, async {
             guard.flag.raised().await;
             None
         });
-        let done = done.await;
+        let outcome = outcome.await;
         drop(guard);
-        if done.is_some() && self.evicted.replace(false) {
+        if outcome.is_some() && self.evicted.replace(false) {
             // It was asked to leave, but stays after all.
             self.slots.in_use.set(self.slots.in_use.get() + 1);
         }
-        done
+        outcome
     }
 }
 
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -150,7 +150,7 @@
 
     /// Applies new settings. `classes` and `tenants` get all classes and tenants of every version so far, with the numbers of
     /// those that are current. Returns false, with nothing changed, if there are too many in total.
-    pub fn retune(
+    pub fn update_settings(
         &self,
         mut settings: Settings,
         classes: &Classes,
@@ -158,13 +158,14 @@
         longest_deadline: Duration,
     ) -> bool {
         let merged = retune::merge_classes(self.router.borrow().classes(), &settings.classes);
-        let Some((all, present)) = merged else { return false };
-        let Some((shares, named)) = retune::merge_tenants(&tenants.all(), &settings.tenants) else {
+        let Some((all_classes, current_classes)) = merged else { return false };
+        let Some((all_tenants, current_tenants)) = retune::merge_tenants(&tenants.all(), &settings.tenants)
+        else {
             return false;
         };
-        classes.set(&all, present, longest_deadline, settings.second_copies);
-        tenants.set(&shares, named);
-        (settings.classes, settings.tenants) = (all, shares);
+        classes.set(&all_classes, current_classes, longest_deadline, settings.second_copies);
+        tenants.set(&all_tenants, current_tenants);
+        (settings.classes, settings.tenants) = (all_classes, all_tenants);
         self.invariants.borrow_mut().set_drain_grace(settings.drain_grace);
         self.router.borrow_mut().update_settings(settings);
         true
@@ -264,11 +265,11 @@
     pub fn primaries(&self) -> (HashMap<GroupId, MemberId>, Vec<GroupId>) {
         let router = self.router.borrow();
         let (mut primaries, mut changing) = (HashMap::new(), Vec::new());
-        for (group, change) in router.primaries() {
-            if let Some(mark) = change.mark() {
+        for (group, tracker) in router.primaries() {
+            if let Some(mark) = tracker.mark() {
                 primaries.insert(group, mark.clone());
             }
-            if matches!(change.phase(), Phase::Without | Phase::Found | Phase::Releasing) {
+            if matches!(tracker.phase(), Phase::Without | Phase::Found | Phase::Releasing) {
                 changing.push(group);
             }
         }
@@ -323,9 +324,9 @@
 impl fmt::Display for Driver {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "changes of primary")?;
-        for (group, change) in self.router.borrow().primaries() {
-            let mark = change.mark().map_or("-", |mark| &mark.0);
-            write!(f, "; group {}: {:?} at {mark}, {}", group.0, change.phase(), change.record)?;
+        for (group, tracker) in self.router.borrow().primaries() {
+            let mark = tracker.mark().map_or("-", |mark| &mark.0);
+            write!(f, "; group {}: {:?} at {mark}, {}", group.0, tracker.phase(), tracker.record)?;
         }
         Ok(())
     }
--- a/crates/net/src/pg/comment.rs
+++ b/crates/net/src/pg/comment.rs
@@ -44,14 +44,14 @@
 ///
 /// # Errors
 ///
-/// When it has a request's comment in which a field is missing or malformed.
+/// When it has a request comment in which a field is missing or malformed.
 pub fn parse_statement(statement: &str) -> Result<StatementKind<'_>, PgError> {
     let trimmed = statement.trim_matches(|c: char| c.is_ascii_whitespace() || c == ';');
     if trimmed.is_empty() {
         return Ok(StatementKind::Empty);
     }
-    if let Some(inner) = comment_at(statement) {
-        return comment(statement, inner).map(StatementKind::Request);
+    if let Some(inner) = comment_range(statement) {
+        return parse_comment(statement, inner).map(StatementKind::Request);
     }
     let word = trimmed.split(|c: char| !c.is_ascii_alphabetic()).next().unwrap_or("");
     let command = ["SET", "RESET", "DISCARD"].into_iter().find(|command| word.eq_ignore_ascii_case(command));
@@ -59,46 +59,46 @@
 }
 
 /// The position of the text within the comment at the end of a statement.
-fn comment_at(statement: &str) -> Option<Range<usize>> {
+fn comment_range(statement: &str) -> Option<Range<usize>> {
     let end =
         statement.trim_end_matches(|c: char| c.is_ascii_whitespace() || c == ';').strip_suffix("*/")?.len();
     let start = statement[..end].rfind("/*")? + 2;
     Some(start..end)
 }
 
-fn comment(statement: &str, inner: Range<usize>) -> Result<Comment<'_>, PgError> {
+fn parse_comment(statement: &str, inner: Range<usize>) -> Result<Comment<'_>, PgError> {
     let (mut id, mut class, mut timeout, mut group, mut last_commit_ms) = (None, None, None, None, None);
     let (mut tenant, mut retry) = (None, false);
-    let mut at = inner.start;
+    let mut offset = inner.start;
     for pair in statement[inner].split(',') {
         let (name, value) = pair.split_once('=').ok_or(PgError::Malformed("request comment"))?;
-        let from = at + name.len() + 1 + (value.len() - value.trim_start().len());
-        at += pair.len() + 1;
+        let value_start = offset + name.len() + 1 + (value.len() - value.trim_start().len());
+        offset += pair.len() + 1;
         let value = value.trim();
         match name.trim() {
-            "id" => id = Some(value).filter(|id| is_id(id)),
+            "id" => id = Some(value).filter(|id| is_valid_id(id)),
             "c" => class = Some(value),
             "t" => tenant = Some(value),
             "r" => retry = value == "1",
-            "d" => timeout = Some((value, from..from + value.len())),
+            "d" => timeout = Some((value, value_start..value_start + value.len())),
             "cluster" => group = Some(value),
             "after" => last_commit_ms = value.parse().ok(),
             _ => {}
         }
     }
-    let missing = PgError::Malformed("request comment");
-    let (timeout, timeout_range) = timeout.ok_or(missing)?;
+    let malformed = PgError::Malformed("request comment");
+    let (timeout, timeout_range) = timeout.ok_or(malformed)?;
     // The standard library would also accept a sign, an exponent, 'inf' and 'nan'.
     let is_decimal = timeout.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     let timeout_ms =
-        timeout.parse().ok().filter(|ms| is_decimal && (0.0..1e9).contains(ms)).ok_or(missing)?;
-    let group = group.map_or(Ok(0), str::parse).map_err(|_| missing)?;
-    let (id, class) = (id.ok_or(missing)?, class.ok_or(missing)?);
+        timeout.parse().ok().filter(|ms| is_decimal && (0.0..1e9).contains(ms)).ok_or(malformed)?;
+    let group = group.map_or(Ok(0), str::parse).map_err(|_| malformed)?;
+    let (id, class) = (id.ok_or(malformed)?, class.ok_or(malformed)?);
     Ok(Comment { id, class, tenant, retry, timeout_ms, timeout_range, group, last_commit_ms })
 }
 
 /// Whether a client's id of a request is valid.
-fn is_id(id: &str) -> bool {
+fn is_valid_id(id: &str) -> bool {
     (1..=MAX_ID_LEN).contains(&id.len())
         && id.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-')
 }
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -151,7 +151,7 @@
             let (settings, host) = (config.settings, config.host);
             let longest = host.longest_deadline;
             let (fleet, drain_grace) = (settings.fleet, settings.drain_grace);
-            if !handler.driver.retune(settings, &handler.classes, &handler.tenants, longest) {
+            if !handler.driver.update_settings(settings, &handler.classes, &handler.tenants, longest) {
                 tracing::warn!(
                     "configuration kept as it was: too many classes or tenants in addition to those of earlier settings"
                 );
--- a/crates/net/src/tenants.rs
+++ b/crates/net/src/tenants.rs
@@ -8,21 +8,21 @@
 #[derive(Debug, Default)]
 pub struct Tenants {
     all: RefCell<Vec<Tenant>>,
-    present: RefCell<HashMap<String, TenantId>>,
+    current: RefCell<HashMap<String, TenantId>>,
 }
 
 impl Tenants {
-    /// Replaces the tenants by those of a new version of the settings; `present` are the current ones.
-    pub fn set(&self, all: &[Tenant], present: Vec<TenantId>) {
+    /// Applies a new version of the settings: `all` are the tenants of every version, `current` those of the new one.
+    pub fn set(&self, all: &[Tenant], current: Vec<TenantId>) {
         let name = |id: &TenantId| all.get(id.0).map(|tenant| (tenant.name.clone(), *id));
-        *self.present.borrow_mut() = present.iter().filter_map(name).collect();
+        *self.current.borrow_mut() = current.iter().filter_map(name).collect();
         *self.all.borrow_mut() = all.to_vec();
     }
 
     /// The tenant with this name in the current settings.
     #[must_use]
     pub fn named(&self, name: &str) -> Option<TenantId> {
-        self.present.borrow().get(name).copied()
+        self.current.borrow().get(name).copied()
     }
 
     /// The tenants of all versions, by number.
