--- a/crates/core/src/choice.rs
+++ b/crates/core/src/choice.rs
@@ -408,8 +408,8 @@
         let usual = self.latencies[open.class]
             .upper_bound(0.0)
             .min((open.aim - open.arrived).times(MAX_USUAL_SHARE_OF_AIM));
-        // Members that were tried, are suspect or are known to be too slow serve only where neither a better replica
-        // nor the primary is left. Where all are too slow, all rank alike.
+        // Members that were tried, are suspect or are known to be too slow serve only where neither a better
+        // replica nor the primary is left. Where all are too slow, all rank alike.
         let rank = |(id, m): &(&MemberId, &Member)| {
             let too_slow = now + usual.times(m.slowness.ratio(now)) > open.aim;
             2 * u8::from(open.tried(id)) + u8::from(too_slow || self.is_suspect(m, now))
@@ -462,8 +462,8 @@
         pick
     }
 
-    /// Selects the member for a write: the marked primary, while nothing speaks against it. Otherwise the write waits
-    /// until one is confirmed, or is tried at a candidate.
+    /// Selects the member for a write: the marked primary, while nothing speaks against it. Otherwise the write
+    /// waits until one is confirmed, or is tried at a candidate.
     fn place_write(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> Option<MemberId> {
         let open = self.open.get(&id)?;
         let (gid, walk_steps) = (open.group, open.rejections);
@@ -610,8 +610,8 @@
             self.give_up(now, id, GivenUp::RepeatedErrors, actions);
             return;
         }
-        // Proof that a write did not run at the marked member moves the mark to the next member. An attempt that was
-        // never sent there proves nothing about it.
+        // Proof that a write did not run at the marked member moves the mark to the next member. An attempt that
+        // was never sent there proves nothing about it.
         if write && verdict.never_ran() {
             let gid = open.group;
             if !matches!(verdict, Verdict::Full | Verdict::Moot | Verdict::Broken) {
@@ -666,8 +666,8 @@
             m.position_read_at = now;
         }
         match note.role {
-            // A former primary that was cut off may still claim the role. The claim is dated by its position, which at
-            // a true primary is the present.
+            // A former primary that was cut off may still claim the role. The claim is dated by its position,
+            // which at a true primary is the present.
             Some(Role::Primary) => self.observe_primary(now, id, reported.unwrap_or(sent_at)),
             Some(Role::Replica) => m.seen_replica_at = m.seen_replica_at.max(sent_at),
             None => {}
@@ -714,7 +714,8 @@
         self.dirty.insert(gid);
     }
 
-    /// Updates the primary tracker of a group with what is known by now, which may begin or end a change of primary.
+    /// Updates the primary tracker of a group with what is known by now, which may begin or end a change of
+    /// primary.
     fn update_primary(&mut self, now: Time, gid: GroupId) {
         let confirmed_at = self.confirmed_primary(now, gid).map(|id| self.members[id].seen_primary_at);
         let Some(Group { tracker, held, .. }) = self.groups.get_mut(&gid) else { return };
@@ -735,9 +736,9 @@
         self.marked_primary(gid).filter(|(_, m)| !self.is_suspect(m, now)).map(|(mark, _)| mark)
     }
 
-    /// The marked primary, if it is suspect for its silence but not ejected, and no live attempt is out at it. One
-    /// fresh read at a time is sent to it as a trial: if only some of its connections are silent, nothing else would
-    /// show that before the attempts on them end.
+    /// The marked primary, if it is suspect for its silence but not ejected, and no live attempt is out at it.
+    /// One fresh read at a time is sent to it as a trial: if only some of its connections are silent, nothing
+    /// else would show that before the attempts on them end.
     fn trial_primary(&self, now: Time, gid: GroupId) -> Option<&MemberId> {
         self.marked_primary(gid)
             .filter(|(_, m)| now >= m.ejected_until && self.live_attempts(m, now) < 1.0)
@@ -767,9 +768,9 @@
             && (age > LAG_OBSERVATION_TTL || m.position + age >= required)
     }
 
-    /// Whether a member's data is recent enough for an open request that is sent now. Always true where members check
-    /// that themselves, and for a member whose latest known role is primary. Hosts ask just before an attempt is sent,
-    /// since the bound moves on while the attempt waits for a connection.
+    /// Whether a member's data is recent enough for an open request that is sent now. Always true where members
+    /// check that themselves, and for a member whose latest known role is primary. Hosts ask just before an
+    /// attempt is sent, since the bound moves on while the attempt waits for a connection.
     #[must_use]
     pub fn is_fresh(&self, now: Time, request: RequestId, member: &MemberId) -> bool {
         let pair = self.open.get(&request).zip(self.members.get(member));
@@ -853,24 +854,26 @@
                     sent.and_then(|sent| sent.required).filter(|_| self.settings.checks == Checks::Refuse);
                 m.position = m.position.max(met.map_or(NEVER, |required| required.min(now)));
             }
-            // A member that answered other requests meanwhile is overloaded, not dead. Ejecting for that would eject
-            // every member of an overloaded group.
+            // A member that answered other requests meanwhile is overloaded, not dead. Ejecting for that would
+            // eject every member of an overloaded group.
             Verdict::Timeout if lost => {}
             Verdict::Timeout if !silent_since_send => m.reduce_limit(now, took, outstanding),
             Verdict::Timeout | Verdict::Reset | Verdict::Broken => m.record_failure(now, LOST_ANSWER_PENALTY),
-            // Nothing listens there, so the member is down and will be cold when it is back, whatever the list says.
+            // Nothing listens there, so the member is down and will be cold when it is back, whatever the list
+            // says.
             Verdict::ConnectFailed => {
                 m.record_failure(now, CONNECT_FAILURE_PENALTY);
                 m.begin_slow_start(now, now, m.cold.credit(now, usual, &self.settings).min(draw));
             }
-            // Silent or cut off, which is no restart: until the list reports one, a few requests show what it can do.
+            // Silent or cut off, which is no restart: until the list reports one, a few requests show what it can
+            // do.
             Verdict::Unreachable => {
                 m.record_failure(now, CONNECT_FAILURE_PENALTY);
                 m.concurrency_limit = MIN_LIMIT;
             }
-            // Full or draining: it gets nothing for as long as an answer usually takes, so that the group is not flooded
-            // with attempts. A member that refuses writes is tried less and less often, since otherwise a write would
-            // spend all its attempts before the list reports the drain.
+            // Full or draining: it gets nothing for as long as an answer usually takes, so that the group is not
+            // flooded with attempts. A member that refuses writes is tried less and less often, since otherwise a
+            // write would spend all its attempts before the list reports the drain.
             Verdict::Full => {
                 m.reduce_limit(now, took, outstanding);
                 let write = sent.is_some_and(|sent| self.settings.classes[sent.class].need == Need::Write);
@@ -888,7 +891,8 @@
                     m.seen_replica_at = m.seen_replica_at.max(now - took);
                 }
             }
-            // An error counts against the member only if another one answers the same request; see `record_outcome`.
+            // An error counts against the member only if another one answers the same request; see
+            // `record_outcome`.
             Verdict::Error | Verdict::Cancelled | Verdict::Moot => {}
         }
         self.groups.entry(gid).and_modify(|group| group.tracker.record_outcome(now, id, verdict));
@@ -942,8 +946,8 @@
         now - sent.sent_at > self.latencies[sent.class].upper_bound(OVERDUE_DEVIATIONS).times(SILENCE_FACTOR)
     }
 
-    /// Whether an attempt is overdue and does not merely wait its turn: either a later one was answered, so that its
-    /// connection alone is silent, or the member has answered nothing since.
+    /// Whether an attempt is overdue and does not merely wait its turn: either a later one was answered, so that
+    /// its connection alone is silent, or the member has answered nothing since.
     fn is_lost(&self, m: &Member, sent: &InFlight, now: Time) -> bool {
         self.is_overdue(sent, now)
             && (sent.sent_at < m.latest_answered_send || sent.sent_at > m.last_answer_at)
@@ -965,8 +969,8 @@
         m.state == ListState::Healthy || (m.state == ListState::Gone && self.settings.soft_removal)
     }
 
-    /// Whether a member may be sent one more attempt: it does not rest after a refusal, is below its concurrency limit
-    /// and the window of a release, and its slow start allows it.
+    /// Whether a member may be sent one more attempt: it does not rest after a refusal, is below its concurrency
+    /// limit and the window of a release, and its slow start allows it.
     fn has_room(&self, m: &Member, now: Time) -> bool {
         let tracker = self.groups.get(&m.group).filter(|_| m.role() == PRIMARY).map(|group| &group.tracker);
         let limit = m.concurrency_limit.min(tracker.map_or(f64::INFINITY, PrimaryTracker::window));
@@ -995,8 +999,8 @@
         f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
     }
 
-    /// Whether to shed a new request. The share of work that is shed grows with the overload; the probability of each
-    /// request is higher the lower its merit is, compared with the other requests for the same role.
+    /// Whether to shed a new request. The share of work that is shed grows with the overload; the probability of
+    /// each request is higher the lower its merit is, compared with the other requests for the same role.
     fn should_shed(&mut self, now: Time, id: RequestId, role: usize) -> bool {
         let draw = self.random_fraction();
         let Some(open) = self.open.get(&id) else { return false };
@@ -1092,8 +1096,8 @@
         }
     }
 
-    /// Adds a request's worth to the counts of its class and tenant; `parts` are its shares of worth served in time and
-    /// of worth requested.
+    /// Adds a request's worth to the counts of its class and tenant; `parts` are its shares of worth served in
+    /// time and of worth requested.
     fn record_worth(&mut self, now: Time, open: &OpenRequest, parts: [f64; 2]) {
         let amounts = parts.map(|part| part * self.settings.classes[open.class].worth);
         self.class_worth[open.class].add(now, DECAY_US, amounts);
@@ -1116,8 +1120,8 @@
         merit * (within_quota + (1.0 - within_quota) * self.settings.over_share_worth)
     }
 
-    /// The merit of a class. The worst-served class counts for more, by the operators' weights; otherwise a surge of
-    /// other classes would starve it.
+    /// The merit of a class. The worst-served class counts for more, by the operators' weights; otherwise a surge
+    /// of other classes would starve it.
     fn class_merit(&self, now: Time, class: usize) -> f64 {
         let Settings { goal, classes, .. } = &self.settings;
         let served_share = |counts: &DecayingCounts| counts.ratio(now, DECAY_US, 1.0, OVERLOAD_PRIOR_WEIGHT);
@@ -1171,8 +1175,8 @@
         }
     }
 
-    /// Lowers the concurrency limit, at most once per duration of an answer: the answers that follow result from the
-    /// same overload.
+    /// Lowers the concurrency limit, at most once per duration of an answer: the answers that follow result from
+    /// the same overload.
     fn reduce_limit(&mut self, now: Time, took: Span, outstanding: f64) {
         if now - took >= self.limit_cut_at {
             self.concurrency_limit =
--- a/crates/core/src/choice/retune.rs
+++ b/crates/core/src/choice/retune.rs
@@ -9,9 +9,9 @@
         &self.settings.classes
     }
 
-    /// Replaces the settings. Their classes must be those given by [`crate::retune::merge_classes`], so that open requests
-    /// keep their classes; they also keep the number of attempts that they had when they arrived. The state of
-    /// members is kept, and so are the expected durations of primary changes.
+    /// Replaces the settings. Their classes must be those given by [`crate::retune::merge_classes`], so that open
+    /// requests keep their classes; they also keep the number of attempts that they had when they arrived. The
+    /// state of members is kept, and so are the expected durations of primary changes.
     pub fn update_settings(&mut self, settings: Settings) {
         let new = settings.classes.iter().skip(self.latencies.len());
         self.latencies.extend(new.map(|class| LatencyEstimate::initial(class.aim)));
--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -1,6 +1,6 @@
-//! The guard before each irreversible step: sending the first byte of an attempt (including repeats), closing a client's
-//! connection, and starting to serve. Hosts call it immediately before the step, after everything that they had to wait
-//! for, with the facts as they are then. Nothing here performs I/O or reads a clock.
+//! The guard before each irreversible step: sending the first byte of an attempt (including repeats), closing a
+//! client's connection, and starting to serve. Hosts call it immediately before the step, after everything that
+//! they had to wait for, with the facts as they are then. Nothing here performs I/O or reads a clock.
 
 use crate::interface::{Effect, Span};
 
@@ -51,7 +51,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the first reason against it. Reasons that end the request come before those that end only the attempt.
+    /// Returns the first reason against it. Reasons that end the request come before those that end only the
+    /// attempt.
     pub fn check(&self) -> Result<(), SendDenied> {
         let reasons = [
             (!self.client_connected, SendDenied::ClientLeft),
--- a/crates/core/src/handover/mod.rs
+++ b/crates/core/src/handover/mod.rs
@@ -1,11 +1,11 @@
 //! Tracking of each group's primary through failovers and planned handovers, and what may be done with its writes
-//! meanwhile. Nothing here performs I/O, reads a clock or draws random numbers. The routing module asks it, and still
-//! selects members, retries and refuses requests itself.
+//! meanwhile. Nothing here performs I/O, reads a clock or draws random numbers. The routing module asks it, and
+//! still selects members, retries and refuses requests itself.
 //!
-//! [`PrimaryTracker`] is the state machine of one group; each transition names its [`Evidence`]. [`PrimarySearch`]
-//! selects the members to probe while no primary is known, [`ChangeDurations`] remembers how long changes of primary
-//! took, [`sort_held`] puts held requests into the order in which they are released, and [`Record`] keeps the latest
-//! transitions for operators.
+//! [`PrimaryTracker`] is the state machine of one group; each transition names its [`Evidence`].
+//! [`PrimarySearch`] selects the members to probe while no primary is known, [`ChangeDurations`] remembers how
+//! long changes of primary took, [`sort_held`] puts held requests into the order in which they are released, and
+//! [`Record`] keeps the latest transitions for operators.
 
 mod durations;
 mod order;
@@ -24,8 +24,8 @@
 const INITIAL_WINDOW: f64 = 2.0;
 /// A release ends when its window is wider than this; from there on the member's concurrency limit is what binds.
 const MAX_WINDOW: f64 = 64.0;
-/// Least interval between held writes that are tried at the same candidate. A member that is not the primary refuses
-/// such a write, which costs it no more than one of the members that it may try.
+/// Least interval between held writes that are tried at the same candidate. A member that is not the primary
+/// refuses such a write, which costs it no more than one of the members that it may try.
 const TRIAL_INTERVAL: Span = Span::millis(40);
 /// Upper bound of trials per second of all routers together.
 const MAX_TRIALS_PER_S: f64 = 250.0;
@@ -49,8 +49,8 @@
 /// What is known of a group's primary.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Phase {
-    /// Nothing shows that the marked member is the primary, or something speaks against it. Writes try one member after
-    /// the other.
+    /// Nothing shows that the marked member is the primary, or something speaks against it. Writes try one member
+    /// after the other.
     #[default]
     Doubted,
     /// The marked member was seen to be the primary, and nothing speaks against it.
@@ -112,8 +112,8 @@
 pub enum WritePlacement {
     /// To the marked member, if it has room.
     Mark(MemberId),
-    /// It is tried at the first member, if there is one, and held otherwise. The members of the list are to be probed for
-    /// who the primary is.
+    /// It is tried at the first member, if there is one, and held otherwise. The members of the list are to be
+    /// probed for who the primary is.
     Wait(Option<MemberId>, Vec<MemberId>),
 }
 
@@ -169,8 +169,8 @@
         }
     }
 
-    /// Where a write goes that was rejected by `walk_steps` members so far. `confirmed` means that nothing speaks against
-    /// the mark. `None` for a group without members.
+    /// Where a write goes that was rejected by `walk_steps` members so far. `confirmed` means that nothing speaks
+    /// against the mark. `None` for a group without members.
     pub fn place(
         &mut self,
         now: Time,
@@ -181,8 +181,8 @@
     ) -> Option<WritePlacement> {
         let (fleet, max_steps) = (settings.fleet, settings.max_attempts / 2);
         let view_of = |id: &MemberId| members.iter().find(|view| view.member == *id);
-        // A new router starts with the primary that the list names, or else with the lowest id. A mark that may no longer
-        // be sent to passes to the next member.
+        // A new router starts with the primary that the list names, or else with the lowest id. A mark that may
+        // no longer be sent to passes to the next member.
         let kept =
             self.mark.as_ref().and_then(view_of).or(members.iter().find(|view| view.listed_as_primary));
         let mark = kept.or_else(|| next_member(members, self.mark.as_ref()))?;
@@ -202,15 +202,16 @@
         Some(WritePlacement::Wait(trial, self.probe_targets(now, fleet, members)))
     }
 
-    /// The members to probe for who the primary is. During a planned change, which is short, candidates are probed more
-    /// often.
+    /// The members to probe for who the primary is. During a planned change, which is short, candidates are
+    /// probed more often.
     pub fn probe_targets(&mut self, now: Time, fleet: u32, members: &[MemberView]) -> Vec<MemberId> {
         let planned =
             self.phase == Phase::Without && self.lost.is_some_and(|(_, kind)| kind == ChangeKind::Planned);
         self.search.probe_targets(now, fleet, planned, members)
     }
 
-    /// Records proof that a write did not run at a member. If that is the marked member, the mark passes to the next.
+    /// Records proof that a write did not run at a member. If that is the marked member, the mark passes to the
+    /// next.
     pub fn write_not_run(&mut self, now: Time, member: &MemberId, why: Evidence, members: &[MemberView]) {
         if self.mark.as_ref() == Some(member) {
             self.invalidate_mark(now, why);
@@ -229,8 +230,8 @@
         }
     }
 
-    /// Records that the marked member is not or cannot be the primary: by proof from a write, by its silence, or by a
-    /// drain. After a drain no write has to try all members first.
+    /// Records that the marked member is not or cannot be the primary: by proof from a write, by its silence, or
+    /// by a drain. After a drain no write has to try all members first.
     pub fn invalidate_mark(&mut self, now: Time, why: Evidence) {
         let drained = why == Evidence::Drain;
         let (at, kind) = self.lost.unwrap_or((now, ChangeKind::Unplanned));
@@ -250,9 +251,10 @@
         }
     }
 
-    /// Takes in what is known by now: the latest time at which the mark was seen to be the primary, if nothing speaks
-    /// against it; whether the list has it draining; and the number of held requests. Returns whether a primary is known
-    /// after there was none, or another one than before. Where that ends a change, its duration is added to `durations`.
+    /// Takes in what is known by now: the latest time at which the mark was seen to be the primary, if nothing
+    /// speaks against it; whether the list has it draining; and the number of held requests. Returns whether a
+    /// primary is known after there was none, or another one than before. Where that ends a change, its duration
+    /// is added to `durations`.
     pub fn update(
         &mut self,
         now: Time,
@@ -292,9 +294,9 @@
         newly_known
     }
 
-    /// Records how an attempt or a probe at a member ended. Each answer of the primary widens the window of a release. If
-    /// no connection can be established to a primary that is in question already, it is gone, and writes may be tried at
-    /// the others.
+    /// Records how an attempt or a probe at a member ended. Each answer of the primary widens the window of a
+    /// release. If no connection can be established to a primary that is in question already, it is gone, and
+    /// writes may be tried at the others.
     pub fn record_outcome(&mut self, now: Time, member: &MemberId, verdict: Verdict) {
         if self.mark.as_ref() != Some(member) {
             return;
@@ -317,9 +319,9 @@
         }
     }
 
-    /// The member at which a held write may be tried now, so that the new primary is known before a report shows it. At
-    /// most one write is tried at a time. After a drain each member is tried once, in the order of their positions from
-    /// the latest; after that the candidates take turns.
+    /// The member at which a held write may be tried now, so that the new primary is known before a report shows
+    /// it. At most one write is tried at a time. After a drain each member is tried once, in the order of their
+    /// positions from the latest; after that the candidates take turns.
     fn trial_member(&mut self, now: Time, members: &[MemberView], fleet: u32) -> Option<MemberId> {
         let silent = self.lost.is_some_and(|(at, _)| now - at > MIN_SILENCE);
         let due = self.phase == Phase::Without || (self.phase == Phase::Doubted && silent);
@@ -357,12 +359,13 @@
         lost.and_then(|(at, kind)| Some(at + durations.minimum(kind)? > deadline)).unwrap_or(false)
     }
 
-    /// The held requests that are to be tried now, in their order, and those that the release will not reach in time.
+    /// The held requests that are to be tried now, in their order, and those that the release will not reach in
+    /// time.
     ///
-    /// Of the writes only the first few are listed and, while no primary is known, only those that were rejected least
-    /// often: if none of these can be sent, no other can. This keeps the cost of an event from growing with thousands of
-    /// held writes. Requests at the end of their time, or which the change outlasts, are always listed, so that they
-    /// get their final answer.
+    /// Of the writes only the first few are listed and, while no primary is known, only those that were rejected
+    /// least often: if none of these can be sent, no other can. This keeps the cost of an event from growing with
+    /// thousands of held writes. Requests at the end of their time, or which the change outlasts, are always
+    /// listed, so that they get their final answer.
     #[must_use]
     pub fn release_order(
         &self,
@@ -402,8 +405,8 @@
         enough.then(|| Span((last_answer - at).0 / i64::from(answers)).times(1.0 / MAX_SPEEDUP))
     }
 
-    /// The time from now until a primary is expected, or until a slow release will be done. `None` while neither applies,
-    /// or where nothing is known of how long it takes.
+    /// The time from now until a primary is expected, or until a slow release will be done. `None` while neither
+    /// applies, or where nothing is known of how long it takes.
     #[must_use]
     pub fn expected_wait(&self, now: Time, durations: &ChangeDurations) -> Option<Span> {
         if let Some(interval) = self.release_interval() {
--- a/crates/core/src/handover/order.rs
+++ b/crates/core/src/handover/order.rs
@@ -28,10 +28,10 @@
 
 /// Sorts held requests by merit, the highest first, and requests of equal merit by their arrival.
 ///
-/// In a release, requests of equal merit are sorted by deadline, but those of one session stay in the order of their
-/// arrival: a request counts as being as urgent as the most urgent later one of its session. Outside of a release, where
-/// requests wait for capacity and not all can be served, sorting by deadline would spend the capacity on requests that
-/// are already too late; it lowers the simulator's overloaded day from 0.83 to 0.77.
+/// In a release, requests of equal merit are sorted by deadline, but those of one session stay in the order of
+/// their arrival: a request counts as being as urgent as the most urgent later one of its session. Outside of a
+/// release, where requests wait for capacity and not all can be served, sorting by deadline would spend the
+/// capacity on requests that are already too late; it lowers the simulator's overloaded day from 0.83 to 0.77.
 pub fn sort_held(held: &mut [HeldRequest], phase: Phase) {
     if !matches!(phase, Phase::Found | Phase::Releasing) {
         held.sort_by_key(|request| (Reverse(request.merit.to_bits()), request.arrived, request.id));
--- a/crates/core/src/handover/record.rs
+++ b/crates/core/src/handover/record.rs
@@ -59,8 +59,8 @@
     }
 }
 
-/// Leaves the contents out: the model check compares states by their debug text, and two states that differ only in their
-/// past count as the same.
+/// Leaves the contents out: the model check compares states by their debug text, and two states that differ only
+/// in their past count as the same.
 impl fmt::Debug for Record {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Record")
--- a/crates/core/src/handover/search.rs
+++ b/crates/core/src/handover/search.rs
@@ -1,20 +1,22 @@
 //! The search for a group's new primary.
 //!
-//! While a group has no primary, the positions of its members do not advance, and the replica with the latest position
-//! is promoted. So all members are probed once for their positions. After that the *candidates*, the replicas whose
-//! position no other exceeds, are probed often and the others seldom. This finds the new primary within about one
-//! interval of its promotion, with fewer probes than rounds of all members at growing intervals. Candidates are only a
-//! guess: the member that reports to be the primary is taken for it, and if that is none of the candidates, the rounds of
-//! all members find it.
+//! While a group has no primary, the positions of its members do not advance, and the replica with the latest
+//! position is promoted. So all members are probed once for their positions. After that the *candidates*, the
+//! replicas whose position no other exceeds, are probed often and the others seldom. This finds the new primary
+//! within about one interval of its promotion, with fewer probes than rounds of all members at growing intervals.
+//! Candidates are only a guess: the member that reports to be the primary is taken for it, and if that is none of
+//! the candidates, the rounds of all members find it.
 
 use super::MemberView;
 use crate::interface::*;
 
-/// Probes per second that a search may cost a member, from all routers together, as long as these are at most 100. A
-/// probe costs a member of the platform at most 0.39 ms, so that on four cores this is under 1% of its capacity. A larger
-/// fleet probes once a second per router; ten rounds a second from each of 500 routers would cost 0.15 of G.
+/// Probes per second that a search may cost a member, from all routers together, as long as these are at most
+/// 100. A probe costs a member of the platform at most 0.39 ms, so that on four cores this is under 1% of its
+/// capacity. A larger fleet probes once a second per router; ten rounds a second from each of 500 routers would
+/// cost 0.15 of G.
 const MAX_PROBES_PER_S: f64 = 100.0;
-/// The least interval between probes of a candidate, however few routers there are: reports are not fresher than this.
+/// The least interval between probes of a candidate, however few routers there are: reports are not fresher than
+/// this.
 const MIN_INTERVAL: Span = Span::millis(100);
 /// The same during a planned change. That is over soon, so that this rate lasts for a second at most.
 const MIN_INTERVAL_PLANNED: Span = Span::millis(40);
@@ -55,7 +57,8 @@
         Span((f64::from(fleet) / MAX_PROBES_PER_S * 1e6) as i64).max(min_interval).min(MAX_INTERVAL)
     }
 
-    /// The members to probe now. The search advances with each call; calls more often than every 10 ms are not needed.
+    /// The members to probe now. The search advances with each call; calls more often than every 10 ms are not
+    /// needed.
     pub fn probe_targets(
         &mut self,
         now: Time,
--- a/crates/core/src/latency.rs
+++ b/crates/core/src/latency.rs
@@ -2,8 +2,8 @@
 
 use crate::interface::Span;
 
-/// The initial estimate of the mean, as a fraction of the class's latency objective. With a shorter one, routers with
-/// little traffic timed out a tenth of the attempts of a quiet day.
+/// The initial estimate of the mean, as a fraction of the class's latency objective. With a shorter one, routers
+/// with little traffic timed out a tenth of the attempts of a quiet day.
 const INITIAL_MEAN: f64 = 0.25;
 /// The same of the mean deviation.
 const INITIAL_DEVIATION: f64 = 0.125;
--- a/crates/core/src/sessions.rs
+++ b/crates/core/src/sessions.rs
@@ -1,8 +1,9 @@
 //! The latest commit of each session, so that its reads see its writes, within a bound on memory.
 //!
-//! A commit that every member has applied is no longer needed. Where a member never reports its position, that is never
-//! known; in that case the older half is evicted, and every session that is not remembered is assumed to have written
-//! as late as the latest evicted commit. This requires more of some reads than necessary, and never less.
+//! A commit that every member has applied is no longer needed. Where a member never reports its position, that is
+//! never known; in that case the older half is evicted, and every session that is not remembered is assumed to
+//! have written as late as the latest evicted commit. This requires more of some reads than necessary, and never
+//! less.
 
 use crate::interface::{SessionKey, Time};
 use std::collections::HashMap;
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Applies a state from the list, and returns the resulting change of the number of members in service. A removal
-    /// does not end a drain: where only drains are binding, the drain stays binding.
+    /// Applies a state from the list, and returns the resulting change of the number of members in service. A
+    /// removal does not end a drain: where only drains are binding, the drain stays binding.
     pub(crate) fn apply_list_state(&mut self, state: ListState) -> f64 {
         let was_in_service = self.state == ListState::Healthy;
         if self.state != ListState::Draining || state == ListState::Healthy {
--- a/crates/core/tests/handover.rs
+++ b/crates/core/tests/handover.rs
@@ -95,8 +95,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(13), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// For any number of routers and members, no member gets more than 100 probes per second from all routers together,
-    /// except in large fleets, where the rounds take one probe per second and router.
+    /// For any number of routers and members, no member gets more than 100 probes per second from all routers
+    /// together, except in large fleets, where the rounds take one probe per second and router.
     #[test]
     fn members_are_not_probed_above_the_rate_limit(positions in prop::collection::vec(0..5_000_i64, 1..9), fleet in 1..600_u32) {
         let mut group = Group::new(&positions);
--- a/crates/core/tests/primary.rs
+++ b/crates/core/tests/primary.rs
@@ -11,9 +11,9 @@
     Time(1_000_000_000 + ms * 1_000)
 }
 
-fn view(at: usize, position: i64) -> MemberView {
+fn view(number: usize, position: i64) -> MemberView {
     MemberView {
-        member: member(at),
+        member: member(number),
         position: ms(position),
         last_probe: Time(0),
         was_primary: false,
@@ -27,7 +27,7 @@
 /// A tracker whose primary is the first of three members and was seen at 0 ms, with views and durations.
 fn settled() -> (PrimaryTracker, Vec<MemberView>, ChangeDurations) {
     let (mut tracker, mut durations) = (PrimaryTracker::default(), ChangeDurations::default());
-    let mut views: Vec<_> = (1..=3).map(|at| view(at, -10 * at as i64)).collect();
+    let mut views: Vec<_> = (1..=3).map(|number| view(number, -10 * number as i64)).collect();
     tracker.set_mark(ms(0), &member(1), Evidence::Shown);
     tracker.update(ms(0), Some(ms(0)), false, 0, &mut durations);
     assert_eq!(tracker.phase(), Phase::Settled);
@@ -37,12 +37,12 @@
 
 fn place(
     tracker: &mut PrimaryTracker,
-    at: i64,
+    now_ms: i64,
     views: &[MemberView],
     confirmed: bool,
     walk_steps: u32,
 ) -> Option<WritePlacement> {
-    tracker.place(ms(at), views, confirmed, walk_steps, &settings())
+    tracker.place(ms(now_ms), views, confirmed, walk_steps, &settings())
 }
 
 #[test]
@@ -50,28 +50,28 @@
     let (mut tracker, views, mut durations) = settled();
     tracker.update(ms(10), Some(ms(10)), true, 0, &mut durations);
     assert_eq!(tracker.phase(), Phase::Without);
-    let left = &views[1..];
+    let remaining = &views[1..];
     assert!(
-        matches!(place(&mut tracker, 10, left, false, 0), Some(WritePlacement::Wait(Some(to), _)) if to == member(2))
+        matches!(place(&mut tracker, 10, remaining, false, 0), Some(WritePlacement::Wait(Some(to), _)) if to == member(2))
     );
     assert!(
-        matches!(place(&mut tracker, 11, left, false, 0), Some(WritePlacement::Wait(Some(to), _)) if to == member(3))
+        matches!(place(&mut tracker, 11, remaining, false, 0), Some(WritePlacement::Wait(Some(to), _)) if to == member(3))
     );
     assert!(
-        matches!(place(&mut tracker, 12, left, false, 0), Some(WritePlacement::Wait(None, _))),
+        matches!(place(&mut tracker, 12, remaining, false, 0), Some(WritePlacement::Wait(None, _))),
         "later trials are at intervals"
     );
     assert!(
-        matches!(place(&mut tracker, 60, left, false, 0), Some(WritePlacement::Wait(Some(to), _)) if to == member(2))
+        matches!(place(&mut tracker, 60, remaining, false, 0), Some(WritePlacement::Wait(Some(to), _)) if to == member(2))
     );
     assert!(
-        matches!(place(&mut tracker, 200, left, false, 9), Some(WritePlacement::Wait(None, _))),
+        matches!(place(&mut tracker, 200, remaining, false, 9), Some(WritePlacement::Wait(None, _))),
         "it has tried enough members"
     );
     tracker.set_mark(ms(300), &member(2), Evidence::Shown);
     tracker.update(ms(300), Some(ms(300)), false, 4, &mut durations);
     assert_eq!((tracker.phase(), tracker.window()), (Phase::Found, 2.0));
-    let why: Vec<Evidence> = tracker.record.transitions().map(|line| line.why).collect();
+    let why: Vec<Evidence> = tracker.record.transitions().map(|transition| transition.why).collect();
     assert_eq!(why, [Evidence::Shown, Evidence::Drain, Evidence::Shown]);
 }
 
@@ -119,18 +119,18 @@
 }
 
 #[test]
-fn requests_that_a_slow_release_cannot_reach_in_time_are_refused() {
+fn requests_that_a_slow_release_cannot_reach_in_time_are_listed_as_too_late() {
     let (mut tracker, _, mut durations) = settled();
     tracker.invalidate_mark(ms(10), Evidence::Walked);
     tracker.set_mark(ms(2_000), &member(3), Evidence::Shown);
     tracker.update(ms(2_000), Some(ms(2_000)), false, 100, &mut durations);
-    let held = |at: u64| HeldRequest {
-        id: RequestId(at),
+    let held = |index: u64| HeldRequest {
+        id: RequestId(index),
         merit: 1.0,
-        arrived: ms(at as i64),
+        arrived: ms(index as i64),
         deadline: ms(4_000),
         session: None,
-        needs_primary: at != 99,
+        needs_primary: index != 99,
         write: false,
         walk_steps: 0,
     };
@@ -155,21 +155,21 @@
 fn of_many_held_writes_a_few_are_tried_and_expired_ones_are_always_listed() {
     let (mut tracker, _, _) = settled();
     tracker.invalidate_mark(ms(10), Evidence::Walked);
-    let held = |at: u64| HeldRequest {
-        id: RequestId(at),
+    let held = |index: u64| HeldRequest {
+        id: RequestId(index),
         merit: 1.0,
-        arrived: ms(at as i64),
-        deadline: ms(if at == 900 { 5_020 } else { 9_000 }),
+        arrived: ms(index as i64),
+        deadline: ms(if index == 900 { 5_020 } else { 9_000 }),
         session: None,
         needs_primary: true,
         write: true,
-        walk_steps: u32::from(at < 500),
+        walk_steps: u32::from(index < 500),
     };
     let durations =
         ChangeDurations::new([None, Some(Expected { least: Span::millis(100), usual: Span::millis(200) })]);
-    let (go, late) = tracker.release_order(ms(5_000), (0..1_000).map(held).collect(), &durations);
+    let (ready, late) = tracker.release_order(ms(5_000), (0..1_000).map(held).collect(), &durations);
     let first: Vec<_> = (500..516).chain([900]).map(RequestId).collect();
-    assert_eq!((go, late.len()), (first, 0), "the first that may try a member, and the one that expires");
+    assert_eq!((ready, late.len()), (first, 0), "the first that may try a member, and the one that expires");
 }
 
 #[test]
@@ -272,8 +272,8 @@
     reject_write(&mut host);
     host.advance(100);
     let (short, actions) = host.request_within(UNSAFE, 400);
-    let back = refused(&actions, short).expect("refused at once").expect("with a retry-after");
-    assert!((Span::millis(790)..=Span::millis(800)).contains(&back), "{back:?}");
+    let retry_after = refused(&actions, short).expect("refused at once").expect("with a retry-after");
+    assert!((Span::millis(790)..=Span::millis(800)).contains(&retry_after), "{retry_after:?}");
     let (long, actions) = host.request_within(UNSAFE, 700);
     assert!(refused(&actions, long).is_none(), "its deadline is late enough");
     let (read, actions) = host.request(READ);
@@ -285,9 +285,9 @@
     let mut host = Host::new(Settings { cold_share: 1.0, ..settings() }, 3);
     host.probe_result(1, true, 0);
     assert_eq!(sends(&host.request(FRESH).1), [member(1)]);
-    let again = Entry { started: Some(host.now + Span::millis(5)), ..entry(1) };
+    let restarted = Entry { started: Some(host.now + Span::millis(5)), ..entry(1) };
     host.now = host.now + Span::millis(1_000);
-    host.handle(Event::List(Listing::Changes(vec![again])));
+    host.handle(Event::List(Listing::Changes(vec![restarted])));
     let (_, actions) = host.request(FRESH);
     assert!(sends(&actions).is_empty(), "the member has to report the role again");
     assert_eq!(sends(&host.probe_result(1, true, 1)).len(), 1);
@@ -320,16 +320,16 @@
 }
 
 /// A read is answered by the member as a primary whose position is this old, if it is sent there.
-fn claim_primary(host: &mut Host, at: usize, behind_ms: i64) -> Vec<Action> {
+fn claim_primary(host: &mut Host, number: usize, behind_ms: i64) -> Vec<Action> {
     let (id, actions) = host.request(ANY);
-    let to = sends(&actions).first().cloned();
+    let target = sends(&actions).first().cloned();
     let note = Note { role: Some(Role::Primary), position: Some(host.now - Span::millis(behind_ms)) };
     let outcome = Outcome {
         request: id,
         attempt: AttemptNo(0),
-        member: if to == Some(member(at)) { member(at) } else { to.unwrap() },
+        member: if target == Some(member(number)) { member(number) } else { target.unwrap() },
         verdict: Verdict::Ok,
-        note: (sends(&actions) == [member(at)]).then_some(note),
+        note: (sends(&actions) == [member(number)]).then_some(note),
         took: Span::millis(1),
         closed: true,
         report: None,
@@ -357,36 +357,37 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(29), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// In a release, the requests of each session keep their order, and those without a session are sorted by deadline.
+    /// In a release, the requests of each session keep their order, and those without a session are sorted by
+    /// deadline.
     #[test]
-    fn a_release_is_sorted_by_deadline_and_keeps_the_order_of_each_session(asked in prop::collection::vec((0..4_u64, 1..60_i64), 0..40)) {
-        let mut held: Vec<HeldRequest> = asked.iter().enumerate().map(|(at, (session, left))| HeldRequest {
+    fn a_release_is_sorted_by_deadline_and_keeps_the_order_of_each_session(requests in prop::collection::vec((0..4_u64, 1..60_i64), 0..40)) {
+        let mut held: Vec<HeldRequest> = requests.iter().enumerate().map(|(at, (session, remaining))| HeldRequest {
             id: RequestId(at as u64),
             merit: 1.0,
             arrived: ms(at as i64),
-            deadline: ms(at as i64 + left),
+            deadline: ms(at as i64 + remaining),
             session: (*session > 0).then_some(SessionKey(*session)),
             needs_primary: true,
             write: false,
             walk_steps: 0,
         }).collect();
         sort_held(&mut held, Phase::Releasing);
-        for (at, one) in held.iter().enumerate() {
+        for (at, request) in held.iter().enumerate() {
             for later in &held[at + 1..] {
-                if one.session.is_some() && one.session == later.session {
-                    prop_assert!(one.arrived < later.arrived, "{held:?}");
+                if request.session.is_some() && request.session == later.session {
+                    prop_assert!(request.arrived < later.arrived, "{held:?}");
                 }
-                if one.session.is_none() && later.session.is_none() {
-                    prop_assert!(one.deadline <= later.deadline, "{held:?}");
+                if request.session.is_none() && later.session.is_none() {
+                    prop_assert!(request.deadline <= later.deadline, "{held:?}");
                 }
             }
         }
         sort_held(&mut held, Phase::Settled);
-        prop_assert!(held.is_sorted_by_key(|one| one.arrived), "otherwise by arrival");
+        prop_assert!(held.is_sorted_by_key(|request| request.arrived), "otherwise by arrival");
     }
 
-    /// For any order of evidence: writes go to the mark or are held, they are never tried at the former primary or at a
-    /// suspect member, the mark is a member, and the record stays within its bound.
+    /// For any order of evidence: writes go to the mark or are held, they are never tried at the former primary
+    /// or at a suspect member, the mark is a member, and the record stays within its bound.
     #[test]
     fn any_order_of_evidence_keeps_the_state_valid(steps in prop::collection::vec((0..9_u8, 1..4_usize, 0..400_i64), 0..80)) {
         let (mut tracker, mut views, mut durations) = settled();
@@ -407,8 +408,8 @@
                 _ => match place(&mut tracker, now, &views, false, u32::from(step == 8)) {
                     Some(WritePlacement::Mark(mark)) => prop_assert_eq!(Some(&mark), tracker.mark()),
                     Some(WritePlacement::Wait(Some(to), _)) => {
-                        let of = views.iter().find(|of| of.member == to).expect("a member");
-                        prop_assert!(!of.was_primary && !of.suspect);
+                        let view = views.iter().find(|view| view.member == to).expect("a member");
+                        prop_assert!(!view.was_primary && !view.suspect);
                     }
                     _ => {}
                 },
--- a/crates/core/tests/properties.rs
+++ b/crates/core/tests/properties.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Request { class: usize, group: i64, left: i64 },
-    EndAttempt { pick: usize, verdict: usize, role: u8, back: i64 },
+    EndAttempt { pick: usize, verdict: usize, role: u8, offset_ms: i64 },
     List { index: usize, state: usize, started: bool, primary: bool },
     FullList { keep: usize },
     Probed { index: usize, value: f64, role: f64 },
@@ -40,7 +40,7 @@
     let step = prop_oneof![
         4 => (0..7_usize, 0..3_i64, -5..1_500_i64).prop_map(|(class, group, left)| Step::Request { class, group, left }),
         6 => (any::<usize>(), 0..9_usize, 0..3_u8, -500..500_i64)
-            .prop_map(|(pick, verdict, role, back)| Step::EndAttempt { pick, verdict, role, back }),
+            .prop_map(|(pick, verdict, role, offset_ms)| Step::EndAttempt { pick, verdict, role, offset_ms }),
         1 => (0..MEMBERS, 0..3_usize, any::<bool>(), any::<bool>())
             .prop_map(|(index, state, started, primary)| Step::List { index, state, started, primary }),
         1 => (0..MEMBERS + 1).prop_map(|keep| Step::FullList { keep }),
@@ -94,7 +94,7 @@
                     retry: false,
                 }));
             }
-            Step::EndAttempt { pick, verdict, role, back } => {
+            Step::EndAttempt { pick, verdict, role, offset_ms } => {
                 let in_flight: Vec<(RequestId, usize)> = requests
                     .iter()
                     .flat_map(|(id, request)| {
@@ -115,8 +115,8 @@
                         attempt: AttemptNo(*index as u32),
                         member: request.attempts[*index].0.clone(),
                         verdict,
-                        note: Some(Note { role, position: Some(now + Span::millis(*back)) }),
-                        took: Span::millis(*back),
+                        note: Some(Note { role, position: Some(now + Span::millis(*offset_ms)) }),
+                        took: Span::millis(*offset_ms),
                         closed,
                         report: None,
                     }));
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -29,8 +29,8 @@
 
 #[test]
 fn a_write_that_the_host_could_not_send_is_no_evidence_against_the_primary() {
-    // A host that is out of file descriptors sends nothing at all. If that counted as proof, the mark would move away
-    // from a healthy primary.
+    // A host that is out of file descriptors sends nothing at all. If that counted as proof, the mark would move
+    // away from a healthy primary.
     let mut host = with_primary(settings());
     let (id, _) = host.request(UNSAFE);
     assert_eq!(sends(&host.end_attempt(id, 0, 1, Verdict::Moot)), [member(1)]);
@@ -39,8 +39,8 @@
 
 #[test]
 fn a_request_that_fails_everywhere_ejects_no_member() {
-    // Guards against ejections for faulty requests: with a third of the requests answered by an error at every member,
-    // four such answers in a row ejected it.
+    // Guards against ejections for faulty requests: with a third of the requests answered by an error at every
+    // member, four such answers in a row ejected it.
     let mut host = Host::new(settings(), 3);
     for _ in 0..60 {
         let (id, mut actions) = host.request(ANY);
@@ -88,8 +88,8 @@
 
 #[test]
 fn a_member_that_refused_a_connection_is_cold_when_it_returns() {
-    // Where the list did not report restarts, members that returned were overloaded for good. A member that was only cut
-    // off for a while is not cold; treated as cold, it was kept from its work for 16 s.
+    // Where the list did not report restarts, members that returned were overloaded for good. A member that was
+    // only cut off for a while is not cold; treated as cold, it was kept from its work for 16 s.
     for (verdict, down) in
         [(Verdict::Ok, false), (Verdict::Unreachable, false), (Verdict::ConnectFailed, true)]
     {
@@ -385,8 +385,8 @@
 
 #[test]
 fn rejected_sends_do_not_raise_the_slow_start_budget() {
-    // In a surge warm members refuse most requests. If these counted as their usual load, cold members would get too
-    // large a budget.
+    // In a surge warm members refuse most requests. If these counted as their usual load, cold members would get
+    // too large a budget.
     let mut host = Host::new(settings(), 2);
     for _ in 0..200 {
         let (id, actions) = host.request(ANY);
@@ -612,11 +612,12 @@
 
 #[test]
 fn random_variation_of_latency_triggers_no_second_attempt() {
-    // Second attempts after four deviations would duplicate attempts that are about to be answered, and add load to a
-    // busy fleet.
+    // Second attempts after four deviations would duplicate attempts that are about to be answered, and add load
+    // to a busy fleet.
     for second_copies in [true, false] {
         let mut host = Host::new(Settings { second_copies, ..settings() }, 3);
-        // Exponentially distributed latencies with a mean of 40 ms, in a fixed order: 77 and the count share no factor.
+        // Exponentially distributed latencies with a mean of 40 ms, in a fixed order: 77 and the count share no
+        // factor.
         let (count, mut early) = (200, Vec::new());
         for n in 0..count {
             let takes = -40.0 * (1.0 - (f64::from(n * 77 % count) + 0.5) / f64::from(count)).ln();
@@ -736,8 +737,8 @@
 
 #[test]
 fn second_copies_resume_after_a_surge() {
-    // If every timeout of a surge were charged to the retry budget without a lower bound, the debt would outlast the
-    // surge.
+    // If every timeout of a surge were charged to the retry budget without a lower bound, the debt would outlast
+    // the surge.
     let mut host = Host::new(Settings { second_copies: true, ..settings() }, 3);
     let number = |to: &MemberId| (1..=3).find(|n| member(*n) == *to).unwrap();
     for _ in 0..300 {
