--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -1,21 +1,21 @@
-//! Who the members are, by what several sources say of them: the platform's list, a registry, the boxes themselves.
-//! Sources lag, contradict one another and lose things; this settles what counts, without I/O and without a clock of
-//! its own. The table of what outranks what stands in `docs/design/eureka.md`, and each of its cells in the tests.
+//! Merges what several sources report of the members: the platform's list, a registry and the servers themselves. Sources
+//! lag, contradict one another and lose data; this module decides which report counts, without I/O and without a clock of its
+//! own. The precedence table is in `docs/design/eureka.md`, and the tests check each of its cells.
 //!
-//! The one rule above all: **who was told to drain or to be gone stays so until something newer says otherwise.** A
-//! repeat, a stale copy or another peer's older view is nothing newer.
+//! The most important rule: **a member that was reported as draining or gone stays so until a newer report says otherwise.**
+//! A repeated report, a stale copy and the older view of another registry server are not newer.
 
 use crate::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// No more members than this are held. A registry whose deltas name ever new ones fills the memory no further; who is
-/// known already is heard as before.
+/// The maximum number of members. It bounds the memory that a registry can fill whose deltas keep naming new members; claims
+/// of members that are already known are still accepted at the limit.
 pub const MAX_MEMBERS: usize = 100_000;
-/// No more members than this may be out by hand.
+/// The maximum number of members that the operator may have drained at the same time.
 pub const MAX_OPERATOR_DRAINS: usize = 10_000;
 
-/// FNV-1a, 64 bits.
+/// The 64-bit FNV-1a hash of the bytes.
 #[must_use]
 pub fn fnv1a(bytes: impl IntoIterator<Item = u8>) -> u64 {
     bytes.into_iter().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
@@ -23,51 +23,56 @@
     })
 }
 
-/// What stands for a member's id where ids are too long to be told.
+/// The hash that identifies a member in messages and plans, for which ids are too long.
 #[must_use]
 pub fn id_hash(id: &str) -> u64 {
     fnv1a(id.bytes())
 }
 
-/// A source of claims, in the order in which the host numbers them.
+/// The number of a source of claims, assigned by the host. Lower numbers take precedence where only one source can count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SourceId(pub u8);
 
-/// How new a claim is, by what the member said itself and not by when the claim arrived.
+/// The version of a claim. It orders claims by what the member itself reported, not by when they arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClaimVersion {
-    /// When the member last started, where the source tells. A later start outranks any stamp.
+    /// When the member last started, if the source tells. A later start outranks any stamp.
     pub started: Option<Time>,
-    /// The stamp of the member's last change of itself (Eureka's `lastDirtyTimestamp`, in its own unit), or the number
-    /// of the message where a source's messages come in order.
+    /// The timestamp of the member's last change of its own registration (derived from Eureka's `lastDirtyTimestamp`), or the
+    /// sequence number of the message where the messages of a source are ordered.
     pub stamp: i64,
-    /// The memory that tells it: a server of a registry, by number, and the lease that it holds, by its begin. Of one
-    /// start and one stamp, the later word counts as newer if both come from one memory; `None` has none.
+    /// The number of the registry server that made the claim and the start of the lease that it holds for the member. Claims
+    /// of the same start and stamp are ordered by [`Self::lease_updated`] if they come from the same server and lease; `None`
+    /// if the source has no leases.
     pub registry_lease: Option<(usize, i64)>,
-    /// When that memory last changed it, by its own clock.
+    /// When that server last changed the entry, on its own clock.
     pub lease_updated: i64,
 }
 
-/// How one piece of evidence stands to another.
+/// How recent one claim is compared with another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recency {
-    /// It tells of something later.
+    /// It reports a later state of the member.
     Newer,
-    /// It tells of the same.
+    /// It reports the same state, or the order is unknown.
     Same,
-    /// It tells of something earlier.
+    /// It reports an earlier state of the member.
     Older,
 }
 
 impl ClaimVersion {
-    /// How `self` stands to `held`.
+    /// Compares `self` with the version that is held.
     #[must_use]
     pub fn compare(&self, held: &Self) -> Recency {
-        let starts = self.started.zip(held.started).map(|(new, old)| new.cmp(&old));
-        let one_memory = self.registry_lease.is_some() && self.registry_lease == held.registry_lease;
-        let words =
-            if one_memory { self.lease_updated.cmp(&held.lease_updated) } else { std::cmp::Ordering::Equal };
-        match starts.unwrap_or(std::cmp::Ordering::Equal).then(self.stamp.cmp(&held.stamp)).then(words) {
+        let start_order = self.started.zip(held.started).map(|(new, old)| new.cmp(&old));
+        let same_lease = self.registry_lease.is_some() && self.registry_lease == held.registry_lease;
+        let lease_order =
+            if same_lease { self.lease_updated.cmp(&held.lease_updated) } else { std::cmp::Ordering::Equal };
+        match start_order
+            .unwrap_or(std::cmp::Ordering::Equal)
+            .then(self.stamp.cmp(&held.stamp))
+            .then(lease_order)
+        {
             std::cmp::Ordering::Greater => Recency::Newer,
             std::cmp::Ordering::Equal => Recency::Same,
             std::cmp::Ordering::Less => Recency::Older,
@@ -75,310 +80,320 @@
     }
 }
 
-/// What a source says of one member.
+/// What a source reports of one member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Claim {
     /// The member.
     pub member: MemberId,
-    /// Where it listens; `None` where the source does not tell or could not be read.
+    /// The address on which it listens; `None` if the source does not tell or the address is unreadable.
     pub address: Option<SocketAddr>,
-    /// Its group; `None` keeps the one that is known.
+    /// Its replication group; `None` keeps the known one.
     pub group: Option<GroupId>,
     /// Its zone.
     pub zone: String,
-    /// Whether the source holds it to be the primary.
+    /// Whether the source names it as the primary.
     pub primary: bool,
-    /// The machine's type, as the source names it.
+    /// The type of its machine, as the source names it.
     pub machine: String,
-    /// When it last started; `None` for long ago or not told.
+    /// When it last started; `None` if that was long ago or the source does not tell.
     pub started: Option<Time>,
     /// Its state.
     pub state: ListState,
-    /// How new all this is.
+    /// The version of this claim.
     pub version: ClaimVersion,
 }
 
-/// News from a source.
+/// An update from a source.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceUpdate {
-    /// All that the source knows. `view` is how new its knowledge is, on the scale of [`ClaimVersion::stamp`]: a member with
-    /// a later stamp that is not named was not known yet, which tells nothing.
+    /// All members that the source knows. A member that is held but not listed is gone, unless its stamp is later than `view`:
+    /// then the source did not know of it yet.
     Full {
         /// The members.
         claims: Vec<Claim>,
-        /// How new the whole is.
+        /// How recent the list is, on the scale of [`ClaimVersion::stamp`].
         view: i64,
     },
-    /// Some members.
+    /// Only the members that changed.
     Changes(Vec<Claim>),
 }
 
-/// When a list that lacks members is taken for a sick source rather than for a smaller fleet.
+/// When a full list that lacks members is attributed to a faulty source rather than to a smaller fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShrinkPolicy {
-    /// The share of a source's members in service that one full list may lack and still be believed; at 1 only an empty
-    /// list is doubted, over 1 nothing is.
+    /// The share of a source's members in service that one full list may lack and still be accepted. At 1 only an empty list is
+    /// suspect; above 1 every list is accepted.
     pub lost_share: f64,
-    /// After so long of the same doubted story it is believed; `None` never.
+    /// How long lists must have been suspect before one is accepted; `None` for never.
     pub believe_after: Option<Span>,
 }
 
 impl ShrinkPolicy {
-    /// Believes all that it is told, as the platform's list asks for.
+    /// Accepts every list, as the platform's list requires.
     pub const ACCEPT_ALL: Self = Self { lost_share: 2.0, believe_after: None };
 }
 
-/// What became of news.
+/// The result of applying an update.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct UpdateOutcome {
-    /// The entries that differ from before, as the module takes them.
+    /// The entries that changed, in the form that the router takes.
     pub changed: Vec<Entry>,
-    /// Members that were forgotten.
+    /// Members that were dropped after being gone for long enough.
     pub forgotten: Vec<MemberId>,
-    /// Claims that were set aside since what is held is newer.
+    /// The number of claims that were ignored because a newer one is held.
     pub stale: usize,
-    /// Of those, claims that would have brought back who drains or is gone.
+    /// The number of those that would have returned a draining or gone member to service.
     pub kept_out: usize,
-    /// Claims of one registration with two addresses: two members under one id.
+    /// The number of claims that give another address for the same registration: two members share an id.
     pub conflicts: usize,
-    /// A list that was not believed: it lacked so many of so many.
+    /// Set if a full list was suspect: how many members in service it lacked, and out of how many.
     pub suspect_list: Option<(usize, usize)>,
 }
 
-/// A member as a host needs it.
+/// The merged state of a member, as hosts need it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemberInfo {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: Option<SocketAddr>,
-    /// Its state, all sources taken together.
+    /// Its state, merged from all sources, the operator's drains and plans.
     pub state: ListState,
     /// Its group.
     pub group: GroupId,
     /// Its zone.
     pub zone: String,
-    /// Its machine's type.
+    /// The type of its machine.
     pub machine: String,
-    /// Whether a source holds it to be the primary.
+    /// Whether a source names it as the primary.
     pub primary: bool,
     /// When it last started.
     pub started: Option<Time>,
 }
 
-/// What one source holds of one member.
+/// The latest claim of one source about one member.
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldClaim {
     claim: Claim,
-    /// It went by not being named in a list this new. Only a newer view brings it back, or newer version.
-    absent: Option<i64>,
-    /// When this source last said so.
+    /// The view of the full list that did not name the member, if it is gone for that reason. Only a list with a later view, or
+    /// a newer claim, brings it back.
+    missing_from: Option<i64>,
+    /// When the claim was stored.
     since: Time,
 }
 
 #[derive(Clone, Debug)]
-struct Record {
-    /// In the order of the sources. There are one or two, and a map would take up ten times their size.
-    held: Vec<(SourceId, Held)>,
-    known: MemberInfo,
+struct MemberRecord {
+    /// Sorted by source. There are one or two, and a map would need ten times the memory.
+    claims: Vec<(SourceId, HeldClaim)>,
+    info: MemberInfo,
     gone_since: Option<Time>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Source {
-    doubt: ShrinkPolicy,
-    /// Since when it has told the doubted story.
-    doubted: Option<Time>,
+    policy: ShrinkPolicy,
+    /// Since when its full lists have been suspect.
+    suspect_since: Option<Time>,
 }
 
-impl Record {
-    fn of(&self, source: SourceId) -> Option<&Held> {
-        self.held.iter().find(|(of, _)| *of == source).map(|(_, held)| held)
+impl MemberRecord {
+    fn claim_of(&self, source: SourceId) -> Option<&HeldClaim> {
+        self.claims.iter().find(|(id, _)| *id == source).map(|(_, held)| held)
     }
 
-    fn set(&mut self, source: SourceId, held: Held) {
-        match self.held.binary_search_by_key(&source, |(of, _)| *of) {
-            Ok(at) => self.held[at].1 = held,
-            Err(at) => {
-                self.held.reserve_exact(1);
-                self.held.insert(at, (source, held));
+    fn set_claim(&mut self, source: SourceId, held: HeldClaim) {
+        match self.claims.binary_search_by_key(&source, |(id, _)| *id) {
+            Ok(index) => self.claims[index].1 = held,
+            Err(index) => {
+                self.claims.reserve_exact(1);
+                self.claims.insert(index, (source, held));
             }
         }
     }
 }
 
-/// The members by what all sources say.
+/// The members, merged from all sources.
 #[derive(Debug)]
 pub struct Membership {
     sources: BTreeMap<SourceId, Source>,
-    members: BTreeMap<MemberId, Record>,
-    /// Who is gone, by when; so that forgetting costs what it forgets.
+    members: BTreeMap<MemberId, MemberRecord>,
+    /// The gone members by when they went, so that evicting costs no more than the number of evicted members.
     gone: BTreeSet<(Time, MemberId)>,
-    /// Who was taken out by hand; this outlives what is known of them.
-    banned: BTreeSet<MemberId>,
-    /// Who is out by a plan, by what stands for their ids, and since when those that came back from one count as cold. Both outlive
-    /// what is known of them, and neither ends what was done by hand.
-    planned: BTreeSet<u64>,
-    returned: BTreeMap<u64, Time>,
-    remembers: Span,
-    most_gone: usize,
+    /// The members that the operator has drained. Entries outlive the members' records.
+    operator_drained: BTreeSet<MemberId>,
+    /// The members that a plan has taken out of service, by the hashes of their ids, and the time from which each member that
+    /// came back from a plan counts as cold. Both outlive the members' records, and neither ends a drain by the operator.
+    plan_drained: BTreeSet<u64>,
+    plan_returned: BTreeMap<u64, Time>,
+    gone_retention: Span,
+    max_gone: usize,
 }
 
 impl Membership {
-    /// An empty one. Who is gone is remembered for `remembers`, and no more than `most_gone` of them: a stale claim that
-    /// comes later than that is taken for a new member.
+    /// Creates an empty membership. Gone members are kept for `gone_retention`, and at most `max_gone` of them; a stale claim
+    /// that arrives after that is taken for a new member.
     #[must_use]
-    pub fn new(remembers: Span, most_gone: usize) -> Self {
+    pub fn new(gone_retention: Span, max_gone: usize) -> Self {
         Self {
             sources: BTreeMap::new(),
             members: BTreeMap::new(),
             gone: BTreeSet::new(),
-            banned: BTreeSet::new(),
-            planned: BTreeSet::new(),
-            returned: BTreeMap::new(),
-            remembers,
-            most_gone,
+            operator_drained: BTreeSet::new(),
+            plan_drained: BTreeSet::new(),
+            plan_returned: BTreeMap::new(),
+            gone_retention,
+            max_gone,
         }
     }
 
-    /// Says how a source's full lists are doubted. Without it all is believed.
-    pub fn set_shrink_policy(&mut self, source: SourceId, doubt: ShrinkPolicy) {
-        self.sources.insert(source, Source { doubt, doubted: None });
+    /// Sets the policy for full lists of a source that lack members. Without one every list is accepted.
+    pub fn set_shrink_policy(&mut self, source: SourceId, policy: ShrinkPolicy) {
+        self.sources.insert(source, Source { policy, suspect_since: None });
     }
 
-    /// A member that is known, gone ones included for as long as they are remembered.
+    /// The state of a member; gone members are included for as long as they are kept.
     #[must_use]
     pub fn get(&self, member: &MemberId) -> Option<&MemberInfo> {
-        self.members.get(member).map(|record| &record.known)
+        self.members.get(member).map(|record| &record.info)
     }
 
-    /// All that are known, in the order of their ids.
+    /// All known members, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = (&MemberId, &MemberInfo)> {
-        self.members.iter().map(|(id, record)| (id, &record.known))
+        self.members.iter().map(|(id, record)| (id, &record.info))
     }
 
-    /// Takes a member out by hand, or ends that. Out, it drains whatever the sources say and however often it starts
-    /// anew. Gives what that changes; `None` for one that nobody ever named, or if too many are out.
+    /// Drains a member on the operator's request, or ends that. A drained member stays out of service whatever the sources
+    /// report and however often it restarts. Returns `None` for a member that no source ever named, or if the limit of drained
+    /// members is reached.
     pub fn set_operator_drain(&mut self, member: &MemberId, out: bool) -> Option<UpdateOutcome> {
-        if !self.members.contains_key(member) && !self.banned.contains(member) {
+        if !self.members.contains_key(member) && !self.operator_drained.contains(member) {
             return None;
         }
-        if out && self.banned.len() >= MAX_OPERATOR_DRAINS && !self.banned.contains(member) {
+        if out
+            && self.operator_drained.len() >= MAX_OPERATOR_DRAINS
+            && !self.operator_drained.contains(member)
+        {
             return None;
         }
-        Some(self.ban(member, out))
+        Some(self.record_operator_drain(member, out))
     }
 
-    /// The same for a call that another process of this pooler took, which knew the member; named here or not.
+    /// Takes over a drain, or its end, that another process of this pooler has accepted. The member need not be known here.
     pub fn adopt_operator_drain(&mut self, member: &MemberId, out: bool) -> UpdateOutcome {
-        if out && self.banned.len() >= MAX_OPERATOR_DRAINS {
+        if out && self.operator_drained.len() >= MAX_OPERATOR_DRAINS {
             UpdateOutcome::default()
         } else {
-            self.ban(member, out)
+            self.record_operator_drain(member, out)
         }
     }
 
-    fn ban(&mut self, member: &MemberId, out: bool) -> UpdateOutcome {
+    fn record_operator_drain(&mut self, member: &MemberId, out: bool) -> UpdateOutcome {
         if out {
-            self.banned.insert(member.clone());
+            self.operator_drained.insert(member.clone());
         } else {
-            self.banned.remove(member);
+            self.operator_drained.remove(member);
         }
-        let mut taken = UpdateOutcome::default();
-        self.show(member, &mut taken);
-        taken
+        let mut outcome = UpdateOutcome::default();
+        self.refresh(member, &mut outcome);
+        outcome
     }
 
-    /// Says who is out by a plan from now on, all of them, by what stands for their ids; and who has come back from one `at` that
-    /// time and is to be used as a cold one, whatever the sources say of its start.
+    /// Sets which members plans take out of service from now on, by the hashes of their ids, and which have come back from one
+    /// and when. Those count as cold from that time, whatever the sources report of their start.
     pub fn apply_plan(&mut self, out: &BTreeSet<u64>, back: &[(u64, Time)]) -> UpdateOutcome {
-        let mut touched: BTreeSet<u64> = self.planned.symmetric_difference(out).copied().collect();
-        self.planned = out.clone();
-        if self.returned.len() + back.len() > MAX_OPERATOR_DRAINS {
-            self.returned.clear();
+        let mut affected: BTreeSet<u64> = self.plan_drained.symmetric_difference(out).copied().collect();
+        self.plan_drained = out.clone();
+        if self.plan_returned.len() + back.len() > MAX_OPERATOR_DRAINS {
+            self.plan_returned.clear();
         }
-        self.returned.extend(back.iter().copied());
-        touched.extend(back.iter().map(|(of, _)| *of));
+        self.plan_returned.extend(back.iter().copied());
+        affected.extend(back.iter().map(|(hash, _)| *hash));
         let members: Vec<MemberId> =
-            self.members.keys().filter(|id| touched.contains(&id_hash(&id.0))).cloned().collect();
-        let mut taken = UpdateOutcome::default();
-        members.iter().for_each(|member| self.show(member, &mut taken));
-        taken
+            self.members.keys().filter(|id| affected.contains(&id_hash(&id.0))).cloned().collect();
+        let mut outcome = UpdateOutcome::default();
+        members.iter().for_each(|member| self.refresh(member, &mut outcome));
+        outcome
     }
 
-    /// Whether a member would be in service if no plan had it out.
+    /// Whether a member would be in service without plans.
     #[must_use]
     pub fn in_service_without_plans(&self, member: &MemberId) -> bool {
-        let of = self.members.get(member);
-        of.is_some_and(|record| combine(&record.held).state == ListState::Healthy)
-            && !self.banned.contains(member)
+        let record = self.members.get(member);
+        record.is_some_and(|record| merge_claims(&record.claims).state == ListState::Healthy)
+            && !self.operator_drained.contains(member)
     }
 
-    /// Tells of a member if what counts of it has changed.
-    fn show(&mut self, member: &MemberId, taken: &mut UpdateOutcome) {
-        let Some(known) = self.members.get(member).map(|record| self.settle(member, &record.held)) else {
+    /// Recomputes the state of a member and reports it if it has changed.
+    fn refresh(&mut self, member: &MemberId, outcome: &mut UpdateOutcome) {
+        let Some(info) = self.members.get(member).map(|record| self.effective_info(member, &record.claims))
+        else {
             return;
         };
-        let Some(record) = self.members.get_mut(member).filter(|record| record.known != known) else {
+        let Some(record) = self.members.get_mut(member).filter(|record| record.info != info) else {
             return;
         };
-        taken.changed.push(told(member.clone(), &known));
-        record.known = known;
+        outcome.changed.push(list_entry(member.clone(), &info));
+        record.info = info;
     }
 
-    /// What counts of a member: what all sources say, and what was done by hand or by a plan.
-    fn settle(&self, member: &MemberId, held: &[(SourceId, Held)]) -> MemberInfo {
-        let known = with_ban(combine(held), self.banned.contains(member));
-        if self.planned.is_empty() && self.returned.is_empty() {
-            return known;
+    /// The state of a member by the claims of all sources, the operator's drains and plans.
+    fn effective_info(&self, member: &MemberId, held: &[(SourceId, HeldClaim)]) -> MemberInfo {
+        let info = with_drain(merge_claims(held), self.operator_drained.contains(member));
+        if self.plan_drained.is_empty() && self.plan_returned.is_empty() {
+            return info;
+        }
+        let hash = id_hash(&member.0);
+        let returned = self.plan_returned.get(&hash).copied();
+        MemberInfo {
+            started: info.started.max(returned),
+            ..with_drain(info, self.plan_drained.contains(&hash))
         }
-        let mark = id_hash(&member.0);
-        let returned = self.returned.get(&mark).copied();
-        MemberInfo { started: known.started.max(returned), ..with_ban(known, self.planned.contains(&mark)) }
     }
 
-    /// Whether a claim from a list that is older than what is held would have somebody back who drains or is gone: that was
-    /// told since, unless the claim shows a later start.
+    /// Whether a claim from an outdated list would return a draining or gone member to service. The drain or removal was
+    /// reported after that list, unless the claim shows a later start of the member.
     #[must_use]
     pub fn would_revive(&self, claim: &Claim) -> bool {
-        let out = self.get(&claim.member).filter(|known| known.state != ListState::Healthy);
-        claim.state == ListState::Healthy && out.is_some_and(|known| claim.started <= known.started)
+        let out = self.get(&claim.member).filter(|info| info.state != ListState::Healthy);
+        claim.state == ListState::Healthy && out.is_some_and(|info| claim.started <= info.started)
     }
 
-    /// Who is out by hand.
+    /// The members that the operator has drained.
     pub fn operator_drained(&self) -> impl Iterator<Item = &MemberId> {
-        self.banned.iter()
+        self.operator_drained.iter()
     }
 
-    /// Takes what a source says. The cost goes with what it names, and for a full list with what is known.
-    pub fn apply_update(&mut self, now: Time, source: SourceId, news: SourceUpdate) -> UpdateOutcome {
-        let mut taken = UpdateOutcome::default();
-        match news {
+    /// Applies an update from a source. The cost is proportional to the number of its claims, and for a full list also to the
+    /// number of known members.
+    pub fn apply_update(&mut self, now: Time, source: SourceId, update: SourceUpdate) -> UpdateOutcome {
+        let mut outcome = UpdateOutcome::default();
+        match update {
             SourceUpdate::Changes(claims) => {
                 for claim in claims {
-                    self.claim(now, source, claim, None, &mut taken);
+                    self.apply_claim(now, source, claim, None, &mut outcome);
                 }
             }
             SourceUpdate::Full { claims, view } => {
                 let named: BTreeSet<MemberId> = claims.iter().map(|claim| claim.member.clone()).collect();
                 let (missing, lost, in_service) = self.missing(source, &named, view);
-                let sick = self.sick(now, source, lost, in_service, named.is_empty());
+                let suspect = self.check_suspect(now, source, lost, in_service, named.is_empty());
                 for claim in claims {
-                    self.claim(now, source, claim, Some(view), &mut taken);
+                    self.apply_claim(now, source, claim, Some(view), &mut outcome);
                 }
-                if sick {
-                    taken.suspect_list = Some((lost, in_service));
+                if suspect {
+                    outcome.suspect_list = Some((lost, in_service));
                 } else {
                     for member in missing {
-                        self.absent(now, source, member, view, &mut taken);
+                        self.mark_absent(now, source, member, view, &mut outcome);
                     }
                 }
             }
         }
-        self.forget(now, &mut taken);
-        taken
+        self.evict_gone(now, &mut outcome);
+        outcome
     }
 
-    /// Those that a list of this view should have named and did not; how many of them are in service by this source's
-    /// word, and how many members are.
+    /// The members that a full list of this view should have named but did not, how many of them were in service according to
+    /// this source, and how many members are in service according to it.
     fn missing(
         &self,
         source: SourceId,
@@ -387,7 +402,7 @@
     ) -> (Vec<MemberId>, usize, usize) {
         let (mut missing, mut lost, mut in_service) = (Vec::new(), 0, 0);
         for (id, record) in &self.members {
-            let Some(held) = record.of(source) else { continue };
+            let Some(held) = record.claim_of(source) else { continue };
             if held.claim.state == ListState::Gone {
                 continue;
             }
@@ -401,53 +416,62 @@
         (missing, lost, in_service)
     }
 
-    fn sick(&mut self, now: Time, source: SourceId, lost: usize, in_service: usize, empty: bool) -> bool {
-        let Some(of) = self.sources.get_mut(&source) else { return false };
-        // What has begun to be doubted is doubted until all are named again: a registry that lost its memory fills up
-        // one by one, and at some point lacks few enough.
-        let share = if of.doubted.is_some() { 0.0 } else { of.doubt.lost_share };
-        let lost = lost > 0 && lost as f64 > share * in_service as f64;
-        let nothing = empty && in_service > 0 && of.doubt.lost_share <= 1.0;
-        if !(lost || nothing) {
-            of.doubted = None;
+    /// Whether a full list that lacks `lost` of `in_service` members is suspect and must not remove any.
+    fn check_suspect(
+        &mut self,
+        now: Time,
+        source: SourceId,
+        lost: usize,
+        in_service: usize,
+        empty: bool,
+    ) -> bool {
+        let Some(entry) = self.sources.get_mut(&source) else { return false };
+        // Once a list was suspect, later ones are as well until all members are named again: a registry that lost its data
+        // regains the members one by one, and would at some point lack few enough to be accepted.
+        let max_share = if entry.suspect_since.is_some() { 0.0 } else { entry.policy.lost_share };
+        let lost = lost > 0 && lost as f64 > max_share * in_service as f64;
+        let emptied = empty && in_service > 0 && entry.policy.lost_share <= 1.0;
+        if !(lost || emptied) {
+            entry.suspect_since = None;
             return false;
         }
-        let since = *of.doubted.get_or_insert(now);
-        let believed = of.doubt.believe_after.is_some_and(|after| now - since >= after);
-        if believed {
-            of.doubted = None;
+        let since = *entry.suspect_since.get_or_insert(now);
+        let accepted = entry.policy.believe_after.is_some_and(|after| now - since >= after);
+        if accepted {
+            entry.suspect_since = None;
         }
-        !believed
+        !accepted
     }
 
-    fn claim(
+    fn apply_claim(
         &mut self,
         now: Time,
         source: SourceId,
         mut claim: Claim,
         view: Option<i64>,
-        taken: &mut UpdateOutcome,
+        outcome: &mut UpdateOutcome,
     ) {
-        let held = self.members.get(&claim.member).and_then(|record| record.of(source));
+        let held = self.members.get(&claim.member).and_then(|record| record.claim_of(source));
         if let Some(held) = held {
-            let moved = claim.address.zip(held.claim.address).is_some_and(|(new, old)| new != old);
-            let worse = rank(claim.state) > rank(held.claim.state);
-            let better = rank(claim.state) < rank(held.claim.state);
-            let back = held.absent.zip(view).is_some_and(|(absent, view)| view > absent);
-            let counts = match claim.version.compare(&held.claim.version) {
+            let address_changed = claim.address.zip(held.claim.address).is_some_and(|(new, old)| new != old);
+            let worse = severity(claim.state) > severity(held.claim.state);
+            let better = severity(claim.state) < severity(held.claim.state);
+            let listed_again =
+                held.missing_from.zip(view).is_some_and(|(missing_from, view)| view > missing_from);
+            let accepted = match claim.version.compare(&held.claim.version) {
                 Recency::Newer => true,
-                // The same registration: it may only get worse, but for one that was merely not named.
-                Recency::Same => !better || back,
+                // The same registration may only worsen the state, unless the member was gone merely for not being listed.
+                Recency::Same => !better || listed_again,
                 Recency::Older => false,
             };
-            if !counts {
-                taken.stale += 1;
-                taken.kept_out += usize::from(better);
+            if !accepted {
+                outcome.stale += 1;
+                outcome.kept_out += usize::from(better);
                 return;
             }
-            // Two members under one id, as far as can be seen: the one that was there first stays.
-            if moved && claim.version.compare(&held.claim.version) == Recency::Same {
-                taken.conflicts += 1;
+            // Apparently two members share an id: the address that was known first stays.
+            if address_changed && claim.version.compare(&held.claim.version) == Recency::Same {
+                outcome.conflicts += 1;
                 if !worse {
                     return;
                 }
@@ -457,44 +481,52 @@
             claim.group = claim.group.or(held.claim.group);
         }
         if self.members.len() >= MAX_MEMBERS && !self.members.contains_key(&claim.member) {
-            taken.stale += 1;
+            outcome.stale += 1;
             return;
         }
         let member = claim.member.clone();
-        self.hold(now, source, member, Held { claim, absent: None, since: now }, taken);
+        self.store_claim(now, source, member, HeldClaim { claim, missing_from: None, since: now }, outcome);
     }
 
-    fn absent(
+    /// Marks a member as gone because a full list with this view does not name it.
+    fn mark_absent(
         &mut self,
         now: Time,
         source: SourceId,
         member: MemberId,
         view: i64,
-        taken: &mut UpdateOutcome,
+        outcome: &mut UpdateOutcome,
     ) {
-        let held = self.members.get(&member).and_then(|record| record.of(source));
+        let held = self.members.get(&member).and_then(|record| record.claim_of(source));
         if let Some(mut held) = held.cloned() {
             held.claim.state = ListState::Gone;
-            (held.absent, held.since) = (Some(view), now);
-            self.hold(now, source, member, held, taken);
+            (held.missing_from, held.since) = (Some(view), now);
+            self.store_claim(now, source, member, held, outcome);
         }
     }
 
-    /// Holds what a source says, and tells if all sources taken together now say something else than before.
-    fn hold(&mut self, now: Time, source: SourceId, member: MemberId, held: Held, taken: &mut UpdateOutcome) {
+    /// Stores the claim of a source, and reports the member if its merged state has changed.
+    fn store_claim(
+        &mut self,
+        now: Time,
+        source: SourceId,
+        member: MemberId,
+        held: HeldClaim,
+        outcome: &mut UpdateOutcome,
+    ) {
         let entry = self.members.entry(member.clone());
         let new = matches!(entry, std::collections::btree_map::Entry::Vacant(_));
-        let record = entry.or_insert_with(|| Record {
-            held: Vec::new(),
-            known: MemberInfo::default(),
+        let record = entry.or_insert_with(|| MemberRecord {
+            claims: Vec::new(),
+            info: MemberInfo::default(),
             gone_since: None,
         });
-        record.set(source, held);
-        let held = std::mem::take(&mut record.held);
-        let known = self.settle(&member, &held);
+        record.set_claim(source, held);
+        let held = std::mem::take(&mut record.claims);
+        let info = self.effective_info(&member, &held);
         let Some(record) = self.members.get_mut(&member) else { return };
-        record.held = held;
-        match (record.gone_since, known.state == ListState::Gone) {
+        record.claims = held;
+        match (record.gone_since, info.state == ListState::Gone) {
             (None, true) => {
                 record.gone_since = Some(now);
                 self.gone.insert((now, member.clone()));
@@ -505,61 +537,71 @@
             }
             _ => {}
         }
-        if new || record.known != known {
-            taken.changed.push(told(member, &known));
-            record.known = known;
+        if new || record.info != info {
+            outcome.changed.push(list_entry(member, &info));
+            record.info = info;
         }
     }
 
-    fn forget(&mut self, now: Time, taken: &mut UpdateOutcome) {
+    /// Drops gone members whose retention has passed or that exceed the limit, the oldest first.
+    fn evict_gone(&mut self, now: Time, outcome: &mut UpdateOutcome) {
         while let Some((since, _)) = self.gone.first() {
-            if now - *since < self.remembers && self.gone.len() <= self.most_gone {
+            if now - *since < self.gone_retention && self.gone.len() <= self.max_gone {
                 return;
             }
             if let Some((_, member)) = self.gone.pop_first() {
                 self.members.remove(&member);
-                taken.forgotten.push(member);
+                outcome.forgotten.push(member);
             }
         }
     }
 }
 
-/// What the module is told of a member.
-fn told(member: MemberId, known: &MemberInfo) -> Entry {
-    let MemberInfo { state, group, zone, primary, started, .. } = known.clone();
+/// The list entry that the router receives for a member.
+fn list_entry(member: MemberId, info: &MemberInfo) -> Entry {
+    let MemberInfo { state, group, zone, primary, started, .. } = info.clone();
     Entry { member, group, state, primary, started, zone }
 }
 
-/// Out by hand outranks all that says that a member serves.
-fn with_ban(known: MemberInfo, banned: bool) -> MemberInfo {
-    let out = banned && known.state == ListState::Healthy;
-    MemberInfo { state: if out { ListState::Draining } else { known.state }, ..known }
+/// The state of a member that may be drained by the operator or a plan: a drain overrides a healthy state, not a worse one.
+fn with_drain(info: MemberInfo, drained: bool) -> MemberInfo {
+    let out = drained && info.state == ListState::Healthy;
+    MemberInfo { state: if out { ListState::Draining } else { info.state }, ..info }
 }
 
-/// What all sources say of a member, taken together. The worst of them counts, unless another source shows a start
-/// after it: who started anew is not who drained. What only one tells comes from the first source that tells it.
-fn combine(held: &[(SourceId, Held)]) -> MemberInfo {
+/// Merges the claims of all sources about a member. The worst state counts, unless another source shows that the member has
+/// started since: a drain or removal does not concern a restarted member. Other data comes from the first source that has it.
+fn merge_claims(held: &[(SourceId, HeldClaim)]) -> MemberInfo {
     let all = || held.iter().map(|(_, held)| held);
-    let shown = |than: &Held| {
-        let after = than.claim.started.unwrap_or(than.since);
-        all().any(|one| one.claim.state == ListState::Healthy && one.claim.started > Some(after))
+    let restarted_after = |held: &HeldClaim| {
+        let since = held.claim.started.unwrap_or(held.since);
+        all().any(|other| other.claim.state == ListState::Healthy && other.claim.started > Some(since))
     };
-    let counted = || all().filter(|one| one.claim.state == ListState::Healthy || !shown(one));
-    let state =
-        counted().map(|one| one.claim.state).max_by_key(|state| rank(*state)).unwrap_or(ListState::Gone);
+    let relevant =
+        || all().filter(|other| other.claim.state == ListState::Healthy || !restarted_after(other));
+    let state = relevant()
+        .map(|other| other.claim.state)
+        .max_by_key(|state| severity(*state))
+        .unwrap_or(ListState::Gone);
     MemberInfo {
-        address: counted().find_map(|one| one.claim.address).or(all().find_map(|one| one.claim.address)),
+        address: relevant()
+            .find_map(|other| other.claim.address)
+            .or(all().find_map(|other| other.claim.address)),
         state,
-        group: all().find_map(|one| one.claim.group).unwrap_or_default(),
-        machine: all().map(|one| &one.claim.machine).find(|of| !of.is_empty()).cloned().unwrap_or_default(),
-        zone: all().map(|one| &one.claim.zone).find(|zone| !zone.is_empty()).cloned().unwrap_or_default(),
-        primary: counted().any(|one| one.claim.primary),
-        started: all().filter_map(|one| one.claim.started).max(),
+        group: all().find_map(|other| other.claim.group).unwrap_or_default(),
+        machine: all()
+            .map(|other| &other.claim.machine)
+            .find(|machine| !machine.is_empty())
+            .cloned()
+            .unwrap_or_default(),
+        zone: all().map(|other| &other.claim.zone).find(|zone| !zone.is_empty()).cloned().unwrap_or_default(),
+        primary: relevant().any(|other| other.claim.primary),
+        started: all().filter_map(|other| other.claim.started).max(),
     }
 }
 
-/// The more, the more care a state asks for.
-fn rank(state: ListState) -> u8 {
+/// The precedence of a state in a merge; the greatest counts.
+fn severity(state: ListState) -> u8 {
     match state {
         ListState::Healthy => 0,
         ListState::Draining => 1,
