--- a/crates/core/src/choice.rs
+++ b/crates/core/src/choice.rs
@@ -466,10 +466,10 @@
     /// waits until one is confirmed, or is tried at a candidate.
     fn place_write(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> Option<MemberId> {
         let open = self.open.get(&id)?;
-        let (gid, walk_steps) = (open.group, open.rejections);
+        let (gid, members_tried) = (open.group, open.rejections);
         let (confirmed, views) = (self.confirmed_primary(now, gid).is_some(), self.member_views(now, gid));
         let tracker = &mut self.groups.get_mut(&gid)?.tracker;
-        match tracker.place(now, &views, confirmed, walk_steps, &self.settings)? {
+        match tracker.place(now, &views, confirmed, members_tried, &self.settings)? {
             WritePlacement::Mark(mark) => Some(mark).filter(|mark| self.has_room(&self.members[mark], now)),
             WritePlacement::Wait(trial, to_probe) => {
                 self.probe(now, &to_probe, Span(1), actions);
--- a/crates/core/src/handover/mod.rs
+++ b/crates/core/src/handover/mod.rs
@@ -169,14 +169,14 @@
         }
     }
 
-    /// Where a write goes that was rejected by `walk_steps` members so far. `confirmed` means that nothing speaks
+    /// Where a write goes that was rejected by `members_tried` members so far. `confirmed` means that nothing speaks
     /// against the mark. `None` for a group without members.
     pub fn place(
         &mut self,
         now: Time,
         members: &[MemberView],
         confirmed: bool,
-        walk_steps: u32,
+        members_tried: u32,
         settings: &Settings,
     ) -> Option<WritePlacement> {
         let (fleet, max_steps) = (settings.fleet, settings.max_attempts / 2);
@@ -188,7 +188,7 @@
         let mark = kept.or_else(|| next_member(members, self.mark.as_ref()))?;
         self.set_mark(now, &mark.member, Evidence::Listed);
         let bound = u32::try_from(members.len()).unwrap_or(u32::MAX).min(max_steps).max(1);
-        if !confirmed && walk_steps >= bound {
+        if !confirmed && members_tried >= bound {
             self.invalidate_mark(now, Evidence::Walked);
         }
         if confirmed || (self.phase != Phase::Without && !mark.suspect) {
@@ -198,7 +198,7 @@
         if matches!(self.phase, Phase::Settled | Phase::Doubted) {
             self.invalidate_mark(now, Evidence::Silent);
         }
-        let trial = if walk_steps < bound { self.trial_member(now, members, fleet) } else { None };
+        let trial = if members_tried < bound { self.trial_member(now, members, fleet) } else { None };
         Some(WritePlacement::Wait(trial, self.probe_targets(now, fleet, members)))
     }
 
@@ -374,8 +374,12 @@
         durations: &ChangeDurations,
     ) -> (Vec<RequestId>, Vec<RequestId>) {
         sort_held(&mut held, self.phase);
-        let fewest_steps =
-            held.iter().filter(|request| request.write).map(|request| request.walk_steps).min().unwrap_or(0);
+        let fewest_tried = held
+            .iter()
+            .filter(|request| request.write)
+            .map(|request| request.members_tried)
+            .min()
+            .unwrap_or(0);
         let (mut ready, mut too_late, mut ahead, mut writes) =
             (Vec::with_capacity(held.len()), Vec::new(), 0, 0);
         for request in &held {
@@ -389,7 +393,7 @@
             }
             ahead += u32::from(request.needs_primary);
             let ends = request.deadline - now < DEADLINE_MARGIN || self.outlasts(request.deadline, durations);
-            let may_try = self.phase != Phase::Without || request.walk_steps == fewest_steps;
+            let may_try = self.phase != Phase::Without || request.members_tried == fewest_tried;
             if !request.write || ends || (may_try && writes < MAX_WRITES_TRIED) {
                 writes += u32::from(request.write);
                 ready.push(request.id);
--- a/crates/core/src/handover/order.rs
+++ b/crates/core/src/handover/order.rs
@@ -23,7 +23,7 @@
     /// It is a write.
     pub write: bool,
     /// The number of members that rejected it, as a write that looks for the primary.
-    pub walk_steps: u32,
+    pub members_tried: u32,
 }
 
 /// Sorts held requests by merit, the highest first, and requests of equal merit by their arrival.
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -159,7 +159,7 @@
 
     /// The request as an entry of the release order.
     pub(crate) fn to_held(&self, id: RequestId, merit: f64, need: Need) -> HeldRequest {
-        let Self { arrived, deadline, session, rejections: walk_steps, .. } = *self;
+        let Self { arrived, deadline, session, rejections: members_tried, .. } = *self;
         let needs_primary = matches!(need, Need::Write | Need::Fresh) && !self.may_have_run;
         HeldRequest {
             id,
@@ -169,7 +169,7 @@
             session,
             needs_primary,
             write: need == Need::Write,
-            walk_steps,
+            members_tried,
         }
     }
 }
--- a/crates/core/tests/mechanism.rs
+++ b/crates/core/tests/mechanism.rs
@@ -11,8 +11,8 @@
     let mut counts = BTreeMap::new();
     for _ in 0..400 {
         let (id, actions) = host.request(ANY);
-        let to = sends(&actions).remove(0);
-        let n = (1..=4).find(|n| member(*n) == to).unwrap();
+        let target = sends(&actions).remove(0);
+        let n = (1..=4).find(|n| member(*n) == target).unwrap();
         *counts.entry(n).or_insert(0) += 1;
         host.now = host.now + Span::millis(5);
         host.end_attempt(id, 0, n, Verdict::Ok);
@@ -198,8 +198,8 @@
     let (mut to_primary, mut answered) = (0, 0);
     for _ in 0..600 {
         let (id, actions) = host.request(ANY);
-        let Some(to) = sends(&actions).pop() else { continue };
-        let n = (1..=4).find(|n| member(*n) == to).unwrap_or(1);
+        let Some(target) = sends(&actions).pop() else { continue };
+        let n = (1..=4).find(|n| member(*n) == target).unwrap_or(1);
         answered += 1;
         to_primary += usize::from(n == 1);
         // A third of the replicas' answers are late, and none of the primary's.
--- a/crates/core/tests/primary.rs
+++ b/crates/core/tests/primary.rs
@@ -40,9 +40,9 @@
     now_ms: i64,
     views: &[MemberView],
     confirmed: bool,
-    walk_steps: u32,
+    members_tried: u32,
 ) -> Option<WritePlacement> {
-    tracker.place(ms(now_ms), views, confirmed, walk_steps, &settings())
+    tracker.place(ms(now_ms), views, confirmed, members_tried, &settings())
 }
 
 #[test]
@@ -132,7 +132,7 @@
         session: None,
         needs_primary: index != 99,
         write: false,
-        walk_steps: 0,
+        members_tried: 0,
     };
     let late = |tracker: &PrimaryTracker, now| {
         tracker.release_order(ms(now), (0..100).map(held).collect(), &ChangeDurations::default()).1.len()
@@ -163,7 +163,7 @@
         session: None,
         needs_primary: true,
         write: true,
-        walk_steps: u32::from(index < 500),
+        members_tried: u32::from(index < 500),
     };
     let durations =
         ChangeDurations::new([None, Some(Expected { least: Span::millis(100), usual: Span::millis(200) })]);
@@ -369,7 +369,7 @@
             session: (*session > 0).then_some(SessionKey(*session)),
             needs_primary: true,
             write: false,
-            walk_steps: 0,
+            members_tried: 0,
         }).collect();
         sort_held(&mut held, Phase::Releasing);
         for (at, request) in held.iter().enumerate() {
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -45,8 +45,8 @@
     for _ in 0..60 {
         let (id, mut actions) = host.request(ANY);
         let mut attempt = 0;
-        while let Some(to) = sends(&actions).first().cloned() {
-            let n = (1..=3).find(|n| member(*n) == to).unwrap();
+        while let Some(target) = sends(&actions).first().cloned() {
+            let n = (1..=3).find(|n| member(*n) == target).unwrap();
             actions = host.end_attempt(id, attempt, n, Verdict::Error);
             attempt += 1;
         }
@@ -63,7 +63,7 @@
     // Guards against the sum of many small budgets: 510 routers that could each always send one request to a member
     // that just started.
     let routers = 500;
-    let mut together = 0;
+    let mut total_sends = 0;
     for seed in 0..routers {
         let many = Settings { fleet: routers as u32, ..settings() };
         let mut host = Host::seeded(seed, many, 2);
@@ -79,11 +79,11 @@
         host.handle(Event::List(Listing::Changes(vec![Entry { state: ListState::Draining, ..entry(1) }])));
         for _ in 0..2 {
             host.now = host.now + Span::millis(200);
-            together += sends(&host.request(ANY).1).len();
+            total_sends += sends(&host.request(ANY).1).len();
         }
     }
-    assert!(together <= 120, "{together} sends in 0.4 s by 500 routers");
-    assert!(together >= 10, "{together} sends: the member should get a random part of the requests");
+    assert!(total_sends <= 120, "{total_sends} sends in 0.4 s by 500 routers");
+    assert!(total_sends >= 10, "{total_sends} sends: the member should get a random part of the requests");
 }
 
 #[test]
@@ -110,23 +110,23 @@
 #[test]
 fn sends_to_a_warm_member_do_not_reduce_its_budget_when_cold() {
     let mut host = Host::new(settings(), 1);
-    let ask = |host: &mut Host| {
+    let send_request = |host: &mut Host| {
         let (id, actions) = host.request(ANY);
         (id, !sends(&actions).is_empty())
     };
     // More than the budget of a cold member would ever allow, all of it answered in time.
     for _ in 0..400 {
-        let (id, sent) = ask(&mut host);
+        let (id, sent) = send_request(&mut host);
         assert!(sent);
         host.now = host.now + Span::millis(5);
         host.end_attempt(id, 0, 1, Verdict::Ok);
     }
-    let (id, _) = ask(&mut host);
+    let (id, _) = send_request(&mut host);
     host.end_attempt(id, 0, 1, Verdict::ConnectFailed);
     host.handle(Event::Gone(id));
     host.advance(500);
     assert!((0..10).any(|_| {
-        let (id, sent) = ask(&mut host);
+        let (id, sent) = send_request(&mut host);
         host.handle(Event::Gone(id));
         host.advance(50);
         sent
@@ -199,9 +199,9 @@
 #[test]
 fn repeated_ejections_of_a_flapping_member_are_remembered() {
     // If one answer cleared all of a member's ejections, a flapping member would be trusted again each time.
-    for turns in [1, 4] {
+    for failures in [1, 4] {
         let mut host = Host::new(Settings { cold_share: 1.0, max_attempts: 1, ..settings() }, 1);
-        for _ in 0..turns {
+        for _ in 0..failures {
             let (id, actions) = host.request(ANY);
             assert_eq!(sends(&actions).len(), 1);
             host.end_attempt(id, 0, 1, Verdict::ConnectFailed);
@@ -212,19 +212,19 @@
         host.answer_after(id, 0, 1, 20);
         assert_eq!(sends(&host.request(FRESH).1).len(), 1);
         // With ejections still remembered, it gets one attempt at a time.
-        assert_eq!(sends(&host.request(FRESH).1).len(), usize::from(turns == 1), "{turns} turns");
+        assert_eq!(sends(&host.request(FRESH).1).len(), usize::from(failures == 1), "{failures} failures");
     }
 }
 
 #[test]
 fn timeouts_after_a_pause_of_the_process_do_not_count_against_members() {
-    for stall in [false, true] {
+    for paused in [false, true] {
         let mut host = Host::new(settings(), 3);
         let (id, actions) = host.request(ANY);
-        let to = sends(&actions).remove(0);
-        let n = (1..=3).find(|n| member(*n) == to).unwrap();
+        let target = sends(&actions).remove(0);
+        let n = (1..=3).find(|n| member(*n) == target).unwrap();
         let ids: Vec<RequestId> = (0..12).map(|_| host.request(ANY).0).collect();
-        if stall {
+        if paused {
             host.now = host.now + Span::millis(900);
             host.handle(Event::Wake);
         }
@@ -235,7 +235,7 @@
         }
         host.now = host.now + Span::millis(20);
         let next: Vec<MemberId> = (0..30).flat_map(|_| sends(&host.request(ANY).1)).collect();
-        assert_eq!(next.contains(&to), stall, "stall: {stall}");
+        assert_eq!(next.contains(&target), paused, "paused: {paused}");
     }
 }
 
@@ -263,8 +263,8 @@
         for _ in 0..80 {
             host.probe_result(1, true, 0);
             let (id, actions) = host.request(ANY);
-            for to in sends(&actions) {
-                let n = (1..=3).find(|n| member(*n) == to).unwrap();
+            for target in sends(&actions) {
+                let n = (1..=3).find(|n| member(*n) == target).unwrap();
                 let took = if n == 1 { 20 } else { slow_ms };
                 to_primary += usize::from(n == 1);
                 host.answer_after(id, 0, n, took);
@@ -303,39 +303,39 @@
 fn a_write_held_for_a_busy_primary_is_refused_in_time_and_unblocks_later_ones() {
     let mut host = with_primary(settings());
     // Far more writes at once than the primary has room for; it answers one per 100 ms.
-    let (mut out, mut asked) = (std::collections::VecDeque::new(), Vec::new());
-    let sent = |actions: &[Action], out: &mut std::collections::VecDeque<_>| {
-        out.extend(actions.iter().filter_map(|action| match action {
+    let (mut in_flight, mut ids) = (std::collections::VecDeque::new(), Vec::new());
+    let sent = |actions: &[Action], in_flight: &mut std::collections::VecDeque<_>| {
+        in_flight.extend(actions.iter().filter_map(|action| match action {
             Action::Send { request, .. } => Some(*request),
             _ => None,
         }));
     };
     for _ in 0..60 {
         let (id, actions) = host.request_within(UNSAFE, 3_000);
-        sent(&actions, &mut out);
-        asked.push(id);
+        sent(&actions, &mut in_flight);
+        ids.push(id);
     }
     let mut refusals = Vec::new();
     for step in 1..=13 {
         let mut actions = host.advance(100);
-        if let Some(id) = out.pop_front() {
+        if let Some(id) = in_flight.pop_front() {
             actions.extend(host.end_attempt_as(id, 0, 1, Verdict::Ok, Some(Role::Primary)));
         }
-        sent(&actions, &mut out);
-        let now = asked.iter().filter(|id| refused(&actions, **id).flatten().is_some()).count();
-        assert!(now == 0 || step >= 12, "{now} refused in step {step}");
-        refusals.push(now);
+        sent(&actions, &mut in_flight);
+        let refused_now = ids.iter().filter(|id| refused(&actions, **id).flatten().is_some()).count();
+        assert!(refused_now == 0 || step >= 12, "{refused_now} refused in step {step}");
+        refusals.push(refused_now);
     }
     // Otherwise all of them would be held until they are sent with almost no time remaining: 17 ms of 2.85 s.
     let refusals: usize = refusals.iter().sum();
     assert!(refusals >= 20, "{refusals} were refused with a retry-after");
     assert!(sends(&host.advance(1_600)).is_empty(), "nothing is sent too late");
-    // Without a primary a write is held on.
-    let mut without = Host::new(settings(), 3);
-    let (id, _) = without.request_within(UNSAFE, 3_000);
+    // Without a primary the write stays held.
+    let mut without_primary = Host::new(settings(), 3);
+    let (id, _) = without_primary.request_within(UNSAFE, 3_000);
     for _ in 0..3 {
-        (1..=3).for_each(|n| drop(without.probe_result(n, false, 0)));
-        let actions = without.advance(500);
+        (1..=3).for_each(|n| drop(without_primary.probe_result(n, false, 0)));
+        let actions = without_primary.advance(500);
         assert_eq!(refused(&actions, id), None, "the write is held");
     }
 }
@@ -390,8 +390,8 @@
     let mut host = Host::new(settings(), 2);
     for _ in 0..200 {
         let (id, actions) = host.request(ANY);
-        for (attempt, to) in sends(&actions).into_iter().enumerate() {
-            let n = if to == member(1) { 1 } else { 2 };
+        for (attempt, target) in sends(&actions).into_iter().enumerate() {
+            let n = if target == member(1) { 1 } else { 2 };
             host.end_attempt(id, attempt as u32, n, Verdict::Full);
         }
     }
@@ -410,10 +410,10 @@
     for _ in 0..100 {
         let (id, mut actions) = host.request(ANY);
         let mut attempt = 0;
-        while let Some(to) = sends(&actions).first() {
+        while let Some(target) = sends(&actions).first() {
             all += 1;
             host.now = host.now + Span::millis(1);
-            let n = if *to == member(1) { 1 } else { 2 };
+            let n = if *target == member(1) { 1 } else { 2 };
             actions = host.end_attempt(id, attempt, n, Verdict::Full);
             attempt += 1;
         }
@@ -445,22 +445,22 @@
 #[test]
 fn retries_of_clients_give_way_to_first_tries_where_replicas_are_overloaded() {
     // Where marked retries are refused, far more first tries are served in time.
-    for (slow_ms, crowded) in [(20, false), (200, true)] {
+    for (slow_ms, overloaded) in [(20, false), (200, true)] {
         let mut host = Host::new(settings(), 3);
         let mut answered = 0;
         while answered < 20 {
             let (id, actions) = host.request(ANY);
-            let to = sends(&actions).remove(0);
-            let n = (1..=3).find(|n| member(*n) == to).unwrap();
+            let target = sends(&actions).remove(0);
+            let n = (1..=3).find(|n| member(*n) == target).unwrap();
             // A third of the answers is slow: more than in an idle fleet, but too few for first tries to be shed.
             host.answer_after(id, 0, n, if answered % 3 == 0 { slow_ms } else { 20 });
             answered += 1;
         }
         let (again, actions) = host.request_retry(ANY);
-        assert_eq!(sends(&actions).is_empty(), crowded);
+        assert_eq!(sends(&actions).is_empty(), overloaded);
         assert_eq!(
             refused(&actions, again).is_some_and(|after| after.is_some()),
-            crowded,
+            overloaded,
             "refused with a retry-after"
         );
         assert_eq!(sends(&host.request(ANY).1).len(), 1, "a first try");
@@ -491,9 +491,9 @@
     for _ in 0..60 {
         let (id, mut actions) = host.request(ANY);
         let mut attempt = 0;
-        while let Some(to) = sends(&actions).first().cloned() {
+        while let Some(target) = sends(&actions).first().cloned() {
             host.now = host.now + Span::millis(1);
-            let n = (1..=3).find(|n| member(*n) == to).unwrap();
+            let n = (1..=3).find(|n| member(*n) == target).unwrap();
             to_bad += usize::from(n == 2);
             let verdict = if n == 2 { Verdict::Error } else { Verdict::Ok };
             actions = host.end_attempt(id, attempt, n, verdict);
@@ -509,9 +509,9 @@
     let mut host = with_primary(settings());
     let (id, actions) = host.request_within(UNSAFE, 5_000);
     assert_eq!(sends(&actions), [member(1)]);
-    let (mut attempts, mut out) = (1, true);
+    let (mut attempts, mut in_flight) = (1, true);
     for _ in 0..150 {
-        if out {
+        if in_flight {
             let actions = host.end_attempt(id, attempts - 1, 1, Verdict::Full);
             assert!(
                 refused(&actions, id).is_none() && !failed(&actions, id),
@@ -519,8 +519,8 @@
             );
         }
         let sent = sends(&host.advance(10));
-        assert!(sent.iter().all(|to| *to == member(1)), "no other member is the primary");
-        out = !sent.is_empty();
+        assert!(sent.iter().all(|target| *target == member(1)), "no other member is the primary");
+        in_flight = !sent.is_empty();
         attempts += sent.len() as u32;
     }
     assert!((4..8).contains(&attempts), "{attempts} of 8 attempts");
@@ -570,8 +570,8 @@
     let mut silent = 0;
     for round in 0..40 {
         let (id, actions) = host.request(ANY);
-        for to in sends(&actions) {
-            let n = (1..=3).find(|n| member(*n) == to).unwrap();
+        for target in sends(&actions) {
+            let n = (1..=3).find(|n| member(*n) == target).unwrap();
             if n == 3 {
                 silent += usize::from(round >= 20);
             } else {
@@ -597,8 +597,8 @@
     let mut host = Host::new(Settings { second_copies: true, ..settings() }, 3);
     for _ in 0..40 {
         let (id, actions) = host.request(ANY);
-        let to = sends(&actions).remove(0);
-        host.answer_after(id, 0, (1..=3).find(|n| member(*n) == to).unwrap(), 20);
+        let target = sends(&actions).remove(0);
+        host.answer_after(id, 0, (1..=3).find(|n| member(*n) == target).unwrap(), 20);
     }
     let (id, actions) = host.request(ANY);
     let first = sends(&actions).remove(0);
@@ -622,11 +622,16 @@
         for n in 0..count {
             let takes = -40.0 * (1.0 - (f64::from(n * 77 % count) + 0.5) / f64::from(count)).ln();
             let (id, actions) = host.request(ANY);
-            let (to, timeout) = actions.iter().find_map(sent).unwrap();
+            let (target, timeout) = actions.iter().find_map(sent).unwrap();
             let again =
                 !sends(&host.advance(takes as i64)).is_empty() || timeout < Span::millis(takes as i64);
             early.extend(Some(takes).filter(|_| again && n >= 40));
-            host.answer_now(id, 0, (1..=3).find(|n| member(*n) == to).unwrap(), Span::millis(takes as i64));
+            host.answer_now(
+                id,
+                0,
+                (1..=3).find(|n| member(*n) == target).unwrap(),
+                Span::millis(takes as i64),
+            );
         }
         assert!(early.is_empty(), "second attempts before answers that took these ms: {early:?}");
     }
@@ -635,14 +640,14 @@
 #[test]
 fn a_read_of_little_late_worth_is_refused_at_its_objective_where_replicas_are_overloaded() {
     // Guards against reads with a late worth of 0.2 that are answered late while others are refused.
-    for (slow_ms, late_worth, crowded) in [(200, 0.2, true), (20, 0.2, false), (200, 0.6, false)] {
+    for (slow_ms, late_worth, overloaded) in [(200, 0.2, true), (20, 0.2, false), (200, 0.6, false)] {
         let mut settings = settings();
         settings.classes[ANY.0].late_worth = late_worth;
         let mut host = Host::new(settings, 3);
         for answered in 0..20 {
             let (id, actions) = host.request(ANY);
-            let to = sends(&actions).remove(0);
-            let n = (1..=3).find(|n| member(*n) == to).unwrap();
+            let target = sends(&actions).remove(0);
+            let n = (1..=3).find(|n| member(*n) == target).unwrap();
             // A third of the answers is slow: more than in an idle fleet, but too few for first tries to be shed.
             host.answer_after(id, 0, n, if answered % 3 == 0 { slow_ms } else { 20 });
         }
@@ -651,14 +656,14 @@
         let (id, actions) = host.request_within(ANY, 2_000);
         assert!(sends(&actions).is_empty());
         let at_aim = refused(&host.advance(400), id).is_some();
-        assert_eq!(at_aim, crowded, "late worth {late_worth}, answers of {slow_ms} ms");
+        assert_eq!(at_aim, overloaded, "late worth {late_worth}, answers of {slow_ms} ms");
     }
 }
 
 #[test]
 fn a_failed_subscription_to_the_list_is_repeated() {
-    let asked = Settings { discovery: Discovery::Ask, ..settings() };
-    let mut host = Host::new(asked, 0);
+    let subscribing = Settings { discovery: Discovery::Ask, ..settings() };
+    let mut host = Host::new(subscribing, 0);
     let mut actions = Vec::new();
     let mut router = Router::new(1, Settings { discovery: Discovery::Ask, ..settings() });
     router.handle(host.now, Event::List(Listing::Full(vec![])), &mut actions);
@@ -740,20 +745,20 @@
     // If every timeout of a surge were charged to the retry budget without a lower bound, the debt would outlast
     // the surge.
     let mut host = Host::new(Settings { second_copies: true, ..settings() }, 3);
-    let number = |to: &MemberId| (1..=3).find(|n| member(*n) == *to).unwrap();
+    let number = |target: &MemberId| (1..=3).find(|n| member(*n) == *target).unwrap();
     for _ in 0..300 {
         let (id, actions) = host.request(ANY);
         host.now = host.now + Span::millis(395);
-        for to in sends(&actions) {
-            host.end_attempt(id, 0, number(&to), Verdict::Timeout);
+        for target in sends(&actions) {
+            host.end_attempt(id, 0, number(&target), Verdict::Timeout);
         }
     }
     host.now = host.now + Span::millis(10_000);
     for _ in 0..200 {
         let (id, actions) = host.request(ANY);
         host.now = host.now + Span::millis(20);
-        for to in sends(&actions) {
-            host.end_attempt(id, 0, number(&to), Verdict::Ok);
+        for target in sends(&actions) {
+            host.end_attempt(id, 0, number(&target), Verdict::Ok);
         }
     }
     let (_, actions) = host.request(ANY);
@@ -767,9 +772,9 @@
     let mut host = Host::new(settings(), 3);
     for _ in 0..20 {
         let (id, actions) = host.request_within(ANY, 120);
-        let to = sends(&actions);
-        assert_eq!(to.len(), 1);
-        let n = (1..=3).find(|n| member(*n) == to[0]).unwrap();
+        let target = sends(&actions);
+        assert_eq!(target.len(), 1);
+        let n = (1..=3).find(|n| member(*n) == target[0]).unwrap();
         host.answer_after(id, 0, n, 20);
     }
 }
@@ -778,20 +783,20 @@
 fn drains_in_waves_eject_no_other_member() {
     let mut host = Host::new(settings(), 6);
     for wave in [[1, 2], [3, 4]] {
-        let mut out = Vec::new();
+        let mut in_flight = Vec::new();
         for _ in 0..6 {
             let (id, actions) = host.request(ANY);
-            out.extend(sends(&actions).into_iter().map(|to| (id, to)));
+            in_flight.extend(sends(&actions).into_iter().map(|target| (id, target)));
         }
         let state = ListState::Draining;
         host.handle(Event::List(Listing::Changes(wave.map(|n| Entry { state, ..entry(n) }).to_vec())));
-        for (id, to) in out {
-            let n = (1..=6).find(|n| member(*n) == to).unwrap();
+        for (id, target) in in_flight {
+            let n = (1..=6).find(|n| member(*n) == target).unwrap();
             host.end_attempt(id, 0, n, if wave.contains(&n) { Verdict::Reset } else { Verdict::Ok });
         }
         host.now = host.now + Span::millis(500);
-        let to: Vec<MemberId> = (0..8).flat_map(|_| sends(&host.request(ANY).1)).collect();
-        assert!(to.len() >= 4 && !wave.iter().any(|n| to.contains(&member(*n))), "{to:?}");
+        let target: Vec<MemberId> = (0..8).flat_map(|_| sends(&host.request(ANY).1)).collect();
+        assert!(target.len() >= 4 && !wave.iter().any(|n| target.contains(&member(*n))), "{target:?}");
         host.now = host.now + Span::millis(1_500);
         host.handle(Event::Wake);
     }
