--- a/crates/net/src/arrivals.rs
+++ b/crates/net/src/arrivals.rs
@@ -1,11 +1,13 @@
-//! Arrival times of a client's bytes: the time of a request counts from its last byte, even if it waits behind another one.
+//! Arrival times of a client's bytes: the time of a request counts from its last byte, even if it waits behind
+//! another one.
 
 use linnetdeal_core::{Span, Time};
 use std::collections::VecDeque;
 
 /// Bytes that arrive within this time count as one arrival, since clients give their timeouts in whole milliseconds.
 const RESOLUTION: Span = Span::millis(1);
-/// Maximum number of arrivals that are tracked. Further bytes are added to the last one, which makes their time too early.
+/// Maximum number of arrivals that are tracked. Further bytes are added to the last one, which makes their time
+/// too early.
 const MAX_TRACKED: usize = 64;
 
 /// The arrivals on one connection.
@@ -28,7 +30,8 @@
         }
     }
 
-    /// Arrival time of the last byte of a command that is followed by `bytes_after` bytes; earlier arrivals are forgotten.
+    /// Arrival time of the last byte of a command that is followed by `bytes_after` bytes; earlier arrivals are
+    /// forgotten.
     pub fn arrival_time(&mut self, bytes_after: usize) -> Option<Time> {
         let end = self.received.saturating_sub(bytes_after as u64);
         while self.chunks.front().is_some_and(|chunk| chunk.0 < end) {
--- a/crates/net/src/buffer.rs
+++ b/crates/net/src/buffer.rs
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Takes the first `count` bytes out together with the underlying buffer, so that they are not copied. Only the bytes read
-    /// beyond them are copied, to a new buffer.
+    /// Takes the first `count` bytes out together with the underlying buffer, so that they are not copied. Only
+    /// the bytes read beyond them are copied, to a new buffer.
     pub fn detach(&mut self, count: usize) -> (Vec<u8>, Range<usize>) {
         let taken = self.start..(self.start + count).min(self.end);
         let rest = self.bytes[taken.end..self.end].to_vec();
@@ -138,8 +138,8 @@
     write_counted(stream, pieces, &Cell::new(0)).await
 }
 
-/// Like [`write_all`]; also updates `written` with the number of bytes that the system has accepted, so that it is known
-/// when the write fails or is dropped.
+/// Like [`write_all`]; also updates `written` with the number of bytes that the system has accepted, so that it
+/// is known when the write fails or is dropped.
 ///
 /// # Errors
 ///
--- a/crates/net/src/classes.rs
+++ b/crates/net/src/classes.rs
@@ -1,4 +1,5 @@
-//! Lookup of classes for the client side: by name among the current settings, by number among all versions of the settings.
+//! Lookup of classes for the client side: by name among the current settings, by number among all versions of
+//! the settings.
 
 use linnetdeal_core::{Class, ClassId, Effect, Need};
 use std::cell::{Cell, RefCell};
@@ -40,8 +41,8 @@
         self.all.borrow().get(id.0).cloned()
     }
 
-    /// Whether a request of this class may have two concurrent attempts: the settings must allow it, and the class must be
-    /// safe to run any number of times.
+    /// Whether a request of this class may have two concurrent attempts: the settings must allow it, and the
+    /// class must be safe to run any number of times.
     #[must_use]
     pub fn may_be_copied(&self, id: ClassId) -> bool {
         let safe = |(_, _, effect): &(String, Need, Effect)| *effect == Effect::Safe;
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,5 +1,5 @@
-//! The clocks of the process. The main one is Unix time in microseconds, read once and advanced by the monotonic clock, so
-//! that it never goes backwards.
+//! The clocks of the process. The main one is Unix time in microseconds, read once and advanced by the
+//! monotonic clock, so that it never goes backwards.
 
 use linnetdeal_core::{Span, Time};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -32,8 +32,8 @@
     }
 }
 
-/// A monotonic clock (boot time) that also advances while the process is stopped or the machine is suspended, for anything
-/// that must expire in time in every case. Only its differences have a meaning.
+/// A monotonic clock (boot time) that also advances while the process is stopped or the machine is suspended,
+/// for anything that must expire in time in every case. Only its differences have a meaning.
 #[must_use]
 pub fn steady() -> Time {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
@@ -47,7 +47,8 @@
     skew::wall(u64::try_from(unix.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// Clock errors for the lab: `LINNETDEAL_BEND` holds, separated by commas, `rate=0.95`, `jump=3000:500` (after 3 s, forward by
+/// Clock errors for the lab: `LINNETDEAL_BEND` holds, separated by commas, `rate=0.95`, `jump=3000:500` (after
+/// 3 s, forward by
 /// 0.5 s) or `wall=-3600000` (one hour behind). Not compiled into release builds.
 #[cfg(debug_assertions)]
 mod skew {
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -11,7 +11,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// An empty query, used as a ping: its answer shows that the connection is alive and that nothing else was received before.
+/// An empty query, used as a ping: its answer shows that the connection is alive and that nothing else was
+/// received before.
 pub(crate) const PING_QUERY: &[u8] = b"Q\0\0\0\x05\0";
 
 /// The connection budget: the number of connections in use and its limit.
@@ -103,8 +104,8 @@
     pub(crate) address: SocketAddr,
     pub(crate) buffer: ReadBuffer,
     pub(crate) idle_since: Instant,
-    /// Whether the last answer is known to have been followed by nothing else: the ping behind the last request was answered,
-    /// or no request has been sent yet.
+    /// Whether the last answer is known to have been followed by nothing else: the ping behind the last request
+    /// was answered, or no request has been sent yet.
     pub(crate) boundary_verified: bool,
     /// Pings whose answers have not been received.
     pending_pings: u8,
@@ -145,8 +146,8 @@
         }
     }
 
-    /// Checks whether it can carry a request: it must lead to the member's address, be open and have nothing unread. Consumes
-    /// the answers to pings that have been received.
+    /// Checks whether it can carry a request: it must lead to the member's address, be open and have nothing
+    /// unread. Consumes the answers to pings that have been received.
     pub(crate) fn check_idle(&mut self, address: Option<SocketAddr>, max_idle: Duration) -> IdleState {
         if address != Some(self.address) || self.idle_since.elapsed() >= max_idle {
             return IdleState::Closed;
--- a/crates/net/src/connection_slots.rs
+++ b/crates/net/src/connection_slots.rs
@@ -1,10 +1,11 @@
 //! Slots for client connections: how many there are, and which clients are evicted to make room for others.
 //!
-//! A client with an open request keeps its slot. Of the others, clients that were told that their connection ends are evicted
-//! first, then clients that have made no request yet, the oldest first, then the clients that have been idle longest. Clients
-//! without a request share a limited part of the slots, so that many of them displace only each other. Clients that have
-//! made a request are limited to a part as well: where a platform limits the number of connections, clients that send one
-//! request and keep their connections would otherwise leave no slots for others.
+//! A client with an open request keeps its slot. Of the others, clients that were told that their connection
+//! ends are evicted first, then clients that have made no request yet, the oldest first, then the clients that
+//! have been idle longest. Clients without a request share a limited part of the slots, so that many of them
+//! displace only each other. Clients that have made a request are limited to a part as well: where a platform
+//! limits the number of connections, clients that send one request and keep their connections would otherwise
+//! leave no slots for others.
 
 use super::flag::Flag;
 use async_io::Timer;
@@ -64,7 +65,8 @@
 }
 
 impl ConnectionSlots {
-    /// Creates `max_slots` slots, `reject_reserve` more for clients to be refused, and a limit for clients with a request.
+    /// Creates `max_slots` slots, `reject_reserve` more for clients to be refused, and a limit for clients with
+    /// a request.
     #[must_use]
     pub fn new(max_slots: usize, reject_reserve: usize, max_established: usize) -> Self {
         Self {
@@ -93,8 +95,8 @@
         self.in_use.get() < self.max_slots
     }
 
-    /// Waits until another client can be accepted, evicting one if necessary. Returns false if it can only be refused because
-    /// all others are being served.
+    /// Waits until another client can be accepted, evicting one if necessary. Returns false if it can only be
+    /// refused because all others are being served.
     pub async fn wait_for_room(&self) -> bool {
         loop {
             let not_established =
@@ -111,8 +113,8 @@
             {
                 return true;
             }
-            // New clients that connected very recently can't be told from clients that are about to send: with too many of
-            // them, wait until one is old enough.
+            // New clients that connected very recently can't be told from clients that are about to send: with
+            // too many of them, wait until one is old enough.
             if !too_many_new && self.in_use.get() < self.max_slots + self.reject_reserve {
                 return false;
             }
@@ -173,8 +175,8 @@
 }
 
 impl ConnectionSlot<'_> {
-    /// Runs `work` while the client may be evicted. Returns `None` if it was evicted before `work` completed. Completion takes
-    /// precedence: a client whose request can be read stays.
+    /// Runs `work` while the client may be evicted. Returns `None` if it was evicted before `work` completed.
+    /// Completion takes precedence: a client whose request can be read stays.
     pub async fn run_evictable<T>(
         &self,
         rank: EvictionRank,
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -1,5 +1,6 @@
-//! The driver owns the router, feeds it events, and dispatches each of its actions to the addressee: the request that waits
-//! for it, the prober, the sender of messages to peers, or the wake timer. It makes no decisions itself.
+//! The driver owns the router, feeds it events, and dispatches each of its actions to the addressee: the
+//! request that waits for it, the prober, the sender of messages to peers, or the wake timer. It makes no
+//! decisions itself.
 
 use super::classes::Classes;
 use super::clock::Clock;
@@ -69,7 +70,8 @@
 }
 
 impl Driver {
-    /// Creates a driver of `router`. Members to probe go to `probes`, and messages for other poolers to `peer_messages`.
+    /// Creates a driver of `router`. Members to probe go to `probes`, and messages for other poolers to
+    /// `peer_messages`.
     #[must_use]
     pub fn new(
         router: Router,
@@ -148,8 +150,9 @@
         }
     }
 
-    /// Applies new settings. `classes` and `tenants` get all classes and tenants of every version so far, with the numbers of
-    /// those that are current. Returns false, with nothing changed, if there are too many in total.
+    /// Applies new settings. `classes` and `tenants` get all classes and tenants of every version so far, with
+    /// the numbers of those that are current. Returns false, with nothing changed, if there are too many in
+    /// total.
     pub fn update_settings(
         &self,
         mut settings: Settings,
@@ -179,9 +182,9 @@
 
     /// Records something in the run-time check of the invariants and logs the violations that it finds.
     pub fn check(&self, record: impl FnOnce(Time, &mut Invariants) -> Vec<ViolationRecord>) {
-        let breaches = record(self.clock.now(), &mut self.invariants.borrow_mut());
-        for breach in breaches {
-            tracing::warn!(target: "invariants", "violated: {breach}");
+        let violations = record(self.clock.now(), &mut self.invariants.borrow_mut());
+        for violation in violations {
+            tracing::warn!(target: "invariants", "violated: {violation}");
         }
     }
 
@@ -228,8 +231,8 @@
         RequestHandle { driver: self.clone(), id, mailbox }
     }
 
-    /// Wakes the router at the times it asks for. A later wake time replaces an earlier one: the router asks for a new one only
-    /// if it is sooner, or if the earlier one has passed.
+    /// Wakes the router at the times it asks for. A later wake time replaces an earlier one: the router asks
+    /// for a new one only if it is sooner, or if the earlier one has passed.
     pub async fn run_wakes(&self) {
         let mut due: Option<Time> = None;
         loop {
@@ -277,8 +280,8 @@
     }
 }
 
-/// The answer that a client is to receive. Dropping it before the answer was written, with the client still connected, is a
-/// violation of an invariant.
+/// The answer that a client is to receive. Dropping it before the answer was written, with the client still
+/// connected, is a violation of an invariant.
 pub struct PendingAnswer {
     driver: Rc<Driver>,
     request: RequestId,
@@ -332,9 +335,9 @@
     }
 }
 
-/// Actions for a request that it has not taken yet. There are at most five: with two attempts running, the router orders
-/// nothing but their cancellation and the final answer until it has been notified of the end of one. An async channel
-/// would also work, but takes two kilobytes per request.
+/// Actions for a request that it has not taken yet. There are at most five: with two attempts running, the
+/// router orders nothing but their cancellation and the final answer until it has been notified of the end of
+/// one. An async channel would also work, but takes two kilobytes per request.
 #[derive(Default)]
 struct Mailbox {
     actions: RefCell<VecDeque<RequestAction>>,
--- a/crates/net/src/flag.rs
+++ b/crates/net/src/flag.rs
@@ -49,7 +49,8 @@
         self.since.get()
     }
 
-    /// Turns it on or off and wakes all tasks that wait for it. Turning it on again does not change [`Switch::on_since`].
+    /// Turns it on or off and wakes all tasks that wait for it. Turning it on again does not change
+    /// [`Switch::on_since`].
     pub fn set_on(&self, on: bool) {
         let since = self.since.get().or_else(|| Some(Instant::now()));
         self.since.set(since.filter(|_| on));
--- a/crates/net/src/frontend.rs
+++ b/crates/net/src/frontend.rs
@@ -1,4 +1,5 @@
-//! The client side: accepts connections within a budget and runs one task per connection, which reads its commands in order.
+//! The client side: accepts connections within a budget and runs one task per connection, which reads its
+//! commands in order.
 
 use super::arrivals::Arrivals;
 use super::buffer::{ReadBuffer, read_and_discard, write_all};
@@ -33,16 +34,16 @@
 const LISTEN_BACKLOG: i32 = 1_024;
 /// Pause in accepting after this process has run out of descriptors.
 const SHORTAGE_PAUSE: Duration = Duration::from_millis(20);
-/// Time for a client to complete its first command, counted from when it was accepted, and later any command that it has
-/// begun. Connections without an open request may be closed after 2 s, and a client that sends no complete command must be
-/// closed within 3 s of connecting, part of which it may spend in the listen backlog.
+/// Time for a client to complete its first command, counted from when it was accepted, and later any command
+/// that it has begun. Connections without an open request may be closed after 2 s, and a client that sends no
+/// complete command must be closed within 3 s of connecting, part of which it may spend in the listen backlog.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time for a client to take the bytes of one write.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long a client may go on sending after it was told that its connection ends; enough for 60 MB.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Delay after each command that can't be served: a client that repeats such a command as soon as it is rejected would
-/// otherwise keep other clients waiting.
+/// Delay after each command that can't be served: a client that repeats such a command as soon as it is
+/// rejected would otherwise keep other clients waiting.
 const ERROR_DELAY: Duration = Duration::from_millis(50);
 /// Number of commands that can't be served after which the connection is closed.
 const MAX_ERRORS: u32 = 8;
@@ -51,9 +52,9 @@
 /// How long a drained pooler keeps its idle clients: the front checks readiness ten times a second and stops sending
 /// clients 0.2 s after a negative answer.
 const DRAINED_GRACE: Duration = Duration::from_millis(600);
-/// How many bytes are read ahead while a client's request is open. Beyond that nothing more is read, and the end of the
-/// stream, which follows the unread bytes, is polled for at [`HANGUP_POLL_INTERVAL`]: no request may be sent on 0.3 s
-/// after its client has left.
+/// How many bytes are read ahead while a client's request is open. Beyond that nothing more is read, and the
+/// end of the stream, which follows the unread bytes, is polled for at [`HANGUP_POLL_INTERVAL`]: no request may
+/// be sent on 0.3 s after its client has left.
 const MAX_READ_AHEAD: usize = 16 * 1024;
 /// [`Mutant::ForgottenAnswer`] drops one answer in this many requests.
 const FORGET_ANSWER_EVERY: u64 = 50;
@@ -71,9 +72,9 @@
     Async::new(listener)
 }
 
-/// Takes over the listening socket that the platform holds and passes down as the descriptor of this number: clients that
-/// connect while one process replaces another always find it open. The descriptor is duplicated, since this process can't
-/// know whether the number is in use otherwise.
+/// Takes over the listening socket that the platform holds and passes down as the descriptor of this number:
+/// clients that connect while one process replaces another always find it open. The descriptor is duplicated,
+/// since this process can't know whether the number is in use otherwise.
 ///
 /// # Errors
 ///
@@ -92,7 +93,7 @@
     listener.local_addr().map_err(|error| not_listening(&error.to_string()))?;
     match rustix::net::sockopt::socket_acceptconn(&listener) {
         Ok(true) => Async::new(listener),
-        Ok(false) => Err(not_listening("nobody listens on it")),
+        Ok(false) => Err(not_listening("not in the listening state")),
         Err(error) => Err(not_listening(&error.to_string())),
     }
 }
@@ -123,8 +124,8 @@
     pub(crate) scratch: RefCell<Vec<u8>>,
 }
 
-/// Accepts clients while accepting is not paused. It can resume only with a listening socket inherited from the platform
-/// (`inherited`); a socket of its own is closed, so that no client waits in its backlog.
+/// Accepts clients while accepting is not paused. It can resume only with a listening socket inherited from the
+/// platform (`inherited`); a socket of its own is closed, so that no client waits in its backlog.
 pub(crate) async fn run(context: Rc<FrontendContext>, listener: Async<TcpListener>, inherited: bool) {
     loop {
         let accepted = async {
@@ -153,7 +154,8 @@
                 }
                 Timer::after(SHORTAGE_PAUSE).await;
             }
-            // The client closed the connection before it was accepted. The pause prevents a busy loop if the error persists.
+            // The client closed the connection before it was accepted. The pause prevents a busy loop if the
+            // error persists.
             Some(Err(_)) => {
                 Timer::after(Duration::from_millis(1)).await;
             }
@@ -163,7 +165,8 @@
 
 fn admit(context: &Rc<FrontendContext>, stream: Async<TcpStream>, has_room: bool) {
     context.counters.clients.add();
-    // Without TCP_NODELAY, an answer that the system delays until an earlier one is acknowledged would be lost on a reset.
+    // Without TCP_NODELAY, an answer that the system delays until an earlier one is acknowledged would be lost
+    // on a reset.
     if let Err(error) = stream.get_ref().set_nodelay(true) {
         tracing::debug!(target: "clients", "TCP_NODELAY: {error}");
     }
@@ -265,8 +268,8 @@
         }
     }
 
-    /// Sends a fatal error and discards what the client is still sending: closing the connection before that would reset it,
-    /// and the error might be lost.
+    /// Sends a fatal error and discards what the client is still sending: closing the connection before that
+    /// would reset it, and the error might be lost.
     async fn close_with_error(
         &mut self,
         code: &str,
@@ -355,7 +358,8 @@
                 Command::Rejected(code, error_text) => {
                     self.context.counters.rejected.add();
                     self.errors += 1;
-                    // A request that was already read behind this command must be answered before the connection may close.
+                    // A request that was already read behind this command must be answered before the
+                    // connection may close.
                     let may_close = self.close_facts().may_close();
                     if self.errors >= MAX_ERRORS && may_close {
                         self.close_reason.set(CloseReason::Errors);
@@ -396,8 +400,8 @@
         }
     }
 
-    /// Reads more bytes. Returns false if the connection ends: the client has closed it, is evicted, took too long for a command,
-    /// or the process ends. Readable bytes take precedence over all of that.
+    /// Reads more bytes. Returns false if the connection ends: the client has closed it, is evicted, took too
+    /// long for a command, or the process ends. Readable bytes take precedence over all of that.
     async fn read_more(&mut self) -> Result<bool, ClientError> {
         let Self { context, stream, buffer, arrivals, slot, stage, since, .. } = self;
         let between_commands = buffer.data().is_empty() && *stage != Stage::Startup;
@@ -428,7 +432,8 @@
             flag.raised().await;
             Ok(ReadOutcome::End(CloseReason::ProcessEnds))
         };
-        // While the pooler is drained, idle clients that have made a request are closed once the front sends no more clients.
+        // While the pooler is drained, idle clients that have made a request are closed once the front sends no
+        // more clients.
         let drained = async {
             if !between_commands || *stage != Stage::Known {
                 std::future::pending::<()>().await;
@@ -593,7 +598,8 @@
             FinalAnswer::Served(mut reply) if reply.is_large() => {
                 let first_pieces: Vec<&[u8]> = reply.pieces().collect();
                 self.send(&first_pieces).await?;
-                // If the answer can't be completed, the connection ends: the client sees that the answer is truncated.
+                // If the answer can't be completed, the connection ends: the client sees that the answer is
+                // truncated.
                 while let Some(piece) = self.context.pool.next_chunk(&mut reply).await? {
                     self.send(&[&piece]).await?;
                     yield_now().await;
@@ -642,8 +648,8 @@
         Ok(true)
     }
 
-    /// Whether the connection ends with the next answer because a newer process takes over; not while the client has already
-    /// sent more.
+    /// Whether the connection ends with the next answer because a newer process takes over; not while the
+    /// client has already sent more.
     fn should_hand_over(&self) -> bool {
         let would_block = |error: io::Error| error.kind() == io::ErrorKind::WouldBlock;
         self.context.lifecycle.handing_over_clients.is_on()
@@ -651,8 +657,9 @@
             && self.stream.get_ref().peek(&mut [0]).is_err_and(would_block)
     }
 
-    /// Sends the last answer on a connection with the end of the stream in the same segment, so that the client can't begin a
-    /// request that crosses the close. Whatever it sends nevertheless is read, since a reset might discard the answer.
+    /// Sends the last answer on a connection with the end of the stream in the same segment, so that the client
+    /// can't begin a request that crosses the close. Whatever it sends nevertheless is read, since a reset
+    /// might discard the answer.
     async fn send_last(&self, pieces: &[&[u8]]) -> Result<(), ClientError> {
         self.close_reason.set(CloseReason::HandedOver);
         let stream = self.stream.get_ref();
@@ -682,8 +689,8 @@
     }
 }
 
-/// Watches the client of an open request. What it sends ahead is buffered up to a limit. A client that has closed its side
-/// counts as having left: whether it still reads can't be observed.
+/// Watches the client of an open request. What it sends ahead is buffered up to a limit. A client that has
+/// closed its side counts as having left: whether it still reads can't be observed.
 struct ClientWatch<'a> {
     lifecycle: &'a Lifecycle,
     stream: &'a Async<TcpStream>,
@@ -775,8 +782,9 @@
 }
 
 impl FrontendContext {
-    /// Builds the request for a statement whose last byte arrived at `arrived`; `None` if its class is unknown. The client's
-    /// waiting time counts from then, however long the statement waited behind others of its connection.
+    /// Builds the request for a statement whose last byte arrived at `arrived`; `None` if its class is unknown.
+    /// The client's waiting time counts from then, however long the statement waited behind others of its
+    /// connection.
     fn client_request(
         &self,
         statement: &str,
--- a/crates/net/src/in_doubt.rs
+++ b/crates/net/src/in_doubt.rs
@@ -1,5 +1,6 @@
-//! Writes whose outcome is unknown: the whole statement was sent, no answer was received, and it must not be sent again. Their
-//! clients are told that they failed. Operators find the clients' ids here and can look the writes up on the servers.
+//! Writes whose outcome is unknown: the whole statement was sent, no answer was received, and it must not be
+//! sent again. Their clients are told that they failed. Operators find the clients' ids here and can look the
+//! writes up on the servers.
 
 use linnetdeal_core::{MemberId, Time};
 use std::cell::{Cell, RefCell};
--- a/crates/net/src/pg/backend.rs
+++ b/crates/net/src/pg/backend.rs
@@ -39,8 +39,8 @@
     code.map(|code| ErrorFields { code, fatal }).ok_or(malformed)
 }
 
-/// The first message in `data` from a server; `None` while it is incomplete. A message that no answer contains is recognized by
-/// its header, so that the rest of it is not waited for.
+/// The first message in `data` from a server; `None` while it is incomplete. A message that no answer contains
+/// is recognized by its header, so that the rest of it is not waited for.
 ///
 /// # Errors
 ///
@@ -50,7 +50,8 @@
     let is_large = |length: usize| (MAX_VALUE_SIZE + 11..=MAX_STREAMED_VALUE_SIZE + 10).contains(&length);
     let length =
         data.get(1..5).and_then(|word| word.first_chunk()).map(|word| u32::from_be_bytes(*word) as usize);
-    // Whether a row is one that is streamed is only known from its complete header, which may arrive in pieces itself.
+    // Whether a row is one that is streamed is only known from its complete header, which may arrive in pieces
+    // itself.
     if tag == b'D' && data.len() < 11 && length.is_some_and(is_large) {
         return Ok(None);
     }
@@ -66,8 +67,9 @@
     bounded(data, max_length)
 }
 
-/// The size of the message at the front of `data` if it is a row with one value that is too large to be buffered, which is
-/// known from its header. A length that no such row has is left to [`server_message`] to reject.
+/// The size of the message at the front of `data` if it is a row with one value that is too large to be
+/// buffered, which is known from its header. A length that no such row has is left to [`server_message`] to
+/// reject.
 #[must_use]
 pub fn large_row(data: &[u8]) -> Option<usize> {
     let (&[b'D', a, b, c, d, 0, 1, e, f, g, h], _) = data.split_first_chunk::<11>()? else { return None };
@@ -98,7 +100,8 @@
 /// The meaning of a message within an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerPart {
-    /// Part of the result, to be passed on. The value of a row is the last bytes of its message; this is their number.
+    /// Part of the result, to be passed on. The value of a row is the last bytes of its message; this is their
+    /// number.
     Value(usize),
     /// Not passed on.
     Ignored,
@@ -263,8 +266,8 @@
     }
 }
 
-/// Parses a load report such as `inflight=7,util=0.61`, with the values in the order of `fields`. A report in which a field is
-/// missing, repeated or out of range is ignored.
+/// Parses a load report such as `inflight=7,util=0.61`, with the values in the order of `fields`. A report in
+/// which a field is missing, repeated or out of range is ignored.
 #[must_use]
 pub fn load_report(gauges: &str, fields: &[(String, Field)]) -> Option<Vec<f64>> {
     let pairs: Option<Vec<_>> = gauges.split(',').map(|pair| pair.trim().split_once('=')).collect();
--- a/crates/net/src/pg/mod.rs
+++ b/crates/net/src/pg/mod.rs
@@ -1,5 +1,5 @@
-//! PostgreSQL's protocol, version 3, as far as simple queries need it. Parsers and writers without I/O: messages are slices of
-//! the buffer that they were read into.
+//! PostgreSQL's protocol, version 3, as far as simple queries need it. Parsers and writers without I/O:
+//! messages are slices of the buffer that they were read into.
 
 mod backend;
 mod comment;
--- a/crates/net/src/request.rs
+++ b/crates/net/src/request.rs
@@ -25,9 +25,10 @@
     /// A member's answer to a query.
     type Reply;
 
-    /// Makes one attempt and waits for its result until `until` at the latest. Implementations must not send the query again
-    /// themselves. Once the future completes or is dropped, nothing of the attempt remains in flight. `gate` is consulted each
-    /// time the first byte is about to be written, that is, again after every wait; if it denies, nothing is sent.
+    /// Makes one attempt and waits for its result until `until` at the latest. Implementations must not send
+    /// the query again themselves. Once the future completes or is dropped, nothing of the attempt remains in
+    /// flight. `gate` is consulted each time the first byte is about to be written, that is, again after every
+    /// wait; if it denies, nothing is sent.
     fn attempt(
         &self,
         member: &MemberId,
@@ -97,7 +98,8 @@
     pub last_write: Option<Time>,
     /// Whether the client marked the request as a retry.
     pub retry: bool,
-    /// Whether a second attempt may run beside the first: the settings, when the request was taken, and its class allow it.
+    /// Whether a second attempt may run beside the first: the settings, when the request was taken, and its
+    /// class allow it.
     pub copies_allowed: bool,
     /// Effect of running the request more than once.
     pub effect: Effect,
@@ -177,16 +179,16 @@
     };
     let pending_answer = driver.expect_answer(handle.id(), promise);
     loop {
-        // A finished attempt takes precedence over the router's actions, and both over the client's disconnect. The router
-        // orders an attempt or the final answer, or lets the request wait.
+        // A finished attempt takes precedence over the router's actions, and both over the client's disconnect.
+        // The router orders an attempt or the final answer, or lets the request wait.
         let attempt_ended = async { NextStep::AttemptEnded(next_finished(&mut running).await) };
         let action = async { NextStep::Action(handle.next_action().await) };
         let aborted = async { NextStep::Aborted(abort.as_mut().await) };
         let next_step = or(attempt_ended, or(action, aborted)).await;
         let (finished, conclusion) = match next_step {
-            // The client may have left, or the process may be about to end, in the same poll in which this action was
-            // received, a connection was verified or a dial succeeded. The gate checks this before the first byte, whatever
-            // happened before.
+            // The client may have left, or the process may be about to end, in the same poll in which this
+            // action was received, a connection was verified or a dial succeeded. The gate checks this before
+            // the first byte, whatever happened before.
             NextStep::Action(RequestAction::Send { member, until }) => {
                 let number = attempt_numbers.next().unwrap_or(AttemptNo(u32::MAX));
                 if running.len() >= max_running {
@@ -236,8 +238,8 @@
             }
         };
 
-        // Attempts that are still running when the final answer is known are abandoned. The router is notified only now that
-        // all of them are over, and the connections of abandoned ones are closed.
+        // Attempts that are still running when the final answer is known are abandoned. The router is notified
+        // only now that all of them are over, and the connections of abandoned ones are closed.
         let abandoned: Vec<_> = match conclusion {
             Some(_) => running.drain(..).map(Attempt::abandon).collect(),
             None => Vec::new(),
@@ -301,8 +303,8 @@
     requested_timeout: Span,
     copies_allowed: bool,
     effect: Effect,
-    /// Counted when the attempt was ordered: the number can only shrink afterwards, and a second attempt is ordered while the
-    /// first one is counted.
+    /// Counted when the attempt was ordered: the number can only shrink afterwards, and a second attempt is
+    /// ordered while the first one is counted.
     other_attempts: usize,
     may_have_run: bool,
     /// The abort reason last seen by the gate.
@@ -374,7 +376,8 @@
     }
 }
 
-/// Waits for the first of these attempts to finish, the earlier one if several have; never completes if none is running.
+/// Waits for the first of these attempts to finish, the earlier one if several have; never completes if none is
+/// running.
 async fn next_finished<F, R>(running: &mut Vec<Attempt<F>>) -> FinishedAttempt<R>
 where
     F: Future<Output = (AttemptResult<R>, Option<AbortReason>)>,
--- a/crates/net/src/stall.rs
+++ b/crates/net/src/stall.rs
@@ -1,5 +1,5 @@
-//! Detects whether this process has just been stalled: stopped, starved of its core, or swapped out. Events that arrived
-//! meanwhile are found all at once, in no meaningful order.
+//! Detects whether this process has just been stalled: stopped, starved of its core, or swapped out. Events
+//! that arrived meanwhile are found all at once, in no meaningful order.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Whether the process has just resumed after a stall. Calling this counts as activity: the caller may be the first to run.
+    /// Whether the process has just resumed after a stall. Calling this counts as activity: the caller may be
+    /// the first to run.
     #[must_use]
     pub fn just_resumed(&self) -> bool {
         self.record_activity();
--- a/crates/net/src/tenants.rs
+++ b/crates/net/src/tenants.rs
@@ -1,4 +1,5 @@
-//! Lookup of tenants for the client side: by name among the current settings, by number among all versions of the settings.
+//! Lookup of tenants for the client side: by name among the current settings, by number among all versions of
+//! the settings.
 
 use linnetdeal_core::{Tenant, TenantId};
 use std::cell::{Ref, RefCell};
--- a/crates/net/src/timer_queue.rs
+++ b/crates/net/src/timer_queue.rs
@@ -1,8 +1,8 @@
 //! A queue of timeouts that share one timer, for many timeouts of which hardly any expires.
 //!
-//! Setting a timer of the reactor costs a system call and a needless turn of its loop, which may be asleep for longer. All
-//! timeouts of attempts therefore share one timer. It is re-armed only for a timeout that is sooner than all others, and for
-//! the next one when it fires.
+//! Setting a timer of the reactor costs a system call and a needless turn of its loop, which may be asleep for
+//! longer. All timeouts of attempts therefore share one timer. It is re-armed only for a timeout that is sooner
+//! than all others, and for the next one when it fires.
 
 use async_io::Timer;
 use event_listener::Event;
--- a/crates/net/src/upstream.rs
+++ b/crates/net/src/upstream.rs
@@ -29,13 +29,13 @@
 const DATABASE: &str = "store";
 /// The statement that asks for a load report, with its terminating zero byte.
 const PROBE_QUERY: &[u8] = b"SHOW gauges\0";
-/// Idle connections are closed after this fraction of the servers' idle limit: if the server closed one while a request is on
-/// its way, that request would be lost.
+/// Idle connections are closed after this fraction of the servers' idle limit: if the server closed one while a
+/// request is on its way, that request would be lost.
 const IDLE_FRACTION: f64 = 2.0 / 3.0;
 /// Timeout of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Pause before a dial is retried after a shortage on this machine, and the longest wait for a connection permit before the
-/// budget is checked again.
+/// Pause before a dial is retried after a shortage on this machine, and the longest wait for a connection
+/// permit before the budget is checked again.
 const SHORTAGE_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// How often a dial is retried that failed because of a transient error on this machine.
 const MAX_TRANSIENT_RETRIES: u32 = 5;
@@ -46,13 +46,13 @@
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Upper limit for the size of an answer, including notices.
 const MAX_ANSWER_SIZE: usize = 2 * pg::MAX_VALUE_SIZE;
-/// A connection is not reused for this long after an answer while there are others: excess bytes from a server arrive right
-/// behind an answer and must not be taken for the next one.
+/// A connection is not reused for this long after an answer while there are others: excess bytes from a server
+/// arrive right behind an answer and must not be taken for the next one.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
 /// After this many idle connections that failed the check before their reuse, a new one is opened.
 const MAX_REUSE_CHECKS: usize = 2;
-/// A new connection is also opened after a single idle one that does not answer the check within this time, ten times what
-/// the most distant servers take: servers may still answer on other connections.
+/// A new connection is also opened after a single idle one that does not answer the check within this time, ten
+/// times what the most distant servers take: servers may still answer on other connections.
 const REUSE_CHECK_TIMEOUT: Duration = Duration::from_millis(25);
 
 /// A client's statement in the buffer that it was read into. Only the timeout in it is rewritten for each attempt.
@@ -151,7 +151,8 @@
 }
 
 impl AttemptProgress {
-    /// The stage reached. Once its last byte is written a statement may run, even if the ping behind it was not written.
+    /// The stage reached. Once its last byte is written a statement may run, even if the ping behind it was not
+    /// written.
     fn stage(&self) -> Stage {
         let (stage, size) = (self.stage.get(), self.size.get());
         let all = size > 0 && self.written.get() >= size;
@@ -224,7 +225,8 @@
     status: StatusParameters,
     /// The answer's messages in the buffer.
     pieces: Vec<Range<usize>>,
-    /// The answer and the missing bytes of its row, if the row is too large to be buffered; the buffer ends within it.
+    /// The answer and the missing bytes of its row, if the row is too large to be buffered; the buffer ends
+    /// within it.
     large: Option<(pg::Answer, usize)>,
     /// The row's value in the buffer.
     value: Option<Range<usize>>,
@@ -348,7 +350,8 @@
         });
     }
 
-    /// Periodically closes idle connections that can't be reused and drops the state of forgotten members. Never returns.
+    /// Periodically closes idle connections that can't be reused and drops the state of forgotten members.
+    /// Never returns.
     pub async fn run_upkeep(&self) {
         loop {
             Timer::after(Duration::from_millis(500)).await;
@@ -399,8 +402,8 @@
         self.reuse_policy.borrow_mut().record_failure(member, self.now(), used);
     }
 
-    /// Takes an idle connection, the most recently used first so that the others can age out, except for those that have only
-    /// just brought an answer.
+    /// Takes an idle connection, the most recently used first so that the others can age out, except for those
+    /// that have only just brought an answer.
     fn take_idle(&self, member: &MemberId) -> Option<Connection> {
         let address = self.members.address(member);
         let mut idle = self.idle.borrow_mut();
@@ -417,8 +420,8 @@
         }
     }
 
-    /// Takes a permit for one more connection, closing an idle one if necessary. Waits while there is none: a shortage on this
-    /// side must not look like a failure of the member.
+    /// Takes a permit for one more connection, closing an idle one if necessary. Waits while there is none: a
+    /// shortage on this side must not look like a failure of the member.
     async fn permit(&self, member: &MemberId) -> Permit {
         while self.budget.used.get() >= self.budget.max && !self.close_one_idle() {
             self.counters.short.add();
@@ -545,8 +548,8 @@
             return Err(ExchangeError::MemberWithdrawn);
         }
         let (mut connection, reuse) = self.connection(member, query.must_not_repeat(), stage).await?;
-        // Events that arrived while the process was stalled are handled first: they may withdraw the member. The connection may
-        // also have been closed meanwhile.
+        // Events that arrived while the process was stalled are handled first: they may withdraw the member.
+        // The connection may also have been closed meanwhile.
         if self.stall.just_resumed() {
             yield_now().await;
             if connection.check_idle(self.members.address(member), self.max_idle()) != IdleState::Usable {
@@ -554,8 +557,8 @@
             }
         }
         stage.set(Stage::Writing);
-        // The ping, an empty query sent behind the statement, is not waited for: its answer shows, before the next request is
-        // sent on this connection, that exactly one answer was received.
+        // The ping, an empty query sent behind the statement, is not waited for: its answer shows, before the
+        // next request is sent on this connection, that exactly one answer was received.
         let with_ping = self.reuse_policy.borrow().needs_trailing_ping(member, self.now());
         if with_ping {
             connection.sent_with_ping();
@@ -573,10 +576,10 @@
         Ok((connection, exchange))
     }
 
-    /// Writes a query. **This is the only place that writes a first byte.** Whatever was waited for before (a permit, a dial, a
-    /// check, or here the socket becoming writable), meanwhile the list may have changed, the client may have left, and its time
-    /// may have passed. So the gate is consulted each time the first byte is about to be written, and the timeout announced to
-    /// the member is the time that remains then.
+    /// Writes a query. **This is the only place that writes a first byte.** Whatever was waited for before (a
+    /// permit, a dial, a check, or here the socket becoming writable), meanwhile the list may have changed, the
+    /// client may have left, and its time may have passed. So the gate is consulted each time the first byte is
+    /// about to be written, and the timeout announced to the member is the time that remains then.
     async fn write_query(
         &self,
         connection: &Connection,
@@ -669,8 +672,8 @@
 }
 
 impl Pool {
-    /// The next chunk of a large answer, including its last messages; `None` once all of it has been returned. The server is
-    /// read no faster than chunks are taken.
+    /// The next chunk of a large answer, including its last messages; `None` once all of it has been returned.
+    /// The server is read no faster than chunks are taken.
     ///
     /// # Errors
     ///
@@ -800,8 +803,8 @@
     }
 }
 
-/// Reads one answer up to ReadyForQuery. An answer that was complete before the connection ended is valid; after a malformed
-/// one the statement may have run, as after none at all.
+/// Reads one answer up to ReadyForQuery. An answer that was complete before the connection ended is valid;
+/// after a malformed one the statement may have run, as after none at all.
 async fn read_answer(stream: &Async<TcpStream>, buffer: &mut ReadBuffer) -> Result<Exchange, ExchangeError> {
     let mut answer = pg::Answer::default();
     let mut pieces: Vec<Range<usize>> = Vec::new();
@@ -854,8 +857,8 @@
 mod tests {
     use super::*;
 
-    /// The system may accept the statement but not the ping behind it before the connection breaks. If that counted as never
-    /// sent, the write would be sent again and run twice.
+    /// The system may accept the statement but not the ping behind it before the connection breaks. If that
+    /// counted as never sent, the write would be sent again and run twice.
     #[test]
     fn a_statement_may_run_once_its_last_byte_is_written_whether_or_not_the_ping_is() {
         let progress = AttemptProgress::default();
--- a/crates/net/tests/parsers.rs
+++ b/crates/net/tests/parsers.rs
@@ -1,5 +1,5 @@
-//! The parsers on arbitrary input: no panic, and no message before its last byte has arrived. Also files that processes share,
-//! inherited sockets and invalid configurations.
+//! The parsers on arbitrary input: no panic, and no message before its last byte has arrived. Also files that
+//! processes share, inherited sockets and invalid configurations.
 
 use linnetdeal_core::Field;
 use linnetdeal_net::{http, pg};
@@ -203,8 +203,8 @@
     }
 }
 
-/// A file with one invalid value is refused as a whole, with the place of the error: in a partly accepted one, the address of
-/// discovery led nowhere.
+/// A file with one invalid value is refused as a whole, with the place of the error: in a partly accepted one,
+/// the address of discovery led nowhere.
 #[test]
 fn a_configuration_with_a_deadline_or_attempt_limit_not_above_0_is_refused() {
     use linnetdeal_net::config::Config;
