--- a/crates/coordination/src/work/coordinator.rs
+++ b/crates/coordination/src/work/coordinator.rs
@@ -730,7 +730,7 @@
     }
 
     /// Sends the record to the poolers whose heartbeats do not show it. While a plan is active, a pooler that
-    /// falls silent is told again: it may have restarted, or may send its heartbeats to somebody else.
+    /// falls silent is sent the record again: it may have restarted, or may send its heartbeats to somebody else.
     fn publish(&mut self, now: Time) {
         let half = Span(self.setup.heartbeat_interval.0 / 2);
         let stale = Span(self.setup.heartbeat_interval.0 * STALE_INTERVALS);
