--- a/crates/core/src/choice.rs
+++ b/crates/core/src/choice.rs
@@ -40,9 +40,10 @@
 const ATTEMPT_TIMEOUT_DEVIATIONS: f64 = 8.0;
 /// Lower bound of that time, as a fraction of the class's latency objective.
 const MIN_ATTEMPT_TIMEOUT: f64 = 0.3;
-/// Deviations above the mean from which the time without an answer is measured; see `SILENCE_FACTOR`.
+/// An attempt is overdue, and its member possibly silent, after `SILENCE_FACTOR` times the sum of the class's mean
+/// latency and this many deviations.
 const OVERDUE_DEVIATIONS: f64 = 4.0;
-/// An attempt is overdue, and its member possibly silent, after this multiple of that time.
+/// See `OVERDUE_DEVIATIONS`.
 const SILENCE_FACTOR: f64 = 2.0;
 /// A read is sent only if the mean latency plus this many deviations still fits into its useful time: until its
 /// latency objective, or until its deadline if a late answer is worth enough or nobody else wants the capacity.
@@ -70,7 +71,8 @@
 const ERROR_PENALTY: f64 = 0.4;
 /// Each answer multiplies the failure score by this.
 const SCORE_DECAY_PER_ANSWER: f64 = 0.8;
-/// Length of a first ejection; each further one is twice as long, up to `MAX_EJECTION`.
+/// Length of a first ejection. Each further one is twice as long, up to `MAX_DOUBLINGS` times and to
+/// `MAX_EJECTION`.
 const BASE_EJECTION: Span = Span::millis(250);
 const MAX_EJECTION: Span = Span::millis(4_000);
 const MAX_DOUBLINGS: u32 = 5;
@@ -92,15 +94,15 @@
 const PRIMARY_READ_SHARE_WHEN_LAGGING: f64 = 0.8;
 /// An answer within this fraction of the latency objective shows that its member is not overloaded.
 const IN_TIME_SHARE_OF_AIM: f64 = 0.4;
-/// Overload is the share of recent answers that were not in time. Load shedding starts at this level,
+/// Load shedding starts at this overload, which is the share of recent answers that were not in time.
 const SHEDDING_START: f64 = 0.45;
-/// and is complete at this one.
+/// At this overload shedding is complete: every new request of average or lower merit is shed.
 const SHEDDING_COMPLETE: f64 = 0.8;
 /// The overload assumed of an idle fleet.
 const OVERLOAD_PRIOR: f64 = 0.2;
 /// Replicas count as overloaded from here on: reads spill over to the primary with a probability equal to the
-/// difference between their overload and the primary's. No margin is subtracted from that difference: a margin of
-/// 0.2 refused reads beside idle primaries.
+/// difference between their overload and the primary's. Subtracting a margin of 0.2 from that difference would
+/// refuse reads beside idle primaries.
 const SPILL_OVERLOAD: f64 = 0.22;
 /// The number of answers for which a prior counts. Most routers see few answers of one group, so that the overload
 /// of all groups serves as the prior of each.
@@ -338,16 +340,16 @@
         let attempts_spent = open.attempts.len() as u32 >= open.attempt_limit;
         let must_not_repeat = open.may_have_run && class.effect != Effect::Safe;
         let time_needed = self.latencies[open.class].upper_bound(FEASIBILITY_DEVIATIONS);
-        let (first, overload) = (open.attempts.is_empty(), self.overload(now, open.group, REPLICA));
+        let (unsent, overload) = (open.attempts.is_empty(), self.overload(now, open.group, REPLICA));
         let late_worth_needed = if overload > SPILL_OVERLOAD { MIN_LATE_WORTH } else { f64::MIN_POSITIVE };
         let useful_until = if class.late_worth < late_worth_needed { open.aim } else { open.deadline };
         let check_new = overload > FEASIBILITY_OVERLOAD && draw < FEASIBILITY_CHECKED_SHARE;
         // The worth of a client's retry began to expire with its first try, so it gives way to first tries.
-        let gives_way = open.retry && first && class.effect == Effect::Safe && overload > SPILL_OVERLOAD;
+        let gives_way = open.retry && unsent && class.effect == Effect::Safe && overload > SPILL_OVERLOAD;
         let check_feasible = check_new || now > open.arrived;
         // While a request is held unsent its client cannot try elsewhere, so it is refused early enough for that.
         let held_too_long =
-            first && now - open.arrived > (open.deadline - open.arrived).times(MAX_HELD_SHARE);
+            unsent && now - open.arrived > (open.deadline - open.arrived).times(MAX_HELD_SHARE);
         // A write is held while there is no primary. At an overloaded primary it would be sent too late.
         let tracker = self.tracker_if_needed(open);
         let awaits_primary =
@@ -368,7 +370,7 @@
             self.give_up(now, id, reason, actions);
             return;
         }
-        let is_new = first && now == open.arrived;
+        let is_new = unsent && now == open.arrived;
         let (key, gid) = ((open.arrived, id), open.group);
         let target = match class.need {
             Need::Write => self.place_write(now, id, actions),
@@ -610,8 +612,8 @@
             self.give_up(now, id, GivenUp::RepeatedErrors, actions);
             return;
         }
-        // Proof that a write did not run at the marked member moves the mark to the next member. An attempt that
-        // was never sent there proves nothing about it.
+        // Proof that a write did not run at the marked member moves the mark to the next member. A refusal as
+        // full, or an attempt that was never sent, proves nothing about the member's role.
         if write && verdict.never_ran() {
             let gid = open.group;
             if !matches!(verdict, Verdict::Full | Verdict::Moot | Verdict::Broken) {
@@ -633,8 +635,8 @@
 
     // ---- Evidence of roles and positions
 
-    /// Observations of other routers count like this router's own. Whom they hold to be a primary is believed only
-    /// where members check what they are sent: elsewhere the staleness of answers depends on it.
+    /// Observations of other routers count like this router's own, except that their primaries are believed only
+    /// where members check what they are sent. Elsewhere a wrong primary would answer from stale data.
     fn apply_peer_message(&mut self, now: Time, from: u32, bytes: &[u8]) {
         for observation in self.peers.receive(now, from, bytes) {
             match observation {
@@ -736,8 +738,8 @@
         self.marked_primary(gid).filter(|(_, m)| !self.is_suspect(m, now)).map(|(mark, _)| mark)
     }
 
-    /// The marked primary, if it is suspect for its silence but not ejected, and no live attempt is out at it.
-    /// One fresh read at a time is sent to it as a trial: if only some of its connections are silent, nothing
+    /// The marked primary, if it is suspect for its silence but not ejected, and no live attempt is in flight at
+    /// it. One fresh read at a time is sent to it as a trial: if only some of its connections are silent, nothing
     /// else would show that before the attempts on them end.
     fn trial_primary(&self, now: Time, gid: GroupId) -> Option<&MemberId> {
         self.marked_primary(gid)
@@ -759,9 +761,9 @@
     /// position counts as fresh enough, since it would refuse a read that it is too far behind for.
     fn is_fresh_enough(&self, m: &Member, required: Option<Time>, now: Time) -> bool {
         let Some(required) = required.filter(|required| m.position < *required) else { return true };
-        let refused = m
-            .lag_refusal
-            .is_some_and(|(refused_at, at)| required >= refused_at && now - at < LAG_OBSERVATION_TTL);
+        let refused = m.lag_refusal.is_some_and(|(refused_position, at)| {
+            required >= refused_position && now - at < LAG_OBSERVATION_TTL
+        });
         let age = now - m.position_read_at;
         self.settings.checks == Checks::Refuse
             && !refused
@@ -931,7 +933,8 @@
         (1.0 + in_flight + abandoned) * m.slowness.ratio(now)
     }
 
-    /// Whether a member is ejected, on probation after an ejection with an attempt out, or silent.
+    /// Whether a member is ejected, silent, or has an attempt in flight after an ejection: it then gets one at a
+    /// time.
     fn is_suspect(&self, m: &Member, now: Time) -> bool {
         now < m.ejected_until
             || (m.ejections > 0 && self.live_attempts(m, now) > 0.0)
@@ -1074,7 +1077,7 @@
         self.sessions.evict(|| members.filter(in_use).map(|m| m.position).min());
     }
 
-    /// Ends a request that is past its deadline. Hedges one whose attempt is overdue.
+    /// Ends a request that is past its deadline. Hedges a request whose attempt takes too long.
     fn handle_due(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id).filter(|open| now < open.deadline) else {
             self.give_up(now, id, GivenUp::DeadlineOver, actions);
