--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,13 +1,13 @@
-//! Log lines on standard error: text, or one JSON object a line.
+//! Logging to standard error, as text or as one JSON object per line.
 
 use linnetdeal_operator::{LogFormat, LogSettings};
 use std::io::{self, Write};
 use tracing::Level;
 
-/// Standard error, where nobody may read any more: what can't be written is lost, and nothing else happens.
-struct Lossy;
+/// Standard error that ignores write errors: if it is closed, log lines are lost and the process continues.
+struct LossyStderr;
 
-impl Write for Lossy {
+impl Write for LossyStderr {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = io::stderr().write_all(bytes);
         Ok(bytes.len())
@@ -18,7 +18,7 @@
     }
 }
 
-/// Has all that the program says from now on written so.
+/// Installs the subscriber for all log lines from now on.
 pub fn start(settings: &LogSettings) {
     let level = match settings.level.as_str() {
         "error" => Level::ERROR,
@@ -26,12 +26,12 @@
         "debug" => Level::DEBUG,
         _ => Level::INFO,
     };
-    // With the subscriber's own complaints left out: they would go to the same standard error, and end the process
-    // where that is closed.
-    let lines = tracing_subscriber::fmt().with_max_level(level).with_writer(|| Lossy).with_ansi(false);
-    let lines = lines.log_internal_errors(false);
+    // The subscriber's own error messages are disabled: they are written to the same standard error, and would panic if it is closed.
+    let builder =
+        tracing_subscriber::fmt().with_max_level(level).with_writer(|| LossyStderr).with_ansi(false);
+    let builder = builder.log_internal_errors(false);
     match settings.format {
-        LogFormat::Text => lines.with_target(false).init(),
-        LogFormat::Json => lines.json().flatten_event(true).init(),
+        LogFormat::Text => builder.with_target(false).init(),
+        LogFormat::Json => builder.json().flatten_event(true).init(),
     }
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The pooler on real sockets, and what its operators ask of it.
+//! The command line of the pooler: serving, and the operators' tools.
 
 mod leases;
 mod logging;
@@ -9,13 +9,13 @@
 use clap::{Args, Parser, Subcommand};
 use linnetdeal_core::{Expected, Span};
 use linnetdeal_net::Pooler;
-use linnetdeal_net::config::{Config, NoEffect};
+use linnetdeal_net::config::{Config, IneffectiveSettings};
 use linnetdeal_operator::{ChangeSettings, Operator};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The exit code for a configuration that can't be used, as sysexits.h has it.
+/// The exit code for an unusable configuration: `EX_CONFIG` of sysexits.h.
 const BAD_CONFIG: u8 = 78;
 
 /// A pooler that routes reads and writes over a primary and its replicas.
@@ -30,11 +30,11 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve, in the foreground. This is what happens without a command, too.
+    /// Serve in the foreground. This is the default without a command.
     Run(Files),
-    /// Read the files that a start would read, and say all that is wrong with them, and which settings have no effect.
+    /// Check the files that a start would read: report all errors in them, and the settings that have no effect.
     Check {
-        /// An operator's file.
+        /// The operator's file.
         file: Option<PathBuf>,
         /// The platform's configuration.
         #[arg(long, env = "GW_CONFIG")]
@@ -43,27 +43,27 @@
         #[arg(long)]
         schema: bool,
     },
-    /// Say in which order a plan's machines would go out, without touching anything.
+    /// Show the order in which a plan's machines would go out for work, without changing anything.
     Work {
-        /// The plan, as it would be sent.
+        /// The plan, in the form in which it is submitted.
         #[arg(long)]
         plan: PathBuf,
-        /// The operator's file, with the limits.
+        /// The operator's file with the limits.
         #[arg(long, env = "LINNETDEAL_OPERATOR")]
         operator: PathBuf,
-        /// The platform's configuration, with the list.
+        /// The platform's configuration with the list of servers.
         #[arg(long, env = "GW_CONFIG")]
         config: PathBuf,
-        /// Nothing is touched; there is no other way yet.
+        /// Change nothing; required, since there is no other mode.
         #[arg(long, required = true)]
         dry_run: bool,
     },
-    /// Ask the registry once, and print whom this pooler would believe to be a member.
+    /// Query the registry once and print the servers that this pooler would accept as members.
     Members {
         /// The operator's file.
         #[arg(long, env = "LINNETDEAL_OPERATOR")]
         operator: PathBuf,
-        /// As one JSON object.
+        /// Print one JSON object instead of a table.
         #[arg(long)]
         json: bool,
     },
@@ -81,7 +81,7 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let done = match cli.command {
+    let result = match cli.command {
         None => run(cli.run),
         Some(Command::Run(files)) => run(files),
         Some(Command::Check { schema: true, .. }) => {
@@ -92,107 +92,108 @@
         Some(Command::Work { plan, operator, config, .. }) => work::dry_run(&plan, &operator, &config),
         Some(Command::Members { operator, json }) => members::show(&operator, json),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(End { code, words }) => {
+        Err(ExitError { code, message }) => {
             use std::io::Write;
-            // A closed standard error changes nothing.
-            let _ = writeln!(std::io::stderr(), "{words}");
+            // A closed standard error does not change the exit code.
+            let _ = writeln!(std::io::stderr(), "{message}");
             ExitCode::from(code)
         }
     }
 }
 
-/// Why the program ends, in words, and with which exit code.
-struct End {
+/// An error that ends the program: its exit code and message.
+struct ExitError {
     code: u8,
-    words: String,
+    message: String,
 }
 
-impl End {
-    /// Something in a file is wrong.
+impl ExitError {
+    /// An error in a file or argument.
     fn config(error: impl std::fmt::Display) -> Self {
-        Self { code: BAD_CONFIG, words: format!("linnetdeal: {error}") }
+        Self { code: BAD_CONFIG, message: format!("linnetdeal: {error}") }
     }
 
     fn other(error: impl std::fmt::Display) -> Self {
-        Self { code: 1, words: format!("linnetdeal: {error}") }
+        Self { code: 1, message: format!("linnetdeal: {error}") }
     }
 }
 
-fn run(files: Files) -> Result<(), End> {
+fn run(files: Files) -> Result<(), ExitError> {
     let Some(path) = files.config else {
-        return Err(End::config("name a configuration, as GW_CONFIG or as the only argument"));
+        return Err(ExitError::config("name a configuration, as GW_CONFIG or as the only argument"));
     };
-    // From the first moment: a configuration may be announced while the first one is being read.
+    // Installed first: a reload may be signalled while the configuration is being read.
     let signals =
-        linnetdeal_net::signals::install().map_err(|error| End::other(format!("signals: {error}")))?;
+        linnetdeal_net::signals::install().map_err(|error| ExitError::other(format!("signals: {error}")))?;
     let operator = match &files.operator {
         None => Operator::default(),
-        Some(path) => Operator::load(path).map_err(End::config)?,
+        Some(path) => Operator::load(path).map_err(ExitError::config)?,
     };
-    let mut config = Config::load(&path).map_err(End::config)?;
+    let mut config = Config::load(&path).map_err(ExitError::config)?;
     config.settings.changes =
-        [operator.primary.planned, operator.primary.unplanned].map(|of| of.map(expected));
+        [operator.primary.planned, operator.primary.unplanned].map(|change| change.map(expected));
     logging::start(&operator.log);
     let (name, seed) = (config.name.clone(), config.seed);
     let mut leases = match &operator.leases {
-        Some(settings) => Some(leases::options(settings, &config).map_err(End::config)?),
+        Some(settings) => Some(leases::options(settings, &config).map_err(ExitError::config)?),
         None => None,
     };
     let work = operator.work.as_ref().zip(leases.as_mut()).map(|(settings, leases)| {
-        let wanted = work::wanted(settings, &config, leases);
+        let options = work::options(settings, &config, leases);
         leases.setup.tasks.push(work::task(settings));
-        wanted
+        options
     });
-    let pooler = Pooler::new(config, path, leases, work, signals).map_err(End::other)?;
+    let pooler = Pooler::new(config, path, leases, work, signals).map_err(ExitError::other)?;
     match &operator.registry {
         None => pooler.run(std::future::ready(())),
         Some(settings) => {
-            let last = registry::follow(&pooler, settings, &name, seed).map_err(End::config)?;
+            let last = registry::follow(&pooler, settings, &name, seed).map_err(ExitError::config)?;
             pooler.run(last);
         }
     }
     Ok(())
 }
 
-/// How long changes of primary take, as the decisions count time.
-fn expected(of: ChangeSettings) -> Expected {
-    let span = |of: Duration| Span(i64::try_from(of.as_micros()).unwrap_or(i64::MAX));
-    Expected { least: span(of.least), usual: span(of.usual) }
+/// Converts the expected duration of primary changes to the router's type.
+fn expected(change: ChangeSettings) -> Expected {
+    let span = |change: Duration| Span(i64::try_from(change.as_micros()).unwrap_or(i64::MAX));
+    Expected { least: span(change.least), usual: span(change.usual) }
 }
 
-fn check(file: Option<PathBuf>, config: Option<PathBuf>) -> Result<(), End> {
+fn check(file: Option<PathBuf>, config: Option<PathBuf>) -> Result<(), ExitError> {
     if file.is_none() && config.is_none() {
-        return Err(End::config(
+        return Err(ExitError::config(
             "nothing to check: name an operator's file, or a configuration with --config",
         ));
     }
-    // All that is wrong is told, not just the first.
-    let mut wrong = Vec::new();
+    // Collects all errors instead of stopping at the first one.
+    let mut errors = Vec::new();
     if let Some(path) = &file {
         match Operator::load(path) {
-            Err(faults) => wrong.push(faults.to_string()),
+            Err(operator_errors) => errors.push(operator_errors.to_string()),
             Ok(operator) => {
                 let registry = operator.registry.and_then(|settings| registry::check(&settings).err());
-                wrong.extend(registry.map(|error| error.to_string()));
+                errors.extend(registry.map(|error| error.to_string()));
                 let keys = operator.leases.and_then(|settings| leases::read_keys(&settings).err());
-                wrong.extend(keys.map(|error| error.to_string()));
+                errors.extend(keys.map(|error| error.to_string()));
             }
         }
     }
     if let Some(path) = &config {
-        match Config::load(path).and_then(|_| NoEffect::load(path)) {
-            Ok(settings) => print!("{}", no_effect(&settings)),
-            Err(error) => wrong.push(error.to_string()),
+        match Config::load(path).and_then(|_| IneffectiveSettings::load(path)) {
+            Ok(settings) => print!("{}", list_ineffective(&settings)),
+            Err(error) => errors.push(error.to_string()),
         }
     }
-    if wrong.is_empty() { Ok(()) } else { Err(End { code: BAD_CONFIG, words: wrong.join("\n") }) }
+    if errors.is_empty() { Ok(()) } else { Err(ExitError { code: BAD_CONFIG, message: errors.join("\n") }) }
 }
 
-/// A line for each setting that has no effect; none of them is a fault.
-fn no_effect(settings: &NoEffect) -> String {
-    let unused = settings.unused.iter().map(|of| format!("not used: {}: {}\n", of.path, of.why));
+/// One line for each setting that has no effect. None of them is an error.
+fn list_ineffective(settings: &IneffectiveSettings) -> String {
+    let unused =
+        settings.unused.iter().map(|setting| format!("not used: {}: {}\n", setting.path, setting.why));
     let unknown = settings.unknown.iter().map(|path| format!("not known: {path}\n"));
     unused.chain(unknown).collect()
 }
--- a/crates/daemon/src/members.rs
+++ b/crates/daemon/src/members.rs
@@ -1,6 +1,6 @@
-//! `linnetdeal members`: whom a pooler with this operator's file would believe to be a member now.
+//! `linnetdeal members`: prints the servers that a pooler with this operator's file would accept as members now.
 
-use crate::{End, registry};
+use crate::{ExitError, registry};
 use linnetdeal_core::membership::{Membership, SourceId, SourceUpdate, UpdateOutcome};
 use linnetdeal_core::{ListState, Span, Time};
 use linnetdeal_operator::Operator;
@@ -14,16 +14,16 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 #[derive(Clone)]
-struct Table(Rc<RefCell<Membership>>);
+struct MemberTable(Rc<RefCell<Membership>>);
 
-impl Sink for Table {
+impl Sink for MemberTable {
     fn now(&self) -> Time {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Time(i64::try_from(now.as_micros()).unwrap_or(i64::MAX))
     }
 
-    fn tell(&self, news: SourceUpdate) -> UpdateOutcome {
-        self.0.borrow_mut().apply_update(self.now(), SourceId(0), news)
+    fn tell(&self, update: SourceUpdate) -> UpdateOutcome {
+        self.0.borrow_mut().apply_update(self.now(), SourceId(0), update)
     }
 
     fn log(&self, line: &dyn fmt::Display) {
@@ -31,26 +31,27 @@
     }
 }
 
-/// Asks the registry of an operator's file and prints its members.
-pub fn show(operator: &Path, as_json: bool) -> Result<(), End> {
-    let operator = Operator::load(operator).map_err(End::config)?;
-    let settings = operator.registry.ok_or_else(|| End::config("no registry stands in this file"))?;
-    let registry = registry::registry(&settings, None).map_err(End::config)?;
+/// Queries the registry of an operator's file and prints its members.
+pub fn show(operator: &Path, as_json: bool) -> Result<(), ExitError> {
+    let operator = Operator::load(operator).map_err(ExitError::config)?;
+    let settings = operator.registry.ok_or_else(|| ExitError::config("no registry stands in this file"))?;
+    let registry = registry::registry(&settings, None).map_err(ExitError::config)?;
     let servers = registry.servers.len();
-    let table = Table(Rc::new(RefCell::new(Membership::new(Span::millis(0), usize::MAX))));
+    let table = MemberTable(Rc::new(RefCell::new(Membership::new(Span::millis(0), usize::MAX))));
     let counters = Rc::new(Counters::default());
-    let mut follower = Follower::new(registry, 0, table.clone(), counters.clone()).map_err(End::config)?;
-    let asked = futures_lite::future::block_on(async {
-        let mut last = None;
+    let mut follower =
+        Follower::new(registry, 0, table.clone(), counters.clone()).map_err(ExitError::config)?;
+    let query_result = futures_lite::future::block_on(async {
+        let mut last_error = None;
         for _ in 0..servers {
             match follower.ask().await {
                 Ok(_) => return Ok(()),
-                Err(error) => last = Some(error),
+                Err(error) => last_error = Some(error),
             }
         }
-        last.map_or(Ok(()), Err)
+        last_error.map_or(Ok(()), Err)
     });
-    asked.map_err(|error| End::other(format!("no server of the registry answered: {error}")))?;
+    query_result.map_err(|error| ExitError::other(format!("no server of the registry answered: {error}")))?;
     let members = table.0.borrow();
     let state = |state| match state {
         ListState::Healthy => "up",
@@ -61,10 +62,10 @@
     if as_json {
         let rows: Vec<_> = members
             .iter()
-            .map(|(id, known)| {
-                json!({"member": &*id.0, "address": known.address.map(|at| at.to_string()), "group": known.group.0,
-                       "zone": known.zone, "state": state(known.state), "primary": known.primary,
-                       "started_ms": known.started.map(|at| at.0 / 1_000)})
+            .map(|(id, member_info)| {
+                json!({"member": &*id.0, "address": member_info.address.map(|at| at.to_string()), "group": member_info.group.0,
+                       "zone": member_info.zone, "state": state(member_info.state), "primary": member_info.primary,
+                       "started_ms": member_info.started.map(|at| at.0 / 1_000)})
             })
             .collect();
         out = json!({"members": rows, "refused": counters.refused.get(), "outside": counters.outside.get(),
@@ -77,16 +78,23 @@
             format!("{member:<24} {address:<24} {group:>6} {zone:<12} {state:<9} {role}\n")
         };
         out += &row(["MEMBER", "ADDRESS", "GROUP", "ZONE", "STATE", "ROLE"]);
-        for (id, known) in members.iter() {
-            let address = known.address.map_or("-".to_owned(), |at| at.to_string());
-            let zone = if known.zone.is_empty() { "-" } else { &known.zone };
-            let role = if known.primary { "primary" } else { "-" };
-            out += &row([&id.0, &address, &known.group.0.to_string(), zone, state(known.state), role]);
+        for (id, member_info) in members.iter() {
+            let address = member_info.address.map_or("-".to_owned(), |at| at.to_string());
+            let zone = if member_info.zone.is_empty() { "-" } else { &member_info.zone };
+            let role = if member_info.primary { "primary" } else { "-" };
+            out += &row([
+                &id.0,
+                &address,
+                &member_info.group.0.to_string(),
+                zone,
+                state(member_info.state),
+                role,
+            ]);
         }
         let (refused, outside) = (counters.refused.get(), counters.outside.get());
         if refused > 0 {
             out += &format!("{refused} refused, of which {outside} lie outside of the networks\n");
         }
     }
-    std::io::stdout().write_all(out.as_bytes()).map_err(End::other)
+    std::io::stdout().write_all(out.as_bytes()).map_err(ExitError::other)
 }
--- a/crates/daemon/src/registry.rs
+++ b/crates/daemon/src/registry.rs
@@ -1,4 +1,4 @@
-//! A registry beside the pooler: from the operator's file to what follows it.
+//! Sets up following a service registry, and registering the pooler there, from the operator's file.
 
 use linnetdeal_core::membership::{ShrinkPolicy, SourceUpdate, UpdateOutcome};
 use linnetdeal_core::{ListState, Span, Time};
@@ -17,25 +17,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the end of the process may wait for the registry to hear of it. What the platform grants beyond the last
-/// answers is more than that.
-const LAST_WORD: Duration = Duration::from_millis(100);
+/// How long the process waits at exit for its deregistration. The platform allows more time than this after the last answers.
+const DEREGISTRATION_TIMEOUT: Duration = Duration::from_millis(100);
 
 fn span(duration: Duration) -> Span {
     Span(i64::try_from(duration.as_micros()).unwrap_or(i64::MAX))
 }
 
-/// An id that can stand in a URL, whatever the platform calls this pooler.
-fn plain(id: &str) -> String {
-    let fits = |letter: &char| letter.is_ascii_alphanumeric() || "._:-".contains(*letter);
-    id.chars().take(128).map(|letter| if fits(&letter) { letter } else { '-' }).collect()
+/// Replaces all characters of an id that need escaping in a URL, and limits its length.
+fn url_safe_id(id: &str) -> String {
+    let is_allowed = |character: &char| character.is_ascii_alphanumeric() || "._:-".contains(*character);
+    id.chars().take(128).map(|character| if is_allowed(&character) { character } else { '-' }).collect()
 }
 
-/// What the follower needs, from what the operator wants.
+/// Converts the operator's settings to the setup of a registry follower. `own` is the name and address to register.
 ///
 /// # Errors
 ///
-/// When a URL can't be called.
+/// When a URL is invalid.
 pub fn registry(
     settings: &RegistrySettings,
     own: Option<(&str, SocketAddr)>,
@@ -47,7 +46,7 @@
     }
     let own = settings.register.as_ref().zip(own).map(|(register, (name, address))| Own {
         app: register.app.clone(),
-        id: register.id.clone().unwrap_or_else(|| plain(&format!("{name}:{address}"))),
+        id: register.id.clone().unwrap_or_else(|| url_safe_id(&format!("{name}:{address}"))),
         address,
         renew: span(register.renew),
         expires: span(register.expires),
@@ -92,35 +91,35 @@
     })
 }
 
-/// Whether all files that the settings name can be used.
+/// Checks that all files named in the settings can be used.
 ///
 /// # Errors
 ///
-/// When one can't, or a URL can't be called.
+/// When a file can't be used, or a URL is invalid.
 pub fn check(settings: &RegistrySettings) -> Result<(), SetupError> {
     let registry = registry(settings, None)?;
     let tls = registry.servers.iter().any(Server::is_tls);
     Client::new(&registry.access, tls, registry.patience).map(drop)
 }
 
-struct Members {
+struct RegistrySink {
     feed: Feed,
     life: Rc<Life>,
 }
 
-impl Sink for Members {
+impl Sink for RegistrySink {
     fn now(&self) -> Time {
         self.feed.now()
     }
 
-    fn tell(&self, news: SourceUpdate) -> UpdateOutcome {
-        let taken = self.feed.tell(REGISTRY, news);
-        // It can serve once it knows somebody to serve from.
-        let serves = taken.changed.iter().any(|entry| entry.state == ListState::Healthy);
-        if serves && self.life.status() == Some(Status::Starting) {
+    fn tell(&self, update: SourceUpdate) -> UpdateOutcome {
+        let outcome = self.feed.apply_update(REGISTRY, update);
+        // The pooler can serve once it knows a server that accepts requests.
+        let has_serving_member = outcome.changed.iter().any(|entry| entry.state == ListState::Healthy);
+        if has_serving_member && self.life.status() == Some(Status::Starting) {
             self.life.set(Some(Status::Up));
         }
-        taken
+        outcome
     }
 
     fn log(&self, line: &dyn fmt::Display) {
@@ -128,8 +127,8 @@
     }
 }
 
-/// Has a registry followed, and this pooler registered there if that is wanted. What is given is the last thing to do
-/// before the process ends.
+/// Starts following a registry, and registering this pooler there if configured. Returns a future to be run at exit, which
+/// deregisters the pooler.
 ///
 /// # Errors
 ///
@@ -142,13 +141,13 @@
 ) -> Result<impl Future<Output = ()> + use<>, SetupError> {
     let registry = registry(settings, Some((name, pooler.listening())))?;
     let (life, counters) = (Rc::new(Life::starting()), Rc::new(Counters::default()));
-    let sink = || Members { feed: pooler.feed(), life: life.clone() };
-    pooler.feed().doubt(REGISTRY, registry.doubt);
+    let sink = || RegistrySink { feed: pooler.feed(), life: life.clone() };
+    pooler.feed().set_shrink_policy(REGISTRY, registry.doubt);
     if let Some(registrar) = Registrar::new(&registry, sink(), counters.clone())? {
         pooler.spawn(registrar.run(life.clone()));
-        let (whole, life) = (pooler.lifecycle(), life.clone());
+        let (pooler_lifecycle, life) = (pooler.lifecycle(), life.clone());
         pooler.spawn(async move {
-            whole.draining.raised().await;
+            pooler_lifecycle.draining.raised().await;
             life.set(Some(Status::OutOfService));
         });
     }
@@ -159,7 +158,7 @@
     Ok(async move {
         if registers {
             life.set(None);
-            life.left(LAST_WORD).await;
+            life.left(DEREGISTRATION_TIMEOUT).await;
         }
     })
 }
--- a/crates/net/src/config.rs
+++ b/crates/net/src/config.rs
@@ -1,5 +1,4 @@
-//! What the daemon is told: its configuration and the lists of discovery, decoded into plain types.
-//! Keys that mean nothing here are ignored.
+//! The pooler's configuration and the lists of discovery, decoded into plain types. Unknown keys are ignored.
 
 use linnetdeal_core::membership::{Claim, ClaimVersion, SourceUpdate};
 use linnetdeal_core::settings::{Pairs, Unused, span_from_ms};
@@ -11,16 +10,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// With fewer descriptors there are none for clients and servers beside those that the process itself needs.
-const LEAST_SOCKETS: usize = 16;
+/// Minimum number of descriptors. With fewer, none are left for clients and servers beside those that the process itself needs.
+const MIN_SOCKETS: usize = 16;
 
-/// Settings that this host puts aside, whatever they say, and why. `Config::decode` does so.
-pub const PUT_ASIDE: [(&str, &str); 2] = [
+/// Settings that this program overrides whatever their value, with the reasons. [`Config::decode`] overrides them.
+pub const OVERRIDDEN: [(&str, &str); 2] = [
     ("Discovery", "the list is watched, whoever says that it is pushed or asked for"),
     ("FamilyInfo.Zero", "positions on sockets are Unix times"),
 ];
 
-/// Why the configuration can't be used.
+/// Why a configuration can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file can't be read.
@@ -28,83 +27,83 @@
     Read {
         /// Its path.
         path: String,
-        /// What went wrong.
+        /// The error of the file system.
         error: std::io::Error,
     },
-    /// It is not the JSON that was expected; the error has the line and column.
+    /// It is not valid JSON of the expected form; the error has the line and column.
     #[error("configuration: {0}")]
     Json(#[from] serde_json::Error),
-    /// The file at a path is wrong.
+    /// The content of the file at a path is invalid.
     #[error("{path}: {error}")]
-    In {
+    InFile {
         /// The path.
         path: String,
-        /// What is wrong.
+        /// The error in its content.
         error: Box<ConfigError>,
     },
-    /// The settings lack something.
+    /// A setting is missing or invalid.
     #[error("configuration: {0}")]
     Settings(String),
-    /// The seed is no hexadecimal number.
-    #[error("configuration: seed '{0}' is no hexadecimal number")]
+    /// The seed is not a hexadecimal number.
+    #[error("configuration: seed '{0}' is not a hexadecimal number")]
     Seed(String),
 }
 
 /// The configuration of a pooler.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The pooler's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Where discovery answers; `None` where members are known from elsewhere.
+    /// The address of discovery; `None` if the members are known from another source.
     pub discovery: Option<SocketAddr>,
-    /// For random numbers.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// The descriptors that the process may hold.
+    /// Maximum number of descriptors that the process may hold.
     pub sockets: usize,
-    /// The list of servers as last held.
+    /// The list of servers to start with.
     pub known: ServerList,
-    /// Where other poolers reach this one, and all of them in the order of their numbers; none where they don't talk.
+    /// The addresses for datagrams between poolers; `None` if the settings allow none, or not all poolers are named.
     pub peers: Option<PeerAddresses>,
-    /// Where the people on call reach it; nowhere by default.
+    /// The address of the operators' API; none by default.
     pub operator: Option<SocketAddr>,
-    /// What the module is told.
+    /// The router's settings.
     pub settings: Settings,
-    /// What the sockets are told.
+    /// The settings of the sockets.
     pub host: HostSettings,
 }
 
-/// Where poolers reach each other with datagrams.
+/// The addresses for datagrams between poolers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerAddresses {
-    /// The own address.
+    /// This pooler's address.
     pub listen: SocketAddr,
-    /// All poolers, this one included, by their numbers.
+    /// The addresses of all poolers, this one included, in the order of their numbers.
     pub each: Vec<SocketAddr>,
-    /// Reaches every pooler of the tier.
+    /// An address that reaches all poolers at once.
     pub all: Option<SocketAddr>,
 }
 
-/// The settings that concern the host rather than the decisions.
+/// The settings that concern the sockets rather than the router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostSettings {
-    /// A connection that is not up after this has failed.
+    /// Timeout for opening a connection to a server.
     pub dial_timeout: Duration,
-    /// Servers close connections idle for this.
+    /// Servers close connections that are idle for this long.
     pub keepalive: Duration,
     /// The longest deadline of any class.
     pub longest_deadline: Duration,
-    /// What load reports hold, by name.
+    /// The fields of load reports, by name, in their order.
     pub report: Vec<(String, Field)>,
 }
 
-/// What of a configuration's settings has no effect on this program.
+/// The settings of a configuration that have no effect on this program.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct NoEffect {
-    /// Known settings that nothing goes by.
+pub struct IneffectiveSettings {
+    /// Known settings that are not used, with the reasons.
     pub unused: Vec<Unused>,
-    /// Keys that no schema names.
+    /// Keys that are not in the schema.
     pub unknown: Vec<String>,
 }
 
@@ -158,12 +157,14 @@
     /// When it can't be read or decoded.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
         let text = read(path)?;
-        let inside = |error| ConfigError::In { path: path.display().to_string(), error: Box::new(error) };
-        let mut config = Self::decode(&text).map_err(inside)?;
-        // Told to each process by itself, so that two of them can be called while one takes the other's place.
-        if let Ok(own) = std::env::var("GW_OPERATOR") {
-            let wrong = |_| ConfigError::Settings(format!("GW_OPERATOR '{own}' is no address"));
-            config.operator = Some(own.trim().parse().map_err(wrong)?);
+        let in_file =
+            |error| ConfigError::InFile { path: path.display().to_string(), error: Box::new(error) };
+        let mut config = Self::decode(&text).map_err(in_file)?;
+        // Given to each process separately, so that both can be called while one succeeds the other.
+        if let Ok(address_text) = std::env::var("GW_OPERATOR") {
+            let invalid =
+                |_| ConfigError::Settings(format!("GW_OPERATOR '{address_text}' is not an address"));
+            config.operator = Some(address_text.trim().parse().map_err(invalid)?);
         }
         Ok(config)
     }
@@ -172,20 +173,20 @@
     ///
     /// # Errors
     ///
-    /// When it is not what `DEPLOY` describes, or a setting is missing or unreadable.
+    /// When it does not have the documented form, or a setting is missing or invalid.
     pub fn decode(text: &str) -> Result<Self, ConfigError> {
         let file: File = serde_json::from_str(text)?;
         let (mut settings, host) = decode_settings(&Pairs::from_json(&file.settings))?;
         if settings.max_attempts == 0 {
             return Err(ConfigError::Settings("setting Limits.SendCap is not above 0".to_owned()));
         }
-        if file.limits.sockets < LEAST_SOCKETS {
-            let words = format!("limits.sockets {} is under {LEAST_SOCKETS}", file.limits.sockets);
-            return Err(ConfigError::Settings(words));
+        if file.limits.sockets < MIN_SOCKETS {
+            let message = format!("limits.sockets {} is under {MIN_SOCKETS}", file.limits.sockets);
+            return Err(ConfigError::Settings(message));
         }
-        // The two of `PUT_ASIDE`. Positions on sockets are Unix times, and so is the clock of this host.
+        // The settings of `OVERRIDDEN`. Positions on sockets are Unix times, and so is the clock of this process.
         settings.zero = Time(0);
-        // This host keeps the list followed by itself.
+        // The list is followed by this program itself.
         settings.discovery = Discovery::Push;
         let seed = match &file.seed {
             Value::Null => 0,
@@ -207,8 +208,8 @@
             peers_all,
             ..
         } = file;
-        let talks = settings.peers && settings.fleet as usize == each.len();
-        let peers = peer_listen.filter(|_| talks);
+        let communicates = settings.peers && settings.fleet as usize == each.len();
+        let peers = peer_listen.filter(|_| communicates);
         let peers = peers.map(|listen| PeerAddresses { listen, each, all: peers_all });
         settings.peers = peers.is_some();
         Ok(Self {
@@ -231,37 +232,37 @@
         .map_err(|error| ConfigError::Read { path: path.display().to_string(), error })
 }
 
-impl NoEffect {
-    /// Of the configuration at `path`.
+impl IneffectiveSettings {
+    /// Finds them in the configuration at `path`.
     ///
     /// # Errors
     ///
-    /// When it can't be read or is no configuration.
+    /// When the file can't be read or is not a configuration.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
-        Self::of(&read(path)?)
+        Self::find_in(&read(path)?)
     }
 
-    /// Of a configuration.
+    /// Finds them in the text of a configuration.
     ///
     /// # Errors
     ///
-    /// When it is no configuration.
-    pub fn of(text: &str) -> Result<Self, ConfigError> {
+    /// When it is not a configuration.
+    pub fn find_in(text: &str) -> Result<Self, ConfigError> {
         let file: File = serde_json::from_str(text)?;
         let pairs = Pairs::from_json(&file.settings);
         let mut unused = pairs.unused();
-        let aside = PUT_ASIDE.into_iter().filter(|(path, _)| pairs.keys().any(|key| key == *path));
-        unused.extend(aside.map(|(path, why)| Unused { path: path.to_owned(), why }));
+        let overridden = OVERRIDDEN.into_iter().filter(|(path, _)| pairs.keys().any(|key| key == *path));
+        unused.extend(overridden.map(|(path, why)| Unused { path: path.to_owned(), why }));
         unused.sort();
         Ok(Self { unused, unknown: pairs.unknown().into_iter().map(str::to_owned).collect() })
     }
 }
 
-/// What the module is told and what the sockets are, as the pairs have it.
+/// Decodes the settings of the router and of the sockets.
 ///
 /// # Errors
 ///
-/// When a setting is missing or unreadable.
+/// When a setting is missing or invalid.
 pub fn decode_settings(pairs: &Pairs) -> Result<(Settings, HostSettings), ConfigError> {
     let settings = pairs.settings().map_err(ConfigError::Settings)?;
     Ok((settings, HostSettings::decode(pairs).map_err(ConfigError::Settings)?))
@@ -269,33 +270,34 @@
 
 impl HostSettings {
     fn decode(pairs: &Pairs) -> Result<Self, String> {
-        let time = |key: &str, absent| Ok::<_, String>(duration(span_from_ms(pairs.number_or(key, absent)?)));
-        let positive = |key: &str, time: Duration| {
-            if time.is_zero() { Err(format!("setting {key} is not above 0")) } else { Ok(time) }
+        let duration_of =
+            |key: &str, absent| Ok::<_, String>(duration(span_from_ms(pairs.number_or(key, absent)?)));
+        let positive_duration = |key: &str, value: Duration| {
+            if value.is_zero() { Err(format!("setting {key} is not above 0")) } else { Ok(value) }
         };
         let mut longest_deadline = Duration::ZERO;
-        for at in 0..pairs.number("Lanes.count")? as usize {
-            let key = format!("Lanes.{at}.Deadline");
+        for index in 0..pairs.number("Lanes.count")? as usize {
+            let key = format!("Lanes.{index}.Deadline");
             pairs.number(&key)?;
-            longest_deadline = longest_deadline.max(positive(&key, time(&key, 0.0)?)?);
+            longest_deadline = longest_deadline.max(positive_duration(&key, duration_of(&key, 0.0)?)?);
         }
         let names = pairs.text("Report.Fields").unwrap_or("").split(',').filter(|name| !name.is_empty());
         Ok(Self {
-            dial_timeout: positive("Limits.DialTimeout", time("Limits.DialTimeout", 250.0)?)?,
-            keepalive: time("Limits.Keepalive", 30_000.0)?,
+            dial_timeout: positive_duration("Limits.DialTimeout", duration_of("Limits.DialTimeout", 250.0)?)?,
+            keepalive: duration_of("Limits.Keepalive", 30_000.0)?,
             longest_deadline,
             report: names.map(|name| (name.to_owned(), Field::named(name))).collect(),
         })
     }
 }
 
-/// The span as the standard library has it; none for a negative one.
+/// Converts a span to the standard library's type; a negative one becomes zero.
 #[must_use]
 pub fn duration(span: Span) -> Duration {
     Duration::from_micros(u64::try_from(span.0).unwrap_or(0))
 }
 
-/// The time as the module has it.
+/// Converts a duration to the router's type; it saturates.
 #[must_use]
 pub fn span_of(time: Duration) -> Span {
     Span(i64::try_from(time.as_micros()).unwrap_or(i64::MAX))
@@ -307,7 +309,7 @@
     /// Its version.
     #[serde(default)]
     pub generation: u64,
-    /// Whether it is the whole list.
+    /// Whether it is a full list rather than changes.
     #[serde(default)]
     pub reset: bool,
     /// The entries.
@@ -319,7 +321,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Server {
-    /// Who it is, at every pooler and after a restart. Addresses may differ between poolers.
+    /// The server's id, the same at every pooler and after a restart. Addresses may differ between poolers.
     pub instance_id: String,
     #[serde(default)]
     host_port: String,
@@ -338,19 +340,19 @@
 }
 
 impl Server {
-    /// Who it is.
+    /// The server's id.
     #[must_use]
     pub fn member(&self) -> MemberId {
         MemberId(Arc::from(self.instance_id.as_str()))
     }
 
-    /// Where it listens, as far as the entry tells.
+    /// The server's address, if the entry has a valid one.
     #[must_use]
     pub fn address(&self) -> Option<SocketAddr> {
         self.host_port.parse().ok()
     }
 
-    /// Its state. One that is not known here gets nothing new, as if it drained.
+    /// The server's state. An unknown state counts as draining, so that the server gets no new requests.
     #[must_use]
     pub fn state(&self) -> ListState {
         match self.lifecycle.as_str() {
@@ -360,7 +362,7 @@
         }
     }
 
-    /// What the entry says, as the message of this number.
+    /// The entry as a claim, versioned by the number of its message.
     #[must_use]
     pub fn claim(&self, number: i64) -> Claim {
         Claim {
@@ -378,9 +380,10 @@
 }
 
 impl ServerList {
-    /// What the list says, as the message of this number. The platform's messages come in order and are believed.
+    /// The list as an update of its source, versioned by the number of its message. The platform's messages arrive in order and are
+    /// trusted.
     #[must_use]
-    pub fn news(&self, number: i64, whole: bool) -> SourceUpdate {
+    pub fn source_update(&self, number: i64, whole: bool) -> SourceUpdate {
         let claims = self.instances.iter().map(|server| server.claim(number)).collect();
         if whole || self.reset {
             SourceUpdate::Full { claims, view: number }
--- a/crates/net/src/discovery.rs
+++ b/crates/net/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch of discovery: each change is taken as soon as it has been read.
+//! Follows the platform's list of servers by a watch of discovery. Each change is applied as soon as it has been read.
 
 use super::buffer::{ReadBuffer, write_all};
 use super::http::{self, HttpError};
@@ -9,7 +9,7 @@
 use crate::members::{Feed, PLATFORM};
 use crate::mutants::{self, Mutant};
 use async_io::{Async, Timer};
-use event_listener::Event as Bell;
+use event_listener::Event;
 use futures_lite::future::or;
 use linnetdeal_core::backoff::{Backoff, WatchEnd};
 use linnetdeal_core::{ListState, Span};
@@ -19,36 +19,36 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// As the protocol has it, an empty line comes every 2 s, and what a silent watch misses binds 6 s after it fell silent.
-/// A watch is given up that brings nothing whole for the time of 1.6 lines: one may be late, and close to half of the 6 s is
-/// left to open it anew.
-const SILENCE: Duration = Duration::from_millis(3_200);
+/// A watch that delivers nothing complete for this long is closed. By the protocol an empty line arrives every 2 s, and changes that a
+/// silent watch missed are binding 6 s after it fell silent. The timeout of 1.6 heartbeats tolerates one late line and leaves close to
+/// half of the 6 s for opening a new watch.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_200);
 
-/// Where discovery is followed; it may move while the pooler runs.
+/// The address of discovery; it may change while the pooler runs.
 #[derive(Debug)]
 pub struct Source {
     address: Cell<Option<SocketAddr>>,
-    moved: Bell,
-    /// The number of poolers and the grace of drains by settings that are newer than those of the start.
-    retuned: Cell<Option<(u32, Span)>>,
+    address_changed: Event,
+    /// The fleet size and the drain's grace period of reloaded settings, until they are applied.
+    retuned_settings: Cell<Option<(u32, Span)>>,
 }
 
 impl Source {
-    /// One that is followed at `address`, or nowhere yet.
+    /// Creates a source at `address`, or one without an address yet.
     #[must_use]
     pub fn new(address: Option<SocketAddr>) -> Self {
-        Self { address: Cell::new(address), moved: Bell::new(), retuned: Cell::new(None) }
+        Self { address: Cell::new(address), address_changed: Event::new(), retuned_settings: Cell::new(None) }
     }
 
-    /// Pauses go by this number of poolers and this grace of drains from now on.
+    /// Sets the fleet size and the drain's grace period that determine the pauses between watches.
     pub fn retune(&self, fleet: u32, drain_grace: Span) {
-        self.retuned.set(Some((fleet, drain_grace)));
+        self.retuned_settings.set(Some((fleet, drain_grace)));
     }
 
-    /// Follows discovery at `address` from now on.
+    /// Changes the address of discovery.
     pub fn follow(&self, address: Option<SocketAddr>) {
         if self.address.replace(address) != address {
-            self.moved.notify(usize::MAX);
+            self.address_changed.notify(usize::MAX);
         }
     }
 }
@@ -59,114 +59,115 @@
     Io(#[from] io::Error),
     #[error("{0}")]
     Http(#[from] HttpError),
-    #[error("not a list: {0}")]
+    #[error("invalid list: {0}")]
     Json(#[from] serde_json::Error),
     #[error("{0}")]
     Text(#[from] SplitError),
 }
 
-/// What follows the platform's list.
+/// Follows the platform's list and applies it to the members.
 pub struct Follower {
     source: Rc<Source>,
     feed: Feed,
     counters: Rc<Counters>,
-    /// The number of the last message: what comes later is newer, unless its version says otherwise.
-    messages: Cell<i64>,
-    /// The version of the newest list, and whether that of the next may be held against it.
-    newest: Cell<u64>,
-    related: Cell<bool>,
-    heard: Rc<Flag>,
+    /// The number of the last message. Later messages count as newer, unless the list's version contradicts.
+    message_count: Cell<i64>,
+    /// The version of the newest list, and whether the version of the next list is comparable to it.
+    newest_version: Cell<u64>,
+    versions_comparable: Cell<bool>,
+    heard_flag: Rc<Flag>,
 }
 
 impl Follower {
-    /// One that follows `source` and tells `feed`.
+    /// Creates a follower that applies the lists of `source` to `feed`.
     #[must_use]
     pub fn new(source: Rc<Source>, feed: Feed, counters: Rc<Counters>) -> Self {
         Self {
             source,
             feed,
             counters,
-            messages: Cell::new(0),
-            newest: Cell::new(0),
-            related: Cell::new(true),
-            heard: Rc::default(),
+            message_count: Cell::new(0),
+            newest_version: Cell::new(0),
+            versions_comparable: Cell::new(true),
+            heard_flag: Rc::default(),
         }
     }
 
-    /// Raised once discovery has said anything, be it that there is nothing new.
+    /// Raised once discovery has sent anything, including a heartbeat without changes.
     #[must_use]
-    pub fn heard(&self) -> Rc<Flag> {
-        self.heard.clone()
+    pub fn heard_from(&self) -> Rc<Flag> {
+        self.heard_flag.clone()
     }
 
-    /// Takes a list in; `whole` overrides what it says of itself. One that is older than what is held brings nobody back
-    /// who drains or is gone: that was told since. If it is a whole one, its source counts anew from there.
-    pub fn take(&self, mut list: ServerList, whole: bool) {
-        let number = self.messages.get() + 1;
-        self.messages.set(number);
+    /// Applies a list; `whole` marks it as a full one, whatever its own flag says. A list older than the current version does not bring
+    /// back members that are draining or gone, since those states are newer. A full list that is older restarts the count of versions.
+    pub fn apply_list(&self, mut list: ServerList, whole: bool) {
+        let number = self.message_count.get() + 1;
+        self.message_count.set(number);
         if mutants::is_active(Mutant::IgnoredDrains) {
             list.instances.retain(|server| server.state() == ListState::Healthy);
         }
-        let older = self.related.replace(true) && list.generation < self.newest.get();
-        if older {
-            list.instances.retain(|server| !self.feed.keeps_out(&server.claim(number)));
+        let outdated = self.versions_comparable.replace(true) && list.generation < self.newest_version.get();
+        if outdated {
+            list.instances.retain(|server| !self.feed.would_revive(&server.claim(number)));
         }
-        if whole || list.reset || !older {
-            self.newest.set(list.generation);
+        if whole || list.reset || !outdated {
+            self.newest_version.set(list.generation);
         }
-        self.feed.tell(PLATFORM, list.news(number, whole));
+        self.feed.apply_update(PLATFORM, list.source_update(number, whole));
     }
 }
 
-/// Follows discovery for ever, from the version that is known, with the pauses of `backoff`.
-pub async fn run(node: Follower, mut backoff: Backoff) {
-    let (mut told, mut last) = (false, None);
+/// Follows discovery from the current version on, with the pauses of `backoff` between watches; never returns.
+pub async fn run(follower: Follower, mut backoff: Backoff) {
+    let (mut logged, mut last_address) = (false, None);
     loop {
-        let (before, opened) = (node.newest.get(), Instant::now());
-        let (moved, followed) = (node.source.moved.listen(), node.source.address.get());
-        let Some(address) = followed else {
-            moved.await;
+        let (previous_version, opened) = (follower.newest_version.get(), Instant::now());
+        let (address_changed, current_address) =
+            (follower.source.address_changed.listen(), follower.source.address.get());
+        let Some(address) = current_address else {
+            address_changed.await;
             continue;
         };
-        // Another source, whether it moved under a watch or in a pause: how its versions stand to the earlier ones is not known.
-        if last.replace(address).is_some_and(|last| last != address) {
-            node.related.set(false);
+        // The address has changed, during a watch or a pause: versions of the new source are not comparable to the earlier ones.
+        if last_address.replace(address).is_some_and(|last_address| last_address != address) {
+            follower.versions_comparable.set(false);
         }
-        node.counters.watches.add();
-        // An old address may stay silent, and what the new one has to tell binds soon: the watch moves at once.
-        let left = async {
-            moved.await;
+        follower.counters.watches.add();
+        // The old address may stay silent, while changes at the new one become binding soon: the watch moves at once.
+        let relocated = async {
+            address_changed.await;
             Ok(())
         };
         let answered = Cell::new(false);
-        let ended = or(watch(&node, address, before, &answered), left).await;
-        let refused = matches!(ended, Err(WatchError::Http(HttpError::Status(_))));
-        let why = WatchEnd::classify(
-            refused,
+        let ended = or(watch(&follower, address, previous_version, &answered), relocated).await;
+        let rejected = matches!(ended, Err(WatchError::Http(HttpError::Status(_))));
+        let watch_end = WatchEnd::classify(
+            rejected,
             answered.get(),
-            node.newest.get() != before,
+            follower.newest_version.get() != previous_version,
             span_of(opened.elapsed()),
         );
         match ended {
-            // A dropped watch is nothing to report; an answer that makes no sense is, once.
+            // A dropped connection is not logged; an invalid answer is, once.
             Err(WatchError::Io(_)) | Ok(()) => {}
-            Err(error) if !told => {
+            Err(error) if !logged => {
                 tracing::warn!("discovery: {error}");
-                told = true;
+                logged = true;
             }
             Err(_) => {}
         }
-        if node.source.address.get() != followed {
+        if follower.source.address.get() != current_address {
             continue;
         }
-        if let Some((fleet, drain_grace)) = node.source.retuned.take() {
+        if let Some((fleet, drain_grace)) = follower.source.retuned_settings.take() {
             backoff.reconfigure(fleet, drain_grace);
         }
-        let pause = duration(backoff.pause(why));
-        tracing::debug!(target: "watch", "watch ended after {:?}, {why:?}; again in {pause:?}", opened.elapsed());
-        let moved = node.source.moved.listen();
-        if node.source.address.get() == followed {
-            or(moved, async {
+        let pause = duration(backoff.pause(watch_end));
+        tracing::debug!(target: "watch", "watch ended after {:?}, {watch_end:?}; again in {pause:?}", opened.elapsed());
+        let address_changed = follower.source.address_changed.listen();
+        if follower.source.address.get() == current_address {
+            or(address_changed, async {
                 let _ = Timer::after(pause).await;
             })
             .await;
@@ -174,42 +175,45 @@
     }
 }
 
-/// What `work` gives, unless nothing whole has come by then.
-async fn by<T>(end: Instant, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
-    let silence = async {
-        let _ = Timer::at(end).await;
+/// Runs `operation` with a deadline; fails with `TimedOut` when it passes.
+async fn before_deadline<T>(
+    deadline: Instant,
+    operation: impl Future<Output = io::Result<T>>,
+) -> io::Result<T> {
+    let expired = async {
+        let _ = Timer::at(deadline).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    or(work, silence).await
+    or(operation, expired).await
 }
 
-/// One watch, until its connection ends or falls silent.
+/// Runs one watch until its connection ends or falls silent.
 async fn watch(
-    node: &Follower,
+    follower: &Follower,
     address: SocketAddr,
     since: u64,
     answered: &Cell<bool>,
 ) -> Result<(), WatchError> {
-    let mut end = Instant::now() + SILENCE;
-    let stream = by(end, Async::<TcpStream>::connect(address)).await?;
-    let ask = format!(
+    let mut deadline = Instant::now() + SILENCE_TIMEOUT;
+    let stream = before_deadline(deadline, Async::<TcpStream>::connect(address)).await?;
+    let request = format!(
         "GET /discovery/hosts?follow=1&since={since} HTTP/1.1\r\nHost: {address}\r\n\
          Accept: application/json\r\n\r\n"
     );
-    by(end, write_all(&stream, &[ask.as_bytes()])).await?;
+    before_deadline(deadline, write_all(&stream, &[request.as_bytes()])).await?;
     let mut buffer = ReadBuffer::default();
     let head = loop {
         if let Some(head) = http::head(buffer.data())? {
             break head;
         }
-        if by(end, buffer.fill(&stream)).await? == 0 {
+        if before_deadline(deadline, buffer.fill(&stream)).await? == 0 {
             return Ok(());
         }
     };
     buffer.consume(head.size);
     answered.set(true);
-    end = Instant::now() + SILENCE;
-    let mut lists = ObjectSplitter::default();
+    deadline = Instant::now() + SILENCE_TIMEOUT;
+    let mut splitter = ObjectSplitter::default();
     loop {
         while !buffer.data().is_empty() {
             let (body, size) = if head.chunked {
@@ -221,18 +225,18 @@
             } else {
                 (buffer.data(), buffer.data().len())
             };
-            lists.push_bytes(body);
+            splitter.push_bytes(body);
             buffer.consume(size);
-            while let Some(part) = lists.next_item()? {
-                node.heard.raise();
-                end = Instant::now() + SILENCE;
-                if let StreamItem::Object(text) = part {
-                    node.take(serde_json::from_slice(&text)?, false);
+            while let Some(item) = splitter.next_item()? {
+                follower.heard_flag.raise();
+                deadline = Instant::now() + SILENCE_TIMEOUT;
+                if let StreamItem::Object(text) = item {
+                    follower.apply_list(serde_json::from_slice(&text)?, false);
                 }
             }
         }
         buffer.release_if_empty();
-        if by(end, buffer.fill(&stream)).await? == 0 {
+        if before_deadline(deadline, buffer.fill(&stream)).await? == 0 {
             return Ok(());
         }
     }
--- a/crates/net/src/leases.rs
+++ b/crates/net/src/leases.rs
@@ -530,8 +530,8 @@
     }
 }
 
-fn counter_index(error: DatagramError) -> usize {
-    match error {
+fn counter_index(rejection: DatagramError) -> usize {
+    match rejection {
         DatagramError::Malformed => 0,
         DatagramError::SiteMismatch => 1,
         DatagramError::VersionMismatch(_) => 2,
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,4 +1,5 @@
-//! The daemon: the decisions on real sockets. One executor on one thread carries all tasks.
+//! The pooler on real sockets: runs the router of `linnetdeal-core` with clients, servers, discovery and other poolers. One executor on
+//! one thread runs all tasks.
 
 pub mod arrivals;
 pub mod buffer;
@@ -62,20 +63,20 @@
 use upstream::Pool;
 use work::{WorkOptions, WorkService};
 
-/// A process that takes another's place waits no longer for the first word of discovery.
-const FIRST_WORD: Duration = Duration::from_millis(500);
-/// Bytes that nobody wants are read so many at a time.
-const SCRATCH: usize = 64 * 1024;
+/// Maximum time that a process succeeding another one waits for the first message of discovery before it accepts clients.
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Size of the buffer for data that is read and discarded, in bytes.
+const DISCARD_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Why the daemon ended.
+/// Why the pooler could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// Clients can't be listened for.
+    /// A listening socket can't be opened.
     #[error("listening on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
 }
 
-/// A pooler that listens, with nothing served yet. Further sources of members are put beside it before it runs.
+/// A pooler that is set up and listening but not running yet. Further sources of members can be added before it runs.
 pub struct Pooler {
     executor: Rc<LocalExecutor<'static>>,
     lifecycle: Rc<Lifecycle>,
@@ -87,12 +88,12 @@
 }
 
 impl Pooler {
-    /// Opens all that a pooler needs. `config_file` is where `config` was read, and is read again on SIGHUP. `leases` hold
-    /// only where the settings allow poolers to talk. `signals` were kept since the start.
+    /// Sets up a pooler. `config_file` is the path of `config`, for reloads on SIGHUP. `leases` take effect only if the settings allow
+    /// communication between poolers. `signals` are those received since the process started.
     ///
     /// # Errors
     ///
-    /// When it can't listen.
+    /// When a listening socket can't be opened.
     pub fn new(
         config: Config,
         config_file: PathBuf,
@@ -104,84 +105,87 @@
         let counters = status_log.counters.clone();
         let members = Rc::new(Members::default());
         let executor = Rc::new(LocalExecutor::new());
-        let (probes, wanted) = async_channel::unbounded();
+        let (probes, probe_requests) = async_channel::unbounded();
         let classes = Rc::new(classes::Classes::default());
-        let present = (0..config.settings.classes.len()).map(linnetdeal_core::ClassId).collect();
-        let (longest, copies) = (config.host.longest_deadline, config.settings.second_copies);
-        classes.set(&config.settings.classes, present, longest, copies);
+        let ids = (0..config.settings.classes.len()).map(linnetdeal_core::ClassId).collect();
+        let (max_deadline, copies) = (config.host.longest_deadline, config.settings.second_copies);
+        classes.set(&config.settings.classes, ids, max_deadline, copies);
         let tenants = Rc::new(Tenants::default());
-        let present = (0..config.settings.tenants.len()).map(linnetdeal_core::TenantId).collect();
-        tenants.set(&config.settings.tenants, present);
+        let ids = (0..config.settings.tenants.len()).map(linnetdeal_core::TenantId).collect();
+        tenants.set(&config.settings.tenants, ids);
         tracing::debug!(target: "settings", "{:?}", config.settings);
         let backoff = Backoff::new(config.seed, config.settings.fleet, config.settings.drain_grace);
         let checks = config.settings.checks != Checks::None;
         let router = Router::new(config.seed, config.settings);
-        let (tells, told) = async_channel::bounded(peers::MOST_WAITING);
-        let driver = Rc::new(Driver::new(router, counters.clone(), probes, tells));
-        let handed = std::env::var("GW_LISTEN_FD").ok();
+        let (datagrams_out, datagrams) = async_channel::bounded(peers::MAX_QUEUED_DATAGRAMS);
+        let driver = Rc::new(Driver::new(router, counters.clone(), probes, datagrams_out));
+        let inherited_fd = std::env::var("GW_LISTEN_FD").ok();
         let sockets = config.sockets;
-        // Of the descriptors some are kept for the process itself and for clients that are told to go away.
+        // Some descriptors are reserved for the process itself and for clients that are accepted only to be refused.
         let reserve = (sockets / 4).min(40);
-        let rest = sockets - reserve;
-        let (spare_clients, most_upstream) = ((rest / 24).max(8).min(rest / 4), rest * 3 / 8);
-        // Two processes that overlap may hold no more descriptors than one. Their clients are the same, whichever of them
-        // each came to; the servers' part is halved where one can be handed the listening socket.
-        let to_servers = if handed.is_some() { most_upstream / 2 } else { most_upstream };
+        let available = sockets - reserve;
+        let (refusal_slots, max_upstream) = ((available / 24).max(8).min(available / 4), available * 3 / 8);
+        // Two overlapping processes together may hold no more descriptors than one. The number of clients is the same whichever
+        // process they are connected to; the share for servers is halved where a listening socket can be inherited.
+        let server_limit = if inherited_fd.is_some() { max_upstream / 2 } else { max_upstream };
         let pool = Rc::new(Pool::new(
             members.clone(),
             counters.clone(),
             config.host,
             driver.stall.clone(),
-            to_servers,
+            server_limit,
         ));
         let source = Rc::new(Source::new(config.discovery));
-        let known = members.clone();
-        let slots = ConnectionSlots::new(rest - most_upstream - spare_clients, spare_clients, sockets / 4);
+        let member_table = members.clone();
+        let slots =
+            ConnectionSlots::new(available - max_upstream - refusal_slots, refusal_slots, sockets / 4);
         let slots = Rc::new(slots);
         let in_doubt = Rc::new(InDoubtWrites::default());
-        let folder = std::env::var_os("TMPDIR").filter(|_| config.operator.is_some()).map(PathBuf::from);
-        let shared = folder.and_then(|folder| {
-            let opened = SharedState::open(&folder);
-            let failed = |error: &std::io::Error| {
+        let shared_dir = std::env::var_os("TMPDIR").filter(|_| config.operator.is_some()).map(PathBuf::from);
+        let shared = shared_dir.and_then(|shared_dir| {
+            let opened = SharedState::open(&shared_dir);
+            let log_failure = |error: &std::io::Error| {
                 tracing::warn!(
                     "nothing is shared with other processes of this pooler, {}: {error}",
-                    folder.display()
+                    shared_dir.display()
                 );
             };
-            opened.inspect_err(failed).ok().map(Rc::new)
+            opened.inspect_err(log_failure).ok().map(Rc::new)
         });
         status_log.add(in_doubt.clone());
         status_log.add(Rc::new(InvariantsReport(driver.clone())));
         status_log.add(driver.clone());
         if leases.is_some() && config.peers.is_none() {
-            tracing::warn!("leases are off: the platform lets poolers not talk, or names not all of them");
+            tracing::warn!(
+                "leases are off: the settings do not allow communication between poolers, or not all of them are named"
+            );
         }
-        let leases = leases.filter(|_| config.peers.is_some()).map(|wanted| {
-            let leases = Rc::new(Leases::new(wanted.setup));
+        let leases = leases.filter(|_| config.peers.is_some()).map(|options| {
+            let leases = Rc::new(Leases::new(options.setup));
             status_log.add(leases.clone());
-            for call in wanted.calls {
+            for call in options.calls {
                 executor.spawn(leases.clone().run_calls(executor.clone(), call)).detach();
             }
-            if wanted.positions.is_some() && !checks {
+            if options.positions.is_some() && !checks {
                 tracing::warn!("leases: members check nothing here, so that nobody is told their positions");
             }
-            if let Some((term, interval)) = wanted.positions.filter(|_| checks) {
-                let (driver, pool, members) = (driver.clone(), pool.clone(), known.clone());
+            if let Some((term, interval)) = options.positions.filter(|_| checks) {
+                let (driver, pool, members) = (driver.clone(), pool.clone(), member_table.clone());
                 let executor_of = executor.clone();
-                let of =
+                let position_polling =
                     leases::PositionPolling { term, interval, executor: executor_of, driver, pool, members };
-                executor.spawn(leases.clone().poll_members(Rc::new(of))).detach();
+                executor.spawn(leases.clone().poll_members(Rc::new(position_polling))).detach();
             }
-            let run = leases.clone();
-            executor.spawn(async move { run.run().await }).detach();
+            let runner = leases.clone();
+            executor.spawn(async move { runner.run().await }).detach();
             leases
         });
-        let feed = Feed::new(known.clone(), driver.clone());
-        let works = work.zip(leases.clone()).map(|(wanted, leases)| {
+        let feed = Feed::new(member_table.clone(), driver.clone());
+        let work_service = work.zip(leases.clone()).map(|(options, leases)| {
             let deps = work::Dependencies {
                 leases,
                 feed: feed.clone(),
-                members: known,
+                members: member_table,
                 driver: driver.clone(),
                 pool: pool.clone(),
                 lifecycle: lifecycle.clone(),
@@ -189,7 +193,7 @@
                 shared: shared.clone(),
                 executor: executor.clone(),
             };
-            Rc::new(WorkService::new(wanted, deps))
+            Rc::new(WorkService::new(options, deps))
         });
         let handler = signals::Handler {
             executor: executor.clone(),
@@ -215,31 +219,31 @@
             tenants,
             in_doubt,
             open_ids: RefCell::default(),
-            scratch: RefCell::new(vec![0; SCRATCH]),
+            scratch: RefCell::new(vec![0; DISCARD_BUFFER_BYTES]),
         };
 
-        // Who was out by hand stays out, whatever the list says; it must be known before it.
+        // Servers drained by an operator stay drained whatever the list says, so the drains are applied before the list.
         let changes = shared.as_ref().map(|shared| shared.poll_operator_drains());
         match changes {
-            Some(Ok((changes, strange))) => {
-                feed.by_word(&changes);
-                if strange > 0 {
-                    tracing::warn!("{strange} files among those of the servers out by hand name no server");
+            Some(Ok((changes, foreign))) => {
+                feed.adopt_operator_drains(&changes);
+                if foreign > 0 {
+                    tracing::warn!("{foreign} files in the folder of drained servers name no server");
                 }
             }
-            Some(Err(error)) => tracing::warn!("who was out by hand is not known: {error}"),
+            Some(Err(error)) => tracing::warn!("servers drained by an operator are not known: {error}"),
             None => {}
         }
-        // The list last held comes first: a pooler serves from it while discovery is down.
+        // Starts from the list in the configuration, so that the pooler can serve while discovery is down.
         let follower = Follower::new(source, feed.clone(), counters);
-        follower.take(config.known, true);
-        let driver_of_start = driver.clone();
+        follower.apply_list(config.known, true);
+        let start_driver = driver.clone();
         let mut start = StartFacts { list_held: true, ..StartFacts::default() };
-        let listener = match &handed {
+        let listener = match &inherited_fd {
             Some(number) => {
-                let bad =
-                    |_| std::io::Error::new(std::io::ErrorKind::InvalidInput, "GW_LISTEN_FD is no number");
-                number.trim().parse().map_err(bad).and_then(frontend::inherit)
+                let not_a_number =
+                    |_| std::io::Error::new(std::io::ErrorKind::InvalidInput, "GW_LISTEN_FD is not a number");
+                number.trim().parse().map_err(not_a_number).and_then(frontend::inherit)
             }
             None => frontend::listen(config.listen),
         };
@@ -253,120 +257,123 @@
         executor.spawn(async move { c.run_timers().await }).detach();
         if let Some(shared) = shared.clone() {
             if let Err(error) = shared.register_as_newest() {
-                tracing::warn!("an older process of this pooler won't know of this one: {error}");
+                tracing::warn!("an older process of this pooler won't notice this one: {error}");
             }
             let feed = feed.clone();
-            let look = async move { shared.follow(|changes| feed.by_word(&changes)).await };
-            executor.spawn(look).detach();
+            let follow_drains =
+                async move { shared.follow(|changes| feed.adopt_operator_drains(&changes)).await };
+            executor.spawn(follow_drains).detach();
         }
-        // An older process goes on taking clients meanwhile; by the list that it was started with, this one would send
-        // to servers that are long gone.
+        // The older process still accepts clients meanwhile. The list in this process's configuration may name servers that are long
+        // gone, so it waits for discovery first.
         let open = Rc::new(Flag::default());
-        let first = handed.is_some().then(|| {
-            let heard = follower.heard();
-            or(async move { heard.raised().await }, async {
-                let _ = Timer::after(FIRST_WORD).await;
+        let first_message = inherited_fd.is_some().then(|| {
+            let message_flag = follower.heard_from();
+            or(async move { message_flag.raised().await }, async {
+                let _ = Timer::after(FIRST_MESSAGE_TIMEOUT).await;
             })
         });
-        if first.is_none() && works.is_none() {
+        if first_message.is_none() && work_service.is_none() {
             open.raise();
         } else {
-            let (open, works) = (open.clone(), works.clone());
-            let wait = async move {
-                if let Some(first) = first {
-                    first.await;
+            let (open, work_service) = (open.clone(), work_service.clone());
+            let wait_ready = async move {
+                if let Some(first_message) = first_message {
+                    first_message.await;
                 }
-                // Nor is a client taken that might be sent where work is done.
-                if let Some(works) = works {
-                    works.wait_started().await;
+                // No client is accepted before it is known which machines are out for work.
+                if let Some(work_service) = work_service {
+                    work_service.wait_started().await;
                 }
                 open.raise();
             };
-            executor.spawn(wait).detach();
+            executor.spawn(wait_ready).detach();
         }
-        if let Some(works) = &works {
-            executor.spawn(works.clone().run()).detach();
+        if let Some(work_service) = &work_service {
+            executor.spawn(work_service.clone().run()).detach();
         }
         if let Some(address) = config.operator {
-            let calls = operator_api::listen(address).map_err(|error| RunError::Listen(address, error))?;
+            let operator_listener =
+                operator_api::listen(address).map_err(|error| RunError::Listen(address, error))?;
             let (executor, lifecycle, feed) = (executor.clone(), lifecycle.clone(), feed.clone());
             let (shared, open, leases) = (shared.clone(), open.clone(), leases.clone());
             let executor_of = executor.clone();
-            let works = works.clone();
-            let desk =
-                operator_api::Desk { executor: executor_of, lifecycle, feed, shared, open, leases, works };
-            let desk = Rc::new(desk);
-            executor.spawn(operator_api::run(desk, calls)).detach();
+            let work_service = work_service.clone();
+            let api = operator_api::OperatorApi {
+                executor: executor_of,
+                lifecycle,
+                feed,
+                shared,
+                open,
+                leases,
+                work_service,
+            };
+            let api = Rc::new(api);
+            executor.spawn(operator_api::run(api, operator_listener)).detach();
         }
         if let Some(addresses) = config.peers {
-            let (driver, lifecycle, replaced) = (driver.clone(), lifecycle.clone(), handed.is_some());
-            let of_talk = leases.clone();
-            let talk = async move { peers::Talk::open(addresses, driver, of_talk).await.run(told).await };
-            // The address is the newer process's as soon as this one leaves, and so are its leases, which are given back first.
-            let (own, taken) = (leases.clone(), shared.clone());
-            let left = async move {
+            let (driver, lifecycle, inherited) = (driver.clone(), lifecycle.clone(), inherited_fd.is_some());
+            let peer_leases = leases.clone();
+            let peer_task = async move {
+                peers::PeerSocket::open(addresses, driver, peer_leases).await.run(datagrams).await
+            };
+            // The newer process takes over the address as soon as this one closes the socket, so the leases are released before that.
+            let (own_leases, shared_ref) = (leases.clone(), shared.clone());
+            let withdraw = async move {
                 lifecycle.draining.raised().await;
-                if let Some(leases) = &own {
-                    leases.leave(taken.is_some_and(|shared| shared.is_superseded())).await;
+                if let Some(leases) = &own_leases {
+                    leases.leave(shared_ref.is_some_and(|shared| shared.is_superseded())).await;
                 }
-                if !replaced {
+                if !inherited {
                     std::future::pending::<()>().await;
                 }
             };
-            executor.spawn(or(talk, left)).detach();
+            executor.spawn(or(peer_task, withdraw)).detach();
         }
-        executor.spawn(probes::run(executor.clone(), driver, pool, wanted)).detach();
+        executor.spawn(probes::run(executor.clone(), driver, pool, probe_requests)).detach();
         executor.spawn(discovery::run(follower, backoff)).detach();
-        let checked = driver_of_start.clone();
+        let checked_driver = start_driver.clone();
         executor
             .spawn(async move {
                 open.raised().await;
-                // Raised only once what was to be waited for is there, or its time is over.
+                // `open` is raised only once discovery has answered or the wait has timed out.
                 start.discovery_waited_for = true;
-                checked.check(|now, invariants| invariants.serving_started(now, start.may_serve()));
-                frontend::run(Rc::new(context), listener, handed.is_some()).await;
+                checked_driver.check(|now, invariants| invariants.serving_started(now, start.may_serve()));
+                frontend::run(Rc::new(context), listener, inherited_fd.is_some()).await;
             })
             .detach();
-        Ok(Self {
-            executor,
-            lifecycle,
-            status_log,
-            feed,
-            driver: driver_of_start,
-            name: config.name,
-            listening,
-        })
+        Ok(Self { executor, lifecycle, status_log, feed, driver: start_driver, name: config.name, listening })
     }
 
-    /// The way in for what a further source of members tells.
+    /// The entry point for updates from further sources of members.
     #[must_use]
     pub fn feed(&self) -> Feed {
         self.feed.clone()
     }
 
-    /// Where it listens.
+    /// The address that it listens on for clients.
     #[must_use]
     pub fn listening(&self) -> SocketAddr {
         self.listening
     }
 
-    /// How far its life has come.
+    /// The stages of its shutdown.
     #[must_use]
     pub fn lifecycle(&self) -> Rc<Lifecycle> {
         self.lifecycle.clone()
     }
 
-    /// Has a task run beside the others, for as long as the pooler does.
+    /// Spawns a task that runs as long as the pooler does.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.executor.spawn(task).detach();
     }
 
-    /// Has this shown beside the counters, on request and at the end.
-    pub fn show(&self, what: Rc<dyn Display>) {
-        self.status_log.add(what);
+    /// Registers an entry that is logged with the counters, on request and at exit.
+    pub fn show(&self, entry: Rc<dyn Display>) {
+        self.status_log.add(entry);
     }
 
-    /// Serves until it has drained after a signal, and then does the `last` thing.
+    /// Serves until the pooler has drained after a signal, then runs `last` and logs the counters.
     pub fn run(self, last: impl Future<Output = ()>) {
         tracing::info!("{} listening on {}", self.name, self.listening);
         async_io::block_on(self.executor.run(async {
--- a/crates/net/src/operator_api.rs
+++ b/crates/net/src/operator_api.rs
@@ -1,5 +1,5 @@
-//! The second address: calls of the people on call, over HTTP/1.1, one a connection. However many hold a connection open
-//! without a call, each has a task and a limit of its own, and beyond a bound nobody is let in.
+//! The operators' HTTP/1.1 API on a second address, one call per connection. Each connection has a task and a time limit of its own, so
+//! that idle connections block no other call. Connections beyond a maximum number are closed at once.
 
 use crate::flag::Flag;
 use crate::leases::Leases;
@@ -24,96 +24,101 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A caller has so long for its call and its answer.
-const CALL: Duration = Duration::from_secs(2);
-/// So many callers at once.
-const MOST_CALLERS: usize = 32;
-/// No head of a call is longer, in bytes.
-const LONGEST_CALL: usize = 16 * 1024;
-/// No plan is longer, in bytes.
-const LONGEST_PLAN: usize = 64 * 1024;
-const PAUSE: Duration = Duration::from_millis(20);
+/// Maximum duration of a connection, from accepting it to the end of the answer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of concurrent connections.
+const MAX_CONNECTIONS: usize = 32;
+/// Maximum size of a request's head, in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Maximum size of a submitted plan, in bytes.
+const MAX_PLAN_BYTES: usize = 64 * 1024;
+/// Pause after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What calls act on.
-pub(crate) struct Desk {
+/// The operators' API with the components that its calls act on.
+pub(crate) struct OperatorApi {
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     pub(crate) lifecycle: Rc<Lifecycle>,
     pub(crate) feed: Feed,
-    /// Where it stands who is out by hand, for the process that takes this one's place, and from it.
+    /// Stores the operator drains of servers, shared with processes that precede or succeed this one.
     pub(crate) shared: Option<Rc<SharedState>>,
-    /// The list was heard of, or enough time has passed: clients are taken.
+    /// Raised once clients are accepted: discovery has answered, or the wait for it has timed out.
     pub(crate) open: Rc<Flag>,
-    /// The tasks of the whole fleet, where there are any.
+    /// The leases, if they are configured.
     pub(crate) leases: Option<Rc<Leases>>,
-    /// Machines out for work, where the poolers see to it.
-    pub(crate) works: Option<Rc<WorkService>>,
+    /// Maintenance work, if it is configured.
+    pub(crate) work_service: Option<Rc<WorkService>>,
 }
 
-/// Opens the address.
+/// Opens the listening socket.
 ///
 /// # Errors
 ///
-/// When it can't be listened on.
+/// When the address can't be bound.
 pub fn listen(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     Async::<TcpListener>::bind(address)
 }
 
-/// Answers calls for ever.
-pub(crate) async fn run(desk: Rc<Desk>, listener: Async<TcpListener>) {
-    let callers = Rc::new(Cell::new(0));
+/// Accepts and answers calls; never returns.
+pub(crate) async fn run(api: Rc<OperatorApi>, listener: Async<TcpListener>) {
+    let connections = Rc::new(Cell::new(0));
     loop {
         match listener.accept().await {
-            Ok((stream, _)) if callers.get() < MOST_CALLERS => {
-                callers.set(callers.get() + 1);
-                let (desk, callers) = (desk.clone(), callers.clone());
-                let executor = desk.executor.clone();
+            Ok((stream, _)) if connections.get() < MAX_CONNECTIONS => {
+                connections.set(connections.get() + 1);
+                let (api, connections) = (api.clone(), connections.clone());
+                let executor = api.executor.clone();
                 let task = async move {
-                    answer(&desk, stream).await;
-                    callers.set(callers.get() - 1);
+                    answer(&api, stream).await;
+                    connections.set(connections.get() - 1);
                 };
                 executor.spawn(task).detach();
             }
             Ok(_) => {}
-            // Out of descriptors, or the caller left: neither spin nor end.
-            Err(_) => drop(Timer::after(PAUSE).await),
+            // No descriptors left, or the client has disconnected: retries after a pause.
+            Err(_) => drop(Timer::after(ACCEPT_RETRY_DELAY).await),
         }
     }
 }
 
-fn said(outcome: Result<String, (u16, String)>) -> (StatusCode, String) {
+/// Converts the outcome of a call to the status and body of its answer.
+fn into_answer(outcome: Result<String, (u16, String)>) -> (StatusCode, String) {
     match outcome {
-        Ok(words) => (StatusCode::OK, words),
-        Err((status, words)) => (StatusCode::from_u16(status).unwrap_or(StatusCode::CONFLICT), words),
+        Ok(message) => (StatusCode::OK, message),
+        Err((status, message)) => (StatusCode::from_u16(status).unwrap_or(StatusCode::CONFLICT), message),
     }
 }
 
-async fn answer(desk: &Desk, stream: Async<TcpStream>) {
-    let service = hyper::service::service_fn(|call: Request<Incoming>| async move {
-        let (head, body) = call.into_parts();
+/// Serves one connection.
+async fn answer(api: &OperatorApi, stream: Async<TcpStream>) {
+    let service = hyper::service::service_fn(|request: Request<Incoming>| async move {
+        let (head, body) = request.into_parts();
         let path = head.uri.path();
-        let (status, words) = match path.strip_prefix("/-/work") {
-            Some(rest) => desk.work(&head.method, rest, body).await,
-            None => desk.call(&head.method, path),
+        let (status, message) = match path.strip_prefix("/-/work") {
+            Some(rest) => api.work(&head.method, rest, body).await,
+            None => api.call(&head.method, path),
         };
-        let mut answer = Response::new(Full::new(Bytes::from(format!("{words}\n"))));
+        let mut answer = Response::new(Full::new(Bytes::from(format!("{message}\n"))));
         *answer.status_mut() = status;
         Ok::<_, Infallible>(answer)
     });
     let mut server = hyper::server::conn::http1::Builder::new();
-    let server = server.keep_alive(false).half_close(true).max_buf_size(LONGEST_CALL);
-    let served = async { drop(server.serve_connection(FuturesIo::new(stream), service).await) };
-    let late = async {
-        let _ = Timer::after(CALL).await;
+    let server = server.keep_alive(false).half_close(true).max_buf_size(MAX_HEAD_BYTES);
+    let serving = async { drop(server.serve_connection(FuturesIo::new(stream), service).await) };
+    let timeout = async {
+        let _ = Timer::after(CALL_TIMEOUT).await;
     };
-    or(served, late).await;
+    or(serving, timeout).await;
 }
 
-impl Desk {
-    /// What a call does and is told.
+impl OperatorApi {
+    /// Executes a call and returns the status and body of its answer.
     fn call(&self, method: &Method, path: &str) -> (StatusCode, String) {
-        let no = |status, words: &str| (status, words.to_owned());
-        let Some(rest) = path.strip_prefix("/-/") else { return no(StatusCode::NOT_FOUND, "no such call") };
-        let wanted = if matches!(rest, "ready" | "leases") { Method::GET } else { Method::POST };
+        let reply = |status, message: &str| (status, message.to_owned());
+        let Some(rest) = path.strip_prefix("/-/") else {
+            return reply(StatusCode::NOT_FOUND, "no such call");
+        };
+        let allowed_method = if matches!(rest, "ready" | "leases") { Method::GET } else { Method::POST };
         let parts: Vec<&str> = rest.split('/').collect();
         if !matches!(
             parts[..],
@@ -122,58 +127,63 @@
                 | ["leases", _, "release" | "acquire"]
                 | ["leases", _, "hand", _]
         ) {
-            return no(StatusCode::NOT_FOUND, "no such call");
+            return reply(StatusCode::NOT_FOUND, "no such call");
         }
-        if *method != wanted {
-            return (StatusCode::METHOD_NOT_ALLOWED, format!("this call is made by {wanted}"));
+        if *method != allowed_method {
+            return (StatusCode::METHOD_NOT_ALLOWED, format!("this call is made by {allowed_method}"));
         }
         match parts[..] {
-            ["ready"] if self.lifecycle.draining.is_up() => no(StatusCode::SERVICE_UNAVAILABLE, "ending"),
+            ["ready"] if self.lifecycle.draining.is_up() => reply(StatusCode::SERVICE_UNAVAILABLE, "ending"),
             ["ready"] if self.lifecycle.drained.on_since().is_some() => {
-                no(StatusCode::SERVICE_UNAVAILABLE, "drained")
+                reply(StatusCode::SERVICE_UNAVAILABLE, "drained")
             }
-            ["ready"] if self.works.as_ref().is_some_and(|works| !works.has_started()) => {
-                no(StatusCode::SERVICE_UNAVAILABLE, "not known yet which machines are out for work")
+            ["ready"]
+                if self.work_service.as_ref().is_some_and(|work_service| !work_service.has_started()) =>
+            {
+                reply(StatusCode::SERVICE_UNAVAILABLE, "not known yet which machines are out for work")
             }
-            ["ready"] if !self.open.is_up() || !self.feed.serves() => {
-                no(StatusCode::SERVICE_UNAVAILABLE, "no list of servers yet")
+            ["ready"] if !self.open.is_up() || !self.feed.has_serving_member() => {
+                reply(StatusCode::SERVICE_UNAVAILABLE, "no list of servers yet")
             }
-            ["ready"] => no(StatusCode::OK, "ready"),
+            ["ready"] => reply(StatusCode::OK, "ready"),
             ["leases", ..] => self.leases(&parts[1..]),
-            ["servers", id, what] => self.server(id, what == "disable"),
+            ["servers", id, action] => self.set_server_drain(id, action == "disable"),
             _ => {
-                let on = rest == "drain";
-                self.lifecycle.drained_by_operator.set(on);
-                self.lifecycle.drained.set_on(on);
-                tracing::info!("{} by hand", if on { "drained" } else { "resumed" });
-                no(StatusCode::OK, if on { "draining" } else { "taking clients" })
+                let drain = rest == "drain";
+                self.lifecycle.drained_by_operator.set(drain);
+                self.lifecycle.drained.set_on(drain);
+                tracing::info!("{} by hand", if drain { "drained" } else { "resumed" });
+                reply(StatusCode::OK, if drain { "draining" } else { "taking clients" })
             }
         }
     }
 
+    /// Executes a call about leases.
     fn leases(&self, call: &[&str]) -> (StatusCode, String) {
-        let no = |status, words: &str| (status, words.to_owned());
-        let Some(leases) = &self.leases else { return no(StatusCode::NOT_FOUND, "leases are off here") };
-        let (task, what, heir) = match *call {
-            [task, what] => (task, what, None),
-            [task, what, heir] => match heir.parse::<u16>() {
-                Ok(heir) => (task, what, Some(heir)),
-                Err(_) => return no(StatusCode::BAD_REQUEST, "the heir is a pooler's number"),
+        let reply = |status, message: &str| (status, message.to_owned());
+        let Some(leases) = &self.leases else { return reply(StatusCode::NOT_FOUND, "leases are off here") };
+        let (task_name, action, successor) = match *call {
+            [task_name, action] => (task_name, action, None),
+            [task_name, action, successor] => match successor.parse::<u16>() {
+                Ok(successor) => (task_name, action, Some(successor)),
+                Err(_) => return reply(StatusCode::BAD_REQUEST, "the heir is a pooler's number"),
             },
             _ => return (StatusCode::OK, leases.status_json()),
         };
-        match leases.operator_command(task, what, heir) {
-            Ok(words) => (StatusCode::OK, words),
-            Err(words) => (StatusCode::CONFLICT, words),
+        match leases.operator_command(task_name, action, successor) {
+            Ok(message) => (StatusCode::OK, message),
+            Err(message) => (StatusCode::CONFLICT, message),
         }
     }
 
-    /// Calls about machines out for work.
+    /// Executes a call about maintenance work.
     async fn work(&self, method: &Method, rest: &str, body: Incoming) -> (StatusCode, String) {
-        let no = |status, words: &str| (status, words.to_owned());
-        let Some(works) = &self.works else { return no(StatusCode::NOT_FOUND, "work is off here") };
+        let reply = |status, message: &str| (status, message.to_owned());
+        let Some(work_service) = &self.work_service else {
+            return reply(StatusCode::NOT_FOUND, "work is off here");
+        };
         let parts: Vec<&str> = rest.split('/').skip(1).collect();
-        let verb = |word: &str| match word {
+        let command = |action_name: &str| match action_name {
             "pause" => Some((Command::Pause, false)),
             "resume" => Some((Command::Resume, false)),
             "cancel" => Some((Command::Cancel, false)),
@@ -183,39 +193,45 @@
             "done" => Some((Command::Done, true)),
             _ => None,
         };
-        let (verb, machine) = match parts[..] {
-            [] if *method == Method::GET => return (StatusCode::OK, works.status_json()),
+        let (command, machine) = match parts[..] {
+            [] if *method == Method::GET => return (StatusCode::OK, work_service.status_json()),
             [] if *method == Method::POST => {
-                let body = match Limited::new(body, LONGEST_PLAN).collect().await {
+                let body = match Limited::new(body, MAX_PLAN_BYTES).collect().await {
                     Ok(body) => body.to_bytes(),
-                    Err(error) => return no(StatusCode::BAD_REQUEST, &format!("the plan: {error}")),
+                    Err(error) => return reply(StatusCode::BAD_REQUEST, &format!("the plan: {error}")),
                 };
-                return said(works.submit(&body).await);
+                return into_answer(work_service.submit(&body).await);
             }
-            [] => return no(StatusCode::METHOD_NOT_ALLOWED, "this call is made by GET or POST"),
-            [what] => (verb(what).filter(|(_, one)| !one), None),
-            [machine, what] => (verb(what).filter(|(_, one)| *one), Some(machine)),
+            [] => return reply(StatusCode::METHOD_NOT_ALLOWED, "this call is made by GET or POST"),
+            [action] => (command(action).filter(|(_, per_machine)| !per_machine), None),
+            [machine, action] => (command(action).filter(|(_, per_machine)| *per_machine), Some(machine)),
             _ => (None, None),
         };
-        let Some((verb, _)) = verb else { return no(StatusCode::NOT_FOUND, "no such call") };
+        let Some((command, _)) = command else { return reply(StatusCode::NOT_FOUND, "no such call") };
         if *method != Method::POST {
-            return no(StatusCode::METHOD_NOT_ALLOWED, "this call is made by POST");
+            return reply(StatusCode::METHOD_NOT_ALLOWED, "this call is made by POST");
         }
-        said(works.operator_command(verb, machine).await)
+        into_answer(work_service.operator_command(command, machine).await)
     }
 
-    fn server(&self, id: &str, out: bool) -> (StatusCode, String) {
-        let known = id.len() <= MAX_ID_BYTES && self.feed.by_hand(&MemberId(Arc::from(id)), out);
-        if !known {
+    /// Starts or ends an operator's drain of a server.
+    fn set_server_drain(&self, id: &str, drained: bool) -> (StatusCode, String) {
+        let found =
+            id.len() <= MAX_ID_BYTES && self.feed.set_operator_drain(&MemberId(Arc::from(id)), drained);
+        if !found {
             return (StatusCode::NOT_FOUND, "no server of this id was ever listed".to_owned());
         }
-        let banned = self.feed.banned();
-        tracing::info!("server {id} {} by hand, {} out", if out { "out" } else { "back" }, banned.len());
+        let drained_servers = self.feed.operator_drained();
+        tracing::info!(
+            "server {id} {} by hand, {} out",
+            if drained { "out" } else { "back" },
+            drained_servers.len()
+        );
         if let Some(Err(error)) =
-            self.shared.as_ref().map(|shared| shared.set_operator_drain(&MemberId(Arc::from(id)), out))
+            self.shared.as_ref().map(|shared| shared.set_operator_drain(&MemberId(Arc::from(id)), drained))
         {
-            tracing::warn!("other processes of this pooler don't learn of it: {error}");
+            tracing::warn!("operator drain not shared with other processes of this pooler: {error}");
         }
-        (StatusCode::OK, if out { "out" } else { "back" }.to_owned())
+        (StatusCode::OK, if drained { "out" } else { "back" }.to_owned())
     }
 }
--- a/crates/net/src/peers.rs
+++ b/crates/net/src/peers.rs
@@ -1,5 +1,5 @@
-//! Datagrams between poolers. They may get lost, come late or be anybody's: only what comes from a pooler's own address
-//! is handed to the module, which looks into it.
+//! Datagrams between poolers. They may be lost, delayed or sent by anyone: only datagrams from the address of a pooler are passed on,
+//! and the receiving component validates their content.
 
 use crate::config::PeerAddresses;
 use crate::driver::Driver;
@@ -15,16 +15,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// So many datagrams may wait to be sent; more are lost.
-pub const MOST_WAITING: usize = 64;
-/// A socket that fails to read is left alone for so long.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Maximum number of datagrams waiting to be sent; further ones are dropped.
+pub const MAX_QUEUED_DATAGRAMS: usize = 64;
+/// Pause after a failed read of the socket.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How often an address is tried that is not to be had.
-const AGAIN: Duration = Duration::from_millis(500);
+/// Interval between attempts to bind an address that is in use.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The socket, and who is who.
-pub struct Talk {
+/// The socket for datagrams between poolers, with the addresses of the poolers.
+pub struct PeerSocket {
     socket: Async<UdpSocket>,
     addresses: PeerAddresses,
     numbers: HashMap<SocketAddr, u32>,
@@ -32,12 +32,12 @@
     leases: Option<Rc<Leases>>,
 }
 
-impl Talk {
-    /// Opens the socket. The process whose place this one takes may hold the address still, and service needs no talk:
-    /// it is tried until it is free.
+impl PeerSocket {
+    /// Opens the socket, retrying until the address is free: a process that this one succeeds may still use it. Requests can be served
+    /// meanwhile, since they don't depend on communication between poolers.
     pub async fn open(addresses: PeerAddresses, driver: Rc<Driver>, leases: Option<Rc<Leases>>) -> Self {
-        let numbers = (0..).zip(&addresses.each).map(|(at, address)| (*address, at)).collect();
-        let mut told = false;
+        let numbers = (0..).zip(&addresses.each).map(|(index, address)| (*address, index)).collect();
+        let mut logged = false;
         loop {
             match Async::<UdpSocket>::bind(addresses.listen) {
                 Ok(socket) => {
@@ -46,44 +46,44 @@
                     }
                     return Self { socket, addresses, numbers, driver, leases };
                 }
-                Err(error) if !told => {
+                Err(error) if !logged => {
                     tracing::warn!("other poolers are not heard yet, {}: {error}", addresses.listen);
-                    told = true;
+                    logged = true;
                 }
                 Err(_) => {}
             }
-            // Leases are kept for this process for a while only.
-            Timer::after(if leases.is_some() { AGAIN / 20 } else { AGAIN }).await;
+            // Leases stay reserved for this process for a limited time only, so the attempts are more frequent.
+            Timer::after(if leases.is_some() { BIND_RETRY_INTERVAL / 20 } else { BIND_RETRY_INTERVAL }).await;
         }
     }
 
-    /// Sends what is to be told and hands on what comes. Runs as long as the module does.
-    pub async fn run(self, tells: Receiver<(To, Vec<u8>)>) {
-        or(or(self.send(tells), self.send_letters()), self.receive()).await;
+    /// Sends the queued datagrams and passes on the received ones, as long as the router runs.
+    pub async fn run(self, datagrams: Receiver<(To, Vec<u8>)>) {
+        or(or(self.send(datagrams), self.send_lease_datagrams()), self.receive()).await;
     }
 
-    async fn send_letters(&self) {
+    async fn send_lease_datagrams(&self) {
         let Some(leases) = &self.leases else { return std::future::pending().await };
         while let Some((to, bytes)) = leases.next_datagram().await {
-            for address in self.whom(to) {
+            for address in self.targets(to) {
                 let _ = self.socket.send_to(&bytes, address).await;
             }
             leases.datagram_sent();
         }
-        // The tasks of a pooler that leaves are given back: nothing more is to be sent.
+        // A pooler that leaves has released its tasks: there is nothing more to send.
         std::future::pending().await
     }
 
-    async fn send(&self, tells: Receiver<(To, Vec<u8>)>) {
-        while let Ok((to, bytes)) = tells.recv().await {
-            for address in self.whom(to) {
-                self.put(&bytes, address).await;
+    async fn send(&self, datagrams: Receiver<(To, Vec<u8>)>) {
+        while let Ok((to, bytes)) = datagrams.recv().await {
+            for address in self.targets(to) {
+                self.send_counted(&bytes, address).await;
             }
         }
     }
 
-    /// The addresses of whom a datagram is for.
-    fn whom(&self, to: To) -> Vec<SocketAddr> {
+    /// The addresses that a datagram is sent to.
+    fn targets(&self, to: To) -> Vec<SocketAddr> {
         match (to, self.addresses.all) {
             (To::All, Some(all)) => vec![all],
             (To::All, None) => self.addresses.each.clone(),
@@ -91,14 +91,14 @@
         }
     }
 
-    /// What can't be sent is lost.
-    async fn put(&self, bytes: &[u8], to: SocketAddr) {
+    /// Sends a datagram; it is lost if that fails.
+    async fn send_counted(&self, bytes: &[u8], to: SocketAddr) {
         self.driver.counters.told.add();
         let _ = self.socket.send_to(bytes, to).await;
     }
 
     async fn receive(&self) {
-        // One byte more than any has, so that a longer one is not taken for a whole one.
+        // One byte longer than any valid datagram, so that a truncated longer one is not taken for a valid one.
         let mut buffer = [0; MAX_DATAGRAM_LEN + 1];
         loop {
             match self.socket.recv_from(&mut buffer).await {
@@ -113,10 +113,10 @@
                     }
                     None => self.driver.counters.strangers.add(),
                 },
-                // Such as what an earlier datagram met where nobody listened.
-                Err(_) => drop(Timer::after(PAUSE).await),
+                // Such as the error reported for an earlier datagram to an address without a listener.
+                Err(_) => drop(Timer::after(READ_RETRY_DELAY).await),
             }
-            // A flood of datagrams holds up nobody else.
+            // Keeps a flood of datagrams from starving the other tasks.
             yield_now().await;
         }
     }
--- a/crates/net/src/work.rs
+++ b/crates/net/src/work.rs
@@ -363,7 +363,7 @@
                     .filter(|index| record.states[*index] == MachineState::Warming && changed(index))
                     .map(|index| plan.machines[index])
                     .collect();
-                self.deps.feed.by_plan(&out, &returned);
+                self.deps.feed.apply_plan(&out, &returned);
                 // Idle connections must not delay a machine's work.
                 self.deps.pool.close_stale_idle();
                 if !returned.is_empty() {
@@ -382,7 +382,7 @@
                 }
             }
             MachineKind::Poolers => {
-                self.deps.feed.by_plan(&BTreeSet::new(), &[]);
+                self.deps.feed.apply_plan(&BTreeSet::new(), &[]);
                 let out_for_work = coordinator.own_machine_is_out();
                 if out_for_work != self.drained_for_work.replace(out_for_work) {
                     tracing::info!(
@@ -569,7 +569,7 @@
                 primary: primaries
                     .get(&member_info.group)
                     .map_or(member_info.primary, |primary_id| *primary_id == id),
-                in_service: self.deps.members.serves_but_for_plans(&id),
+                in_service: self.deps.members.in_service_without_plans(&id),
                 failing: own_failing.contains(&machine)
                     || reports
                         .failing
--- a/crates/net/tests/settings.rs
+++ b/crates/net/tests/settings.rs
@@ -1,12 +1,12 @@
-//! The schema of the settings against what the decoders ask for. The example names every key, and everything in it is invented.
+//! Compares the schema of the settings with the keys that the decoders read. The example sets every key, to invented values.
 
 use linnetdeal_core::settings::Pairs;
 use linnetdeal_core::settings::schema::{KEYS, Key, Usage};
-use linnetdeal_net::config::{Config, NoEffect, PUT_ASIDE, decode_settings};
+use linnetdeal_net::config::{Config, IneffectiveSettings, OVERRIDDEN, decode_settings};
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 
-/// A complete example.
+/// Settings with a value for every key of the schema.
 fn settings() -> Value {
     let class = |name: &str, effect: &str, aim: f64| {
         json!({"Name": name, "Effect": effect, "Objective": aim, "Deadline": 2.5 * aim, "Worth": 2.0,
@@ -48,29 +48,31 @@
 }
 
 #[test]
-fn every_key_of_the_schema_is_read_or_stands_as_one_that_is_not() {
+fn every_key_of_the_schema_is_read_or_marked_as_unread() {
     let pairs = Pairs::from_json(&settings());
     assert_eq!(pairs.unknown(), Vec::<&str>::new(), "not in the schema");
     let present: BTreeSet<&str> = pairs.keys().filter_map(Key::find).map(|key| key.path).collect();
     decode_settings(&pairs).unwrap();
-    let asked = pairs.requested();
-    let strange: Vec<&String> = asked.iter().filter(|path| Key::find(path).is_none()).collect();
-    assert_eq!(strange, Vec::<&String>::new(), "asked for and not in the schema");
-    let asked: BTreeSet<&str> = asked.iter().filter_map(|path| Key::find(path)).map(|key| key.path).collect();
+    let requested_keys = pairs.requested();
+    let not_in_schema: Vec<&String> =
+        requested_keys.iter().filter(|path| Key::find(path).is_none()).collect();
+    assert_eq!(not_in_schema, Vec::<&String>::new(), "requested but not in the schema");
+    let requested_keys: BTreeSet<&str> =
+        requested_keys.iter().filter_map(|path| Key::find(path)).map(|key| key.path).collect();
     for Key { path, usage } in KEYS {
         assert!(present.contains(path), "the example lacks {path}");
         let decoded = !matches!(usage, Usage::Unread(_));
-        assert_eq!(asked.contains(path), decoded, "{path} stands as {usage:?}");
+        assert_eq!(requested_keys.contains(path), decoded, "{path} is marked as {usage:?}");
     }
 }
 
-/// The same setting with another value that it may have.
-fn other(value: &Value) -> Value {
+/// Another valid value of the same setting.
+fn other_value(value: &Value) -> Value {
     match value {
-        Value::Bool(is) => (!is).into(),
+        Value::Bool(flag) => (!flag).into(),
         Value::Number(_) => (value.as_f64().unwrap() + 1.0).into(),
-        Value::Array(all) if all[0].is_string() => Value::from(all[..all.len() - 1].to_vec()),
-        Value::Array(all) => all.iter().map(other).collect(),
+        Value::Array(items) if items[0].is_string() => Value::from(items[..items.len() - 1].to_vec()),
+        Value::Array(items) => items.iter().map(other_value).collect(),
         Value::String(text) => match text.as_str() {
             "ask" => "push",
             "brought" => "kept",
@@ -84,45 +86,51 @@
     }
 }
 
-/// All places of plain values and lists of them, as paths and as JSON pointers.
-fn places(value: &Value, pointer: &str, all: &mut Vec<String>) {
+/// Collects the JSON pointers of all scalar values and of lists of scalars.
+fn collect_pointers(value: &Value, pointer: &str, pointers: &mut Vec<String>) {
     match value {
         Value::Object(fields) => {
-            fields.iter().for_each(|(name, value)| places(value, &format!("{pointer}/{name}"), all));
+            fields
+                .iter()
+                .for_each(|(name, value)| collect_pointers(value, &format!("{pointer}/{name}"), pointers));
         }
         Value::Array(items) if items[0].is_object() => {
-            items.iter().enumerate().for_each(|(at, item)| places(item, &format!("{pointer}/{at}"), all));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(at, item)| collect_pointers(item, &format!("{pointer}/{at}"), pointers));
         }
-        _ => all.push(pointer.to_owned()),
+        _ => pointers.push(pointer.to_owned()),
     }
 }
 
 #[test]
-fn a_setting_that_stands_as_read_changes_what_is_decoded_and_the_others_change_nothing() {
+fn a_setting_marked_as_read_changes_the_decoded_settings_and_others_do_not() {
     let before = settings();
     let decode = |settings: &Value| decode_settings(&Pairs::from_json(settings)).ok();
-    let mut all = Vec::new();
-    places(&before, "", &mut all);
-    for pointer in all {
+    let mut pointers = Vec::new();
+    collect_pointers(&before, "", &mut pointers);
+    for pointer in pointers {
         let path = pointer[1..].replace('/', ".");
         let mut after = before.clone();
         let value = after.pointer_mut(&pointer).unwrap();
-        *value = other(value);
+        *value = other_value(value);
         let changed = decode(&after) != decode(&before);
-        // Bounds count only where a class has one, and the longest deadline is the longest of all.
-        let shorter = ["Lanes.0.Deadline"].contains(&path.as_str());
+        // Bounds matter only for classes that have one. Only the longest of all deadlines is decoded, so that changing a shorter one has
+        // no effect.
+        let not_longest = ["Lanes.0.Deadline"].contains(&path.as_str());
         let decoded = !matches!(Key::find(&path).unwrap().usage, Usage::Unread(_));
-        assert_eq!(changed, decoded && !shorter, "{path}");
+        assert_eq!(changed, decoded && !not_longest, "{path}");
     }
 }
 
 #[test]
-fn what_this_host_puts_aside_has_no_effect() {
-    for (path, _) in PUT_ASIDE {
+fn overridden_settings_have_no_effect() {
+    for (path, _) in OVERRIDDEN {
         let before = settings();
         let mut after = before.clone();
         let value = after.pointer_mut(&format!("/{}", path.replace('.', "/"))).unwrap();
-        *value = other(value);
+        *value = other_value(value);
         let [before, after] = [before, after].map(|settings| Config::decode(&config(&settings)).unwrap());
         assert_eq!(before.settings, after.settings, "{path}");
         assert_eq!(before.host, after.host, "{path}");
@@ -130,15 +138,15 @@
 }
 
 #[test]
-fn a_host_tells_what_it_puts_aside_beside_what_nobody_reads() {
+fn ineffective_settings_include_overridden_and_unread_ones() {
     let mut example = settings();
     example["Rules"]["Wind"] = 3.into();
-    let NoEffect { unused, unknown } = NoEffect::of(&config(&example)).unwrap();
+    let IneffectiveSettings { unused, unknown } = IneffectiveSettings::find_in(&config(&example)).unwrap();
     assert_eq!(unknown, ["Rules.Wind"]);
-    let paths: Vec<&str> = unused.iter().map(|of| of.path.as_str()).collect();
-    let known = KEYS.iter().filter(|key| key.usage != Usage::Read).map(|key| key.path);
-    let mut wanted: Vec<&str> =
-        known.chain(PUT_ASIDE.map(|(path, _)| path)).chain(["Report.Fields util"]).collect();
-    wanted.sort_unstable();
-    assert_eq!(paths, wanted);
+    let paths: Vec<&str> = unused.iter().map(|setting| setting.path.as_str()).collect();
+    let not_read = KEYS.iter().filter(|key| key.usage != Usage::Read).map(|key| key.path);
+    let mut expected: Vec<&str> =
+        not_read.chain(OVERRIDDEN.map(|(path, _)| path)).chain(["Report.Fields util"]).collect();
+    expected.sort_unstable();
+    assert_eq!(paths, expected);
 }
