--- a/crates/core/src/guard.rs
+++ b/crates/core/src/guard.rs
@@ -23,7 +23,7 @@
     pub copies_allowed: bool,
     /// An earlier attempt may have run.
     pub may_have_run: bool,
-    /// Whether the request may be repeated.
+    /// Whether and how the request may be repeated.
     pub effect: Effect,
 }
 
--- a/crates/core/src/handover/mod.rs
+++ b/crates/core/src/handover/mod.rs
@@ -31,9 +31,9 @@
 const MAX_TRIALS_PER_S: f64 = 250.0;
 /// Upper bound of the interval that results from that rate.
 const MAX_TRIAL_INTERVAL: Span = Span::millis(1_000);
-/// The rate of a release is estimated once it has lasted this long
+/// The least time that a release has lasted before its rate is estimated.
 const MIN_RATE_PERIOD: Span = Span::millis(500);
-/// and brought this many answers.
+/// The least number of answers in a release before its rate is estimated.
 const MIN_RATE_ANSWERS: u32 = 5;
 /// A release may become this many times faster than it was so far, since a cold primary warms up.
 const MAX_SPEEDUP: f64 = 2.0;
--- a/crates/core/src/handover/search.rs
+++ b/crates/core/src/handover/search.rs
@@ -13,7 +13,7 @@
 /// Probes per second that a search may cost a member, from all routers together, as long as these are at most
 /// 100. A probe costs a member of the platform at most 0.39 ms, so that on four cores this is under 1% of its
 /// capacity. A larger fleet probes once a second per router; ten rounds a second from each of 500 routers would
-/// cost 0.15 of G.
+/// cost 0.15 of the goal function G.
 const MAX_PROBES_PER_S: f64 = 100.0;
 /// The least interval between probes of a candidate, however few routers there are: reports are not fresher than
 /// this.
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -9,7 +9,7 @@
 /// Roles as indexes of per-role counts.
 pub(crate) const REPLICA: usize = 0;
 pub(crate) const PRIMARY: usize = 1;
-/// A time before every event. A quarter of the range, so that differences do not overflow.
+/// A time before every event, far enough from the limits that differences do not saturate.
 pub(crate) const NEVER: Time = Time(i64::MIN / 4);
 
 /// An attempt that was sent and has not ended.
@@ -53,7 +53,7 @@
     /// The latest failure was a connection that could not be established.
     pub(crate) connect_failed: bool,
     pub(crate) last_answer_at: Time,
-    /// When the latest sent of its answered attempts was sent.
+    /// The latest send time among its answered attempts.
     pub(crate) latest_answered_send: Time,
     pub(crate) last_probe: Time,
     /// Grows with answers that are in time, shrinks with refusals and with late answers.
@@ -147,7 +147,7 @@
     pub(crate) may_have_run: bool,
     /// Attempts that proved that their member is not the primary or cannot be reached.
     pub(crate) rejections: u32,
-    /// When it is handled next: at its deadline, or when its attempt is overdue.
+    /// When it is handled next: at its deadline, or when its attempt is to be hedged.
     pub(crate) due_at: Time,
 }
 
