--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -26,7 +26,8 @@
         "debug" => Level::DEBUG,
         _ => Level::INFO,
     };
-    // The subscriber's own error messages are disabled: they are written to the same standard error, and would panic if it is closed.
+    // The subscriber's own error messages are disabled: they are written to the same standard error, and would
+    // panic if it is closed.
     let builder =
         tracing_subscriber::fmt().with_max_level(level).with_writer(|| LossyStderr).with_ansi(false);
     let builder = builder.log_internal_errors(false);
--- a/crates/daemon/src/members.rs
+++ b/crates/daemon/src/members.rs
@@ -63,8 +63,9 @@
         let rows: Vec<_> = members
             .iter()
             .map(|(id, member_info)| {
-                json!({"member": &*id.0, "address": member_info.address.map(|at| at.to_string()), "group": member_info.group.0,
-                       "zone": member_info.zone, "state": state(member_info.state), "primary": member_info.primary,
+                json!({"member": &*id.0, "address": member_info.address.map(|at| at.to_string()),
+                       "group": member_info.group.0, "zone": member_info.zone, "state": state(member_info.state),
+                       "primary": member_info.primary,
                        "started_ms": member_info.started.map(|at| at.0 / 1_000)})
             })
             .collect();
--- a/crates/daemon/src/registry.rs
+++ b/crates/daemon/src/registry.rs
@@ -17,7 +17,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long the process waits at exit for its deregistration. The platform allows more time than this after the last answers.
+/// How long the process waits at exit for its deregistration. The platform allows more time than this after the
+/// last answers.
 const DEREGISTRATION_TIMEOUT: Duration = Duration::from_millis(100);
 
 fn span(duration: Duration) -> Span {
@@ -127,8 +128,8 @@
     }
 }
 
-/// Starts following a registry, and registering this pooler there if configured. Returns a future to be run at exit, which
-/// deregisters the pooler.
+/// Starts following a registry, and registering this pooler there if configured. Returns a future to be run at
+/// exit, which deregisters the pooler.
 ///
 /// # Errors
 ///
--- a/crates/daemon/src/work.rs
+++ b/crates/daemon/src/work.rs
@@ -1,4 +1,5 @@
-//! Converts the maintenance settings of an operator's file to the pooler's options, and simulates plans for `linnetdeal work --dry-run`.
+//! Converts the maintenance settings of an operator's file to the pooler's options, and simulates plans for
+//! `linnetdeal work --dry-run`.
 
 use crate::ExitError;
 use linnetdeal_coordination::lease::{TaskId, TaskSetup, Token};
@@ -60,7 +61,8 @@
     }
 }
 
-/// Prints the order in which a plan's machines would go out, assuming that nothing fails and all work takes equally long.
+/// Prints the order in which a plan's machines would go out, assuming that nothing fails and all work takes
+/// equally long.
 pub fn dry_run(plan: &Path, operator: &Path, config: &Path) -> Result<(), ExitError> {
     let operator = Operator::load(operator).map_err(ExitError::config)?;
     let Some(settings) = &operator.work else {
@@ -69,7 +71,7 @@
     let config = Config::load(config).map_err(ExitError::config)?;
     let bytes =
         std::fs::read(plan).map_err(|error| ExitError::config(format!("{}: {error}", plan.display())))?;
-    let plan_request = PlanRequest::read(&bytes).map_err(ExitError::config)?;
+    let plan_request = PlanRequest::from_json(&bytes).map_err(ExitError::config)?;
     let listed = || config.known.instances.iter().filter(|instance| instance.state() != ListState::Gone);
     let servers: Vec<ServerCandidate> = listed()
         .map(|instance| {
--- a/crates/net/src/config.rs
+++ b/crates/net/src/config.rs
@@ -10,7 +10,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Minimum number of descriptors. With fewer, none are left for clients and servers beside those that the process itself needs.
+/// Minimum number of descriptors. With fewer, none are left for clients and servers beside those that the
+/// process itself needs.
 const MIN_SOCKETS: usize = 16;
 
 /// Settings that this program overrides whatever their value, with the reasons. [`Config::decode`] overrides them.
@@ -64,7 +65,8 @@
     pub sockets: usize,
     /// The list of servers to start with.
     pub known: ServerList,
-    /// The addresses for datagrams between poolers; `None` if the settings allow none, or not all poolers are named.
+    /// The addresses for datagrams between poolers; `None` if the settings allow none, or not all poolers are
+    /// named.
     pub peers: Option<PeerAddresses>,
     /// The address of the operators' API; none by default.
     pub operator: Option<SocketAddr>,
@@ -380,8 +382,8 @@
 }
 
 impl ServerList {
-    /// The list as an update of its source, versioned by the number of its message. The platform's messages arrive in order and are
-    /// trusted.
+    /// The list as an update of its source, versioned by the number of its message. The platform's messages
+    /// arrive in order and are trusted.
     #[must_use]
     pub fn source_update(&self, number: i64, whole: bool) -> SourceUpdate {
         let claims = self.instances.iter().map(|server| server.claim(number)).collect();
--- a/crates/net/src/discovery.rs
+++ b/crates/net/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Follows the platform's list of servers by a watch of discovery. Each change is applied as soon as it has been read.
+//! Follows the platform's list of servers by a watch of discovery. Each change is applied as soon as it has
+//! been read.
 
 use super::buffer::{ReadBuffer, write_all};
 use super::http::{self, HttpError};
@@ -19,9 +20,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A watch that delivers nothing complete for this long is closed. By the protocol an empty line arrives every 2 s, and changes that a
-/// silent watch missed are binding 6 s after it fell silent. The timeout of 1.6 heartbeats tolerates one late line and leaves close to
-/// half of the 6 s for opening a new watch.
+/// A watch that delivers nothing complete for this long is closed. By the protocol an empty line arrives every
+/// 2 s, and changes that a silent watch missed are binding 6 s after it fell silent. The timeout of 1.6
+/// heartbeats tolerates one late line and leaves close to half of the 6 s for opening a new watch.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(3_200);
 
 /// The address of discovery; it may change while the pooler runs.
@@ -29,20 +30,20 @@
 pub struct Source {
     address: Cell<Option<SocketAddr>>,
     address_changed: Event,
-    /// The fleet size and the drain's grace period of reloaded settings, until they are applied.
-    retuned_settings: Cell<Option<(u32, Span)>>,
+    /// The fleet size and the drain's grace period of reloaded settings, until the next pause applies them.
+    pending_settings: Cell<Option<(u32, Span)>>,
 }
 
 impl Source {
     /// Creates a source at `address`, or one without an address yet.
     #[must_use]
     pub fn new(address: Option<SocketAddr>) -> Self {
-        Self { address: Cell::new(address), address_changed: Event::new(), retuned_settings: Cell::new(None) }
+        Self { address: Cell::new(address), address_changed: Event::new(), pending_settings: Cell::new(None) }
     }
 
     /// Sets the fleet size and the drain's grace period that determine the pauses between watches.
-    pub fn retune(&self, fleet: u32, drain_grace: Span) {
-        self.retuned_settings.set(Some((fleet, drain_grace)));
+    pub fn reconfigure(&self, fleet: u32, drain_grace: Span) {
+        self.pending_settings.set(Some((fleet, drain_grace)));
     }
 
     /// Changes the address of discovery.
@@ -62,7 +63,7 @@
     #[error("invalid list: {0}")]
     Json(#[from] serde_json::Error),
     #[error("{0}")]
-    Text(#[from] SplitError),
+    Split(#[from] SplitError),
 }
 
 /// Follows the platform's list and applies it to the members.
@@ -70,10 +71,12 @@
     source: Rc<Source>,
     feed: Feed,
     counters: Rc<Counters>,
-    /// The number of the last message. Later messages count as newer, unless the list's version contradicts.
+    /// The number of messages so far. Claims of later messages count as newer, unless the list's version
+    /// contradicts.
     message_count: Cell<i64>,
-    /// The version of the newest list, and whether the version of the next list is comparable to it.
+    /// The version of the newest list.
     newest_version: Cell<u64>,
+    /// Whether the version of the next list is comparable to `newest_version`.
     versions_comparable: Cell<bool>,
     heard_flag: Rc<Flag>,
 }
@@ -99,8 +102,9 @@
         self.heard_flag.clone()
     }
 
-    /// Applies a list; `whole` marks it as a full one, whatever its own flag says. A list older than the current version does not bring
-    /// back members that are draining or gone, since those states are newer. A full list that is older restarts the count of versions.
+    /// Applies a list; `whole` marks it as a full one, whatever its own flag says. A list older than the
+    /// current version does not bring back members that are draining or gone, since those states are newer. An
+    /// outdated full list becomes the new base for comparing versions.
     pub fn apply_list(&self, mut list: ServerList, whole: bool) {
         let number = self.message_count.get() + 1;
         self.message_count.set(number);
@@ -129,12 +133,14 @@
             address_changed.await;
             continue;
         };
-        // The address has changed, during a watch or a pause: versions of the new source are not comparable to the earlier ones.
+        // The address has changed, during a watch or a pause: versions of the new source are not comparable to
+        // the earlier ones.
         if last_address.replace(address).is_some_and(|last_address| last_address != address) {
             follower.versions_comparable.set(false);
         }
         follower.counters.watches.add();
-        // The old address may stay silent, while changes at the new one become binding soon: the watch moves at once.
+        // The old address may stay silent, while changes at the new one become binding soon: the watch moves at
+        // once.
         let relocated = async {
             address_changed.await;
             Ok(())
@@ -160,7 +166,7 @@
         if follower.source.address.get() != current_address {
             continue;
         }
-        if let Some((fleet, drain_grace)) = follower.source.retuned_settings.take() {
+        if let Some((fleet, drain_grace)) = follower.source.pending_settings.take() {
             backoff.reconfigure(fleet, drain_grace);
         }
         let pause = duration(backoff.pause(watch_end));
--- a/crates/net/src/succession.rs
+++ b/crates/net/src/hot_restart.rs
@@ -1,6 +1,6 @@
-//! State that a process shares with the process that succeeds it, kept as files in `$TMPDIR`. A fact is expressed by whether a file
-//! exists, so that no fact can be half written and no change by the other process is lost. `core/succession.rs` defines the facts'
-//! meaning.
+//! State that a process shares with the process that succeeds it, kept as files in `$TMPDIR`. A fact is
+//! expressed by whether a file exists, so that no fact can be half written and no change by the other process
+//! is lost. `core/hot_restart.rs` defines the facts' meaning.
 
 use async_io::Timer;
 use linnetdeal_core::MemberId;
@@ -16,20 +16,21 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
-/// Folder with an empty file for each server drained by an operator, named by the server's id in hexadecimal digits.
+/// Folder with an empty file for each server drained by an operator, named by the server's id in hexadecimal
+/// digits.
 const DRAINED_DIR: &str = "linnetdeal.out";
 /// File that names the newest process.
 const NEWEST_FILE: &str = "linnetdeal.newest";
-/// Prefix of the lock files. Each process locks a file of its own while it lives; the system releases the lock however the process
-/// ends.
+/// Prefix of the lock files. Each process locks a file of its own while it lives; the system releases the lock
+/// however the process ends.
 const LOCK_PREFIX: &str = "linnetdeal.alive";
 /// Prefix of the files that hold the maintenance record known to the processes of this pooler.
 const WORK_PREFIX: &str = "linnetdeal.work";
-/// Interval between reads of the operator drains. No new request may go to a server later than 0.25 s after the other process has
-/// confirmed the drain.
+/// Interval between reads of the operator drains. No new request may go to a server later than 0.25 s after the
+/// other process has confirmed the drain.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// A folder modified more recently than this may have been modified again within the same tick of the file system's clock, so its
-/// modification time does not prove that nothing changed.
+/// A folder modified more recently than this may have been modified again within the same tick of the file
+/// system's clock, so its modification time does not prove that nothing changed.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
 /// Limit on the files read from a folder: the maximum number of drained servers, with room for foreign files.
 const MAX_FILES: usize = MAX_OPERATOR_DRAINS + 100;
@@ -84,8 +85,8 @@
                 let _ = std::fs::remove_file(entry.path());
             }
         }
-        // Another process that starts at the same moment may test this lock, find it free and remove the file. The loop ends once the
-        // locked file is the one that the path names.
+        // Another process that starts at the same moment may test this lock, find it free and remove the file.
+        // The loop ends once the locked file is the one that the path names.
         let path = self.lock_path(&self.own_name);
         *self.own_lock.borrow_mut() = loop {
             let lock_file = File::options().create(true).append(true).open(&path)?;
@@ -113,8 +114,8 @@
         self.folder.join(format!("{LOCK_PREFIX}.{owner}"))
     }
 
-    /// Whether the process that succeeded this one is dead. A hung process does not count as dead, since it can't be told from a
-    /// slow one.
+    /// Whether the process that succeeded this one is dead. A hung process does not count as dead, since it
+    /// can't be told from a slow one.
     #[must_use]
     pub fn successor_is_dead(&self) -> bool {
         let Ok(newest) = std::fs::read_to_string(self.folder.join(NEWEST_FILE)) else { return false };
@@ -147,8 +148,9 @@
         self.own_lock.borrow().is_some() && !self.is_alone()
     }
 
-    /// Stores the maintenance record that this process knows, under its version. Each version has a file of its own, because on some
-    /// file systems replacing a file by rename waits for the disk, and with it all requests would wait.
+    /// Stores the maintenance record that this process knows, under its version. Each version has a file of its
+    /// own, because on some file systems replacing a file by rename waits for the disk, and with it all
+    /// requests would wait.
     ///
     /// # Errors
     ///
@@ -170,8 +172,8 @@
         }))
     }
 
-    /// Returns the newest maintenance record stored by any process of this pooler; `None` if the folder is unchanged since the last
-    /// call. The bytes may be half written: the caller has to detect that.
+    /// Returns the newest maintenance record stored by any process of this pooler; `None` if the folder is
+    /// unchanged since the last call. The bytes may be half written: the caller has to detect that.
     #[must_use]
     pub fn read_work(&self) -> Option<Vec<u8>> {
         let modified = std::fs::metadata(&self.folder).ok()?.modified().ok()?;
@@ -206,7 +208,8 @@
     ///
     /// # Errors
     ///
-    /// When the folder can't be read or holds more files than this program creates. Drained servers stay drained then.
+    /// When the folder can't be read or holds more files than this program creates. Drained servers stay
+    /// drained then.
     pub fn poll_operator_drains(&self) -> io::Result<(DrainChanges, usize)> {
         let folder = self.folder.join(DRAINED_DIR);
         let modified = std::fs::metadata(&folder)?.modified()?;
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -48,8 +48,8 @@
     Ok(Some(Head { chunked, size: end + 4 }))
 }
 
-/// Parses the first chunk of `data`: its content, and the bytes that it occupies with its framing. `None` while it is
-/// incomplete. An empty chunk ends the body.
+/// Parses the first chunk of `data`: its content, and the bytes that it occupies with its framing. `None` while
+/// it is incomplete. An empty chunk ends the body.
 ///
 /// # Errors
 ///
--- a/crates/net/src/leases.rs
+++ b/crates/net/src/leases.rs
@@ -1,5 +1,5 @@
-//! The leases of this pooler: runs the lease node of `linnetdeal-coordination`, and makes the calls of tasks whose holder calls an
-//! address. Datagrams are sent and received by the socket of `peers.rs`.
+//! The leases of this pooler: runs the lease node of `linnetdeal-coordination`, and makes the calls of tasks
+//! whose holder calls an address. Datagrams are sent and received by the socket of `peers.rs`.
 
 use crate::clock;
 use crate::config::duration;
@@ -51,7 +51,8 @@
     pub positions: Option<(Duration, Duration)>,
 }
 
-/// Polling of replication positions: one pooler per group probes the members and publishes the positions to the other poolers.
+/// Polling of replication positions: one pooler per group probes the members and publishes the positions to the
+/// other poolers.
 pub(crate) struct PositionPolling {
     pub(crate) term: Duration,
     pub(crate) interval: Duration,
@@ -67,8 +68,9 @@
         self.pool.report_fields().iter().position(|report_field| *report_field == field)
     }
 
-    /// Applies positions published by a holder, as load reports of the members. A position only grows, so that it stays a valid lower
-    /// bound however late it arrives. A member that checks the position required by a request rejects one that was overstated.
+    /// Applies positions published by a holder, as load reports of the members. A position only grows, so that
+    /// it stays a valid lower bound however late it arrives. A member that checks the position required by a
+    /// request rejects one that was overstated.
     fn apply(&self, published: &[Position]) {
         if published.is_empty() {
             return;
@@ -240,8 +242,8 @@
         self.sent.add();
     }
 
-    /// Releases all tasks, reserving them for the newer process of this pooler if it was replaced, and waits briefly until the queue is
-    /// sent.
+    /// Releases all tasks, reserving them for the newer process of this pooler if it was replaced, and waits
+    /// briefly until the queue is sent.
     pub(crate) async fn leave(&self, replaced: bool) {
         self.node.borrow_mut().leave(clock::steady(), replaced);
         self.flush();
@@ -428,7 +430,8 @@
             .header("pooler", format!("{}/{:016x}", self.me.number, self.me.incarnation))
             .header(TOKEN_HEADER, token.0)
             .body(Empty::<Bytes>::new())?;
-        // Checked after the last wait and before the first byte is sent. From here on only the receiver can reject an outdated token.
+        // Checked after the last wait and before the first byte is sent. From here on only the receiver can
+        // reject an outdated token.
         if self.holds(task) != Some(token) {
             return Ok(CallOutcome::NotSent);
         }
@@ -463,7 +466,8 @@
         task_views.into_iter().find(|task| task.name == name)?.holder.map(|holder| holder.instance.number)
     }
 
-    /// Releases all tasks and stops being a candidate, or becomes a candidate again for the tasks in `candidate_for`.
+    /// Releases all tasks and stops being a candidate, or becomes a candidate again for the tasks in
+    /// `candidate_for`.
     pub(crate) fn abstain(&self, withdraw: bool, candidate_for: &[TaskId]) {
         let now = clock::steady();
         let tasks: Vec<TaskId> = self.task_names.borrow().keys().copied().collect();
@@ -554,7 +558,8 @@
     }
 }
 
-/// Returns a number that identifies this start of the pooler. It is hashed from the seed, the process id and both clocks.
+/// Returns a number that identifies this start of the pooler. It is hashed from the seed, the process id and
+/// both clocks.
 #[must_use]
 pub fn new_incarnation(seed: u64) -> u64 {
     let text =
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,5 +1,5 @@
-//! The pooler on real sockets: runs the router of `linnetdeal-core` with clients, servers, discovery and other poolers. One executor on
-//! one thread runs all tasks.
+//! The pooler on real sockets: runs the router of `linnetdeal-core` with clients, servers, discovery and other
+//! poolers. One executor on one thread runs all tasks.
 
 pub mod arrivals;
 pub mod buffer;
@@ -13,6 +13,7 @@
 pub mod driver;
 pub mod flag;
 pub mod frontend;
+pub mod hot_restart;
 pub mod http;
 pub mod in_doubt;
 pub mod leases;
@@ -27,7 +28,6 @@
 pub mod request;
 pub mod signals;
 pub mod stall;
-pub mod succession;
 pub mod system_errors;
 pub mod tenants;
 pub mod timer_queue;
@@ -43,6 +43,7 @@
 use driver::{Driver, InvariantsReport};
 use flag::Flag;
 use futures_lite::future::or;
+use hot_restart::SharedState;
 use in_doubt::InDoubtWrites;
 use leases::{LeaseOptions, Leases};
 use lifecycle::Lifecycle;
@@ -58,12 +59,12 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::Duration;
-use succession::SharedState;
 use tenants::Tenants;
 use upstream::Pool;
 use work::{WorkOptions, WorkService};
 
-/// Maximum time that a process succeeding another one waits for the first message of discovery before it accepts clients.
+/// Maximum time that a process succeeding another one waits for the first message of discovery before it
+/// accepts clients.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Size of the buffer for data that is read and discarded, in bytes.
 const DISCARD_BUFFER_BYTES: usize = 64 * 1024;
@@ -76,7 +77,8 @@
     Listen(SocketAddr, std::io::Error),
 }
 
-/// A pooler that is set up and listening but not running yet. Further sources of members can be added before it runs.
+/// A pooler that is set up and listening but not running yet. Further sources of members can be added before it
+/// runs.
 pub struct Pooler {
     executor: Rc<LocalExecutor<'static>>,
     lifecycle: Rc<Lifecycle>,
@@ -88,8 +90,9 @@
 }
 
 impl Pooler {
-    /// Sets up a pooler. `config_file` is the path of `config`, for reloads on SIGHUP. `leases` take effect only if the settings allow
-    /// communication between poolers. `signals` are those received since the process started.
+    /// Sets up a pooler. `config_file` is the path of `config`, for reloads on SIGHUP. `leases` take effect
+    /// only if the settings allow communication between poolers. `signals` are those received since the process
+    /// started.
     ///
     /// # Errors
     ///
@@ -121,12 +124,14 @@
         let driver = Rc::new(Driver::new(router, counters.clone(), probes, datagrams_out));
         let inherited_fd = std::env::var("GW_LISTEN_FD").ok();
         let sockets = config.sockets;
-        // Some descriptors are reserved for the process itself and for clients that are accepted only to be refused.
+        // Some descriptors are reserved for the process itself and for clients that are accepted only to be
+        // refused.
         let reserve = (sockets / 4).min(40);
         let available = sockets - reserve;
         let (refusal_slots, max_upstream) = ((available / 24).max(8).min(available / 4), available * 3 / 8);
-        // Two overlapping processes together may hold no more descriptors than one. The number of clients is the same whichever
-        // process they are connected to; the share for servers is halved where a listening socket can be inherited.
+        // Two overlapping processes together may hold no more descriptors than one. The number of clients is
+        // the same whichever process they are connected to; the share for servers is halved where a listening
+        // socket can be inherited.
         let server_limit = if inherited_fd.is_some() { max_upstream / 2 } else { max_upstream };
         let pool = Rc::new(Pool::new(
             members.clone(),
@@ -171,9 +176,15 @@
             }
             if let Some((term, interval)) = options.positions.filter(|_| checks) {
                 let (driver, pool, members) = (driver.clone(), pool.clone(), member_table.clone());
-                let executor_of = executor.clone();
-                let position_polling =
-                    leases::PositionPolling { term, interval, executor: executor_of, driver, pool, members };
+                let task_executor = executor.clone();
+                let position_polling = leases::PositionPolling {
+                    term,
+                    interval,
+                    executor: task_executor,
+                    driver,
+                    pool,
+                    members,
+                };
                 executor.spawn(leases.clone().poll_members(Rc::new(position_polling))).detach();
             }
             let runner = leases.clone();
@@ -222,7 +233,8 @@
             scratch: RefCell::new(vec![0; DISCARD_BUFFER_BYTES]),
         };
 
-        // Servers drained by an operator stay drained whatever the list says, so the drains are applied before the list.
+        // Servers drained by an operator stay drained whatever the list says, so the drains are applied before
+        // the list.
         let changes = shared.as_ref().map(|shared| shared.poll_operator_drains());
         match changes {
             Some(Ok((changes, foreign))) => {
@@ -251,10 +263,10 @@
         let listening = listener.get_ref().local_addr().unwrap_or(config.listen);
         signals::spawn_handler(&Rc::new(handler), signals);
         start.signals_handled = true;
-        let (a, b, c) = (driver.clone(), pool.clone(), pool.clone());
-        executor.spawn(async move { a.run_wakes().await }).detach();
-        executor.spawn(async move { b.run_upkeep().await }).detach();
-        executor.spawn(async move { c.run_timers().await }).detach();
+        let (wake_driver, upkeep_pool, timer_pool) = (driver.clone(), pool.clone(), pool.clone());
+        executor.spawn(async move { wake_driver.run_wakes().await }).detach();
+        executor.spawn(async move { upkeep_pool.run_upkeep().await }).detach();
+        executor.spawn(async move { timer_pool.run_timers().await }).detach();
         if let Some(shared) = shared.clone() {
             if let Err(error) = shared.register_as_newest() {
                 tracing::warn!("an older process of this pooler won't notice this one: {error}");
@@ -264,8 +276,9 @@
                 async move { shared.follow(|changes| feed.adopt_operator_drains(&changes)).await };
             executor.spawn(follow_drains).detach();
         }
-        // The older process still accepts clients meanwhile. The list in this process's configuration may name servers that are long
-        // gone, so it waits for discovery first.
+        // A process that inherited the listening socket waits for discovery before it accepts clients: the list
+        // in its configuration may name servers that are long gone, and the older process still accepts clients
+        // meanwhile.
         let open = Rc::new(Flag::default());
         let first_message = inherited_fd.is_some().then(|| {
             let message_flag = follower.heard_from();
@@ -297,10 +310,10 @@
                 operator_api::listen(address).map_err(|error| RunError::Listen(address, error))?;
             let (executor, lifecycle, feed) = (executor.clone(), lifecycle.clone(), feed.clone());
             let (shared, open, leases) = (shared.clone(), open.clone(), leases.clone());
-            let executor_of = executor.clone();
+            let task_executor = executor.clone();
             let work_service = work_service.clone();
             let api = operator_api::OperatorApi {
-                executor: executor_of,
+                executor: task_executor,
                 lifecycle,
                 feed,
                 shared,
@@ -317,7 +330,8 @@
             let peer_task = async move {
                 peers::PeerSocket::open(addresses, driver, peer_leases).await.run(datagrams).await
             };
-            // The newer process takes over the address as soon as this one closes the socket, so the leases are released before that.
+            // The newer process takes over the address as soon as this one closes the socket, so the leases are
+            // released before that.
             let (own_leases, shared_ref) = (leases.clone(), shared.clone());
             let withdraw = async move {
                 lifecycle.draining.raised().await;
--- a/crates/net/src/lifecycle.rs
+++ b/crates/net/src/lifecycle.rs
@@ -1,5 +1,6 @@
-//! The lifecycle of a pooler process. The stages are reached in the order of the fields, each once. The exception is a process that
-//! handed its clients over to a newer process which then died: it accepts clients again.
+//! The lifecycle of a pooler process. The stages are reached in the order of the fields, each once. The
+//! exception is a process that handed its clients over to a newer process which then died: it accepts clients
+//! again.
 
 use crate::flag::{Flag, Switch};
 use std::cell::Cell;
--- a/crates/net/src/members.rs
+++ b/crates/net/src/members.rs
@@ -11,13 +11,13 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The platform's list of servers, as pushed by discovery.
+/// The source id of the platform's list of servers, as pushed by discovery.
 pub const PLATFORM: SourceId = SourceId(0);
-/// A service registry.
+/// The source id of a service registry.
 pub const REGISTRY: SourceId = SourceId(1);
 
-/// How long members that are gone are remembered. Together with [`MAX_GONE`] this bounds the memory held for members that came and
-/// went. A stale claim that arrives after this time is taken for a new member.
+/// How long members that are gone are remembered. Together with [`MAX_GONE`] this bounds the memory held for
+/// members that came and went. A stale claim that arrives after this time is taken for a new member.
 const GONE_RETENTION: Span = Span::millis(15 * 60 * 1_000);
 /// Maximum number of members that are gone and remembered.
 const MAX_GONE: usize = 16 * 1024;
@@ -64,8 +64,8 @@
     }
 }
 
-/// The entry point for updates. The member table is updated before the router, so that nothing is sent to a member that has just
-/// started to drain.
+/// The entry point for updates. The member table is updated before the router, so that nothing is sent to a
+/// member that has just started to drain.
 #[derive(Clone)]
 pub struct Feed {
     members: Rc<Members>,
@@ -99,7 +99,8 @@
         found
     }
 
-    /// Sets which members are out for maintenance work, and which ones have returned from it, by the hashes of their ids.
+    /// Sets which members are out for maintenance work, and which ones have returned from it, by the hashes of
+    /// their ids.
     pub fn apply_plan(&self, out: &BTreeSet<u64>, returned: &[u64]) {
         let returned: Vec<_> = returned.iter().map(|hash| (*hash, self.now())).collect();
         let outcome = self.members.0.borrow_mut().apply_plan(out, &returned);
--- a/crates/net/src/operator_api.rs
+++ b/crates/net/src/operator_api.rs
@@ -1,11 +1,12 @@
-//! The operators' HTTP/1.1 API on a second address, one call per connection. Each connection has a task and a time limit of its own, so
-//! that idle connections block no other call. Connections beyond a maximum number are closed at once.
+//! The operators' HTTP/1.1 API on a second address, one call per connection. Each connection has a task and a
+//! time limit of its own, so that idle connections block no other call. Connections beyond a maximum number are
+//! closed at once.
 
 use crate::flag::Flag;
+use crate::hot_restart::{MAX_ID_BYTES, SharedState};
 use crate::leases::Leases;
 use crate::lifecycle::Lifecycle;
 use crate::members::Feed;
-use crate::succession::{MAX_ID_BYTES, SharedState};
 use crate::work::WorkService;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -149,11 +150,11 @@
             ["leases", ..] => self.leases(&parts[1..]),
             ["servers", id, action] => self.set_server_drain(id, action == "disable"),
             _ => {
-                let drain = rest == "drain";
-                self.lifecycle.drained_by_operator.set(drain);
-                self.lifecycle.drained.set_on(drain);
-                tracing::info!("{} by hand", if drain { "drained" } else { "resumed" });
-                reply(StatusCode::OK, if drain { "draining" } else { "taking clients" })
+                let start_drain = rest == "drain";
+                self.lifecycle.drained_by_operator.set(start_drain);
+                self.lifecycle.drained.set_on(start_drain);
+                tracing::info!("{} by hand", if start_drain { "drained" } else { "resumed" });
+                reply(StatusCode::OK, if start_drain { "draining" } else { "taking clients" })
             }
         }
     }
@@ -215,23 +216,23 @@
     }
 
     /// Starts or ends an operator's drain of a server.
-    fn set_server_drain(&self, id: &str, drained: bool) -> (StatusCode, String) {
+    fn set_server_drain(&self, id: &str, disable: bool) -> (StatusCode, String) {
         let found =
-            id.len() <= MAX_ID_BYTES && self.feed.set_operator_drain(&MemberId(Arc::from(id)), drained);
+            id.len() <= MAX_ID_BYTES && self.feed.set_operator_drain(&MemberId(Arc::from(id)), disable);
         if !found {
             return (StatusCode::NOT_FOUND, "no server of this id was ever listed".to_owned());
         }
         let drained_servers = self.feed.operator_drained();
         tracing::info!(
             "server {id} {} by hand, {} out",
-            if drained { "out" } else { "back" },
+            if disable { "out" } else { "back" },
             drained_servers.len()
         );
         if let Some(Err(error)) =
-            self.shared.as_ref().map(|shared| shared.set_operator_drain(&MemberId(Arc::from(id)), drained))
+            self.shared.as_ref().map(|shared| shared.set_operator_drain(&MemberId(Arc::from(id)), disable))
         {
             tracing::warn!("operator drain not shared with other processes of this pooler: {error}");
         }
-        (StatusCode::OK, if drained { "out" } else { "back" }.to_owned())
+        (StatusCode::OK, if disable { "out" } else { "back" }.to_owned())
     }
 }
--- a/crates/net/src/peers.rs
+++ b/crates/net/src/peers.rs
@@ -1,5 +1,5 @@
-//! Datagrams between poolers. They may be lost, delayed or sent by anyone: only datagrams from the address of a pooler are passed on,
-//! and the receiving component validates their content.
+//! Datagrams between poolers. They may be lost, delayed or sent by anyone: only datagrams from the address of a
+//! pooler are passed on, and the receiving component validates their content.
 
 use crate::config::PeerAddresses;
 use crate::driver::Driver;
@@ -33,8 +33,8 @@
 }
 
 impl PeerSocket {
-    /// Opens the socket, retrying until the address is free: a process that this one succeeds may still use it. Requests can be served
-    /// meanwhile, since they don't depend on communication between poolers.
+    /// Opens the socket, retrying until the address is free: a process that this one succeeds may still use it.
+    /// Requests can be served meanwhile, since they don't depend on communication between poolers.
     pub async fn open(addresses: PeerAddresses, driver: Rc<Driver>, leases: Option<Rc<Leases>>) -> Self {
         let numbers = (0..).zip(&addresses.each).map(|(index, address)| (*address, index)).collect();
         let mut logged = false;
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -1,4 +1,5 @@
-//! Signal handling: SIGTERM and SIGINT drain the pooler, SIGHUP reloads the configuration, SIGUSR1 logs the counters.
+//! Signal handling: SIGTERM and SIGINT drain the pooler, SIGHUP reloads the configuration, SIGUSR1 logs the
+//! counters.
 
 use crate::classes::Classes;
 use crate::config::{Config, duration, span_of};
@@ -6,9 +7,9 @@
 use crate::counters::{Counters, StatusLog};
 use crate::discovery::Source;
 use crate::driver::Driver;
+use crate::hot_restart::SharedState;
 use crate::lifecycle::Lifecycle;
 use crate::mutants::{self, Mutant};
-use crate::succession::SharedState;
 use crate::tenants::Tenants;
 use crate::upstream::Pool;
 use async_executor::LocalExecutor;
@@ -23,6 +24,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
+/// Interval between checks of the conditions that a stage waits for. Also the pause after a failed read of the
+/// signal pipe.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Size of the buffer for the pipe's wake-up bytes.
 const WAKE_BUFFER_BYTES: usize = 64;
@@ -66,16 +69,16 @@
     Shutdown,
 }
 
-/// Received signals that have not been handled yet. Each signal sets a flag. The bytes in the pipe only wake the task that checks the
-/// flags, so it does not matter how many bytes one read returns, or whether it fails.
+/// Received signals that have not been handled yet. Each signal sets a flag. The bytes in the pipe only wake
+/// the task that checks the flags, so it does not matter how many bytes one read returns, or whether it fails.
 #[derive(Debug)]
 pub struct Signals {
     wake_receiver: Async<UnixStream>,
     raised: Vec<(Action, Arc<AtomicBool>)>,
 }
 
-/// Registers the signal handlers. Signals received from now on are kept until the pooler handles them; without a handler each of them
-/// would terminate the process.
+/// Registers the signal handlers. Signals received from now on are kept until the pooler handles them; without
+/// a handler each of them would terminate the process.
 ///
 /// # Errors
 ///
@@ -99,7 +102,8 @@
 }
 
 impl Signals {
-    /// Waits for the next requested action. Requests for the same action that arrive before it is taken are merged into one.
+    /// Waits for the next requested action. Requests for the same action that arrive before it is taken are
+    /// merged into one.
     async fn next(&self, counters: &Counters) -> Action {
         loop {
             let raised = self.raised.iter().find(|(_, flag)| flag.swap(false, Ordering::SeqCst));
@@ -143,15 +147,16 @@
     handler.executor.spawn(task).detach();
 }
 
-/// Reloads the configuration: applies its settings in one step and follows discovery at its address. Listening addresses and limits
-/// take effect at the next start only. The list of servers, connections and open requests are kept. An unusable file changes nothing.
+/// Reloads the configuration: applies its settings in one step and follows discovery at its address. Listening
+/// addresses and limits take effect at the next start only. The list of servers, connections and open requests
+/// are kept. An unusable file changes nothing.
 fn reload(handler: &Handler) {
     match Config::load(&handler.config_file) {
         Ok(config) => {
             let (settings, host) = (config.settings, config.host);
-            let longest = host.longest_deadline;
+            let max_deadline = host.longest_deadline;
             let (fleet, drain_grace) = (settings.fleet, settings.drain_grace);
-            if !handler.driver.update_settings(settings, &handler.classes, &handler.tenants, longest) {
+            if !handler.driver.update_settings(settings, &handler.classes, &handler.tenants, max_deadline) {
                 tracing::warn!(
                     "configuration kept as it was: too many classes or tenants in addition to those of earlier settings"
                 );
@@ -159,7 +164,7 @@
             }
             // Done in the same step, since load reports are decoded by the field names that the router uses.
             handler.pool.set_host_settings(host);
-            handler.source.retune(fleet, drain_grace);
+            handler.source.reconfigure(fleet, drain_grace);
             handler.status_log.counters.reloads.add();
             tracing::info!("configuration read again, discovery at {:?}", config.discovery);
             handler.source.follow(config.discovery);
@@ -173,32 +178,33 @@
     let started = Instant::now();
     let lifecycle = &handler.lifecycle;
     let superseded = handler.shared.as_ref().is_some_and(|shared| shared.is_superseded());
-    let plan = ShutdownSchedule::plan(span_of(handler.classes.longest_deadline()), superseded);
+    let schedule = ShutdownSchedule::plan(span_of(handler.classes.longest_deadline()), superseded);
     lifecycle.draining.raise();
     let clients = handler.slots.in_use();
     tracing::info!(
         "draining with {clients} clients connected{}",
         if superseded { ", for a newer process" } else { "" }
     );
-    if superseded && wait_for_successor(handler, &plan, started).await {
+    if superseded && wait_for_successor(handler, &schedule, started).await {
         let lifecycle = &handler.lifecycle;
         tracing::warn!("the newer process is gone: clients are taken again");
         lifecycle.handing_over_clients.set_on(false);
         lifecycle.accept_paused.set_on(false);
         // Continues as a process without a successor, but with the same start of the schedule.
-        let alone = ShutdownSchedule::plan(span_of(handler.classes.longest_deadline()), false);
-        run_stages(handler, &alone, started).await;
+        let schedule_alone = ShutdownSchedule::plan(span_of(handler.classes.longest_deadline()), false);
+        run_stages(handler, &schedule_alone, started).await;
         return;
     }
-    run_stages(handler, &plan, started).await;
+    run_stages(handler, &schedule, started).await;
 }
 
-/// Leaves new clients to the newer process until the idle ones are to be closed. Returns true if the newer process died meanwhile.
-async fn wait_for_successor(handler: &Handler, plan: &ShutdownSchedule, started: Instant) -> bool {
+/// Leaves new clients to the newer process until the idle ones are to be closed. Returns true if the newer
+/// process died meanwhile.
+async fn wait_for_successor(handler: &Handler, schedule: &ShutdownSchedule, started: Instant) -> bool {
     let lifecycle = &handler.lifecycle;
     lifecycle.handing_over_clients.set_on(true);
     lifecycle.accept_paused.set_on(true);
-    while started.elapsed() < duration(plan.close_idle) {
+    while started.elapsed() < duration(schedule.close_idle) {
         if handler.shared.as_ref().is_some_and(|shared| shared.successor_is_dead()) {
             return true;
         }
@@ -208,9 +214,10 @@
 }
 
 /// Goes through the remaining stages of the schedule in order.
-async fn run_stages(handler: &Handler, plan: &ShutdownSchedule, started: Instant) {
+async fn run_stages(handler: &Handler, schedule: &ShutdownSchedule, started: Instant) {
     let lifecycle = &handler.lifecycle;
-    let mut steps = vec![(plan.close_idle, None), (plan.stop_accepting, Some(&lifecycle.accept_paused))];
+    let mut steps =
+        vec![(schedule.close_idle, None), (schedule.stop_accepting, Some(&lifecycle.accept_paused))];
     steps.sort_by_key(|(due, _)| *due);
     for (due, switch) in steps {
         if let Some(delay) = duration(due).checked_sub(started.elapsed()) {
@@ -221,13 +228,14 @@
             None => lifecycle.closing_idle.raise(),
         }
     }
-    let mut until = duration(plan.answer_open);
+    let mut latest = duration(schedule.answer_open);
     for stage in [&lifecycle.terminating, &lifecycle.terminated] {
-        while handler.slots.in_use() > 0 && started.elapsed() < until {
+        while handler.slots.in_use() > 0 && started.elapsed() < latest {
             Timer::after(POLL_INTERVAL).await;
         }
         stage.raise();
-        // Open requests are answered now. If the process was stopped past the deadline, the answers still get a minimum of time.
-        until = duration(plan.exit).max(started.elapsed() + MIN_FINAL_ANSWER_TIME);
+        // Open requests are answered now. If the process was stopped past the deadline, the answers still get a
+        // minimum of time.
+        latest = duration(schedule.exit).max(started.elapsed() + MIN_FINAL_ANSWER_TIME);
     }
 }
--- a/crates/net/src/work.rs
+++ b/crates/net/src/work.rs
@@ -1,15 +1,15 @@
-//! Maintenance work on machines: runs the coordinator of `linnetdeal-coordination` in this process. It supplies the coordinator with
-//! this process's view of members, clients and load, and applies the plan's record: servers that are out for work get no new requests,
-//! a pooler whose machine is out is drained.
+//! Maintenance work on machines: runs the coordinator of `linnetdeal-coordination` in this process. It supplies
+//! the coordinator with this process's view of members, clients and load, and applies the plan's record:
+//! servers that are out for work get no new requests, a pooler whose machine is out is drained.
 
 use crate::clock;
 use crate::config::duration;
 use crate::connection_slots::ConnectionSlots;
 use crate::driver::Driver;
+use crate::hot_restart::SharedState;
 use crate::leases::Leases;
 use crate::lifecycle::Lifecycle;
 use crate::members::{Feed, Members};
-use crate::succession::SharedState;
 use crate::upstream::Pool;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -40,7 +40,8 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Interval at which a waiting call checks for its result.
 const RESULT_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Upper limit of the interval between steps. Other processes of this pooler learn of a change within twice this time.
+/// Upper limit of the interval between steps. Other processes of this pooler learn of a change within twice
+/// this time.
 const MAX_STEP_INTERVAL: Duration = Duration::from_millis(50);
 /// Minimum time between two steps.
 const MIN_STEP_GAP: Duration = Duration::from_millis(5);
@@ -130,7 +131,7 @@
     /// # Errors
     ///
     /// When it is not valid JSON of this form; the message has the line and column.
-    pub fn read(bytes: &[u8]) -> Result<Self, String> {
+    pub fn from_json(bytes: &[u8]) -> Result<Self, String> {
         serde_json::from_slice(bytes).map_err(|error| format!("the plan can't be read: {error}"))
     }
 
@@ -138,7 +139,8 @@
     ///
     /// # Errors
     ///
-    /// When no machine is selected, one is unknown, or servers and poolers are mixed; with a message for the operator.
+    /// When no machine is selected, one is unknown, or servers and poolers are mixed; with a message for the
+    /// operator.
     pub fn machines(
         &self,
         servers: &[ServerCandidate],
@@ -320,8 +322,8 @@
         if let Some(plan) = plan {
             coordinator.adopt(now, plan, &record);
         }
-        // While both processes live, neither confirms a machine as clear, so the other's record is safe to start from. The record of a
-        // dead process may be outdated.
+        // While both processes live, neither confirms a machine as clear, so the other's record is safe to
+        // start from. The record of a dead process may be outdated.
         if !coordinator.has_started() && shared.has_other_process() {
             coordinator.mark_started();
         }
@@ -367,7 +369,8 @@
                 // Idle connections must not delay a machine's work.
                 self.deps.pool.close_stale_idle();
                 if !returned.is_empty() {
-                    // Failures from before the work are obsolete. The leader treats the machine as failed until it answers.
+                    // Failures from before the work are obsolete. The leader treats the machine as failed until
+                    // it answers.
                     let leads = coordinator.view(clock::steady()).leads;
                     let members = self.deps.members.all();
                     let returned = members.into_iter().filter(|(id, _)| returned.contains(&id_hash(&id.0)));
@@ -606,7 +609,8 @@
         })
     }
 
-    /// Requests primary handovers for the machines that wait for one, and probes the members on which the next step depends.
+    /// Requests primary handovers for the machines that wait for one, and probes the members on which the next
+    /// step depends.
     fn drive_handover(self: &Rc<Self>, token: Option<Token>) {
         let Some(token) = token else { return };
         let coordinator = self.coordinator.borrow();
@@ -637,7 +641,8 @@
             .filter(|(id, _)| handing_over.contains(&id_hash(&id.0)))
             .map(|(_, member_info)| member_info.group)
             .collect();
-        // This pooler may have no requests for these members, and would otherwise notice neither a new primary nor a member that is back.
+        // This pooler may have no requests for these members, and would otherwise notice neither a new primary
+        // nor a member that is back.
         for (id, member_info) in &members {
             let must_probe = groups.contains(&member_info.group) || warming.contains(&id_hash(&id.0));
             if must_probe && member_info.state == ListState::Healthy {
@@ -768,7 +773,7 @@
     /// An HTTP status with a message.
     pub(crate) async fn submit(self: &Rc<Self>, body: &[u8]) -> Result<String, (u16, String)> {
         let bad_request = |message: String| (400, message);
-        let plan_request = PlanRequest::read(body).map_err(bad_request)?;
+        let plan_request = PlanRequest::from_json(body).map_err(bad_request)?;
         let (kind, machines) =
             plan_request.machines(&self.candidates(), self.options.setup.fleet).map_err(bad_request)?;
         let count = machines.len();
--- a/crates/net/tests/parsers.rs
+++ b/crates/net/tests/parsers.rs
@@ -96,7 +96,7 @@
 fn two_processes_share_the_operator_drains_and_which_process_is_the_newest() {
     use linnetdeal_core::MemberId;
     use linnetdeal_core::hot_restart::DrainChanges;
-    use linnetdeal_net::succession::SharedState;
+    use linnetdeal_net::hot_restart::SharedState;
     let folder = std::env::temp_dir().join(format!("linnetdeal-shared-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let ids = ["s-1", "s \"2\"\n/..", "\u{1f426}"].map(|id| MemberId(id.into()));
@@ -150,7 +150,7 @@
 
 #[test]
 fn processes_see_whether_another_one_lives_and_keep_only_the_newest_record() {
-    use linnetdeal_net::succession::SharedState;
+    use linnetdeal_net::hot_restart::SharedState;
     let folder = std::env::temp_dir().join(format!("linnetdeal-alive-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let older = SharedState::open(&folder).unwrap();
--- a/crates/net/tests/settings.rs
+++ b/crates/net/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Compares the schema of the settings with the keys that the decoders read. The example sets every key, to invented values.
+//! Compares the schema of the settings with the keys that the decoders read. The example sets every key, to
+//! invented values.
 
 use linnetdeal_core::settings::Pairs;
 use linnetdeal_core::settings::schema::{KEYS, Key, Usage};
@@ -116,8 +117,8 @@
         let value = after.pointer_mut(&pointer).unwrap();
         *value = other_value(value);
         let changed = decode(&after) != decode(&before);
-        // Bounds matter only for classes that have one. Only the longest of all deadlines is decoded, so that changing a shorter one has
-        // no effect.
+        // Bounds matter only for classes that have one. Only the longest of all deadlines is decoded, so that
+        // changing a shorter one has no effect.
         let not_longest = ["Lanes.0.Deadline"].contains(&path.as_str());
         let decoded = !matches!(Key::find(&path).unwrap().usage, Usage::Unread(_));
         assert_eq!(changed, decoded && !not_longest, "{path}");
