--- a/crates/net/src/request.rs
+++ b/crates/net/src/request.rs
@@ -155,7 +155,7 @@
     abort_source: &impl AbortSource,
 ) -> (FinalAnswer<C::Reply>, PendingAnswer) {
     let max_running = if client_request.copies_allowed { MAX_CONCURRENT_ATTEMPTS } else { 1 };
-    let mut abort = pin!(abort_source.aborted());
+    let mut abort_signal = pin!(abort_source.aborted());
     let mut attempt_numbers = (0..).map(AttemptNo);
     let mut running = Vec::new();
     let mut may_have_run = None;
@@ -183,7 +183,7 @@
         // The router orders an attempt or the final answer, or lets the request wait.
         let attempt_ended = async { NextStep::AttemptEnded(next_finished(&mut running).await) };
         let action = async { NextStep::Action(handle.next_action().await) };
-        let aborted = async { NextStep::Aborted(abort.as_mut().await) };
+        let aborted = async { NextStep::Aborted(abort_signal.as_mut().await) };
         let next_step = or(attempt_ended, or(action, aborted)).await;
         let (finished, conclusion) = match next_step {
             // The client may have left, or the process may be about to end, in the same poll in which this
