--- a/crates/core/src/hot_restart.rs
+++ b/crates/core/src/hot_restart.rs
@@ -29,8 +29,8 @@
     }
 
     /// Records that this process itself has added a drain to the shared state or removed one.
-    pub fn record(&mut self, member: &MemberId, out: bool) {
-        if out {
+    pub fn record(&mut self, member: &MemberId, drained: bool) {
+        if drained {
             self.0.insert(member.clone());
         } else {
             self.0.remove(member);
@@ -41,19 +41,20 @@
 /// The times at which a terminating process takes the steps of its shutdown, counted from the signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownSchedule {
-    /// From then on each answer closes its connection; `None` for never.
+    /// When connections begin to be closed with their next answer; `None` for never.
     pub close_on_answer: Option<Span>,
-    /// Idle connections are closed.
+    /// When idle connections are closed.
     pub close_idle: Span,
-    /// No more connections are accepted.
+    /// When the process stops accepting connections.
     pub stop_accepting: Span,
-    /// Open requests get a final answer.
+    /// When open requests get a final answer.
     pub answer_open: Span,
-    /// The process exits, even if connections are left.
+    /// When the process exits, even if connections are left.
     pub exit: Span,
 }
 
-/// Nothing changes for clients until this long after SIGTERM, since connections keep arriving for up to 0.4 s.
+/// Without a newer process nothing changes for clients until this long after SIGTERM, since connections keep arriving
+/// for up to 0.4 s.
 const MIN_SERVING_TIME: Span = Span::millis(500);
 /// How long before open requests are answered idle connections are closed. A client uses its connection for as long
 /// as it lasts and no other pooler meanwhile, so closing it earlier would fail requests that could still be served.
--- a/crates/core/src/interface.rs
+++ b/crates/core/src/interface.rs
@@ -132,7 +132,7 @@
 /// Where the position that a session's reads must see comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tokens {
-    /// Each request tells how long ago its session last wrote.
+    /// Each request carries how long ago its session last wrote.
     Carried,
     /// The router remembers the commits of the sessions that it has served.
     Remembered,
@@ -371,7 +371,7 @@
     Replica,
 }
 
-/// The note in which a member tells its role and position with an answer.
+/// The note in an answer, with which a member reports its role and position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Note {
     /// The member's role; `None` if the note is unreadable.
@@ -399,7 +399,7 @@
     Broken,
     /// The connection broke after the request was sent; the request may have run.
     Reset,
-    /// The router cancelled it; the request may have run.
+    /// It was cancelled; the request may have run.
     Cancelled,
     /// It was never sent, because it was no longer needed.
     Moot,
@@ -450,7 +450,7 @@
     Gone(RequestId),
     /// A timer set by [`Action::Wake`] has fired.
     Wake,
-    /// A streamed answer has begun to reach the client, so that the request can't be sent again.
+    /// A streamed answer has begun; the router no longer controls the attempt or answers the client.
     Streaming(RequestId),
     /// An attempt has ended.
     Outcome(Outcome),
--- a/crates/core/src/invariants.rs
+++ b/crates/core/src/invariants.rs
@@ -61,7 +61,7 @@
     Violation::StartedEarly,
 ];
 
-/// One violation.
+/// A violation that occurred, with its details.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ViolationRecord {
     /// Its kind.
@@ -103,7 +103,7 @@
 /// The kinds of final answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// With a member's answer.
+    /// Answered with the result from a member.
     Served,
     /// Refused, as safe to retry.
     Refused,
@@ -117,6 +117,7 @@
     contract: RequestContract,
     in_flight: Vec<AttemptNo>,
     may_have_run: bool,
+    /// When the client disconnected.
     departed: Option<Time>,
     answered: bool,
 }
@@ -126,9 +127,11 @@
 pub struct Invariants {
     drain_grace: Span,
     requests: BTreeMap<RequestId, Request>,
+    /// The members that are not in service, and since when.
     withdrawn: BTreeMap<MemberId, Time>,
     counts: BTreeMap<Violation, u64>,
     recent: VecDeque<ViolationRecord>,
+    /// The number of attempts that were checked.
     checked: u64,
 }
 
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -30,15 +30,15 @@
     fnv1a(id.bytes())
 }
 
-/// The number of a source of claims, assigned by the host. Lower numbers take precedence where only one source can
-/// count.
+/// The number of a source of claims, assigned by the host. Data that can come from one source only is taken from the
+/// lowest number that has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SourceId(pub u8);
 
 /// The version of a claim. It orders claims by what the member itself reported, not by when they arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClaimVersion {
-    /// When the member last started, if the source tells. A later start outranks any stamp.
+    /// When the member last started, if the source reports it. A later start outranks any stamp.
     pub started: Option<Time>,
     /// The timestamp of the member's last change of its own registration (derived from Eureka's
     /// `lastDirtyTimestamp`), or the sequence number of the message where the messages of a source are ordered.
@@ -87,7 +87,7 @@
 pub struct Claim {
     /// The member.
     pub member: MemberId,
-    /// The address on which it listens; `None` if the source does not tell or the address is unreadable.
+    /// The address on which it listens; `None` if the source does not report one or it is unreadable.
     pub address: Option<SocketAddr>,
     /// Its replication group; `None` keeps the known one.
     pub group: Option<GroupId>,
@@ -97,7 +97,7 @@
     pub primary: bool,
     /// The type of its machine, as the source names it.
     pub machine: String,
-    /// When it last started; `None` if that was long ago or the source does not tell.
+    /// When it last started; `None` if that was long ago or the source does not report it.
     pub started: Option<Time>,
     /// Its state.
     pub state: ListState,
@@ -142,7 +142,8 @@
     pub changed: Vec<Entry>,
     /// Members that were dropped after being gone for long enough.
     pub forgotten: Vec<MemberId>,
-    /// The number of claims that were ignored because a newer one is held.
+    /// The number of claims that were ignored because a newer one is held, or because the limit of members is
+    /// reached.
     pub stale: usize,
     /// The number of those that would have returned a draining or gone member to service.
     pub kept_out: usize,
@@ -182,6 +183,7 @@
     since: Time,
 }
 
+/// The claims of all sources about one member, and the state merged from them.
 #[derive(Clone, Debug)]
 struct MemberRecord {
     /// Sorted by source. There are one or two, and a map would need ten times the memory.
@@ -190,6 +192,7 @@
     gone_since: Option<Time>,
 }
 
+/// The policy for the full lists of a source, and whether they are suspect.
 #[derive(Clone, Copy, Debug)]
 struct Source {
     policy: ShrinkPolicy,
@@ -267,31 +270,31 @@
     /// Drains a member on the operator's request, or ends that. A drained member stays out of service whatever the
     /// sources report and however often it restarts. Returns `None` for a member that no source ever named, or if the
     /// limit of drained members is reached.
-    pub fn set_operator_drain(&mut self, member: &MemberId, out: bool) -> Option<UpdateOutcome> {
+    pub fn set_operator_drain(&mut self, member: &MemberId, drained: bool) -> Option<UpdateOutcome> {
         if !self.members.contains_key(member) && !self.operator_drained.contains(member) {
             return None;
         }
-        if out
+        if drained
             && self.operator_drained.len() >= MAX_OPERATOR_DRAINS
             && !self.operator_drained.contains(member)
         {
             return None;
         }
-        Some(self.record_operator_drain(member, out))
+        Some(self.record_operator_drain(member, drained))
     }
 
     /// Takes over a drain, or its end, that another process of this pooler has accepted. The member need not be known
     /// here.
-    pub fn adopt_operator_drain(&mut self, member: &MemberId, out: bool) -> UpdateOutcome {
-        if out && self.operator_drained.len() >= MAX_OPERATOR_DRAINS {
+    pub fn adopt_operator_drain(&mut self, member: &MemberId, drained: bool) -> UpdateOutcome {
+        if drained && self.operator_drained.len() >= MAX_OPERATOR_DRAINS {
             UpdateOutcome::default()
         } else {
-            self.record_operator_drain(member, out)
+            self.record_operator_drain(member, drained)
         }
     }
 
-    fn record_operator_drain(&mut self, member: &MemberId, out: bool) -> UpdateOutcome {
-        if out {
+    fn record_operator_drain(&mut self, member: &MemberId, drained: bool) -> UpdateOutcome {
+        if drained {
             self.operator_drained.insert(member.clone());
         } else {
             self.operator_drained.remove(member);
@@ -357,8 +360,8 @@
     /// was reported after that list, unless the claim shows a later start of the member.
     #[must_use]
     pub fn would_revive(&self, claim: &Claim) -> bool {
-        let out = self.get(&claim.member).filter(|info| info.state != ListState::Healthy);
-        claim.state == ListState::Healthy && out.is_some_and(|info| claim.started <= info.started)
+        let withdrawn = self.get(&claim.member).filter(|info| info.state != ListState::Healthy);
+        claim.state == ListState::Healthy && withdrawn.is_some_and(|info| claim.started <= info.started)
     }
 
     /// The members that the operator has drained.
@@ -571,8 +574,8 @@
 /// The state of a member that may be drained by the operator or a plan: a drain overrides a healthy state, not a
 /// worse one.
 fn with_drain(info: MemberInfo, drained: bool) -> MemberInfo {
-    let out = drained && info.state == ListState::Healthy;
-    MemberInfo { state: if out { ListState::Draining } else { info.state }, ..info }
+    let overridden = drained && info.state == ListState::Healthy;
+    MemberInfo { state: if overridden { ListState::Draining } else { info.state }, ..info }
 }
 
 /// Merges the claims of all sources about a member. The worst state counts, unless another source shows that the
--- a/crates/core/src/slow_start.rs
+++ b/crates/core/src/slow_start.rs
@@ -3,16 +3,16 @@
 //! this budget on its own.
 //!
 //! The shares add up to the budget over all routers, but on its own a small share is of little use: one router may
-//! have credit and nothing to send while a write waits for seconds at another. With 100 routers, writes waited 3 to 8
-//! s for a new primary that answered within 80 ms. So each *timely answer* of a member earns one more send beside the
-//! share. While it answers in time it is sent less than it can do at that moment, and once it no longer does, nothing
-//! more is earned and only the shares are left, which can't overload it.
+//! have credit and nothing to send while a write waits for seconds at another. With 100 routers, writes waited 3 s to
+//! 8 s for a new primary that answered within 80 ms. So each *timely answer* of a member earns one more send beside
+//! the share. While it answers in time it is sent less than it can do at that moment, and once it no longer does,
+//! nothing more is earned and only the shares are left, which can't overload it.
 
 use crate::interface::{Settings, Span, Time};
 
 /// The fraction of the budget that the routers' shares add up to. The budget is derived from the load that members
-/// usually serve, which is well below their capacity, so no further reduction is needed; 0.6 starved new members
-/// during deployments.
+/// usually serve, which is well below their capacity, so no further reduction is needed; a smaller fraction such as
+/// 0.6 starves new members during deployments.
 const BUDGET_FRACTION: f64 = 1.0;
 /// Credit accumulates up to one send plus what is earned in this time.
 const CREDIT_WINDOW: Span = Span::millis(100);
