--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -324,8 +324,8 @@
     /// Whether a member would be in service without plans.
     #[must_use]
     pub fn in_service_without_plans(&self, member: &MemberId) -> bool {
-        let record = self.members.get(member);
-        record.is_some_and(|record| merge_claims(&record.claims).state == ListState::Healthy)
+        let tracked = self.members.get(member);
+        tracked.is_some_and(|record| merge_claims(&record.claims).state == ListState::Healthy)
             && !self.operator_drained.contains(member)
     }
 
@@ -583,8 +583,8 @@
 /// source that has it.
 fn merge_claims(held: &[(SourceId, HeldClaim)]) -> MemberInfo {
     let all = || held.iter().map(|(_, held)| held);
-    let restarted_after = |held: &HeldClaim| {
-        let since = held.claim.started.unwrap_or(held.since);
+    let restarted_after = |earlier: &HeldClaim| {
+        let since = earlier.claim.started.unwrap_or(earlier.since);
         all().any(|other| other.claim.state == ListState::Healthy && other.claim.started > Some(since))
     };
     let relevant =
