--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -158,7 +158,7 @@
 
 /// Converts the expected duration of primary changes to the router's type.
 fn expected(change: ChangeSettings) -> Expected {
-    let span = |change: Duration| Span(i64::try_from(change.as_micros()).unwrap_or(i64::MAX));
+    let span = |duration: Duration| Span(i64::try_from(duration.as_micros()).unwrap_or(i64::MAX));
     Expected { least: span(change.least), usual: span(change.usual) }
 }
 
--- a/crates/daemon/src/registry.rs
+++ b/crates/daemon/src/registry.rs
@@ -154,7 +154,7 @@
     }
     let registers = registry.own.is_some();
     let follower = Follower::new(registry, seed, sink(), counters.clone())?;
-    pooler.show(counters);
+    pooler.add_status(counters);
     pooler.spawn(follower.run());
     Ok(async move {
         if registers {
--- a/crates/net/src/discovery.rs
+++ b/crates/net/src/discovery.rs
@@ -47,7 +47,7 @@
     }
 
     /// Changes the address of discovery.
-    pub fn follow(&self, address: Option<SocketAddr>) {
+    pub fn set_address(&self, address: Option<SocketAddr>) {
         if self.address.replace(address) != address {
             self.address_changed.notify(usize::MAX);
         }
--- a/crates/net/src/leases.rs
+++ b/crates/net/src/leases.rs
@@ -136,13 +136,16 @@
     me: PoolerInstance,
     /// The names of the tasks by their ids.
     task_names: RefCell<BTreeMap<TaskId, String>>,
+    /// Datagrams waiting to be sent.
     outbox: RefCell<VecDeque<(To, Vec<u8>)>>,
     outbox_filled: Event,
     /// Notified when a message arrived or a lease changed.
     changed: Event,
+    /// Raised once the pooler has released its leases at shutdown.
     has_left: Flag,
     sent: Count,
     received: Count,
+    /// Rejected datagrams by reason, in the order of [`counter_index`].
     rejected: [Count; 7],
     acts: Count,
     acts_rejected: Count,
@@ -344,6 +347,7 @@
         }
     }
 
+    /// Probes the members of one group and publishes their positions.
     async fn poll_group(&self, polling: &Rc<PositionPolling>, task: TaskId, members: Vec<MemberId>) {
         let probe_member = |member: MemberId| {
             let source = polling.clone();
@@ -411,6 +415,7 @@
         }
     }
 
+    /// Makes one call with the fencing token, unless the task is no longer held.
     async fn send_call(
         &self,
         executor: &LocalExecutor<'static>,
@@ -534,6 +539,7 @@
     }
 }
 
+/// The index of a reason in the counters of rejected datagrams.
 fn counter_index(rejection: DatagramError) -> usize {
     match rejection {
         DatagramError::Malformed => 0,
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -383,7 +383,7 @@
     }
 
     /// Registers an entry that is logged with the counters, on request and at exit.
-    pub fn show(&self, entry: Rc<dyn Display>) {
+    pub fn add_status(&self, entry: Rc<dyn Display>) {
         self.status_log.add(entry);
     }
 
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -167,7 +167,7 @@
             handler.source.reconfigure(fleet, drain_grace);
             handler.status_log.counters.reloads.add();
             tracing::info!("configuration read again, discovery at {:?}", config.discovery);
-            handler.source.follow(config.discovery);
+            handler.source.set_address(config.discovery);
         }
         Err(error) => tracing::warn!("configuration kept as it was: {error}"),
     }
--- a/crates/net/src/work.rs
+++ b/crates/net/src/work.rs
@@ -60,7 +60,7 @@
     pub setup: CoordinatorSetup,
     /// Capacity in requests per second by machine type; the key "" applies to all other types.
     pub capacity: BTreeMap<String, f64>,
-    /// Quiet hours, as minutes of the day in UTC: no machine is taken out between them.
+    /// Quiet hours during which no machine is taken out, as minutes of the day in UTC.
     pub quiet_hours: Vec<(u16, u16)>,
     /// Address and path of the endpoint that performs a handover of the primary.
     pub handover: Option<(SocketAddr, String)>,
@@ -232,12 +232,17 @@
     coordinator: RefCell<Coordinator<FullRegisterRules>>,
     /// The revision of the record that was applied last.
     applied_revision: Cell<(Token, u32)>,
+    /// The plan and its machines' states that were applied last.
     applied_states: RefCell<(PlanId, Vec<MachineState>)>,
+    /// Whether this pooler is drained because its machine is out for work.
     drained_for_work: Cell<bool>,
     load_samples: RefCell<LoadSamples>,
+    /// The revision of the record that was last stored for the other processes of this pooler.
     stored_revision: Cell<Option<(Token, u32)>>,
     last_handover_request: Cell<Option<std::time::Instant>>,
+    /// Machines that were already logged as overdue, by plan and index.
     overdue_reported: RefCell<BTreeSet<(PlanId, usize)>>,
+    /// Raised once it is known which machines are out.
     started: crate::flag::Flag,
 }
 
@@ -284,6 +289,7 @@
         }
     }
 
+    /// Processes messages, applies the record, and runs the coordinator once.
     fn step(self: &Rc<Self>) {
         let now = clock::steady();
         for (origin, message) in self.deps.leases.take_work_messages() {
@@ -329,6 +335,7 @@
         }
     }
 
+    /// Stores the record for the other processes of this pooler, if it has changed.
     fn store_shared_record(&self) {
         let Some(shared) = &self.deps.shared else { return };
         let coordinator = self.coordinator.borrow();
@@ -414,6 +421,7 @@
         *applied_states = (record.plan, record.states.clone());
     }
 
+    /// The name of a machine as shown to operators.
     fn machine_name(&self, kind: MachineKind, machine: u64) -> String {
         if kind == MachineKind::Poolers {
             return format!("pooler {machine}");
@@ -423,6 +431,7 @@
         member_entry.map_or_else(|| format!("{machine:016x}"), |(id, _)| id.0.to_string())
     }
 
+    /// This pooler's state as the coordinator needs it, with the machines that are clear of its connections.
     fn local_state(&self, now: Time) -> LocalState {
         let task = TaskId::of(TASK);
         let coordinator = self.coordinator.borrow();
@@ -470,6 +479,7 @@
         local
     }
 
+    /// Hashes of the ids of servers that fail this pooler.
     fn failing_servers(&self) -> Vec<u64> {
         let failing = |stats: &mut crate::upstream::SendStats| {
             let failed = stats.failed.iter().filter(|(_, times)| **times >= FAILING_AFTER);
@@ -538,6 +548,7 @@
         }
     }
 
+    /// The machines of the fleet as the coordinator needs them to decide on the next step.
     fn fleet_info(&self, kind: MachineKind, reports: &PeerReports) -> FleetInfo {
         let quiet_hours = self.in_quiet_hours();
         if kind == MachineKind::Poolers {
@@ -670,6 +681,7 @@
         }
     }
 
+    /// Calls the endpoint that performs a handover of the primary away from `from`.
     async fn request_handover(
         &self,
         address: SocketAddr,
@@ -754,6 +766,7 @@
         .to_string()
     }
 
+    /// The listed servers that a plan can select.
     fn candidates(&self) -> Vec<ServerCandidate> {
         let listed =
             self.deps.members.all().into_iter().filter(|(_, listed)| listed.state != ListState::Gone);
@@ -843,6 +856,7 @@
         Ok("done".to_owned())
     }
 
+    /// Waits for the result of an operator's call.
     async fn await_result(self: &Rc<Self>, call: u32) -> Result<(), (u16, String)> {
         let give_up_at = std::time::Instant::now() + CALL_TIMEOUT;
         self.step();
@@ -865,8 +879,11 @@
 
 /// Reports of other poolers.
 struct PeerReports {
+    /// Current and peak load by group, summed over the poolers, in requests per second.
     loads: BTreeMap<u16, (f64, f64)>,
+    /// How many poolers report each failing server, by the hash of its id.
     failing: BTreeMap<u64, usize>,
+    /// The poolers: number, hash of the zone, and whether the pooler was heard recently and is not a blank voter.
     poolers: Vec<(u16, u16, bool)>,
 }
 
