--- a/crates/daemon/src/members.rs
+++ b/crates/daemon/src/members.rs
@@ -22,7 +22,7 @@
         Time(i64::try_from(now.as_micros()).unwrap_or(i64::MAX))
     }
 
-    fn tell(&self, update: SourceUpdate) -> UpdateOutcome {
+    fn apply_update(&self, update: SourceUpdate) -> UpdateOutcome {
         self.0.borrow_mut().apply_update(self.now(), SourceId(0), update)
     }
 
@@ -44,7 +44,7 @@
     let query_result = futures_lite::future::block_on(async {
         let mut last_error = None;
         for _ in 0..servers {
-            match follower.ask().await {
+            match follower.poll().await {
                 Ok(_) => return Ok(()),
                 Err(error) => last_error = Some(error),
             }
--- a/crates/daemon/src/registry.rs
+++ b/crates/daemon/src/registry.rs
@@ -6,10 +6,12 @@
 use linnetdeal_net::members::{Feed, REGISTRY};
 use linnetdeal_operator::{ReadWhat, RegistrySettings};
 use linnetdeal_registry::client::{Access, Client, Server, SetupError};
-use linnetdeal_registry::eureka::mapping::{Lifts, Mapping, Networks};
+use linnetdeal_registry::eureka::mapping::{DrainEnd, Mapping, Networks};
 use linnetdeal_registry::eureka::model::Status;
-use linnetdeal_registry::eureka::poller::Pace;
-use linnetdeal_registry::follow::{Counters, Follower, Life, Own, Registrar, Registry, Sink};
+use linnetdeal_registry::eureka::poller::PollOptions;
+use linnetdeal_registry::follow::{
+    Counters, Follower, PoolerStatus, Registrar, Registration, RegistryOptions, Sink,
+};
 use std::fmt;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -39,56 +41,60 @@
 pub fn registry(
     settings: &RegistrySettings,
     own: Option<(&str, SocketAddr)>,
-) -> Result<Registry, SetupError> {
+) -> Result<RegistryOptions, SetupError> {
     let servers = settings.servers.iter().map(|server| Server::new(&server.url, server.at));
     let mut networks = Networks::default();
     for network in &settings.networks {
         networks.add(network.prefix, network.zone.as_deref().map(Arc::from));
     }
-    let own = settings.register.as_ref().zip(own).map(|(register, (name, address))| Own {
+    let registration = settings.register.as_ref().zip(own).map(|(register, (name, address))| Registration {
         app: register.app.clone(),
         id: register.id.clone().unwrap_or_else(|| url_safe_id(&format!("{name}:{address}"))),
         address,
-        renew: span(register.renew),
-        expires: span(register.expires),
+        renew_interval: span(register.renew),
+        lease_duration: span(register.expires),
     });
-    let list = match settings.read {
+    let list_path = match settings.read {
         ReadWhat::Delta | ReadWhat::Full => "/apps".to_owned(),
         ReadWhat::App => format!("/apps/{}", settings.apps.first().map_or("", String::as_str)),
         ReadWhat::Vip => format!("/vips/{}", settings.vip),
     };
-    Ok(Registry {
+    Ok(RegistryOptions {
         servers: servers.collect::<Result<_, _>>()?,
         access: Access {
             user: settings.user.as_ref().map(|user| (user.name.clone(), user.password_file.clone())),
             ca: settings.ca.clone(),
             identity: settings.identity.clone(),
         },
-        patience: settings.patience,
-        pace: Pace {
+        timeout: settings.patience,
+        poll: PollOptions {
             interval: span(settings.interval),
-            longest_pause: span(settings.longest_pause),
-            deltas: settings.read == ReadWhat::Delta,
+            max_pause: span(settings.longest_pause),
+            use_deltas: settings.read == ReadWhat::Delta,
         },
-        most_body: settings.most_body,
+        max_body_bytes: settings.most_body,
         mapping: Mapping {
             apps: settings.apps.iter().map(|app| app.to_ascii_uppercase()).collect(),
             networks,
             group_key: settings.metadata.group.clone(),
-            group: settings.group,
+            default_group: settings.group,
             zone_key: settings.metadata.zone.clone(),
             role_key: settings.metadata.role.clone(),
-            primary: settings.primary.clone(),
+            primary_value: settings.primary.clone(),
             started_key: settings.metadata.started.clone(),
             secure_port: settings.secure_port,
-            lifts: if settings.lifts_overrides { Lifts::Override } else { Lifts::Registration },
+            drain_end: if settings.lifts_overrides {
+                DrainEnd::OverrideRemoval
+            } else {
+                DrainEnd::NewerRegistration
+            },
         },
-        doubt: ShrinkPolicy {
+        shrink_policy: ShrinkPolicy {
             lost_share: settings.lost_share,
             believe_after: settings.believe_after.map(span),
         },
-        list,
-        own,
+        list_path,
+        registration,
     })
 }
 
@@ -100,12 +106,12 @@
 pub fn check(settings: &RegistrySettings) -> Result<(), SetupError> {
     let registry = registry(settings, None)?;
     let tls = registry.servers.iter().any(Server::is_tls);
-    Client::new(&registry.access, tls, registry.patience).map(drop)
+    Client::new(&registry.access, tls, registry.timeout).map(drop)
 }
 
 struct RegistrySink {
     feed: Feed,
-    life: Rc<Life>,
+    pooler_status: Rc<PoolerStatus>,
 }
 
 impl Sink for RegistrySink {
@@ -113,12 +119,12 @@
         self.feed.now()
     }
 
-    fn tell(&self, update: SourceUpdate) -> UpdateOutcome {
+    fn apply_update(&self, update: SourceUpdate) -> UpdateOutcome {
         let outcome = self.feed.apply_update(REGISTRY, update);
         // The pooler can serve once it knows a server that accepts requests.
         let has_serving_member = outcome.changed.iter().any(|entry| entry.state == ListState::Healthy);
-        if has_serving_member && self.life.status() == Some(Status::Starting) {
-            self.life.set(Some(Status::Up));
+        if has_serving_member && self.pooler_status.status() == Some(Status::Starting) {
+            self.pooler_status.set(Some(Status::Up));
         }
         outcome
     }
@@ -141,25 +147,25 @@
     seed: u64,
 ) -> Result<impl Future<Output = ()> + use<>, SetupError> {
     let registry = registry(settings, Some((name, pooler.listening())))?;
-    let (life, counters) = (Rc::new(Life::starting()), Rc::new(Counters::default()));
-    let sink = || RegistrySink { feed: pooler.feed(), life: life.clone() };
-    pooler.feed().set_shrink_policy(REGISTRY, registry.doubt);
+    let (pooler_status, counters) = (Rc::new(PoolerStatus::starting()), Rc::new(Counters::default()));
+    let sink = || RegistrySink { feed: pooler.feed(), pooler_status: pooler_status.clone() };
+    pooler.feed().set_shrink_policy(REGISTRY, registry.shrink_policy);
     if let Some(registrar) = Registrar::new(&registry, sink(), counters.clone())? {
-        pooler.spawn(registrar.run(life.clone()));
-        let (pooler_lifecycle, life) = (pooler.lifecycle(), life.clone());
+        pooler.spawn(registrar.run(pooler_status.clone()));
+        let (pooler_lifecycle, pooler_status) = (pooler.lifecycle(), pooler_status.clone());
         pooler.spawn(async move {
             pooler_lifecycle.draining.raised().await;
-            life.set(Some(Status::OutOfService));
+            pooler_status.set(Some(Status::OutOfService));
         });
     }
-    let registers = registry.own.is_some();
+    let registers = registry.registration.is_some();
     let follower = Follower::new(registry, seed, sink(), counters.clone())?;
     pooler.add_status(counters);
     pooler.spawn(follower.run());
     Ok(async move {
         if registers {
-            life.set(None);
-            life.left(DEREGISTRATION_TIMEOUT).await;
+            pooler_status.set(None);
+            pooler_status.wait_deregistered(DEREGISTRATION_TIMEOUT).await;
         }
     })
 }
--- a/crates/registry/src/client.rs
+++ b/crates/registry/src/client.rs
@@ -146,7 +146,7 @@
 pub struct Client {
     tls: Option<TlsConnector>,
     authorization: Option<HeaderValue>,
-    patience: Duration,
+    timeout: Duration,
     kept: Option<(Server, Connection)>,
     connects: u64,
 }
@@ -181,13 +181,13 @@
     /// # Errors
     ///
     /// When a file can't be read, a secret one can be read by others, or TLS can't be set up.
-    pub fn new(access: &Access, tls: bool, patience: Duration) -> Result<Self, SetupError> {
+    pub fn new(access: &Access, tls: bool, timeout: Duration) -> Result<Self, SetupError> {
         let authorization = match &access.user {
             None => None,
             Some((user, file)) => Some(basic(user, file)?),
         };
         let tls = if tls { Some(connector(access)?) } else { None };
-        Ok(Self { tls, authorization, patience, kept: None, connects: 0 })
+        Ok(Self { tls, authorization, timeout, kept: None, connects: 0 })
     }
 
     /// How many connections were opened.
@@ -208,10 +208,10 @@
         call: Call<'_>,
         take: &mut dyn FnMut(Chunk<'_>) -> Result<(), String>,
     ) -> Result<(), CallError> {
-        let patience = self.patience;
+        let timeout = self.timeout;
         let late = async {
-            Timer::after(patience).await;
-            Err(CallError::Late(patience))
+            Timer::after(timeout).await;
+            Err(CallError::Late(timeout))
         };
         let kept = self.kept.take().filter(|(of, connection)| of == server && !connection.send.is_closed());
         let work = async {
--- a/crates/registry/src/eureka/mapping.rs
+++ b/crates/registry/src/eureka/mapping.rs
@@ -39,12 +39,12 @@
 /// What is done once somebody takes back a status that was set over an instance's own. Such a change leaves the
 /// instance's own stamp as it was.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Lifts {
+pub enum DrainEnd {
     /// Nothing: who was told to drain is back only with a later stamp of its own.
     #[default]
-    Registration,
+    NewerRegistration,
     /// It counts if the same server of the registry says so of the same lease, and later.
-    Override,
+    OverrideRemoval,
 }
 
 /// How instances become members.
@@ -57,19 +57,19 @@
     /// The metadata key of the group; the group is a whole number.
     pub group_key: String,
     /// The group of who names none; `None` refuses it.
-    pub group: Option<i64>,
+    pub default_group: Option<i64>,
     /// The metadata key of the zone.
     pub zone_key: String,
     /// The metadata key of the role.
     pub role_key: String,
     /// What stands there for a primary.
-    pub primary: String,
+    pub primary_value: String,
     /// The metadata key of the last start, in ms since 1970.
     pub started_key: String,
     /// Whether members are reached on the secure port.
     pub secure_port: bool,
     /// What lifts a drain.
-    pub lifts: Lifts,
+    pub drain_end: DrainEnd,
 }
 
 /// Why an instance is no member.
@@ -108,7 +108,7 @@
         let place = self.place(instance);
         let group = match meta(&self.group_key) {
             Some(text) => text.parse().map(Some).map_err(|_| Refused::Group(text.chars().take(64).collect())),
-            None => self.group.map(Some).ok_or_else(|| Refused::Group(String::new())),
+            None => self.default_group.map(Some).ok_or_else(|| Refused::Group(String::new())),
         };
         // Who drains or is gone is taken at its word, though the rest of what it says can't be used.
         let (place, group) = match state {
@@ -123,14 +123,15 @@
         let ready =
             !matches!(instance.status, Status::Starting | Status::Unknown) || state == ListState::Gone;
         let stamp = instance.dirty_ms.saturating_mul(2).saturating_add(i64::from(ready));
-        let registry_lease = (self.lifts == Lifts::Override).then_some((server, instance.registered_ms));
+        let registry_lease =
+            (self.drain_end == DrainEnd::OverrideRemoval).then_some((server, instance.registered_ms));
         Ok(Claim {
             member: MemberId(Arc::from(instance.id.as_str())),
             address: place.map(|(address, _)| address),
             group: group.map(GroupId),
             zone: zone.unwrap_or_default(),
             machine: String::new(),
-            primary: meta(&self.role_key).is_some_and(|role| role == self.primary),
+            primary: meta(&self.role_key).is_some_and(|role| role == self.primary_value),
             started,
             state,
             version: ClaimVersion { started, stamp, registry_lease, lease_updated: instance.updated_ms },
--- a/crates/registry/src/eureka/poller.rs
+++ b/crates/registry/src/eureka/poller.rs
@@ -34,19 +34,19 @@
 
 /// How asking goes.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct PollOptions {
     /// Between two answers that were good.
     pub interval: Span,
     /// The longest pause while all servers fail.
-    pub longest_pause: Span,
+    pub max_pause: Span,
     /// Whether deltas are asked for at all.
-    pub deltas: bool,
+    pub use_deltas: bool,
 }
 
 /// What is to be asked next.
 #[derive(Debug)]
 pub struct Poller {
-    pace: Pace,
+    options: PollOptions,
     rng: ChaCha8Rng,
     /// When each server may be asked again.
     rests: Vec<Time>,
@@ -65,9 +65,9 @@
 impl Poller {
     /// One that asks `servers` servers, the first at once.
     #[must_use]
-    pub fn new(servers: usize, pace: Pace, seed: u64, now: Time) -> Self {
+    pub fn new(servers: usize, options: PollOptions, seed: u64, now: Time) -> Self {
         Self {
-            pace,
+            options,
             rng: ChaCha8Rng::seed_from_u64(seed),
             rests: vec![now; servers.max(1)],
             at: 0,
@@ -75,7 +75,7 @@
             next: now,
             full_at: Some(now),
             apart: 0,
-            without_deltas: !pace.deltas,
+            without_deltas: !options.use_deltas,
         }
     }
 
@@ -102,7 +102,7 @@
     /// An answer was taken; `adds_up` if the registry's hash code agrees with what is held now.
     pub fn answered(&mut self, now: Time, ask: Ask, adds_up: bool) {
         self.failed = 0;
-        let interval = self.pace.interval;
+        let interval = self.options.interval;
         self.next = now + self.spread(interval, 0.1);
         match ask {
             Ask::Full => self.full_at = None,
@@ -138,7 +138,7 @@
         let next = awake.or_else(|| order.min_by_key(|at| self.rests[*at])).unwrap_or(0);
         if next != self.at {
             self.at = next;
-            self.without_deltas = !self.pace.deltas;
+            self.without_deltas = !self.options.use_deltas;
         }
         self.full_at = Some(now);
         let rounds = (self.failed - 1) / servers as u32;
@@ -146,7 +146,7 @@
         let pause = if within {
             NEXT_SERVER
         } else {
-            FIRST_PAUSE.times(f64::from(1_u32 << rounds.min(16))).min(self.pace.longest_pause)
+            FIRST_PAUSE.times(f64::from(1_u32 << rounds.min(16))).min(self.options.max_pause)
         };
         self.next = (now + self.spread(pause, 0.25)).max(self.rests[self.at]);
     }
--- a/crates/registry/src/follow.rs
+++ b/crates/registry/src/follow.rs
@@ -7,7 +7,7 @@
 use crate::eureka::mapping::Mapping;
 use crate::eureka::mirror::Mirror;
 use crate::eureka::model::Status;
-use crate::eureka::poller::{Ask, Failure, Pace, Poller};
+use crate::eureka::poller::{Ask, Failure, PollOptions, Poller};
 use crate::eureka::reading::{Read, Reading};
 use async_io::Timer;
 use event_listener::Event;
@@ -25,14 +25,14 @@
     /// The time, Unix in microseconds, never running backwards.
     fn now(&self) -> Time;
     /// Takes news in.
-    fn tell(&self, news: SourceUpdate) -> UpdateOutcome;
+    fn apply_update(&self, update: SourceUpdate) -> UpdateOutcome;
     /// A line for the people on call.
     fn log(&self, line: &dyn fmt::Display);
 }
 
 /// What the pooler says of itself in the registry.
 #[derive(Clone, Debug)]
-pub struct Own {
+pub struct Registration {
     /// The application under which poolers register.
     pub app: String,
     /// The id of this one.
@@ -40,32 +40,32 @@
     /// Where it listens.
     pub address: std::net::SocketAddr,
     /// How often the registration is renewed.
-    pub renew: Span,
+    pub renew_interval: Span,
     /// After how long without that the registry may drop it.
-    pub expires: Span,
+    pub lease_duration: Span,
 }
 
 /// What is followed, and how.
 #[derive(Clone, Debug)]
-pub struct Registry {
+pub struct RegistryOptions {
     /// Its servers, the preferred one first.
     pub servers: Vec<Server>,
     /// How they are called.
     pub access: Access,
     /// How long a call may take.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// How often to ask.
-    pub pace: Pace,
+    pub poll: PollOptions,
     /// A body is no larger.
-    pub most_body: u64,
+    pub max_body_bytes: u64,
     /// How instances become members.
     pub mapping: Mapping,
     /// When a list is not believed.
-    pub doubt: ShrinkPolicy,
+    pub shrink_policy: ShrinkPolicy,
     /// The whole list is asked for by this path, such as `/apps`.
-    pub list: String,
+    pub list_path: String,
     /// What this pooler says of itself, if anything.
-    pub own: Option<Own>,
+    pub registration: Option<Registration>,
 }
 
 /// What was seen of the registry.
@@ -127,7 +127,7 @@
 
 /// Follows a registry.
 pub struct Follower<S> {
-    registry: Registry,
+    registry: RegistryOptions,
     client: Client,
     poller: Poller,
     mirror: Mirror,
@@ -153,10 +153,15 @@
     /// # Errors
     ///
     /// When a file can't be used.
-    pub fn new(registry: Registry, seed: u64, sink: S, counters: Rc<Counters>) -> Result<Self, SetupError> {
+    pub fn new(
+        registry: RegistryOptions,
+        seed: u64,
+        sink: S,
+        counters: Rc<Counters>,
+    ) -> Result<Self, SetupError> {
         let tls = registry.servers.iter().any(Server::is_tls);
-        let client = Client::new(&registry.access, tls, registry.patience)?;
-        let poller = Poller::new(registry.servers.len(), registry.pace, seed, sink.now());
+        let client = Client::new(&registry.access, tls, registry.timeout)?;
+        let poller = Poller::new(registry.servers.len(), registry.poll, seed, sink.now());
         let mirror = Mirror::default();
         let (said, told) = (Said::Nothing, false);
         Ok(Self { registry, client, poller, mirror, sink, counters, said, told })
@@ -167,7 +172,7 @@
     /// # Errors
     ///
     /// When no answer came that can be used; it will be asked again in time.
-    pub async fn ask(&mut self) -> Result<UpdateOutcome, CallError> {
+    pub async fn poll(&mut self) -> Result<UpdateOutcome, CallError> {
         let (at, ask) = self.poller.ask(self.sink.now());
         match self.read(at, ask).await {
             Ok(read) => {
@@ -197,7 +202,7 @@
     async fn read(&mut self, at: usize, ask: Ask) -> Result<Read, CallError> {
         let Self { registry, client, mirror, .. } = self;
         let path = match ask {
-            Ask::Full => registry.list.clone(),
+            Ask::Full => registry.list_path.clone(),
             Ask::Delta => "/apps/delta".to_owned(),
         };
         let mut reading: Option<Reading<'_>> = None;
@@ -214,7 +219,7 @@
                     at,
                     ask,
                     format,
-                    registry.most_body,
+                    registry.max_body_bytes,
                 ));
                 Ok(())
             }
@@ -228,7 +233,7 @@
 
     fn taken(&mut self, at: usize, ask: Ask, read: Read, adds_up: bool) -> UpdateOutcome {
         let (instances, hash_code) = (read.instances, read.hash_code.unwrap_or_default());
-        let taken = self.sink.tell(read.news);
+        let taken = self.sink.apply_update(read.news);
         let counters = self.counters.clone();
         add(if ask == Ask::Full { &counters.fulls } else { &counters.deltas }, 1);
         add(&counters.mismatches, usize::from(!adds_up));
@@ -274,7 +279,7 @@
         loop {
             wait_until(self.sink.now(), self.poller.due()).await;
             // What went wrong has been counted and said; the poller knows when to ask again.
-            let _ = self.ask().await;
+            let _ = self.poll().await;
         }
     }
 }
@@ -284,7 +289,7 @@
 pub struct Registrar<S> {
     servers: Vec<Server>,
     client: Client,
-    own: Own,
+    registration: Registration,
     sink: S,
     counters: Rc<Counters>,
 }
@@ -295,25 +300,30 @@
     /// # Errors
     ///
     /// When a file can't be used.
-    pub fn new(registry: &Registry, sink: S, counters: Rc<Counters>) -> Result<Option<Self>, SetupError> {
-        let Some(own) = registry.own.clone() else { return Ok(None) };
+    pub fn new(
+        registry: &RegistryOptions,
+        sink: S,
+        counters: Rc<Counters>,
+    ) -> Result<Option<Self>, SetupError> {
+        let Some(registration) = registry.registration.clone() else { return Ok(None) };
         let tls = registry.servers.iter().any(Server::is_tls);
-        let client = Client::new(&registry.access, tls, registry.patience)?;
-        Ok(Some(Self { servers: registry.servers.clone(), client, own, sink, counters }))
+        let client = Client::new(&registry.access, tls, registry.timeout)?;
+        Ok(Some(Self { servers: registry.servers.clone(), client, registration, sink, counters }))
     }
 
     /// Tells the registry of this pooler for as long as it lives, and of its end.
-    pub async fn run(mut self, life: Rc<Life>) {
-        let mut lease = Lease::new(self.own.renew, self.sink.now());
+    pub async fn run(mut self, pooler_status: Rc<PoolerStatus>) {
+        let mut lease = Lease::new(self.registration.renew_interval, self.sink.now());
         let mut at = 0;
         loop {
-            let changed = life.changed.listen();
-            lease.want(self.sink.now(), life.status.get());
+            let changed = pooler_status.changed.listen();
+            lease.want(self.sink.now(), pooler_status.status.get());
             match (lease.act(self.sink.now()), lease.due()) {
-                (None, None) => return life.gone.raise(),
+                (None, None) => return pooler_status.gone.raise(),
                 (None, Some(due)) => or(wait_until(self.sink.now(), due), changed).await,
                 (Some(act), _) => {
-                    let call = tell(&mut self.client, &self.servers[at], &self.own, act, lease.dirty_ms());
+                    let call =
+                        tell(&mut self.client, &self.servers[at], &self.registration, act, lease.dirty_ms());
                     // A status that changes while a server keeps silent is told at once, elsewhere if need be.
                     let came = or(call, async {
                         changed.await;
@@ -334,7 +344,7 @@
 
 /// What a registrar has to know of the pooler's life.
 #[derive(Debug)]
-pub struct Life {
+pub struct PoolerStatus {
     status: Cell<Option<Status>>,
     changed: Event,
     gone: Gone,
@@ -353,7 +363,7 @@
     }
 }
 
-impl Life {
+impl PoolerStatus {
     /// One of a pooler that is starting.
     #[must_use]
     pub fn starting() -> Self {
@@ -373,7 +383,7 @@
     }
 
     /// Waits until the registry knows of the end, but no longer than this.
-    pub async fn left(&self, longest: Duration) {
+    pub async fn wait_deregistered(&self, longest: Duration) {
         let told = async {
             while !self.gone.up.get() {
                 let listener = self.gone.event.listen();
@@ -399,12 +409,12 @@
 }
 
 /// Tells a server of this pooler.
-async fn tell(client: &mut Client, server: &Server, own: &Own, act: Act, dirty_ms: i64) -> Came {
+async fn tell(client: &mut Client, server: &Server, own: &Registration, act: Act, dirty_ms: i64) -> Came {
     use hyper::Method;
     let (app, id) = (&own.app, &own.id);
     let (method, path, body) = match act {
         Act::Register(status) => {
-            (Method::POST, format!("/apps/{app}"), Some(registration(own, status, dirty_ms)))
+            (Method::POST, format!("/apps/{app}"), Some(registration_body(own, status, dirty_ms)))
         }
         Act::Renew(status) => {
             let status = status.name();
@@ -419,7 +429,7 @@
     }
 }
 
-fn registration(own: &Own, status: Status, dirty_ms: i64) -> Vec<u8> {
+fn registration_body(own: &Registration, status: Status, dirty_ms: i64) -> Vec<u8> {
     let seconds = |span: Span| (span.0 / 1_000_000).max(1);
     serde_json::json!({"instance": {
         "instanceId": own.id, "app": own.app.to_ascii_uppercase(), "hostName": own.address.ip().to_string(),
@@ -427,7 +437,7 @@
         "port": {"$": own.address.port(), "@enabled": "true"}, "securePort": {"$": 443, "@enabled": "false"},
         "status": status.name(), "overriddenstatus": "UNKNOWN",
         "dataCenterInfo": {"@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo", "name": "MyOwn"},
-        "leaseInfo": {"renewalIntervalInSecs": seconds(own.renew), "durationInSecs": seconds(own.expires)},
+        "leaseInfo": {"renewalIntervalInSecs": seconds(own.renew_interval), "durationInSecs": seconds(own.lease_duration)},
         "lastDirtyTimestamp": dirty_ms.to_string(),
     }})
     .to_string()
--- a/crates/registry/tests/bodies.rs
+++ b/crates/registry/tests/bodies.rs
@@ -44,10 +44,10 @@
         apps: ["DB".to_owned()].into(),
         networks,
         group_key: "group".into(),
-        group: Some(7),
+        default_group: Some(7),
         zone_key: "zone".into(),
         role_key: "role".into(),
-        primary: "primary".into(),
+        primary_value: "primary".into(),
         started_key: "startedAtMs".into(),
         ..Mapping::default()
     }
--- a/crates/registry/tests/timing.rs
+++ b/crates/registry/tests/timing.rs
@@ -3,7 +3,7 @@
 use linnetdeal_core::{Span, Time};
 use linnetdeal_registry::eureka::lease::{Act, Came, Lease};
 use linnetdeal_registry::eureka::model::Status;
-use linnetdeal_registry::eureka::poller::{Ask, Failure, Pace, Poller};
+use linnetdeal_registry::eureka::poller::{Ask, Failure, PollOptions, Poller};
 
 const START: Time = Time(1_767_225_600_000_000);
 
@@ -12,8 +12,9 @@
 }
 
 fn poller(servers: usize) -> Poller {
-    let pace = Pace { interval: Span::millis(1_000), longest_pause: Span::millis(8_000), deltas: true };
-    Poller::new(servers, pace, 7, START)
+    let options =
+        PollOptions { interval: Span::millis(1_000), max_pause: Span::millis(8_000), use_deltas: true };
+    Poller::new(servers, options, 7, START)
 }
 
 fn wait(poller: &Poller, since: Time) -> i64 {
