--- a/crates/daemon/tests/peers/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -11,28 +11,28 @@
 use std::time::{Duration, Instant};
 
 /// A position that servers tell.
-pub const NOW_MS: &str = "1767225600123";
+pub const REPORTED_POSITION: &str = "1767225600123";
 
 /// No step of a story takes this long; it only keeps a broken one from hanging.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// One end of a connection that speaks PostgreSQL's messages.
-pub struct Wire {
+pub struct PgConnection {
     pub stream: TcpStream,
     read: Vec<u8>,
     /// The other side reset the connection.
     pub reset: bool,
 }
 
-impl Wire {
+impl PgConnection {
     pub fn new(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        stream.set_write_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
+        stream.set_write_timeout(Some(STEP_TIMEOUT)).unwrap();
         Self { stream, read: Vec::new(), reset: false }
     }
 
     /// Reads more; false at the end of the stream.
-    fn more(&mut self) -> bool {
+    fn read_more(&mut self) -> bool {
         let mut bytes = [0; 65_536];
         match self.stream.read(&mut bytes) {
             Ok(count) => {
@@ -40,7 +40,7 @@
                 count > 0
             }
             // A read with a time limit is not resumed after a signal, such as the one of a stopped child.
-            Err(error) if error.kind() == std::io::ErrorKind::Interrupted => self.more(),
+            Err(error) if error.kind() == std::io::ErrorKind::Interrupted => self.read_more(),
             Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => {
                 self.reset = true;
                 false
@@ -49,92 +49,92 @@
         }
     }
 
-    pub fn startup(&mut self) -> bool {
+    pub fn read_startup(&mut self) -> bool {
         loop {
             if let Some((_, size)) = pg::startup(&self.read).unwrap() {
                 self.read.drain(..size);
                 return true;
             }
-            if !self.more() {
+            if !self.read_more() {
                 return false;
             }
         }
     }
 
     /// More has come along with what was read last.
-    pub fn has_more(&self) -> bool {
+    pub fn has_buffered(&self) -> bool {
         !self.read.is_empty()
     }
 
     /// The next message; `None` once the other side has closed.
-    pub fn message(&mut self) -> Option<(u8, Vec<u8>)> {
+    pub fn next_message(&mut self) -> Option<(u8, Vec<u8>)> {
         loop {
             if let Some(message) = pg::message(&self.read).unwrap() {
                 let (tag, body, size) = (message.tag, message.body.to_vec(), message.size);
                 self.read.drain(..size);
                 return Some((tag, body));
             }
-            if !self.more() {
+            if !self.read_more() {
                 return None;
             }
         }
     }
 
-    pub fn put(&mut self, bytes: &[u8]) {
+    pub fn send_bytes(&mut self, bytes: &[u8]) {
         // A pooler that has given up need not take it.
         let _ = self.stream.write_all(bytes);
     }
 
     /// A server's answer with one value, its role and position.
-    pub fn row(&mut self, value: &[u8], part: &str, caught_up_to: &str) {
-        self.row_and(value, part, caught_up_to, b"");
+    pub fn send_row(&mut self, value: &[u8], part: &str, caught_up_to: &str) {
+        self.send_row_and(value, part, caught_up_to, b"");
     }
 
     /// The same with `more` behind it, in one write.
-    pub fn row_and(&mut self, value: &[u8], part: &str, caught_up_to: &str, more: &[u8]) {
+    pub fn send_row_and(&mut self, value: &[u8], part: &str, caught_up_to: &str, more: &[u8]) {
         let mut out = Vec::new();
-        message(&mut out, b'T', b"\0\x01content\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
+        push_message(&mut out, b'T', b"\0\x01content\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
         let mut row = vec![0, 1];
         row.extend_from_slice(&u32::try_from(value.len()).unwrap().to_be_bytes());
         row.extend_from_slice(value);
-        message(&mut out, b'D', &row);
+        push_message(&mut out, b'D', &row);
         write::command_complete(&mut out, "SELECT 1");
         for (name, value) in [("part", part), ("caught_up_to", caught_up_to)] {
-            message(&mut out, b'S', format!("{name}\0{value}\0").as_bytes());
+            push_message(&mut out, b'S', format!("{name}\0{value}\0").as_bytes());
         }
         write::ready_for_query(&mut out);
         out.extend_from_slice(more);
-        self.put(&out);
+        self.send_bytes(&out);
     }
 
-    pub fn error(&mut self, code: &str, part: &str) {
+    pub fn send_error(&mut self, code: &str, part: &str) {
         let mut out = Vec::new();
         write::error_response(&mut out, write::Severity::Error, code, "scripted", None);
-        message(&mut out, b'S', format!("part\0{part}\0").as_bytes());
+        push_message(&mut out, b'S', format!("part\0{part}\0").as_bytes());
         write::ready_for_query(&mut out);
-        self.put(&out);
+        self.send_bytes(&out);
     }
 
     /// Waits until the other side's system has all that was written: on a busy machine it comes later than the call returns.
-    pub fn arrived(&self) {
-        self.stands(|_, unsent| unsent == 0);
+    pub fn wait_acknowledged(&self) {
+        self.wait_tcp_state(|_, unsent| unsent == 0);
     }
 
     /// Closes this side, once the other side's system knows that.
-    pub fn leave(self) {
+    pub fn close_and_wait(self) {
         self.stream.shutdown(std::net::Shutdown::Write).unwrap();
         // FIN_WAIT2, or gone altogether.
-        self.stands(|state, _| state == 5);
+        self.wait_tcp_state(|state, _| state == 5);
     }
 
     /// Waits until the system's state of this connection, and the count of bytes that the other side has not acknowledged, are
     /// such, or it knows it no more.
-    fn stands(&self, holds: impl Fn(u8, u32) -> bool) {
+    fn wait_tcp_state(&self, holds: impl Fn(u8, u32) -> bool) {
         let port = |at: SocketAddr| format!(":{:04X}", at.port());
         let own = port(self.stream.local_addr().unwrap());
         // The other side may have reset it by now.
         let Ok(other) = self.stream.peer_addr().map(port) else { return };
-        let end = std::time::Instant::now() + PATIENCE;
+        let end = std::time::Instant::now() + STEP_TIMEOUT;
         loop {
             let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
             let line = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
@@ -150,19 +150,19 @@
     }
 
     /// Waits until the other side has closed.
-    pub fn closed(&mut self) -> bool {
-        while self.more() {}
+    pub fn wait_closed(&mut self) -> bool {
+        while self.read_more() {}
         true
     }
 }
 
-fn message(out: &mut Vec<u8>, tag: u8, body: &[u8]) {
+fn push_message(out: &mut Vec<u8>, tag: u8, body: &[u8]) {
     out.push(tag);
     out.extend_from_slice(&u32::try_from(body.len() + 4).unwrap().to_be_bytes());
     out.extend_from_slice(body);
 }
 
-fn serve(mut each: impl FnMut(TcpStream) + Send + 'static) -> SocketAddr {
+fn spawn_listener(mut each: impl FnMut(TcpStream) + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -173,76 +173,82 @@
     address
 }
 
-/// A server that welcomes everybody and hands each statement to `act`, which says whether to read on.
+/// A server that welcomes everybody and hands each statement to `handle_statement`, which says whether to read on.
 /// What it was sent, probes aside, is kept.
 pub struct Server {
     pub id: &'static str,
     pub address: SocketAddr,
-    pub got: Arc<Mutex<Vec<String>>>,
+    pub received: Arc<Mutex<Vec<String>>>,
 }
 
 impl Server {
-    pub fn new(id: &'static str, act: impl Fn(&mut Wire, &str) -> bool + Send + Sync + 'static) -> Self {
-        Self::with_door(id, || {}, act)
+    pub fn new(
+        id: &'static str,
+        handle_statement: impl Fn(&mut PgConnection, &str) -> bool + Send + Sync + 'static,
+    ) -> Self {
+        Self::with_accept_hook(id, || {}, handle_statement)
     }
 
     /// One whose script gets the empty queries as well.
-    pub fn raw(id: &'static str, act: impl Fn(&mut Wire, &str) -> bool + Send + Sync + 'static) -> Self {
-        Self::start(id, || {}, act)
+    pub fn raw(
+        id: &'static str,
+        handle_statement: impl Fn(&mut PgConnection, &str) -> bool + Send + Sync + 'static,
+    ) -> Self {
+        Self::start(id, || {}, handle_statement)
     }
 
-    /// One that calls `door` before it welcomes a connection.
-    pub fn with_door(
+    /// One that calls `before_welcome` before it welcomes a connection.
+    pub fn with_accept_hook(
         id: &'static str,
-        door: impl Fn() + Send + Sync + 'static,
-        act: impl Fn(&mut Wire, &str) -> bool + Send + Sync + 'static,
+        before_welcome: impl Fn() + Send + Sync + 'static,
+        handle_statement: impl Fn(&mut PgConnection, &str) -> bool + Send + Sync + 'static,
     ) -> Self {
-        Self::start(id, door, move |wire, statement| {
+        Self::start(id, before_welcome, move |conn, statement| {
             if statement.is_empty() {
                 let mut out = Vec::new();
                 write::empty_query_response(&mut out);
                 write::ready_for_query(&mut out);
-                wire.put(&out);
+                conn.send_bytes(&out);
                 return true;
             }
-            act(wire, statement)
+            handle_statement(conn, statement)
         })
     }
 
     fn start(
         id: &'static str,
-        door: impl Fn() + Send + Sync + 'static,
-        act: impl Fn(&mut Wire, &str) -> bool + Send + Sync + 'static,
+        before_welcome: impl Fn() + Send + Sync + 'static,
+        handle_statement: impl Fn(&mut PgConnection, &str) -> bool + Send + Sync + 'static,
     ) -> Self {
-        let got = Arc::new(Mutex::new(Vec::new()));
-        let (log, scripts) = (got.clone(), Arc::new((door, act)));
-        let address = serve(move |stream| {
+        let received = Arc::new(Mutex::new(Vec::new()));
+        let (log, scripts) = (received.clone(), Arc::new((before_welcome, handle_statement)));
+        let address = spawn_listener(move |stream| {
             let (log, scripts) = (log.clone(), scripts.clone());
             std::thread::spawn(move || {
-                let mut wire = Wire::new(stream);
-                if !wire.startup() {
+                let mut conn = PgConnection::new(stream);
+                if !conn.read_startup() {
                     return;
                 }
                 scripts.0();
                 let mut out = Vec::new();
                 write::session_start(&mut out, 1, 1);
-                wire.put(&out);
-                while let Some((b'Q', body)) = wire.message() {
+                conn.send_bytes(&out);
+                while let Some((b'Q', body)) = conn.next_message() {
                     let statement = pg::query_text(&body).unwrap();
                     if !statement.is_empty() && !statement.starts_with("SHOW") {
                         log.lock().unwrap().push(statement.to_owned());
                     }
-                    if !scripts.1(&mut wire, statement) {
+                    if !scripts.1(&mut conn, statement) {
                         return;
                     }
                 }
             });
         });
-        Self { id, address, got }
+        Self { id, address, received }
     }
 
-    pub fn got(&self) -> Vec<String> {
-        self.got.lock().unwrap().clone()
+    pub fn received(&self) -> Vec<String> {
+        self.received.lock().unwrap().clone()
     }
 
     /// Its entry in a list.
@@ -254,38 +260,38 @@
 }
 
 /// A server that answers everything with its own name.
-pub fn plain(id: &'static str, part: &'static str) -> Server {
-    Server::new(id, move |wire, statement| {
+pub fn id_server(id: &'static str, part: &'static str) -> Server {
+    Server::new(id, move |conn, statement| {
         if statement.starts_with("SHOW") {
             let role = u8::from(part == "master");
-            wire.row(format!("x0=1767225600.1,x1={role}").as_bytes(), part, NOW_MS);
+            conn.send_row(format!("x0=1767225600.1,x1={role}").as_bytes(), part, REPORTED_POSITION);
         } else {
-            wire.row(id.as_bytes(), part, NOW_MS);
+            conn.send_row(id.as_bytes(), part, REPORTED_POSITION);
         }
         true
     })
 }
 
 /// A server that answers once the sender is dropped.
-pub fn held(id: &'static str) -> (Sender<()>, Server) {
+pub fn blocked_server(id: &'static str) -> (Sender<()>, Server) {
     let (open, opened) = channel::<()>();
     let opened = Mutex::new(opened);
-    let server = Server::new(id, move |wire, _| {
+    let server = Server::new(id, move |conn, _| {
         assert!(opened.lock().unwrap().recv().is_err());
-        wire.row(id.as_bytes(), "replica", NOW_MS);
+        conn.send_row(id.as_bytes(), "replica", REPORTED_POSITION);
         true
     });
     (open, server)
 }
 
 /// A server that says when it has a statement, and does with it what it is told.
-pub struct Slow {
+pub struct ControlledServer {
     pub server: Server,
     go: Sender<&'static str>,
     done: Receiver<()>,
 }
 
-impl Slow {
+impl ControlledServer {
     pub fn new(id: &'static str) -> Self {
         Self::with_part(id, "replica")
     }
@@ -293,31 +299,31 @@
     pub fn with_part(id: &'static str, part: &'static str) -> Self {
         let ((go, told), (end, done)) = (channel::<&'static str>(), channel());
         let ends = Mutex::new((told, end));
-        let server = Server::raw(id, move |wire, statement| {
+        let server = Server::raw(id, move |conn, statement| {
             let (told, end) = &*ends.lock().unwrap();
             if statement.is_empty() {
-                wire.put(b"I\0\0\0\x04Z\0\0\0\x05I");
+                conn.send_bytes(b"I\0\0\0\x04Z\0\0\0\x05I");
             } else if statement.starts_with("SHOW") {
                 let role = u8::from(part == "master");
-                wire.row(format!("x0=1767225600.1,x1={role}").as_bytes(), part, NOW_MS);
+                conn.send_row(format!("x0=1767225600.1,x1={role}").as_bytes(), part, REPORTED_POSITION);
             } else {
                 match told.recv() {
                     Ok("closed") => {
                         // What came along with the statement is no more.
-                        let more = std::iter::from_fn(|| wire.message());
+                        let more = std::iter::from_fn(|| conn.next_message());
                         if more.filter(|(_, body)| body != b"\0").count() == 0 {
                             let _ = end.send(());
                         }
                         return false;
                     }
-                    Ok("row") => wire.row(b"done", part, NOW_MS),
-                    Ok(code) => wire.error(code, part),
+                    Ok("row") => conn.send_row(b"done", part, REPORTED_POSITION),
+                    Ok(code) => conn.send_error(code, part),
                     Err(_) => return false,
                 }
             }
             // All that came along has been answered.
-            if !wire.has_more() {
-                wire.arrived();
+            if !conn.has_buffered() {
+                conn.wait_acknowledged();
                 let _ = end.send(());
             }
             true
@@ -329,12 +335,12 @@
     /// nothing more sent there.
     pub fn answer(&self, how: &'static str) {
         self.go.send(how).unwrap();
-        self.done.recv_timeout(PATIENCE).unwrap();
+        self.done.recv_timeout(STEP_TIMEOUT).unwrap();
     }
 }
 
-pub fn until(mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+pub fn wait_until(mut holds: impl FnMut() -> bool) {
+    let end = Instant::now() + STEP_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "in vain");
         std::thread::yield_now();
@@ -342,9 +348,9 @@
 }
 
 /// The clients' ids of what it was sent.
-pub fn ids(server: &Server) -> Vec<String> {
+pub fn received_ids(server: &Server) -> Vec<String> {
     let id = |of: &String| of.split_once("id=").unwrap().1.split_once(',').unwrap().0.to_owned();
-    server.got().iter().map(id).collect()
+    server.received().iter().map(id).collect()
 }
 
 /// Discovery: each watch is announced by its request line, and then sends the lines given until told to end.
@@ -356,7 +362,7 @@
 impl Discovery {
     pub fn new() -> Self {
         let (announce, watches) = channel();
-        let address = serve(move |stream| {
+        let address = spawn_listener(move |stream| {
             let mut lines = BufReader::new(stream.try_clone().unwrap()).lines();
             let Some(Ok(first)) = lines.next() else { return };
             while lines.next().is_some_and(|line| line.is_ok_and(|line| !line.is_empty())) {}
@@ -379,8 +385,8 @@
         Self { address, watches }
     }
 
-    pub fn watch(&self) -> (String, Sender<Option<Value>>) {
-        self.watches.recv_timeout(PATIENCE).unwrap()
+    pub fn next_watch(&self) -> (String, Sender<Option<Value>>) {
+        self.watches.recv_timeout(STEP_TIMEOUT).unwrap()
     }
 }
 
@@ -401,7 +407,7 @@
         "Rules": {"DrainGrace": 250.0, "ColdFrom": 0.16, "Cold": 16000.0, "FallMultiple": 2.5, "Fall": 3000.0}})
 }
 
-pub fn list(generation: u64, reset: bool, instances: Vec<Value>) -> Value {
+pub fn server_list(generation: u64, reset: bool, instances: Vec<Value>) -> Value {
     json!({"generation": generation, "reset": reset, "instances": instances})
 }
 
@@ -409,7 +415,7 @@
 pub fn config(discovery: &Discovery, known: Vec<Value>, sockets: usize) -> String {
     json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
         "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
-        "peers": [], "known": list(41, true, known), "settings": settings()})
+        "peers": [], "known": server_list(41, true, known), "settings": settings()})
     .to_string()
 }
 
@@ -422,12 +428,12 @@
 }
 
 /// Starts the pooler on what `config` holds.
-pub fn start(config: &str) -> (Child, std::path::PathBuf) {
-    start_with(config, |_| {})
+pub fn spawn_process(config: &str) -> (Child, std::path::PathBuf) {
+    spawn_process_with(config, |_| {})
 }
 
 /// The same with a command that `prepare` has changed.
-fn start_with(config: &str, prepare: impl FnOnce(&mut Command)) -> (Child, std::path::PathBuf) {
+fn spawn_process_with(config: &str, prepare: impl FnOnce(&mut Command)) -> (Child, std::path::PathBuf) {
     static NUMBER: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let file = std::env::temp_dir().join(format!("linnetdeal-{}-{number}.json", std::process::id()));
@@ -439,37 +445,37 @@
 
 impl Pooler {
     pub fn new(discovery: &Discovery, known: Vec<Value>) -> Self {
-        Self::within(discovery, known, 1_024)
+        Self::with_sockets(discovery, known, 1_024)
     }
 
     /// One that may hold so many descriptors.
-    pub fn within(discovery: &Discovery, known: Vec<Value>, sockets: usize) -> Self {
-        Self::on(&config(discovery, known, sockets))
+    pub fn with_sockets(discovery: &Discovery, known: Vec<Value>, sockets: usize) -> Self {
+        Self::with_config(&config(discovery, known, sockets))
     }
 
     /// One with this configuration.
-    pub fn on(config: &str) -> Self {
-        Self::with(config, |_| {})
+    pub fn with_config(config: &str) -> Self {
+        Self::start_with(config, |_| {})
     }
 
     /// One of several processes that the listening socket is handed down to, and that share a folder.
-    pub fn beside(config: &str, listener: &TcpListener, folder: &std::path::Path) -> Self {
+    pub fn sharing_listener(config: &str, listener: &TcpListener, folder: &std::path::Path) -> Self {
         use std::os::fd::AsRawFd;
         rustix::io::fcntl_setfd(listener, rustix::io::FdFlags::empty()).unwrap();
-        Self::with(config, |command| {
+        Self::start_with(config, |command| {
             command.env("GW_LISTEN_FD", listener.as_raw_fd().to_string()).env("TMPDIR", folder);
         })
     }
 
-    fn with(config: &str, prepare: impl FnOnce(&mut Command)) -> Self {
-        let mut pooler = Self::begun(config, prepare);
-        pooler.listens();
+    fn start_with(config: &str, prepare: impl FnOnce(&mut Command)) -> Self {
+        let mut pooler = Self::launch(config, prepare);
+        pooler.wait_listening();
         pooler
     }
 
     /// One that has only just been started.
-    pub fn begun(config: &str, prepare: impl FnOnce(&mut Command)) -> Self {
-        let (mut child, file) = start_with(config, prepare);
+    pub fn launch(config: &str, prepare: impl FnOnce(&mut Command)) -> Self {
+        let (mut child, file) = spawn_process_with(config, prepare);
         let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
         let (sender, log) = channel();
         std::thread::spawn(move || {
@@ -484,8 +490,8 @@
     }
 
     /// Waits until it says where it listens.
-    pub fn listens(&mut self) {
-        self.address = self.logged("listening on ").rsplit(' ').next().unwrap().parse().unwrap();
+    pub fn wait_listening(&mut self) {
+        self.address = self.wait_log("listening on ").rsplit(' ').next().unwrap().parse().unwrap();
     }
 
     pub fn signal(&self, name: &str) {
@@ -493,8 +499,8 @@
         assert!(status.unwrap().success());
     }
 
-    /// Stops it, and waits until it stands: what comes from here on it finds all at once.
-    pub fn freeze(&self) {
+    /// Stops it, and waits until it wait_tcp_state: what comes from here on it finds all at once.
+    pub fn suspend(&self) {
         self.signal("STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
         while !std::fs::read_to_string(&stat).unwrap().rsplit(") ").next().unwrap().starts_with('T') {
@@ -503,13 +509,13 @@
     }
 
     /// Has it go on.
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal("CONT");
     }
 
     /// Waits until it has counted this.
-    pub fn counts(&self, what: &str) {
-        let end = std::time::Instant::now() + PATIENCE;
+    pub fn wait_counter(&self, what: &str) {
+        let end = std::time::Instant::now() + STEP_TIMEOUT;
         while !self.counters().contains(what) {
             assert!(std::time::Instant::now() < end, "never counted{what}");
         }
@@ -518,18 +524,18 @@
     /// What it has counted so far.
     pub fn counters(&self) -> String {
         self.signal("USR1");
-        self.logged("counters")
+        self.wait_log("counters")
     }
 
     /// Puts other text in the place of its configuration.
-    pub fn configure(&self, text: &str) {
+    pub fn write_config(&self, text: &str) {
         std::fs::write(&self.file, text).unwrap();
     }
 
     /// The next log line that has this in it.
-    pub fn logged(&self, start: &str) -> String {
+    pub fn wait_log(&self, start: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(PATIENCE).unwrap();
+            let line = self.log.recv_timeout(STEP_TIMEOUT).unwrap();
             if line.contains(start) {
                 return line;
             }
@@ -555,50 +561,50 @@
     pub detail: Option<String>,
 }
 
-pub struct Client(pub Wire);
+pub struct Client(pub PgConnection);
 
 impl Client {
     pub fn connect(pooler: &Pooler) -> Self {
-        let mut client = Self::dial(pooler, b"");
+        let mut client = Self::connect_with(pooler, b"");
         assert!(client.answer().tags.ends_with('Z'));
         client
     }
 
     /// Writes the startup message and, straight after it, `more`.
-    pub fn dial(pooler: &Pooler, more: &[u8]) -> Self {
-        Self::open(TcpStream::connect(pooler.address).unwrap(), more)
+    pub fn connect_with(pooler: &Pooler, more: &[u8]) -> Self {
+        Self::start_session(TcpStream::connect(pooler.address).unwrap(), more)
     }
 
     /// Writes the startup message and a query to a connection.
-    pub fn on(stream: TcpStream, statement: &str) -> Self {
+    pub fn from_stream(stream: TcpStream, statement: &str) -> Self {
         let mut out = Vec::new();
         write::query(&mut out, statement);
-        Self::open(stream, &out)
+        Self::start_session(stream, &out)
     }
 
-    fn open(stream: TcpStream, more: &[u8]) -> Self {
+    fn start_session(stream: TcpStream, more: &[u8]) -> Self {
         let mut out = Vec::new();
         write::startup(&mut out, "backend", "store");
         out.extend_from_slice(more);
-        let mut client = Self(Wire::new(stream));
-        client.0.put(&out);
+        let mut client = Self(PgConnection::new(stream));
+        client.0.send_bytes(&out);
         client
     }
 
     pub fn send(&mut self, statement: &str) {
         let mut out = Vec::new();
         write::query(&mut out, statement);
-        self.0.put(&out);
+        self.0.send_bytes(&out);
     }
 
-    pub fn ask(&mut self, statement: &str) -> Answer {
+    pub fn execute(&mut self, statement: &str) -> Answer {
         self.send(statement);
         self.answer()
     }
 
     pub fn answer(&mut self) -> Answer {
         let mut answer = Answer::default();
-        while let Some((tag, body)) = self.0.message() {
+        while let Some((tag, body)) = self.0.next_message() {
             answer.tags.push(char::from(tag));
             match tag {
                 b'D' => answer.value = pg::row_value(&body).unwrap().map(<[u8]>::to_vec),
--- a/crates/daemon/tests/copies.rs
+++ b/crates/daemon/tests/copies.rs
@@ -1,7 +1,7 @@
 //! Second copies, where the settings allow them: two attempts of one request out at once, forced by servers that hold answers.
 
-mod peers;
-use peers::*;
+mod common;
+use common::*;
 use std::sync::Mutex;
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
@@ -11,19 +11,19 @@
 const AIM: Duration = Duration::from_millis(6_000);
 
 /// A pooler that may send them, with these servers known.
-fn allowed(discovery: &Discovery, servers: &[(&Slow, &str)]) -> Pooler {
+fn allowed(discovery: &Discovery, servers: &[(&ControlledServer, &str)]) -> Pooler {
     let known = servers.iter().map(|(of, part)| of.server.entry("up", part)).collect();
     let text = config(discovery, known, 1_024).replace("8000.0", "6000.0");
-    Pooler::on(&text.replace("\"MayDuplicate\":false", "\"MayDuplicate\":true"))
+    Pooler::with_config(&text.replace("\"MayDuplicate\":false", "\"MayDuplicate\":true"))
 }
 
-fn has(of: &Slow, id: &str) -> bool {
-    ids(&of.server).iter().any(|own| own == id)
+fn has(of: &ControlledServer, id: &str) -> bool {
+    received_ids(&of.server).iter().any(|own| own == id)
 }
 
 /// Has these servers answer at once for a while: it has to be known how long answers take, or the first guess of it holds a second
 /// copy back for longer than a watch may be silent.
-fn warm_up(client: &mut Client, servers: &[&Slow], statement: fn(&str) -> String) {
+fn warm_up(client: &mut Client, servers: &[&ControlledServer], statement: fn(&str) -> String) {
     for turn in 0..60 {
         let id = format!("w{turn}");
         client.send(&statement(&id));
@@ -33,20 +33,23 @@
 }
 
 /// Has whoever gets it answer.
-fn answer(servers: &[&Slow], id: &str) {
-    until(|| servers.iter().any(|of| has(of, id)));
+fn answer(servers: &[&ControlledServer], id: &str) {
+    wait_until(|| servers.iter().any(|of| has(of, id)));
     servers.iter().find(|of| has(of, id)).unwrap().answer("row");
 }
 
 /// Has a read of this client out at both servers; gives its id and who had it first. A process that stands still sends no
 /// second copy, which may happen on a busy machine: then another read is tried.
-fn out_at_both<'a>(client: &mut Client, servers: [&'a Slow; 2]) -> (String, [&'a Slow; 2]) {
+fn out_at_both<'a>(
+    client: &mut Client,
+    servers: [&'a ControlledServer; 2],
+) -> (String, [&'a ControlledServer; 2]) {
     warm_up(client, &servers, menu);
     for turn in 0.. {
         assert!(turn < 10, "never a second copy");
         let id = format!("r{turn}");
         client.send(&menu(&id));
-        until(|| servers.iter().any(|of| has(of, &id)));
+        wait_until(|| servers.iter().any(|of| has(of, &id)));
         let order = if has(servers[0], &id) { servers } else { [servers[1], servers[0]] };
         let began = Instant::now();
         while began.elapsed() < AIM {
@@ -63,7 +66,7 @@
 
 #[test]
 fn the_first_answer_is_passed_on_and_the_other_attempts_connection_closed() {
-    let (one, two) = (Slow::new("s-1"), Slow::new("s-2"));
+    let (one, two) = (ControlledServer::new("s-1"), ControlledServer::new("s-2"));
     let discovery = Discovery::new();
     let pooler = allowed(&discovery, &[(&one, "replica"), (&two, "replica")]);
     let mut client = Client::connect(&pooler);
@@ -78,7 +81,7 @@
     );
     // Nothing but the wait was rewritten, each time anew.
     let waits = [first, second].map(|of| {
-        let got = of.server.got();
+        let got = of.server.received();
         let own = got.iter().find(|got| got.contains(&format!("id={id},"))).unwrap();
         let (before, rest) = own.split_once(",d=").unwrap();
         let (wait, after) = rest.split_once(',').unwrap();
@@ -94,13 +97,13 @@
 
 #[test]
 fn an_attempt_that_fails_leaves_the_answer_to_the_other_and_two_make_one_final_answer() {
-    let (one, two) = (Slow::new("s-1"), Slow::new("s-2"));
+    let (one, two) = (ControlledServer::new("s-1"), ControlledServer::new("s-2"));
     let discovery = Discovery::new();
     let pooler = allowed(&discovery, &[(&one, "replica"), (&two, "replica")]);
     let mut client = Client::connect(&pooler);
     let (_, [first, second]) = out_at_both(&mut client, [&one, &two]);
     first.answer("XX000");
-    pooler.counts(" outcome.error=1 ");
+    pooler.wait_counter(" outcome.error=1 ");
     let counters = pooler.counters();
     assert!(counters.contains(" refused=0 ") && counters.contains(" failed=0 "), "{counters}");
     second.answer("XX000");
@@ -112,7 +115,7 @@
 
 #[test]
 fn a_client_that_leaves_with_two_out_ends_both() {
-    let (one, two) = (Slow::new("s-1"), Slow::new("s-2"));
+    let (one, two) = (ControlledServer::new("s-1"), ControlledServer::new("s-2"));
     let discovery = Discovery::new();
     let pooler = allowed(&discovery, &[(&one, "replica"), (&two, "replica")]);
     let mut client = Client::connect(&pooler);
@@ -120,7 +123,7 @@
     drop(client);
     first.answer("closed");
     second.answer("closed");
-    pooler.counts(" gone=1 ");
+    pooler.wait_counter(" gone=1 ");
     assert!(pooler.counters().contains(" outcome.cancelled=2 "));
 }
 
@@ -134,7 +137,7 @@
     let (tell, dialled) = channel();
     let (open, opened) = channel::<()>();
     let (tell, opened) = (Mutex::new(tell), Mutex::new(opened));
-    let leaves = Server::with_door(
+    let leaves = Server::with_accept_hook(
         "s-2",
         move || {
             let _ = tell.lock().unwrap().send(());
@@ -142,36 +145,36 @@
         },
         |_, _| false,
     );
-    let first = Slow::new("s-1");
+    let first = ControlledServer::new("s-1");
     let discovery = Discovery::new();
     let pooler = allowed(&discovery, &[(&first, "replica")]);
-    let (_, watch) = discovery.watch();
+    let (_, watch) = discovery.next_watch();
     let mut client = Client::connect(&pooler);
     warm_up(&mut client, &[&first], menu);
     client.send(&menu("1"));
-    until(|| has(&first, "1"));
+    wait_until(|| has(&first, "1"));
     // Only now is there another member, so that it gets the second copy.
-    watch.send(Some(list(42, false, vec![leaves.entry("up", "replica")]))).unwrap();
+    watch.send(Some(server_list(42, false, vec![leaves.entry("up", "replica")]))).unwrap();
     if dialled.recv_timeout(AIM).is_err() {
         return false;
     }
-    watch.send(Some(list(43, false, vec![leaves.entry("draining", "")]))).unwrap();
+    watch.send(Some(server_list(43, false, vec![leaves.entry("draining", "")]))).unwrap();
     watch.send(None).unwrap();
-    assert!(discovery.watch().0.contains("since=43"), "the word was taken");
+    assert!(discovery.next_watch().0.contains("since=43"), "the word was taken");
     drop(open);
-    pooler.counts(" outcome.moot=1 ");
+    pooler.wait_counter(" outcome.moot=1 ");
     first.answer("row");
     assert_eq!(client.answer().value.as_deref(), Some(&b"done"[..]));
-    assert!(leaves.got().is_empty());
+    assert!(leaves.received().is_empty());
     true
 }
 
 #[test]
 fn where_they_are_not_allowed_the_first_attempt_is_closed_before_the_second() {
-    let (one, two) = (Slow::new("s-1"), Slow::new("s-2"));
+    let (one, two) = (ControlledServer::new("s-1"), ControlledServer::new("s-2"));
     let discovery = Discovery::new();
     let known = [&one, &two].map(|of| of.server.entry("up", "replica")).to_vec();
-    let pooler = Pooler::on(&config(&discovery, known, 1_024).replace("8000.0", "6000.0"));
+    let pooler = Pooler::with_config(&config(&discovery, known, 1_024).replace("8000.0", "6000.0"));
     let mut client = Client::connect(&pooler);
     let (_, [first, second]) = out_at_both(&mut client, [&one, &two]);
     // Nothing has ended but the time of the first; the second is held.
@@ -184,17 +187,21 @@
 
 #[test]
 fn a_write_is_out_once_for_as_long_as_reads_beside_it_get_a_second_copy() {
-    let (primary, one, two) = (Slow::with_part("s-1", "master"), Slow::new("s-2"), Slow::new("s-3"));
+    let (primary, one, two) = (
+        ControlledServer::with_part("s-1", "master"),
+        ControlledServer::new("s-2"),
+        ControlledServer::new("s-3"),
+    );
     let discovery = Discovery::new();
     let pooler = allowed(&discovery, &[(&primary, "master"), (&one, "replica"), (&two, "replica")]);
     let mut writer = Client::connect(&pooler);
     warm_up(&mut writer, &[&primary], top_up);
     writer.send(&top_up("write"));
-    until(|| has(&primary, "write"));
+    wait_until(|| has(&primary, "write"));
     let mut reader = Client::connect(&pooler);
     let (_, [first, _second]) = out_at_both(&mut reader, [&one, &two]);
     first.answer("row");
     assert!(reader.answer().value.is_some());
-    let everywhere = [&primary, &one, &two].map(|of| ids(&of.server)).concat();
+    let everywhere = [&primary, &one, &two].map(|of| received_ids(&of.server)).concat();
     assert_eq!(everywhere.iter().filter(|id| *id == "write").count(), 1, "{everywhere:?}");
 }
