--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Scripted peers on loopback sockets: servers, discovery and clients round the built pooler.
+//! Shared test support: runs the built pooler as a process between scripted servers, discovery and clients on loopback
+//! sockets.
 #![allow(dead_code)]
 
 use linnetdeal_net::pg::{self, write};
@@ -10,17 +11,17 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A position that servers tell.
+/// The replication position that the scripted servers report.
 pub const REPORTED_POSITION: &str = "1767225600123";
 
-/// No step of a story takes this long; it only keeps a broken one from hanging.
+/// Upper bound on every wait of a test: it only keeps a failed test from hanging.
 pub const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One end of a connection that speaks PostgreSQL's messages.
+/// One end of a connection that exchanges PostgreSQL protocol messages.
 pub struct PgConnection {
     pub stream: TcpStream,
     read: Vec<u8>,
-    /// The other side reset the connection.
+    /// Whether the other side has reset the connection.
     pub reset: bool,
 }
 
@@ -31,7 +32,7 @@
         Self { stream, read: Vec::new(), reset: false }
     }
 
-    /// Reads more; false at the end of the stream.
+    /// Reads more bytes into the buffer; false at the end of the stream.
     fn read_more(&mut self) -> bool {
         let mut bytes = [0; 65_536];
         match self.stream.read(&mut bytes) {
@@ -39,16 +40,17 @@
                 self.read.extend_from_slice(&bytes[..count]);
                 count > 0
             }
-            // A read with a time limit is not resumed after a signal, such as the one of a stopped child.
+            // The system doesn't restart a read with a timeout after a signal, such as SIGCHLD when a child is stopped.
             Err(error) if error.kind() == std::io::ErrorKind::Interrupted => self.read_more(),
             Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => {
                 self.reset = true;
                 false
             }
-            Err(error) => panic!("a peer waits in vain: {error}"),
+            Err(error) => panic!("a scripted peer could not read: {error}"),
         }
     }
 
+    /// Reads the startup message; false if the other side has closed before it.
     pub fn read_startup(&mut self) -> bool {
         loop {
             if let Some((_, size)) = pg::startup(&self.read).unwrap() {
@@ -61,7 +63,7 @@
         }
     }
 
-    /// More has come along with what was read last.
+    /// Whether bytes behind the latest message have been read already.
     pub fn has_buffered(&self) -> bool {
         !self.read.is_empty()
     }
@@ -81,16 +83,16 @@
     }
 
     pub fn send_bytes(&mut self, bytes: &[u8]) {
-        // A pooler that has given up need not take it.
+        // The pooler may have closed the connection already.
         let _ = self.stream.write_all(bytes);
     }
 
-    /// A server's answer with one value, its role and position.
+    /// Sends a server's answer with one value, its role and its replication position.
     pub fn send_row(&mut self, value: &[u8], part: &str, caught_up_to: &str) {
         self.send_row_and(value, part, caught_up_to, b"");
     }
 
-    /// The same with `more` behind it, in one write.
+    /// The same, with `more` appended in the same write.
     pub fn send_row_and(&mut self, value: &[u8], part: &str, caught_up_to: &str, more: &[u8]) {
         let mut out = Vec::new();
         push_message(&mut out, b'T', b"\0\x01content\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
@@ -107,6 +109,7 @@
         self.send_bytes(&out);
     }
 
+    /// Sends a server's error response with this SQLSTATE, and its role.
     pub fn send_error(&mut self, code: &str, part: &str) {
         let mut out = Vec::new();
         write::error_response(&mut out, write::Severity::Error, code, "scripted", None);
@@ -115,41 +118,43 @@
         self.send_bytes(&out);
     }
 
-    /// Waits until the other side's system has all that was written: on a busy machine it comes later than the call returns.
+    /// Waits until the other side's kernel has acknowledged all that was written, which on a busy machine may be later than
+    /// the return of the write call.
     pub fn wait_acknowledged(&self) {
         self.wait_tcp_state(|_, unsent| unsent == 0);
     }
 
-    /// Closes this side, once the other side's system knows that.
+    /// Closes this side and waits until the other side's kernel has acknowledged that.
     pub fn close_and_wait(self) {
         self.stream.shutdown(std::net::Shutdown::Write).unwrap();
-        // FIN_WAIT2, or gone altogether.
+        // 5 is FIN_WAIT2; a connection that no longer exists is accepted as well.
         self.wait_tcp_state(|state, _| state == 5);
     }
 
-    /// Waits until the system's state of this connection, and the count of bytes that the other side has not acknowledged, are
-    /// such, or it knows it no more.
+    /// Waits until the predicate holds for the connection's TCP state and its count of unacknowledged bytes, or until the
+    /// connection no longer exists.
     fn wait_tcp_state(&self, holds: impl Fn(u8, u32) -> bool) {
-        let port = |at: SocketAddr| format!(":{:04X}", at.port());
+        let port = |address: SocketAddr| format!(":{:04X}", address.port());
         let own = port(self.stream.local_addr().unwrap());
-        // The other side may have reset it by now.
+        // The other side may have reset the connection by now.
         let Ok(other) = self.stream.peer_addr().map(port) else { return };
-        let end = std::time::Instant::now() + STEP_TIMEOUT;
+        let deadline = std::time::Instant::now() + STEP_TIMEOUT;
         loop {
             let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
             let line = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
-            let line = line.into_iter().find(|of| of[1].ends_with(&own) && of[2].ends_with(&other));
+            let line =
+                line.into_iter().find(|fields| fields[1].ends_with(&own) && fields[2].ends_with(&other));
             let Some(line) = line else { return };
             let unsent = line[4].split(':').next().unwrap();
             if holds(u8::from_str_radix(line[3], 16).unwrap(), u32::from_str_radix(unsent, 16).unwrap()) {
                 return;
             }
-            assert!(std::time::Instant::now() < end, "{line:?}");
+            assert!(std::time::Instant::now() < deadline, "{line:?}");
             std::thread::yield_now();
         }
     }
 
-    /// Waits until the other side has closed.
+    /// Reads and discards until the other side has closed; then true.
     pub fn wait_closed(&mut self) -> bool {
         while self.read_more() {}
         true
@@ -173,8 +178,8 @@
     address
 }
 
-/// A server that welcomes everybody and hands each statement to `handle_statement`, which says whether to read on.
-/// What it was sent, probes aside, is kept.
+/// A server that accepts every session and passes each statement to `handle_statement`, which returns whether to read on.
+/// It records the statements that it was sent, except for probes and empty queries.
 pub struct Server {
     pub id: &'static str,
     pub address: SocketAddr,
@@ -189,7 +194,7 @@
         Self::with_accept_hook(id, || {}, handle_statement)
     }
 
-    /// One whose script gets the empty queries as well.
+    /// A server whose handler is passed the empty queries as well; otherwise they are answered for it.
     pub fn raw(
         id: &'static str,
         handle_statement: impl Fn(&mut PgConnection, &str) -> bool + Send + Sync + 'static,
@@ -197,7 +202,7 @@
         Self::start(id, || {}, handle_statement)
     }
 
-    /// One that calls `before_welcome` before it welcomes a connection.
+    /// A server that calls `before_welcome` before it answers a startup message.
     pub fn with_accept_hook(
         id: &'static str,
         before_welcome: impl Fn() + Send + Sync + 'static,
@@ -221,15 +226,15 @@
         handle_statement: impl Fn(&mut PgConnection, &str) -> bool + Send + Sync + 'static,
     ) -> Self {
         let received = Arc::new(Mutex::new(Vec::new()));
-        let (log, scripts) = (received.clone(), Arc::new((before_welcome, handle_statement)));
+        let (log, hooks) = (received.clone(), Arc::new((before_welcome, handle_statement)));
         let address = spawn_listener(move |stream| {
-            let (log, scripts) = (log.clone(), scripts.clone());
+            let (log, hooks) = (log.clone(), hooks.clone());
             std::thread::spawn(move || {
                 let mut conn = PgConnection::new(stream);
                 if !conn.read_startup() {
                     return;
                 }
-                scripts.0();
+                hooks.0();
                 let mut out = Vec::new();
                 write::session_start(&mut out, 1, 1);
                 conn.send_bytes(&out);
@@ -238,7 +243,7 @@
                     if !statement.is_empty() && !statement.starts_with("SHOW") {
                         log.lock().unwrap().push(statement.to_owned());
                     }
-                    if !scripts.1(&mut conn, statement) {
+                    if !hooks.1(&mut conn, statement) {
                         return;
                     }
                 }
@@ -251,7 +256,7 @@
         self.received.lock().unwrap().clone()
     }
 
-    /// Its entry in a list.
+    /// Its entry in a list of servers.
     pub fn entry(&self, lifecycle: &str, part: &str) -> Value {
         json!({"instanceId": self.id, "hostPort": self.address.to_string(), "zone": "adum",
                "machineType": "quad-std", "cell": 2, "lifecycle": lifecycle, "weight": 1.0,
@@ -259,7 +264,7 @@
     }
 }
 
-/// A server that answers everything with its own name.
+/// A server that answers each statement with its own id.
 pub fn id_server(id: &'static str, part: &'static str) -> Server {
     Server::new(id, move |conn, statement| {
         if statement.starts_with("SHOW") {
@@ -272,23 +277,23 @@
     })
 }
 
-/// A server that answers once the sender is dropped.
+/// A server that answers no statement until the returned sender is dropped.
 pub fn blocked_server(id: &'static str) -> (Sender<()>, Server) {
-    let (open, opened) = channel::<()>();
-    let opened = Mutex::new(opened);
+    let (release, released) = channel::<()>();
+    let released = Mutex::new(released);
     let server = Server::new(id, move |conn, _| {
-        assert!(opened.lock().unwrap().recv().is_err());
+        assert!(released.lock().unwrap().recv().is_err());
         conn.send_row(id.as_bytes(), "replica", REPORTED_POSITION);
         true
     });
-    (open, server)
+    (release, server)
 }
 
-/// A server that says when it has a statement, and does with it what it is told.
+/// A server that answers each statement as the test directs, by [`ControlledServer::answer`].
 pub struct ControlledServer {
     pub server: Server,
-    go: Sender<&'static str>,
-    done: Receiver<()>,
+    commands: Sender<&'static str>,
+    finished: Receiver<()>,
 }
 
 impl ControlledServer {
@@ -297,22 +302,22 @@
     }
 
     pub fn with_part(id: &'static str, part: &'static str) -> Self {
-        let ((go, told), (end, done)) = (channel::<&'static str>(), channel());
-        let ends = Mutex::new((told, end));
+        let ((commands, pending), (finish, finished)) = (channel::<&'static str>(), channel());
+        let ends = Mutex::new((pending, finish));
         let server = Server::raw(id, move |conn, statement| {
-            let (told, end) = &*ends.lock().unwrap();
+            let (pending, finish) = &*ends.lock().unwrap();
             if statement.is_empty() {
                 conn.send_bytes(b"I\0\0\0\x04Z\0\0\0\x05I");
             } else if statement.starts_with("SHOW") {
                 let role = u8::from(part == "master");
                 conn.send_row(format!("x0=1767225600.1,x1={role}").as_bytes(), part, REPORTED_POSITION);
             } else {
-                match told.recv() {
+                match pending.recv() {
                     Ok("closed") => {
-                        // What came along with the statement is no more.
+                        // Only the empty query that was sent along with the statement may still arrive.
                         let more = std::iter::from_fn(|| conn.next_message());
                         if more.filter(|(_, body)| body != b"\0").count() == 0 {
-                            let _ = end.send(());
+                            let _ = finish.send(());
                         }
                         return false;
                     }
@@ -321,39 +326,42 @@
                     Err(_) => return false,
                 }
             }
-            // All that came along has been answered.
+            // The statement and all that was sent along with it have been answered.
             if !conn.has_buffered() {
                 conn.wait_acknowledged();
-                let _ = end.send(());
+                let _ = finish.send(());
             }
             true
         });
-        Self { server, go, done }
+        Self { server, commands, finished }
     }
 
-    /// With a row, with the error of this code, or with nothing (`closed`): then it waits for the connection's end, with
-    /// nothing more sent there.
+    /// Answers the pending statement with a row (`row`), with an error of the SQLSTATE given, or not at all (`closed`): then
+    /// the connection has to be closed by the pooler with nothing more sent on it.
     pub fn answer(&self, how: &'static str) {
-        self.go.send(how).unwrap();
-        self.done.recv_timeout(STEP_TIMEOUT).unwrap();
+        self.commands.send(how).unwrap();
+        self.finished.recv_timeout(STEP_TIMEOUT).unwrap();
     }
 }
 
+/// Waits until the condition holds; panics after [`STEP_TIMEOUT`].
 pub fn wait_until(mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + STEP_TIMEOUT;
+    let deadline = Instant::now() + STEP_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < end, "in vain");
+        assert!(Instant::now() < deadline, "condition not met within {STEP_TIMEOUT:?}");
         std::thread::yield_now();
     }
 }
 
-/// The clients' ids of what it was sent.
-pub fn received_ids(server: &Server) -> Vec<String> {
-    let id = |of: &String| of.split_once("id=").unwrap().1.split_once(',').unwrap().0.to_owned();
+/// The request ids of the statements that the server was sent.
+pub fn ids_at(server: &Server) -> Vec<String> {
+    let id =
+        |statement: &String| statement.split_once("id=").unwrap().1.split_once(',').unwrap().0.to_owned();
     server.received().iter().map(id).collect()
 }
 
-/// Discovery: each watch is announced by its request line, and then sends the lines given until told to end.
+/// A scripted discovery service. `watches` yields the request line of each watch and a sender: a value is sent to the
+/// pooler as a line, and `None` ends the watch.
 pub struct Discovery {
     pub address: SocketAddr,
     pub watches: Receiver<(String, Sender<Option<Value>>)>,
@@ -372,9 +380,9 @@
                 let mut stream = stream;
                 stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
                 while let Ok(Some(list)) = receiver.recv() {
-                    // A text is sent as it is.
+                    // A string is sent verbatim.
                     let line = list.as_str().map_or_else(|| format!("{list}\n"), str::to_owned);
-                    // In two chunks, cut inside the line.
+                    // Two chunks, so that the line is split between them.
                     let (first, rest) = line.split_at(line.len().min(7));
                     for part in [first, rest].into_iter().filter(|part| !part.is_empty()) {
                         let _ = stream.write_all(format!("{:x}\r\n{part}\r\n", part.len()).as_bytes());
@@ -385,12 +393,13 @@
         Self { address, watches }
     }
 
+    /// Waits for the next watch that the pooler opens.
     pub fn next_watch(&self) -> (String, Sender<Option<Value>>) {
         self.watches.recv_timeout(STEP_TIMEOUT).unwrap()
     }
 }
 
-/// The settings of the site, as a pooler gets them.
+/// The site's settings in the pooler's configuration.
 pub fn settings() -> Value {
     let class = |name: &str, effect: &str, worth: f64| {
         json!({"Name": name, "Effect": effect, "Objective": 8000.0, "Deadline": 9000.0, "Worth": worth,
@@ -407,11 +416,12 @@
         "Rules": {"DrainGrace": 250.0, "ColdFrom": 0.16, "Cold": 16000.0, "FallMultiple": 2.5, "Fall": 3000.0}})
 }
 
+/// A message of discovery: all servers if `reset`, otherwise changes.
 pub fn server_list(generation: u64, reset: bool, instances: Vec<Value>) -> Value {
     json!({"generation": generation, "reset": reset, "instances": instances})
 }
 
-/// A configuration with this list known.
+/// A configuration with these servers known from the start.
 pub fn config(discovery: &Discovery, known: Vec<Value>, sockets: usize) -> String {
     json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery.address.to_string(),
         "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
@@ -419,7 +429,7 @@
     .to_string()
 }
 
-/// The built pooler; killed when dropped.
+/// A process of the built pooler; killed when dropped.
 pub struct Pooler {
     pub child: Child,
     pub address: SocketAddr,
@@ -427,12 +437,12 @@
     file: std::path::PathBuf,
 }
 
-/// Starts the pooler on what `config` holds.
+/// Starts the pooler with `config` as its configuration file; returns the file's path as well.
 pub fn spawn_process(config: &str) -> (Child, std::path::PathBuf) {
     spawn_process_with(config, |_| {})
 }
 
-/// The same with a command that `prepare` has changed.
+/// The same, with the command adjusted by `prepare`.
 fn spawn_process_with(config: &str, prepare: impl FnOnce(&mut Command)) -> (Child, std::path::PathBuf) {
     static NUMBER: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -448,32 +458,32 @@
         Self::with_sockets(discovery, known, 1_024)
     }
 
-    /// One that may hold so many descriptors.
+    /// A pooler with this limit on its file descriptors.
     pub fn with_sockets(discovery: &Discovery, known: Vec<Value>, sockets: usize) -> Self {
         Self::with_config(&config(discovery, known, sockets))
     }
 
-    /// One with this configuration.
+    /// A pooler with this configuration.
     pub fn with_config(config: &str) -> Self {
-        Self::start_with(config, |_| {})
+        Self::start_prepared(config, |_| {})
     }
 
-    /// One of several processes that the listening socket is handed down to, and that share a folder.
+    /// One of several processes that inherit the same listening socket and share a folder.
     pub fn sharing_listener(config: &str, listener: &TcpListener, folder: &std::path::Path) -> Self {
         use std::os::fd::AsRawFd;
         rustix::io::fcntl_setfd(listener, rustix::io::FdFlags::empty()).unwrap();
-        Self::start_with(config, |command| {
+        Self::start_prepared(config, |command| {
             command.env("GW_LISTEN_FD", listener.as_raw_fd().to_string()).env("TMPDIR", folder);
         })
     }
 
-    fn start_with(config: &str, prepare: impl FnOnce(&mut Command)) -> Self {
+    fn start_prepared(config: &str, prepare: impl FnOnce(&mut Command)) -> Self {
         let mut pooler = Self::launch(config, prepare);
         pooler.wait_listening();
         pooler
     }
 
-    /// One that has only just been started.
+    /// A process that has been started and may not listen yet.
     pub fn launch(config: &str, prepare: impl FnOnce(&mut Command)) -> Self {
         let (mut child, file) = spawn_process_with(config, prepare);
         let mut lines = BufReader::new(child.stderr.take().unwrap()).lines();
@@ -485,19 +495,20 @@
                 }
             }
         });
-        // Whatever goes wrong from here on, the process is ended when this is dropped.
+        // From here on the process is killed by the drop, whatever fails.
         Self { child, address: ([127, 0, 0, 1], 0).into(), log, file }
     }
 
-    /// Waits until it says where it listens.
+    /// Waits until the process has logged the address that it listens on.
     pub fn wait_listening(&mut self) {
         self.address = self.wait_log("listening on ").rsplit(' ').next().unwrap().parse().unwrap();
     }
 
+    /// Sends the process a signal, named without `SIG`.
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill").args(["-s", name, &self.child.id().to_string()]).status();
         assert!(status.unwrap().success());
-    }
+    /// Stops the process with SIGSTOP and waits until it has stopped: all that arrives meanwhile is found by one poll later.
 
     /// Stops it, and waits until it wait_tcp_state: what comes from here on it finds all at once.
     pub fn suspend(&self) {
@@ -508,35 +519,35 @@
         }
     }
 
-    /// Has it go on.
+    /// Continues a stopped process.
     pub fn resume(&self) {
         self.signal("CONT");
     }
 
-    /// Waits until it has counted this.
-    pub fn wait_counter(&self, what: &str) {
-        let end = std::time::Instant::now() + STEP_TIMEOUT;
-        while !self.counters().contains(what) {
-            assert!(std::time::Instant::now() < end, "never counted{what}");
+    /// Waits until the line of counters contains `count`.
+    pub fn wait_counter(&self, count: &str) {
+        let deadline = std::time::Instant::now() + STEP_TIMEOUT;
+        while !self.counters().contains(count) {
+            assert!(std::time::Instant::now() < deadline, "counters never contained{count}");
         }
     }
 
-    /// What it has counted so far.
+    /// The line of counters that the process logs on SIGUSR1.
     pub fn counters(&self) -> String {
         self.signal("USR1");
         self.wait_log("counters")
     }
 
-    /// Puts other text in the place of its configuration.
+    /// Overwrites the configuration file.
     pub fn write_config(&self, text: &str) {
         std::fs::write(&self.file, text).unwrap();
     }
 
-    /// The next log line that has this in it.
-    pub fn wait_log(&self, start: &str) -> String {
+    /// Waits for the next log line that contains `text`.
+    pub fn wait_log(&self, text: &str) -> String {
         loop {
             let line = self.log.recv_timeout(STEP_TIMEOUT).unwrap();
-            if line.contains(start) {
+            if line.contains(text) {
                 return line;
             }
         }
@@ -551,31 +562,33 @@
     }
 }
 
-/// An answer up to ReadyForQuery, or to the end of the connection.
+/// An answer up to ReadyForQuery or the end of the connection.
 #[derive(Debug, Default, PartialEq)]
 pub struct Answer {
-    /// The messages' tags.
+    /// The tags of its messages.
     pub tags: String,
     pub value: Option<Vec<u8>>,
     pub code: Option<String>,
     pub detail: Option<String>,
 }
 
+/// A client of the pooler.
 pub struct Client(pub PgConnection);
 
 impl Client {
+    /// Connects and waits for ReadyForQuery.
     pub fn connect(pooler: &Pooler) -> Self {
         let mut client = Self::connect_with(pooler, b"");
         assert!(client.answer().tags.ends_with('Z'));
         client
     }
 
-    /// Writes the startup message and, straight after it, `more`.
+    /// Connects, and writes the startup message and, immediately after it, `more`.
     pub fn connect_with(pooler: &Pooler, more: &[u8]) -> Self {
         Self::start_session(TcpStream::connect(pooler.address).unwrap(), more)
     }
 
-    /// Writes the startup message and a query to a connection.
+    /// Writes the startup message and a query on a connection.
     pub fn from_stream(stream: TcpStream, statement: &str) -> Self {
         let mut out = Vec::new();
         write::query(&mut out, statement);
@@ -626,11 +639,12 @@
     }
 }
 
-/// Statements as clients write them.
+/// A read of the class `bundle-menu`, as clients write it.
 pub fn menu(id: &str) -> String {
     format!("SELECT content FROM kv WHERE name = 'm1' /* id={id},c=bundle-menu,d=8000,cluster=2 */")
 }
 
+/// A write of the class `top-up`, as clients write it.
 pub fn top_up(id: &str) -> String {
     format!(
         "INSERT INTO kv (name, content) VALUES ('a1', '\\x9f03') RETURNING content \
--- a/crates/daemon/tests/copies.rs
+++ b/crates/daemon/tests/copies.rs
@@ -18,7 +18,7 @@
 }
 
 fn has(of: &ControlledServer, id: &str) -> bool {
-    received_ids(&of.server).iter().any(|own| own == id)
+    ids_at(&of.server).iter().any(|own| own == id)
 }
 
 /// Has these servers answer at once for a while: it has to be known how long answers take, or the first guess of it holds a second
@@ -202,6 +202,6 @@
     let (_, [first, _second]) = out_at_both(&mut reader, [&one, &two]);
     first.answer("row");
     assert!(reader.answer().value.is_some());
-    let everywhere = [&primary, &one, &two].map(|of| received_ids(&of.server)).concat();
+    let everywhere = [&primary, &one, &two].map(|of| ids_at(&of.server)).concat();
     assert_eq!(everywhere.iter().filter(|id| *id == "write").count(), 1, "{everywhere:?}");
 }
--- a/crates/daemon/tests/crossings.rs
+++ b/crates/daemon/tests/crossings.rs
@@ -311,7 +311,7 @@
     watch.send(None).unwrap();
     pooler.resume();
     assert_eq!(client.answer().value.as_deref(), Some(&b"s-2"[..]));
-    assert_eq!(received_ids(&leaves.server), ["1"]);
+    assert_eq!(ids_at(&leaves.server), ["1"]);
 }
 
 // ---- A client leaves
@@ -412,7 +412,7 @@
     client.0.close_and_wait();
     pooler.resume();
     pooler.wait_counter(" gone=1 ");
-    assert_eq!(received_ids(&slow.server), ["1"]);
+    assert_eq!(ids_at(&slow.server), ["1"]);
     assert!(pooler.counters().contains(" served=1 "));
 }
 
@@ -435,7 +435,7 @@
     };
     assert!(answered.iter().all(in_time), "{answered:?}");
     // What was over before its turn came went nowhere.
-    assert_eq!(received_ids(&server), ["1", "3"]);
+    assert_eq!(ids_at(&server), ["1", "3"]);
     drop(open);
 }
 
@@ -456,8 +456,8 @@
         assert!(turn < 1_000, "chance never picks both");
         let id = format!("w{turn}");
         clients[0].send(&menu(&id));
-        wait_until(|| [&one, &two].iter().any(|of| received_ids(&of.server).contains(&id)));
-        let at = if received_ids(&one.server).contains(&id) { &one } else { &two };
+        wait_until(|| [&one, &two].iter().any(|of| ids_at(&of.server).contains(&id)));
+        let at = if ids_at(&one.server).contains(&id) { &one } else { &two };
         at.answer("row");
         assert!(clients[0].answer().value.is_some());
         if !one.server.received().is_empty() && !two.server.received().is_empty() {
@@ -466,9 +466,9 @@
     }
     let [_stays, mut leaves] = clients;
     leaves.send(&menu("1"));
-    wait_until(|| [&one, &two].iter().any(|of| received_ids(&of.server).contains(&"1".to_owned())));
+    wait_until(|| [&one, &two].iter().any(|of| ids_at(&of.server).contains(&"1".to_owned())));
     let (first, second) =
-        if received_ids(&one.server).contains(&"1".to_owned()) { (&one, &two) } else { (&two, &one) };
+        if ids_at(&one.server).contains(&"1".to_owned()) { (&one, &two) } else { (&two, &one) };
     pooler.suspend();
     first.answer("53300");
     leaves.0.close_and_wait();
@@ -477,7 +477,7 @@
     if !pooler.counters().contains(" outcome.timeout=0 ") {
         return false;
     }
-    assert!(!received_ids(&second.server).contains(&"1".to_owned()), "sent on though the client has left");
+    assert!(!ids_at(&second.server).contains(&"1".to_owned()), "sent on though the client has left");
     true
 }
 
@@ -507,7 +507,7 @@
     if proof.was_late() {
         return false;
     }
-    assert_eq!(received_ids(&proof.server), ["1"]);
+    assert_eq!(ids_at(&proof.server), ["1"]);
     assert!(pooler.counters().contains(" outcome.moot=1 "), "nothing was sent, so nothing may have run");
     true
 }
@@ -564,9 +564,7 @@
     ahead.send(&top_up("1"));
     (0..300).for_each(|at| ahead.send(&menu(&format!("1-{at}"))));
     plainly.send(&top_up("2"));
-    wait_until(|| {
-        received_ids(&replica).iter().any(|id| id == "1") && received_ids(&replica).iter().any(|id| id == "2")
-    });
+    wait_until(|| ids_at(&replica).iter().any(|id| id == "1") && ids_at(&replica).iter().any(|id| id == "2"));
     drop(ahead);
     drop(plainly);
     pooler.wait_counter(" gone=2 ");
@@ -576,7 +574,7 @@
     assert!(discovery.next_watch().0.contains("since=42"), "the word was taken");
     let mut client = Client::connect(&pooler);
     assert_eq!(client.execute(&top_up("3")).value.as_deref(), Some(&b"s-2"[..]));
-    assert_eq!(received_ids(&primary), ["3"]);
+    assert_eq!(ids_at(&primary), ["3"]);
 }
 
 #[test]
@@ -585,7 +583,7 @@
     let discovery = Discovery::new();
     let pooler = Pooler::with_sockets(&discovery, vec![server.entry("up", "replica")], FEW);
     let mut clients = more_than_room(&pooler, &server);
-    let waits = (0..=ROOM).find(|at| !received_ids(&server).contains(&at.to_string())).unwrap();
+    let waits = (0..=ROOM).find(|at| !ids_at(&server).contains(&at.to_string())).unwrap();
     // The last room comes free and its client has left, in the same poll.
     pooler.suspend();
     clients.remove(waits).0.close_and_wait();
@@ -642,7 +640,7 @@
     // 0.9 s for the first by its deadline; the second is cut, and what has not pooler may be sent again without harm.
     assert_eq!(answers[2..], ["53300", "53300"], "{answers:?}");
     assert!(pooler.child.wait().unwrap().success());
-    assert!(server.received().len() <= 2, "{:?}", received_ids(&server));
+    assert!(server.received().len() <= 2, "{:?}", ids_at(&server));
     drop(open);
 }
 
@@ -679,22 +677,22 @@
             (std::env::temp_dir().join(&name), std::env::temp_dir().join(format!("{name}.json")));
         assert!(Command::new("mkfifo").arg(&pipe).status().unwrap().success());
         std::fs::write(&file, &text).unwrap();
-        let mut pooler = Pooler::launch(&text, |command| {
+        let mut starting = Pooler::launch(&text, |command| {
             command.env("GW_CONFIG", &pipe);
         });
         let mut writer = std::fs::File::options().write(true).open(&pipe).unwrap();
-        pooler.signal(signal);
+        starting.signal(signal);
         // What is read again is the file that stands there by then.
         std::fs::rename(&file, &pipe).unwrap();
         writer.write_all(text.as_bytes()).unwrap();
         drop(writer);
-        pooler.wait_listening();
+        starting.wait_listening();
         if signal == "HUP" {
-            pooler.wait_log("configuration read again");
-            assert_eq!(Client::connect(&pooler).execute(&menu("1")).value.as_deref(), Some(&b"s-1"[..]));
+            starting.wait_log("configuration read again");
+            assert_eq!(Client::connect(&starting).execute(&menu("1")).value.as_deref(), Some(&b"s-1"[..]));
         } else {
-            pooler.wait_log("draining");
-            assert!(pooler.child.wait().unwrap().success());
+            starting.wait_log("draining");
+            assert!(starting.child.wait().unwrap().success());
         }
         let _ = std::fs::remove_file(&pipe);
     }
