--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -508,9 +508,10 @@
     pub fn signal(&self, name: &str) {
         let status = Command::new("kill").args(["-s", name, &self.child.id().to_string()]).status();
         assert!(status.unwrap().success());
-    /// Stops the process with SIGSTOP and waits until it has stopped: all that arrives meanwhile is found by one poll later.
+    }
 
-    /// Stops it, and waits until it wait_tcp_state: what comes from here on it finds all at once.
+    /// Stops the process with SIGSTOP and waits until it has stopped: once resumed, it finds all that arrived meanwhile in
+    /// the same poll.
     pub fn suspend(&self) {
         self.signal("STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
