--- a/crates/daemon/tests/leases.rs
+++ b/crates/daemon/tests/leases.rs
@@ -29,10 +29,10 @@
         program: PROGRAM.into(),
         count,
         seed,
-        known: Box::new(move |_| known.clone()),
+        known_servers: Box::new(move |_| known.clone()),
         discovery: Vec::new(),
         zones: Vec::new(),
-        between: Box::new(|_, _| true),
+        relayed: Box::new(|_, _| true),
     }
 }
 
@@ -83,12 +83,12 @@
     let text = operator(&folder, "a key that is long enough");
     let known = json!({"generation": 1, "reset": true, "instances": []});
     let spec = spec(3, 4, known);
-    let mut fleet = Fleet::lay(spec).expect("a fleet");
+    let mut fleet = Fleet::new(spec).expect("a fleet");
     for at in 0..3 {
         fleet.start(at, &text, &[]).expect("a start");
     }
     for at in 0..3 {
-        fleet.ready(at).expect("a pooler");
+        fleet.wait_until_listening(at).expect("a pooler");
     }
     let shown = |fleet: &Fleet, at: usize| -> Value {
         let (status, body) = fleet.call(at, "GET", "/-/leases").expect("an answer");
@@ -97,7 +97,7 @@
     };
     let holder = |fleet: &Fleet, at: usize| shown(fleet, at)["tasks"][0]["holder"]["pooler"].as_u64();
     let until = |fleet: &Fleet, what: &dyn Fn(&Fleet) -> bool| {
-        let end = Instant::now() + process::PATIENCE;
+        let end = Instant::now() + process::WAIT_TIMEOUT;
         while !what(fleet) {
             assert!(Instant::now() < end, "in vain: {}", shown(fleet, 0));
             std::thread::sleep(Duration::from_millis(5));
@@ -119,7 +119,7 @@
     until(&fleet, &|fleet| holder(fleet, first) == Some(heir as u64));
     assert!(shown(&fleet, heir)["tasks"][0]["own"]["token"].as_u64() > Some(token));
     // Who is told to end gives it back first, and others need not wait for the term.
-    fleet.end(heir).expect("its end");
+    fleet.terminate(heir).expect("its end");
     assert!(
         fleet
             .logs()
@@ -163,16 +163,16 @@
     let list: Vec<Value> = family.addresses.iter().enumerate().map(entry).collect();
     let known = json!({"generation": 1, "reset": true, "instances": list});
     let spec = spec(5, 6, known);
-    let mut fleet = Fleet::lay(spec).expect("a fleet");
+    let mut fleet = Fleet::new(spec).expect("a fleet");
     fleet.settings["FamilyInfo"]["WhenBehind"] = "bounce".into();
     for at in 0..5 {
         fleet.start(at, &text, &[]).expect("a start");
     }
     for at in 0..5 {
-        fleet.ready(at).expect("a pooler");
+        fleet.wait_until_listening(at).expect("a pooler");
     }
     let until = |words: &str, what: &mut dyn FnMut() -> bool| {
-        let end = Instant::now() + process::PATIENCE;
+        let end = Instant::now() + process::WAIT_TIMEOUT;
         while !what() {
             assert!(Instant::now() < end, "in vain: {words}");
             std::thread::sleep(Duration::from_millis(5));
--- a/crates/daemon/tests/registry.rs
+++ b/crates/daemon/tests/registry.rs
@@ -25,7 +25,7 @@
     let stage = Stage::new(boxes, peers).unwrap();
     let none = json!({"generation": 0, "reset": true, "instances": []});
     let mut pooler = Pooler::start(Path::new(PROGRAM), Some(&stage.operator(operator)), &none).unwrap();
-    pooler.logged("instances read").unwrap();
+    pooler.wait_for_log("instances read").unwrap();
     let client = Client::new(pooler.address, 1, 1);
     Story { stage, pooler, client }
 }
@@ -130,7 +130,7 @@
     let sent = |name: &str| reads.iter().find(|(of, _)| of == name).map(|(_, count)| *count);
     assert_eq!((sent("s-2"), sent("s-3"), sent("s-4")), (Some(0), Some(0), Some(0)), "{reads:?}");
     assert!(sent("s-3-moved") > Some(0), "{reads:?}");
-    assert!(story.pooler.logged("lies outside of the networks").is_ok());
+    assert!(story.pooler.wait_for_log("lies outside of the networks").is_ok());
     story.kept_the_rules();
 }
 
@@ -153,7 +153,7 @@
     let before = peer.heard().own.len();
     story.pooler.signal("TERM").unwrap();
     wait("it drains", || peer.heard().own.len() > before).unwrap();
-    assert!(story.pooler.ended().unwrap().success());
+    assert!(story.pooler.wait_for_exit().unwrap().success());
     let told: Vec<String> = peer.heard().own.split_off(before);
     let last: Vec<&str> = told.iter().map(String::as_str).filter(|words| !words.starts_with("PUT")).collect();
     assert_eq!(last, ["POST POOLER OUT_OF_SERVICE", "DELETE POOLER"]);
@@ -166,7 +166,7 @@
     story.act(Act::Behave(0, Manner::Silent));
     assert_eq!(story.reads(20).iter().map(|(_, count)| count).sum::<usize>(), 20);
     story.pooler.signal("TERM").unwrap();
-    assert!(story.pooler.ended().unwrap().success());
+    assert!(story.pooler.wait_for_exit().unwrap().success());
 }
 
 fn run(arguments: &[&str]) -> (Option<i32>, String, String) {
--- a/crates/daemon/tests/work.rs
+++ b/crates/daemon/tests/work.rs
@@ -33,7 +33,7 @@
         ENDED.notify_one();
         // Whoever is the last of all is among those who look.
         if *played == 0 && !std::thread::panicking() {
-            let (started, ended) = process::count();
+            let (started, ended) = process::counts();
             assert_eq!(started, ended, "every process that was started has ended");
         }
     }
--- a/crates/lab/src/changes.rs
+++ b/crates/lab/src/changes.rs
@@ -276,7 +276,7 @@
         Course::Learning => tally.hints = learning(&stage),
     }
     stage.poolers[0].signal("USR1")?;
-    tally.record = stage.poolers[0].logged("changes of primary")?;
+    tally.record = stage.poolers[0].wait_for_log("changes of primary")?;
     let answers: Vec<Answer> = crews.into_iter().flat_map(Writers::end).collect();
     stage.judge(&mut tally, &answers, excused, promoted);
     Ok(tally)
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -21,7 +21,7 @@
     let operator = stage.operator("");
     let none = serde_json::json!({"generation": 0, "reset": true, "instances": []});
     let mut pooler = Pooler::start(program, Some(&operator), &none)?;
-    pooler.logged("instances read")?;
+    pooler.wait_for_log("instances read")?;
     let at = pooler.address;
     println!("The operator's file of this pooler:\n\n{operator}");
     println!(
@@ -75,5 +75,5 @@
     }
     crowd.stop();
     pooler.signal("TERM")?;
-    pooler.ended().map(drop)
+    pooler.wait_for_exit().map(drop)
 }
--- a/crates/lab/src/leases/gate.rs
+++ b/crates/lab/src/leases/gate.rs
@@ -1,8 +1,8 @@
 //! The gated address: what a task's holder acts on. It lets a call through unless it has seen a later token.
 
 use crate::lock;
-use crate::processes::head::Head;
 use crate::processes::history::{Event, History};
+use crate::processes::http_head::RequestHead;
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -75,8 +75,8 @@
     history: &History,
     strict: bool,
 ) -> std::io::Result<()> {
-    let Some(head) = Head::read(&mut stream)? else { return Ok(()) };
-    let field = |name: &str| head.field(name);
+    let Some(head) = RequestHead::read(&mut stream)? else { return Ok(()) };
+    let field = |name: &str| head.header(name);
     let (task, step, by) = (field("task"), field("step"), field("pooler"));
     let Ok(token) = field("fencing-token").parse::<u64>() else {
         return stream.write_all(b"HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\n\r\n");
--- a/crates/lab/src/leases/play.rs
+++ b/crates/lab/src/leases/play.rs
@@ -5,7 +5,7 @@
 use super::script::{Do, Script, Step, Then, Whom};
 use crate::processes::fleet::{Fleet, Spec};
 use crate::processes::history::{Event, Record};
-use crate::processes::process::PATIENCE;
+use crate::processes::process::WAIT_TIMEOUT;
 use crate::processes::relay::Noise;
 use rand::SeedableRng;
 use rand::seq::IndexedRandom;
@@ -85,15 +85,15 @@
         count: script.poolers,
         seed,
         // A pooler without a server is never ready; nobody asks anything of this one.
-        known: Box::new(|_| {
+        known_servers: Box::new(|_| {
             json!({"generation": 1, "reset": true, "instances": [{"instanceId": "s0", "hostPort": "127.0.0.1:1",
                 "zone": "a", "machineType": "m", "cell": 1, "lifecycle": "up", "weight": 1.0, "startedAtMs": 0}]})
         }),
         discovery: Vec::new(),
         zones: Vec::new(),
-        between: Box::new(move |from, to| !large || voters.contains(&from) || voters.contains(&to)),
+        relayed: Box::new(move |from, to| !large || voters.contains(&from) || voters.contains(&to)),
     };
-    let fleet = Fleet::lay(spec)?;
+    let fleet = Fleet::new(spec)?;
     let gate = Gate::start(fleet.history.clone(), script.gate)?;
     let mut play = Play {
         script,
@@ -116,16 +116,16 @@
             self.fleet.start(at, &text, &[])?;
         }
         for at in 0..self.script.poolers {
-            self.fleet.ready(at)?;
+            self.fleet.wait_until_listening(at)?;
         }
-        if self.wait_for(0, PATIENCE, |_| true).is_none() {
+        if self.wait_for(0, WAIT_TIMEOUT, |_| true).is_none() {
             self.missed("nobody acts at the beginning");
             return Ok(());
         }
         for round in 0..self.script.rounds {
             for (at, step) in self.script.steps.iter().enumerate() {
                 self.step(step).map_err(|error| format!("step {at} of round {round}: {error}"))?;
-                for gone in self.fleet.look() {
+                for gone in self.fleet.poll_logs() {
                     self.missed(&format!("pooler {gone} has ended by itself"));
                 }
                 if !self.outcome.missed.is_empty() {
@@ -185,13 +185,13 @@
                     self.fleet.start(*at, &text, variables)?;
                 }
                 for at in &whom {
-                    self.fleet.ready(*at)?;
+                    self.fleet.wait_until_listening(*at)?;
                 }
             }
             Do::Kill => whom.iter().for_each(|at| self.fleet.kill(*at)),
             Do::End => {
                 for at in &whom {
-                    self.fleet.end(*at)?;
+                    self.fleet.terminate(*at)?;
                 }
             }
             Do::Stop | Do::Go => {
@@ -209,21 +209,21 @@
                                 || inward && step.way == "in"
                                 || outward && step.way == "out");
                         if cut {
-                            self.fleet.relay.cut(from, to, true);
+                            self.fleet.relay.set_cut(from, to, true);
                         }
                     }
                 }
-                self.fleet.fault(&format!("cut {whom:?} {}", step.way));
+                self.fleet.record_fault(&format!("cut {whom:?} {}", step.way));
             }
             Do::Heal => {
                 self.fleet.relay.heal();
-                self.fleet.fault("heal");
+                self.fleet.record_fault("heal");
             }
             Do::Noise => {
                 let (lost, doubled, flipped, late) = (step.lost, step.doubled, step.flipped, step.late);
                 let noise = Noise { lost, doubled, flipped, late };
-                self.fleet.relay.noise(noise);
-                self.fleet.fault(&format!("{noise:?}"));
+                self.fleet.relay.set_noise(noise);
+                self.fleet.record_fault(&format!("{noise:?}"));
             }
             Do::Release | Do::Hand | Do::Seize => {
                 let to = self.whom(step.to).first().copied().unwrap_or(0);
@@ -235,14 +235,14 @@
                 heir = Some(to).filter(|to| step.what == Do::Hand && self.is_up(*to));
                 for at in &whom {
                     let (status, words) = self.fleet.call(*at, "POST", &path)?;
-                    self.fleet.fault(&format!("{path} at {at}: {status} {}", words.trim()));
+                    self.fleet.record_fault(&format!("{path} at {at}: {status} {}", words.trim()));
                 }
             }
             Do::HoldGate => whom.iter().for_each(|at| self.gate.hold(*at, step.lasts)),
             Do::Twin => {
                 let text = self.operator(step.version, &step.key)?;
                 for at in &whom {
-                    self.fleet.twin(*at, &text)?;
+                    self.fleet.start_duplicate(*at, &text)?;
                 }
             }
             Do::Replace => {
@@ -260,7 +260,7 @@
         }
         match step.then {
             Then::Nothing => {}
-            Then::Takeover => match self.wait_for(mark, PATIENCE, |token| token > before) {
+            Then::Takeover => match self.wait_for(mark, WAIT_TIMEOUT, |token| token > before) {
                 None => self.missed(&format!("nobody has taken over after {:?}", step.what)),
                 Some((at, by)) => {
                     let took = Duration::from_micros(at.saturating_sub(began)).as_secs_f64();
@@ -356,19 +356,19 @@
     }
 
     fn missed(&mut self, words: &str) {
-        self.fleet.fault(&format!("MISSED: {words}"));
+        self.fleet.record_fault(&format!("MISSED: {words}"));
         self.outcome.missed.push(words.to_owned());
     }
 
     /// Has it audited; keeps what is needed to see why, if something is wrong.
     fn end(mut self, seed: u64) -> Outcome {
-        self.fleet.look();
+        self.fleet.poll_logs();
         let records = self.fleet.history.records();
         self.outcome.verdict = audit(&records);
-        self.outcome.sent = self.fleet.relay.passed.sent.load(Ordering::Relaxed);
-        self.outcome.longest = self.fleet.relay.passed.longest.load(Ordering::Relaxed);
+        self.outcome.sent = self.fleet.relay.stats.sent.load(Ordering::Relaxed);
+        self.outcome.longest = self.fleet.relay.stats.max_bytes.load(Ordering::Relaxed);
         let lasted = self.fleet.history.now() as f64 / 1e6;
-        let by = self.fleet.relay.passed.by();
+        let by = self.fleet.relay.stats.sent_by_pooler();
         let others = (0..self.script.poolers).filter(|at| !self.script.voters.contains(at));
         let rates: Vec<f64> = others.map(|at| by.get(&at).copied().unwrap_or(0) as f64 / lasted).collect();
         let mean = rates.iter().sum::<f64>() / rates.len().max(1) as f64;
--- a/crates/lab/src/leases/proof.rs
+++ b/crates/lab/src/leases/proof.rs
@@ -93,7 +93,7 @@
         takeovers.extend(outcome.takeovers);
     }
     if wanted.only.is_some() {
-        let (started, ended) = process::count();
+        let (started, ended) = process::counts();
         say(&json!({"scripts": plays.len(), "takeovers": takeovers.len(), "overlapping_acts": overlapping,
             "takeover_p99_terms": rounded(quantile(&mut takeovers, 0.99)), "leaks": started - ended}));
         return Ok(well && started == ended);
@@ -126,7 +126,7 @@
     }
     let modelled = model(MOST_STATES, &say)?;
     well &= modelled.well;
-    let (started, ended) = process::count();
+    let (started, ended) = process::counts();
     say(&json!({"processes": processes, "scripts": plays.len(), "acts": whole.verdict.acts,
         "takeovers": takeovers.len(), "overlapping_acts": overlapping,
         "acts_with_old_token_let_through": let_through, "late_acts_within_bounds": unsafe_acts,
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -284,14 +284,14 @@
                 folder: folder.clone(),
                 poolers,
                 clients,
-                length: Duration::from_secs(seconds),
+                duration: Duration::from_secs(seconds),
                 seed,
                 mutant: None,
                 only: Vec::new(),
                 failing_calls: None,
             };
             let seeds = (seed..seed + seeds).collect();
-            let wanted = linnetdeal_lab::soak::proof::Wanted { spec, seeds, mutant_seeds };
+            let wanted = linnetdeal_lab::soak::proof::ProofSpec { spec, seeds, mutant_seeds };
             let done = linnetdeal_lab::soak::proof::run(&wanted, |line| say!("{line}"));
             let _ = std::fs::remove_dir_all(folder);
             done.map_err(Into::into)
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -6,7 +6,7 @@
 use crate::eureka::{Peer, Registered, World};
 use crate::ledger::{Ledger, Verdict};
 use crate::lock;
-use crate::pooler::{PATIENCE, Pooler};
+use crate::pooler::{Pooler, WAIT_TIMEOUT};
 use crate::script::{Act, Script};
 use std::collections::BTreeMap;
 use std::io;
@@ -224,7 +224,7 @@
 ///
 /// When it does not hold in time.
 pub fn wait(what: &str, mut holds: impl FnMut() -> bool) -> io::Result<()> {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < end {
         if holds() {
             return Ok(());
@@ -258,7 +258,7 @@
     stage.peers.iter().for_each(|peer| peer.write_as(script.xml, true));
     let none = serde_json::json!({"generation": 0, "reset": true, "instances": []});
     let mut pooler = Pooler::start(program, Some(&stage.operator(&script.operator)), &none)?;
-    pooler.logged("instances read")?;
+    pooler.wait_for_log("instances read")?;
     let ledger = stage.ledger.clone();
     let crowd = Crowd::start(pooler.address, CLIENTS, PAUSE, seed, &ledger);
     let started = Instant::now();
@@ -299,7 +299,7 @@
     // Nobody's end is delayed by a registry that is away.
     let stopping = Instant::now();
     pooler.signal("TERM")?;
-    let status = pooler.ended()?;
+    let status = pooler.wait_for_exit()?;
     if !status.success() || stopping.elapsed() > Duration::from_millis(3_700) {
         missed.push(format!("it ended with {status} after {:?}", stopping.elapsed()));
     }
--- a/crates/lab/src/pooler.rs
+++ b/crates/lab/src/pooler.rs
@@ -1,6 +1,6 @@
 //! The pooler as a process, on files of a folder of its own.
 
-pub use crate::processes::process::PATIENCE;
+pub use crate::processes::process::WAIT_TIMEOUT;
 
 use crate::processes::process::Process;
 use serde_json::{Value, json};
@@ -113,7 +113,7 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": setup.sockets}, "known": known,
             "settings": settings});
         let mut process = Process::start(program, &config, operator, &[])?;
-        let address = process.listening()?;
+        let address = process.wait_until_listening()?;
         Ok(Self { process, address })
     }
 }
--- a/crates/lab/src/primary.rs
+++ b/crates/lab/src/primary.rs
@@ -198,7 +198,7 @@
         let none = json!({"generation": 0, "reset": true, "instances": []});
         let poolers = (0..poolers).map(|_| {
             let mut pooler = Pooler::start_as(program, Some(&operator), &none, setup)?;
-            pooler.logged("instances read")?;
+            pooler.wait_for_log("instances read")?;
             Ok(pooler)
         });
         let poolers = poolers.collect::<io::Result<Vec<_>>>()?;
--- a/crates/lab/src/processes/head.rs
+++ b/crates/lab/src/processes/http_head.rs
@@ -5,25 +5,25 @@
 use std::time::Duration;
 
 /// A head that is longer is no call.
-const LONGEST: usize = 8 * 1024;
-const PATIENCE: Duration = Duration::from_secs(5);
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A head, in small letters.
-pub struct Head(String);
+pub struct RequestHead(String);
 
-impl Head {
+impl RequestHead {
     /// Reads one; `None` where there is no whole one.
     ///
     /// # Errors
     ///
     /// When the connection fails, or brings nothing for five seconds.
     pub fn read(stream: &mut TcpStream) -> std::io::Result<Option<Self>> {
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
         let (mut head, mut bytes) = (Vec::new(), [0; 1_024]);
         while !head.windows(4).any(|four| four == b"\r\n\r\n") {
             match stream.read(&mut bytes)? {
                 0 => return Ok(None),
-                _ if head.len() > LONGEST => return Ok(None),
+                _ if head.len() > MAX_HEAD_BYTES => return Ok(None),
                 size => head.extend_from_slice(&bytes[..size]),
             }
         }
@@ -32,7 +32,7 @@
 
     /// A field's value; empty where there is none.
     #[must_use]
-    pub fn field(&self, name: &str) -> String {
+    pub fn header(&self, name: &str) -> String {
         let line = self.0.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
         line.unwrap_or("").trim().to_owned()
     }
--- a/crates/lab/src/processes/mod.rs
+++ b/crates/lab/src/processes/mod.rs
@@ -2,9 +2,9 @@
 //! pair that talks, and a history by one steady clock.
 
 pub mod fleet;
-pub mod head;
 pub mod history;
+pub mod http_head;
 pub mod process;
 pub mod records;
 pub mod relay;
-pub mod ways;
+pub mod tcp_links;
--- a/crates/lab/src/processes/process.rs
+++ b/crates/lab/src/processes/process.rs
@@ -12,33 +12,33 @@
 use std::time::{Duration, Instant};
 
 /// How long anything may take that is waited for; it only keeps a broken run from hanging.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Lines of a log that are kept, the latest.
-const MOST_LINES: usize = 20_000;
+const MAX_LOG_LINES: usize = 20_000;
 
 /// Held while a process is started, and while sockets are open whose addresses others are to have: a child that has not come to its own
 /// program yet holds all that is open here.
-pub(super) static SPAWNING: Mutex<()> = Mutex::new(());
+pub(super) static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
 static STARTED: AtomicUsize = AtomicUsize::new(0);
 static ENDED: AtomicUsize = AtomicUsize::new(0);
 
 /// How many processes were started, and how many of them have ended and been waited for.
 #[must_use]
-pub fn count() -> (usize, usize) {
+pub fn counts() -> (usize, usize) {
     (STARTED.load(Ordering::SeqCst), ENDED.load(Ordering::SeqCst))
 }
 
 /// A line of a log, and when it was read.
-pub type Line = (Instant, String);
+pub type LogLine = (Instant, String);
 
 /// A running process.
 pub struct Process {
     child: Child,
-    log: Arc<Mutex<Vec<Line>>>,
+    log: Arc<Mutex<Vec<LogLine>>>,
     folder: PathBuf,
     reader: Option<std::thread::JoinHandle<()>>,
-    over: bool,
+    reaped: bool,
 }
 
 impl Process {
@@ -88,9 +88,9 @@
             command.stdin(listener).env("GW_LISTEN_FD", "0");
         }
         command.envs(variables.iter().map(|(name, value)| (name, value)));
-        let spawning = crate::lock(&SPAWNING);
+        let guard = crate::lock(&SPAWN_LOCK);
         let mut child = command.stderr(Stdio::piped()).spawn()?;
-        drop(spawning);
+        drop(guard);
         STARTED.fetch_add(1, Ordering::SeqCst);
         let lines = child.stderr.take().map(BufReader::new);
         let log = Arc::new(Mutex::new(Vec::new()));
@@ -98,13 +98,13 @@
         let reader = std::thread::spawn(move || {
             for line in lines.into_iter().flat_map(BufRead::lines).map_while(Result::ok) {
                 let mut kept = crate::lock(&kept);
-                if kept.len() == MOST_LINES {
-                    kept.drain(..MOST_LINES / 2);
+                if kept.len() == MAX_LOG_LINES {
+                    kept.drain(..MAX_LOG_LINES / 2);
                 }
                 kept.push((Instant::now(), line));
             }
         });
-        Ok(Self { child, log, folder, reader: Some(reader), over: false })
+        Ok(Self { child, log, folder, reader: Some(reader), reaped: false })
     }
 
     /// Waits until it listens, and says where.
@@ -112,8 +112,8 @@
     /// # Errors
     ///
     /// When it does not.
-    pub fn listening(&mut self) -> std::io::Result<SocketAddr> {
-        let line = self.logged(" listening on ")?;
+    pub fn wait_until_listening(&mut self) -> std::io::Result<SocketAddr> {
+        let line = self.wait_for_log(" listening on ")?;
         let address = line.rsplit(' ').next().and_then(|text| text.parse().ok());
         address.ok_or_else(|| std::io::Error::other(format!("no address in '{line}'")))
     }
@@ -123,13 +123,13 @@
     /// # Errors
     ///
     /// When none comes.
-    pub fn logged(&mut self, text: &str) -> std::io::Result<String> {
-        let end = Instant::now() + PATIENCE;
+    pub fn wait_for_log(&mut self, text: &str) -> std::io::Result<String> {
+        let end = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < end {
             if let Some((_, line)) = crate::lock(&self.log).iter().find(|(_, line)| line.contains(text)) {
                 return Ok(line.clone());
             }
-            if let Some(status) = self.exited()? {
+            if let Some(status) = self.exit_status()? {
                 let log = self.log().join("\n");
                 return Err(std::io::Error::other(format!("the pooler ended with {status}:\n{log}")));
             }
@@ -146,7 +146,7 @@
 
     /// All lines so far, each with the time when it was read.
     #[must_use]
-    pub fn lines(&self) -> Vec<Line> {
+    pub fn timed_log(&self) -> Vec<LogLine> {
         crate::lock(&self.log).clone()
     }
 
@@ -155,7 +155,7 @@
     /// # Errors
     ///
     /// When it can't be written.
-    pub fn configure(&self, text: &str) -> std::io::Result<()> {
+    pub fn write_config(&self, text: &str) -> std::io::Result<()> {
         std::fs::write(self.folder.join("config.json"), text)
     }
 
@@ -182,7 +182,7 @@
             _ => return Err(std::io::Error::other(format!("no signal is called {name} here"))),
         };
         // Who was waited for has no id any more; it may be another's by now.
-        if self.over {
+        if self.reaped {
             return Err(std::io::Error::other("it has ended"));
         }
         Ok(kill_process(Pid::from_child(&self.child), signal)?)
@@ -193,10 +193,10 @@
     /// # Errors
     ///
     /// When that can't be asked.
-    pub fn exited(&mut self) -> std::io::Result<Option<std::process::ExitStatus>> {
+    pub fn exit_status(&mut self) -> std::io::Result<Option<std::process::ExitStatus>> {
         let status = self.child.try_wait()?;
         if status.is_some() {
-            self.settle();
+            self.mark_reaped();
         }
         Ok(status)
     }
@@ -206,10 +206,10 @@
     /// # Errors
     ///
     /// When it does not end.
-    pub fn ended(&mut self) -> std::io::Result<std::process::ExitStatus> {
-        let end = Instant::now() + PATIENCE;
+    pub fn wait_for_exit(&mut self) -> std::io::Result<std::process::ExitStatus> {
+        let end = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < end {
-            if let Some(status) = self.exited()? {
+            if let Some(status) = self.exit_status()? {
                 return Ok(status);
             }
             std::thread::sleep(Duration::from_millis(2));
@@ -219,16 +219,16 @@
 
     /// Kills it outright, and waits for that.
     pub fn kill(&mut self) {
-        if !self.over {
+        if !self.reaped {
             let _ = self.child.kill();
             let _ = self.child.wait();
-            self.settle();
+            self.mark_reaped();
         }
     }
 
     /// It has been waited for.
-    fn settle(&mut self) {
-        if !std::mem::replace(&mut self.over, true) {
+    fn mark_reaped(&mut self) {
+        if !std::mem::replace(&mut self.reaped, true) {
             ENDED.fetch_add(1, Ordering::SeqCst);
         }
         if let Some(reader) = self.reader.take() {
--- a/crates/lab/src/processes/records.rs
+++ b/crates/lab/src/processes/records.rs
@@ -30,7 +30,7 @@
 ) -> Result<Vec<T>, Failure> {
     let mut files: Vec<_> =
         std::fs::read_dir(folder)?.map(|entry| entry.map(|entry| entry.path())).collect::<Result<_, _>>()?;
-    files.retain(|path| path.extension().is_some_and(|ending| ending == "cue"));
+    files.retain(|path| path.extension().is_some_and(|extension| extension == "cue"));
     files.sort();
     files.iter().map(|path| decode(&path.display().to_string(), &std::fs::read(path)?)).collect()
 }
@@ -38,12 +38,12 @@
 /// Each play of all scripts, so often: the script's place and the seed.
 #[must_use]
 pub fn plays(scripts: usize, times: u64) -> Vec<(usize, u64)> {
-    (1..=times).flat_map(|seed| (0..scripts).map(move |at| (at, seed))).collect()
+    (1..=times).flat_map(|seed| (0..scripts).map(move |script| (script, seed))).collect()
 }
 
 /// The value below which this share of them lies.
-pub fn quantile(of: &mut [f64], share: f64) -> f64 {
-    of.sort_by(f64::total_cmp);
-    let at = (of.len() as f64 * share).ceil() as usize;
-    of.get(at.clamp(1, of.len().max(1)) - 1).copied().unwrap_or(0.0)
+pub fn quantile(values: &mut [f64], share: f64) -> f64 {
+    values.sort_by(f64::total_cmp);
+    let rank = (values.len() as f64 * share).ceil() as usize;
+    values.get(rank.clamp(1, values.len().max(1)) - 1).copied().unwrap_or(0.0)
 }
--- a/crates/lab/src/processes/relay.rs
+++ b/crates/lab/src/processes/relay.rs
@@ -15,11 +15,11 @@
 use std::time::Duration;
 
 /// No datagram of the poolers is longer; one that is comes to nothing here either.
-const LONGEST: usize = 2_048;
+const MAX_DATAGRAM_BYTES: usize = 2_048;
 /// A datagram that is let come again does so up to so much later.
-const AGAIN: u32 = 1_500;
+const MAX_DUPLICATE_DELAY_MS: u32 = 1_500;
 /// Datagrams that are on their way at once; more are lost.
-const MOST_DELAYED: usize = 10_000;
+const MAX_DELAYED: usize = 10_000;
 
 /// What becomes of datagrams, in parts of a thousand and milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -41,45 +41,45 @@
     /// From whom to whom nothing comes.
     cut: std::collections::BTreeSet<(usize, usize)>,
     /// Nothing more comes from or to this one once it has sent so many more letters of this kind, as if it had died there.
-    ends: Option<(usize, usize)>,
-    ended: bool,
+    isolate_after: Option<(usize, usize)>,
+    isolated: bool,
 }
 
 /// Where the form of a letter between poolers stands, the magic byte of letters, and the first form of those of work.
-const FORM: usize = 28;
-const FIRST_OF_WORK: u8 = 16;
+const MESSAGE_KIND_OFFSET: usize = 28;
+const FIRST_WORK_KIND: u8 = 16;
 
 /// What passed.
 #[derive(Debug, Default)]
-pub struct Passed {
+pub struct RelayStats {
     /// Datagrams that poolers sent.
     pub sent: AtomicUsize,
     /// The longest of them, in bytes.
-    pub longest: AtomicUsize,
+    pub max_bytes: AtomicUsize,
     /// By sender.
-    by: Mutex<BTreeMap<usize, usize>>,
+    sent_by_pooler: Mutex<BTreeMap<usize, usize>>,
 }
 
-impl Passed {
+impl RelayStats {
     /// How many datagrams each pooler has sent.
     #[must_use]
-    pub fn by(&self) -> BTreeMap<usize, usize> {
-        lock(&self.by).clone()
+    pub fn sent_by_pooler(&self) -> BTreeMap<usize, usize> {
+        lock(&self.sent_by_pooler).clone()
     }
 }
 
 /// The relay; its thread ends when this is dropped.
 pub struct Relay {
     rules: Arc<Mutex<Rules>>,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
     /// What passed.
-    pub passed: Arc<Passed>,
+    pub stats: Arc<RelayStats>,
     /// By viewer and viewed.
-    views: BTreeMap<(usize, usize), SocketAddr>,
+    addresses: BTreeMap<(usize, usize), SocketAddr>,
 }
 
-struct Way {
+struct Link {
     from: usize,
     to: usize,
     socket: Rc<Async<UdpSocket>>,
@@ -102,16 +102,16 @@
         between: impl Fn(usize, usize) -> bool,
     ) -> std::io::Result<Self> {
         let mut sockets = BTreeMap::new();
-        let mut views = BTreeMap::new();
+        let mut addresses = BTreeMap::new();
         for from in 0..listen.len() {
             for to in (0..listen.len()).filter(|to| *to != from && between(from, *to)) {
                 let socket = UdpSocket::bind((listen[from][0].ip(), 0))?;
-                views.insert((from, to), socket.local_addr()?);
+                addresses.insert((from, to), socket.local_addr()?);
                 sockets.insert((from, to), socket);
             }
         }
-        let (rules, over, passed) = <(Arc<Mutex<Rules>>, Arc<AtomicBool>, Arc<Passed>)>::default();
-        let (of_rules, of_over, of_passed) = (rules.clone(), over.clone(), passed.clone());
+        let (rules, stopped, stats) = <(Arc<Mutex<Rules>>, Arc<AtomicBool>, Arc<RelayStats>)>::default();
+        let (task_rules, task_stopped, task_stats) = (rules.clone(), stopped.clone(), stats.clone());
         let listen = listen.to_vec();
         let thread = std::thread::spawn(move || {
             let executor = LocalExecutor::new();
@@ -123,7 +123,7 @@
             let delayed = Rc::new(AtomicUsize::new(0));
             for ((from, to), socket) in &sockets {
                 let Some(back) = sockets.get(&(*to, *from)) else { continue };
-                let way = Way {
+                let link = Link {
                     from: *from,
                     to: *to,
                     socket: socket.clone(),
@@ -132,31 +132,31 @@
                     receiver: listen[*to],
                 };
                 let rng = ChaCha8Rng::seed_from_u64(seed ^ ((*from as u64) << 32 | *to as u64));
-                let (rules, passed, delayed) = (of_rules.clone(), of_passed.clone(), delayed.clone());
-                executor.spawn(carry(way, rng, rules, passed, delayed)).detach();
+                let (rules, stats, delayed) = (task_rules.clone(), task_stats.clone(), delayed.clone());
+                executor.spawn(forward(link, rng, rules, stats, delayed)).detach();
             }
             block_on(executor.run(async {
-                while !of_over.load(Ordering::SeqCst) {
+                while !task_stopped.load(Ordering::SeqCst) {
                     Timer::after(Duration::from_millis(10)).await;
                 }
             }));
         });
-        Ok(Self { rules, over, thread: Some(thread), passed, views })
+        Ok(Self { rules, stopped, thread: Some(thread), stats, addresses })
     }
 
     /// Where `from` finds `to`; `None` where the two have no relay between them.
     #[must_use]
-    pub fn view(&self, from: usize, to: usize) -> Option<SocketAddr> {
-        self.views.get(&(from, to)).copied()
+    pub fn address(&self, from: usize, to: usize) -> Option<SocketAddr> {
+        self.addresses.get(&(from, to)).copied()
     }
 
     /// Has this become of all datagrams from now on.
-    pub fn noise(&self, noise: Noise) {
+    pub fn set_noise(&self, noise: Noise) {
         lock(&self.rules).noise = noise;
     }
 
     /// Cuts or mends the way from one to another.
-    pub fn cut(&self, from: usize, to: usize, cut: bool) {
+    pub fn set_cut(&self, from: usize, to: usize, cut: bool) {
         let mut rules = lock(&self.rules);
         if cut {
             rules.cut.insert((from, to));
@@ -166,20 +166,20 @@
     }
 
     /// Nothing more comes from or to a pooler once it has sent so many more letters about work.
-    pub fn end_after(&self, pooler: usize, letters: usize) {
+    pub fn isolate_after(&self, pooler: usize, datagrams: usize) {
         let mut rules = lock(&self.rules);
-        (rules.ends, rules.ended) = (Some((pooler, letters)), false);
+        (rules.isolate_after, rules.isolated) = (Some((pooler, datagrams)), false);
     }
 
     /// Whether that has come to pass.
     #[must_use]
-    pub fn has_ended(&self) -> bool {
-        lock(&self.rules).ended
+    pub fn is_isolated(&self) -> bool {
+        lock(&self.rules).isolated
     }
 
     /// That is over.
-    pub fn end_none(&self) {
-        lock(&self.rules).ends = None;
+    pub fn clear_isolation(&self) {
+        lock(&self.rules).isolate_after = None;
     }
 
     /// Mends all that was cut.
@@ -190,86 +190,86 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.stopped.store(true, Ordering::SeqCst);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-async fn carry(
-    way: Way,
+async fn forward(
+    link: Link,
     mut rng: ChaCha8Rng,
     rules: Arc<Mutex<Rules>>,
-    passed: Arc<Passed>,
+    stats: Arc<RelayStats>,
     delayed: Rc<AtomicUsize>,
 ) {
     let executor = LocalExecutor::new();
-    let take = async {
-        let mut buffer = vec![0; LONGEST];
+    let receive = async {
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            let Ok((size, sender)) = way.socket.recv_from(&mut buffer).await else {
+            let Ok((size, sender)) = link.socket.recv_from(&mut buffer).await else {
                 Timer::after(Duration::from_millis(2)).await;
                 continue;
             };
-            if !way.sender.contains(&sender) {
+            if !link.sender.contains(&sender) {
                 continue;
             }
-            passed.sent.fetch_add(1, Ordering::Relaxed);
-            passed.longest.fetch_max(size, Ordering::Relaxed);
-            *lock(&passed.by).entry(way.from).or_default() += 1;
+            stats.sent.fetch_add(1, Ordering::Relaxed);
+            stats.max_bytes.fetch_max(size, Ordering::Relaxed);
+            *lock(&stats.sent_by_pooler).entry(link.from).or_default() += 1;
             let (noise, cut) = {
                 let mut rules = lock(&rules);
-                let mut gone = false;
-                if let Some((who, left)) = rules.ends {
-                    let of_work = buffer[0] == linnetdeal_coordination::lease::MAGIC
-                        && size > FORM
-                        && buffer[FORM] >= FIRST_OF_WORK;
-                    if who == way.from && of_work && left > 0 {
-                        rules.ends = Some((who, left - 1));
-                    } else if left == 0 && (who == way.from || who == way.to) {
-                        rules.ended = true;
-                        gone = true;
+                let mut isolated = false;
+                if let Some((isolated_pooler, remaining)) = rules.isolate_after {
+                    let is_work = buffer[0] == linnetdeal_coordination::lease::MAGIC
+                        && size > MESSAGE_KIND_OFFSET
+                        && buffer[MESSAGE_KIND_OFFSET] >= FIRST_WORK_KIND;
+                    if isolated_pooler == link.from && is_work && remaining > 0 {
+                        rules.isolate_after = Some((isolated_pooler, remaining - 1));
+                    } else if remaining == 0 && (isolated_pooler == link.from || isolated_pooler == link.to) {
+                        rules.isolated = true;
+                        isolated = true;
                     }
                 }
-                (rules.noise, gone || rules.cut.contains(&(way.from, way.to)))
+                (rules.noise, isolated || rules.cut.contains(&(link.from, link.to)))
             };
-            let mut hits = |of: u32| of > 0 && rng.next_u32() % 1_000 < of;
-            if cut || hits(noise.lost) {
+            let mut draw = |per_mille: u32| per_mille > 0 && rng.next_u32() % 1_000 < per_mille;
+            if cut || draw(noise.lost) {
                 continue;
             }
-            let (doubled, flipped) = (hits(noise.doubled), hits(noise.flipped));
+            let (doubled, flipped) = (draw(noise.doubled), draw(noise.flipped));
             let mut bytes = buffer[..size].to_vec();
             if flipped && size > 0 {
                 let bit = rng.next_u32() as usize % (size * 8);
                 bytes[bit / 8] ^= 1 << (bit % 8);
             }
-            let late = if noise.late > 0 { rng.next_u32() % noise.late } else { 0 };
-            let mut times = vec![late];
+            let delay = if noise.late > 0 { rng.next_u32() % noise.late } else { 0 };
+            let mut delays = vec![delay];
             if doubled {
-                times.push(late + rng.next_u32() % AGAIN);
+                delays.push(delay + rng.next_u32() % MAX_DUPLICATE_DELAY_MS);
             }
-            for late in times {
-                if late == 0 {
-                    for receiver in way.receiver {
-                        let _ = way.back.send_to(&bytes, receiver).await;
+            for delay in delays {
+                if delay == 0 {
+                    for receiver in link.receiver {
+                        let _ = link.back.send_to(&bytes, receiver).await;
                     }
-                } else if delayed.fetch_add(1, Ordering::Relaxed) < MOST_DELAYED {
-                    let (back, receiver, bytes) = (way.back.clone(), way.receiver, bytes.clone());
+                } else if delayed.fetch_add(1, Ordering::Relaxed) < MAX_DELAYED {
+                    let (back, receiver, bytes) = (link.back.clone(), link.receiver, bytes.clone());
                     let delayed = delayed.clone();
-                    let later = async move {
-                        Timer::after(Duration::from_millis(late.into())).await;
+                    let deliver_later = async move {
+                        Timer::after(Duration::from_millis(delay.into())).await;
                         for receiver in receiver {
                             let _ = back.send_to(&bytes, receiver).await;
                         }
                         delayed.fetch_sub(1, Ordering::Relaxed);
                     };
-                    executor.spawn(later).detach();
+                    executor.spawn(deliver_later).detach();
                 } else {
                     delayed.fetch_sub(1, Ordering::Relaxed);
                 }
             }
         }
     };
-    or(executor.run(std::future::pending::<()>()), take).await;
+    or(executor.run(std::future::pending::<()>()), receive).await;
 }
--- a/crates/lab/src/processes/ways.rs
+++ b/crates/lab/src/processes/tcp_links.rs
@@ -12,85 +12,85 @@
 use std::time::Duration;
 
 /// How long it takes until something looks whether it is over.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The ways; their thread ends when this is dropped.
-pub struct Ways {
-    views: BTreeMap<(usize, usize), (SocketAddr, Arc<AtomicBool>)>,
-    over: Arc<AtomicBool>,
+pub struct TcpLinks {
+    links: BTreeMap<(usize, usize), (SocketAddr, Arc<AtomicBool>)>,
+    stopped: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Ways {
-    /// Ways from so many poolers to servers at these addresses.
+impl TcpLinks {
+    /// TcpLinks from so many poolers to servers at these addresses.
     ///
     /// # Errors
     ///
     /// When a socket can't be had.
     pub fn start(poolers: usize, servers: &[SocketAddr]) -> std::io::Result<Self> {
-        let (mut views, mut doors) = (BTreeMap::new(), Vec::new());
+        let (mut links, mut listeners) = (BTreeMap::new(), Vec::new());
         for pooler in 0..poolers {
-            for (at, server) in servers.iter().enumerate() {
+            for (index, server) in servers.iter().enumerate() {
                 let listener = TcpListener::bind("127.0.0.1:0")?;
                 let cut = Arc::new(AtomicBool::new(false));
-                views.insert((pooler, at), (listener.local_addr()?, cut.clone()));
-                doors.push((listener, *server, cut));
+                links.insert((pooler, index), (listener.local_addr()?, cut.clone()));
+                listeners.push((listener, *server, cut));
             }
         }
-        let over = Arc::new(AtomicBool::new(false));
-        let ends = over.clone();
+        let stopped = Arc::new(AtomicBool::new(false));
+        let stop_flag = stopped.clone();
         let thread = std::thread::spawn(move || {
             let executor = Rc::new(LocalExecutor::new());
-            for (listener, server, cut) in doors {
+            for (listener, server, cut) in listeners {
                 let Ok(listener) = Async::new(listener) else { return };
-                let of = executor.clone();
-                let door = async move {
+                let connections = executor.clone();
+                let accept = async move {
                     while let Ok((stream, _)) = listener.accept().await {
-                        of.spawn(carry(stream, server, cut.clone())).detach();
+                        connections.spawn(forward(stream, server, cut.clone())).detach();
                     }
                 };
-                executor.spawn(door).detach();
+                executor.spawn(accept).detach();
             }
             block_on(executor.run(async {
-                while !ends.load(Ordering::SeqCst) {
-                    Timer::after(LOOK).await;
+                while !stop_flag.load(Ordering::SeqCst) {
+                    Timer::after(POLL_INTERVAL).await;
                 }
             }));
         });
-        Ok(Self { views, over, thread: Some(thread) })
+        Ok(Self { links, stopped, thread: Some(thread) })
     }
 
     /// Where a pooler finds a server.
     #[must_use]
-    pub fn view(&self, pooler: usize, server: usize) -> Option<SocketAddr> {
-        self.views.get(&(pooler, server)).map(|(address, _)| *address)
+    pub fn address(&self, pooler: usize, server: usize) -> Option<SocketAddr> {
+        self.links.get(&(pooler, server)).map(|(address, _)| *address)
     }
 
     /// Cuts a way, or mends it.
-    pub fn cut(&self, pooler: usize, server: usize, cut: bool) {
-        if let Some((_, flag)) = self.views.get(&(pooler, server)) {
+    pub fn set_cut(&self, pooler: usize, server: usize, cut: bool) {
+        if let Some((_, flag)) = self.links.get(&(pooler, server)) {
             flag.store(cut, Ordering::SeqCst);
         }
     }
 
     /// Mends all.
     pub fn heal(&self) {
-        self.views.values().for_each(|(_, flag)| flag.store(false, Ordering::SeqCst));
+        self.links.values().for_each(|(_, flag)| flag.store(false, Ordering::SeqCst));
     }
 }
 
-impl Drop for Ways {
+impl Drop for TcpLinks {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
+        self.stopped.store(true, Ordering::SeqCst);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-async fn carry(pooler: Async<TcpStream>, server: SocketAddr, cut: Arc<AtomicBool>) {
+async fn forward(pooler: Async<TcpStream>, server: SocketAddr, cut: Arc<AtomicBool>) {
     while cut.load(Ordering::SeqCst) {
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
         // Whoever has given it up meanwhile is not carried on.
         if pooler.get_ref().peek(&mut [0]).is_ok_and(|size| size == 0) {
             return;
@@ -99,16 +99,16 @@
     let Ok(server) = Async::<TcpStream>::connect(server).await else { return };
     let _ = (pooler.get_ref().set_nodelay(true), server.get_ref().set_nodelay(true));
     let (a, b) = (Rc::new(pooler), Rc::new(server));
-    or(one_way(a.clone(), b.clone(), &cut), one_way(b, a, &cut)).await;
+    or(copy(a.clone(), b.clone(), &cut), copy(b, a, &cut)).await;
 }
 
 /// Carries bytes until either side ends; what comes while it is cut waits.
-async fn one_way(from: Rc<Async<TcpStream>>, to: Rc<Async<TcpStream>>, cut: &AtomicBool) {
+async fn copy(from: Rc<Async<TcpStream>>, to: Rc<Async<TcpStream>>, cut: &AtomicBool) {
     let mut bytes = vec![0; 16 * 1024];
     let (mut from, mut to) = (&*from, &*to);
     while let Ok(size @ 1..) = from.read(&mut bytes).await {
         while cut.load(Ordering::SeqCst) {
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
         }
         if to.write_all(&bytes[..size]).await.is_err() {
             return;
--- a/crates/lab/src/sizes.rs
+++ b/crates/lab/src/sizes.rs
@@ -80,7 +80,7 @@
     );
     let started = Instant::now();
     let mut pooler = Pooler::start(program, Some(&operator), &none)?;
-    pooler.logged("instances read")?;
+    pooler.wait_for_log("instances read")?;
     let (full_cpu, full_wall) = (cpu(pooler.id())?, started.elapsed());
     let settle = || wait("deltas", || peer.heard().deltas >= 3);
     settle()?;
--- a/crates/lab/src/soak/clients.rs
+++ b/crates/lab/src/soak/clients.rs
@@ -3,8 +3,8 @@
 
 use super::audit::{How, LOST_AFTER, Rule};
 use super::configuration::{Class, LONGEST_DEADLINE};
+use super::faults::FaultKind;
 use super::poolers::Pooler;
-use super::troubles::Kind;
 use super::world::World;
 use crate::clients::now_ms;
 use async_io::{Async, Timer};
@@ -144,7 +144,7 @@
     let wait = if world.chance(50) { Duration::from_millis(20 + world.below(100)) } else { longest };
     let ask = session.ask(world, pooler, class, wait);
     // More of them while connections to servers come up late: their requests are on the way to a first byte then.
-    let late = world.troubles.borrow().holds(Kind::LateConnect);
+    let late = world.faults.borrow().holds(FaultKind::LateConnect);
     let leaves =
         world.chance(if late { OFTEN_LATE } else { OFTEN }).then(|| Duration::from_millis(world.below(150)));
     if wire.send(world, &ask.statement, world.chance(OFTEN)).await.is_err() {
@@ -160,7 +160,7 @@
     };
     match or(answer, leaving).await {
         None => {
-            world.troubles.borrow_mut().injected(Kind::ClientLeaves);
+            world.faults.borrow_mut().injected(FaultKind::ClientLeaves);
             wire.close();
             world.audit.borrow_mut().left(&ask.id, Instant::now());
             false
@@ -225,7 +225,7 @@
 
 /// Asks several things at once; false if the connection is over.
 async fn several(world: &World, pooler: &Pooler, session: &mut Session, wire: &mut Wire) -> bool {
-    world.troubles.borrow_mut().injected(Kind::ClientPipelines);
+    world.faults.borrow_mut().injected(FaultKind::ClientPipelines);
     let classes = [Class::UsageHistory, Class::BundleMenu, Class::BalanceCheck];
     let wait = Duration::from_millis(1_000);
     let count = 2 + world.below(6) as usize;
@@ -265,17 +265,17 @@
             let mut half = Vec::new();
             write::query(&mut half, &statement(Class::UsageHistory, "k", "half", Duration::from_secs(1)));
             half.truncate(1 + world.below(half.len() as u64 - 1) as usize);
-            (Kind::ClientStops, half)
+            (FaultKind::ClientStops, half)
         }
-        1 => (Kind::ClientGarbage, (0..200).map(|_| world.below(256) as u8).collect()),
+        1 => (FaultKind::ClientGarbage, (0..200).map(|_| world.below(256) as u8).collect()),
         2 => {
             let mut useless = Vec::new();
             (0..20).for_each(|_| write::query(&mut useless, "SELECT 1"));
-            (Kind::ClientGarbage, useless)
+            (FaultKind::ClientGarbage, useless)
         }
-        _ => (Kind::ClientGarbage, vec![b'Q', 0xff, 0xff, 0xff, 0xff]),
+        _ => (FaultKind::ClientGarbage, vec![b'Q', 0xff, 0xff, 0xff, 0xff]),
     };
-    world.troubles.borrow_mut().injected(kind);
+    world.faults.borrow_mut().injected(kind);
     if wire.write(&bytes).await.is_err() {
         return;
     }
@@ -322,7 +322,7 @@
         if !dribbles {
             return self.write(&out).await;
         }
-        world.troubles.borrow_mut().injected(Kind::ClientDribbles);
+        world.faults.borrow_mut().injected(FaultKind::ClientDribbles);
         for piece in out.chunks(30) {
             self.write(piece).await?;
             Timer::after(Duration::from_millis(1)).await;
--- a/crates/lab/src/soak/discovery.rs
+++ b/crates/lab/src/soak/discovery.rs
@@ -1,8 +1,8 @@
 //! Discovery as each pooler's agent has it: the list in versions, watches that tell changes, and watches that fall silent, are
 //! reset or refused. What binds a pooler from when is told to the judge.
 
+use super::faults::FaultKind;
 use super::servers::Server;
-use super::troubles::Kind;
 use super::world::World;
 use crate::clients::now_ms;
 use async_io::{Async, Timer};
@@ -235,11 +235,11 @@
             }
         }
         while self.down.get() {
-            world.troubles.borrow_mut().injected(Kind::DiscoveryDown);
+            world.faults.borrow_mut().injected(FaultKind::DiscoveryDown);
             self.up.listen().await;
         }
         if self.refuses.get().is_some_and(|until| Instant::now() < until) {
-            world.troubles.borrow_mut().injected(Kind::WatchRefused);
+            world.faults.borrow_mut().injected(FaultKind::WatchRefused);
             return stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n").await;
         }
         let opened = Instant::now();
--- a/crates/lab/src/soak/troubles.rs
+++ b/crates/lab/src/soak/faults.rs
@@ -5,7 +5,7 @@
 
 /// A kind of trouble.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum FaultKind {
     /// SIGTERM, and a start from nothing.
     Stop,
     /// SIGKILL, and a start from nothing.
@@ -71,45 +71,45 @@
 }
 
 /// All that are scheduled; clients' own come by chance with their requests.
-pub const KINDS: [Kind; 26] = [
-    Kind::Stop,
-    Kind::Kill,
-    Kind::Pause,
-    Kind::Reload,
-    Kind::ReloadTwice,
-    Kind::MoveDiscovery,
-    Kind::Drain,
-    Kind::Remove,
-    Kind::ServerDown,
-    Kind::ServerHang,
-    Kind::ServerSlow,
-    Kind::ServerErrors,
-    Kind::ServerFull,
-    Kind::ServerOddCode,
-    Kind::ReplicaLag,
-    Kind::LateConnect,
-    Kind::ResetAfter,
-    Kind::ResetMiddle,
-    Kind::IdleClose,
-    Kind::HalfAnswer,
-    Kind::Noise,
-    Kind::Dribble,
-    Kind::WatchSilent,
-    Kind::WatchReset,
-    Kind::WatchRefused,
-    Kind::DiscoveryDown,
+pub const SCHEDULED_FAULTS: [FaultKind; 26] = [
+    FaultKind::Stop,
+    FaultKind::Kill,
+    FaultKind::Pause,
+    FaultKind::Reload,
+    FaultKind::ReloadTwice,
+    FaultKind::MoveDiscovery,
+    FaultKind::Drain,
+    FaultKind::Remove,
+    FaultKind::ServerDown,
+    FaultKind::ServerHang,
+    FaultKind::ServerSlow,
+    FaultKind::ServerErrors,
+    FaultKind::ServerFull,
+    FaultKind::ServerOddCode,
+    FaultKind::ReplicaLag,
+    FaultKind::LateConnect,
+    FaultKind::ResetAfter,
+    FaultKind::ResetMiddle,
+    FaultKind::IdleClose,
+    FaultKind::HalfAnswer,
+    FaultKind::Noise,
+    FaultKind::Dribble,
+    FaultKind::WatchSilent,
+    FaultKind::WatchReset,
+    FaultKind::WatchRefused,
+    FaultKind::DiscoveryDown,
 ];
 
 /// What holds, and what was injected.
 #[derive(Debug, Default)]
-pub struct Troubles {
-    until: BTreeMap<Kind, Instant>,
-    injected: BTreeMap<Kind, u64>,
+pub struct Faults {
+    until: BTreeMap<FaultKind, Instant>,
+    injected: BTreeMap<FaultKind, u64>,
 }
 
-impl Troubles {
+impl Faults {
     /// A kind holds for so long from now.
-    pub fn begin(&mut self, kind: Kind, length: Duration) {
+    pub fn begin(&mut self, kind: FaultKind, length: Duration) {
         let end = Instant::now() + length;
         let until = self.until.entry(kind).or_insert(end);
         *until = end.max(*until);
@@ -117,18 +117,18 @@
 
     /// Whether it holds.
     #[must_use]
-    pub fn holds(&self, kind: Kind) -> bool {
+    pub fn holds(&self, kind: FaultKind) -> bool {
         self.until.get(&kind).is_some_and(|until| Instant::now() < *until)
     }
 
     /// It took effect once.
-    pub fn injected(&mut self, kind: Kind) {
+    pub fn injected(&mut self, kind: FaultKind) {
         *self.injected.entry(kind).or_default() += 1;
     }
 
     /// How often each took effect.
     #[must_use]
-    pub fn counts(&self) -> &BTreeMap<Kind, u64> {
+    pub fn counts(&self) -> &BTreeMap<FaultKind, u64> {
         &self.injected
     }
 }
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -9,15 +9,15 @@
 mod clients;
 mod configuration;
 mod discovery;
+mod faults;
 mod poolers;
 pub mod proof;
 mod proxy;
 mod report;
 mod run;
 mod servers;
-mod troubles;
 mod world;
 
+pub use faults::{FaultKind, SCHEDULED_FAULTS};
 pub use report::Report;
-pub use run::{Spec, play};
-pub use troubles::{KINDS, Kind};
+pub use run::{Spec, run_soak};
--- a/crates/lab/src/soak/poolers.rs
+++ b/crates/lab/src/soak/poolers.rs
@@ -200,7 +200,7 @@
         self.process
             .borrow_mut()
             .as_mut()
-            .is_none_or(|process| matches!(process.exited(), Ok(Some(_)) | Err(_)))
+            .is_none_or(|process| matches!(process.exit_status(), Ok(Some(_)) | Err(_)))
     }
 
     /// Something is wrong if a process that was not told to end has ended.
@@ -254,7 +254,7 @@
             }
             Timer::after(LOOK).await;
         }
-        let status = self.process.borrow_mut().as_mut().map(Process::exited);
+        let status = self.process.borrow_mut().as_mut().map(Process::exit_status);
         if !matches!(&status, Some(Ok(Some(status))) if status.success()) {
             return self.crashed(world, &format!("it ended with {status:?}"));
         }
@@ -297,7 +297,7 @@
 
     fn configure(&self, text: &str) -> std::io::Result<()> {
         let process = self.process.borrow();
-        process.as_ref().map_or(Err(Error::other("no process")), |process| process.configure(text))
+        process.as_ref().map_or(Err(Error::other("no process")), |process| process.write_config(text))
     }
 
     /// How often each call of the system was made to fail.
--- a/crates/lab/src/soak/proxy.rs
+++ b/crates/lab/src/soak/proxy.rs
@@ -1,8 +1,8 @@
 //! What lies between one pooler and one server: a proxy that carries bytes, tells the judge what was sent when, and resets,
 //! delays, cuts short and adds to what it carries.
 
+use super::faults::FaultKind;
 use super::servers::Server;
-use super::troubles::Kind;
 use super::world::World;
 use crate::boxes::field;
 use async_io::{Async, Timer};
@@ -74,7 +74,7 @@
 
 impl Way {
     async fn carry(self, pooler: Async<TcpStream>) {
-        if self.meets(Kind::LateConnect, LATE.0) {
+        if self.meets(FaultKind::LateConnect, LATE.0) {
             let late = Timer::after(Duration::from_millis(self.world.below(LATE.1)));
             let left = async {
                 // Whoever has given it up meanwhile is not carried on.
@@ -109,10 +109,10 @@
     }
 
     /// Whether a trouble holds and this meets it.
-    fn meets(&self, kind: Kind, per_mille: u64) -> bool {
-        let meets = self.world.troubles.borrow().holds(kind) && self.world.chance(per_mille);
+    fn meets(&self, kind: FaultKind, per_mille: u64) -> bool {
+        let meets = self.world.faults.borrow().holds(kind) && self.world.chance(per_mille);
         if meets {
-            self.world.troubles.borrow_mut().injected(kind);
+            self.world.faults.borrow_mut().injected(kind);
         }
         meets
     }
@@ -130,11 +130,13 @@
         loop {
             let next = async { from.read(&mut bytes).await };
             let idle = async {
-                if !self.world.troubles.borrow().holds(Kind::IdleClose) || !self.queries.borrow().is_empty() {
+                if !self.world.faults.borrow().holds(FaultKind::IdleClose)
+                    || !self.queries.borrow().is_empty()
+                {
                     std::future::pending::<()>().await;
                 }
                 Timer::after(IDLE).await;
-                self.world.troubles.borrow_mut().injected(Kind::IdleClose);
+                self.world.faults.borrow_mut().injected(FaultKind::IdleClose);
                 Ok(0)
             };
             let count = or(next, idle).await?;
@@ -159,7 +161,7 @@
                 reset |= self.query(&statement, began);
             }
             // The beginning of a statement that never comes whole at the server: it must not run.
-            if greeted && !read.is_empty() && self.meets(Kind::ResetMiddle, OFTEN) {
+            if greeted && !read.is_empty() && self.meets(FaultKind::ResetMiddle, OFTEN) {
                 self.reset.set(true);
                 return Ok(());
             }
@@ -195,8 +197,8 @@
             self.world.executor.spawn(judge).detach();
         }
         self.queries.borrow_mut().push_back(Query::Request { id: id.to_owned(), number });
-        self.half.set(self.half.get() || self.meets(Kind::HalfAnswer, OFTEN));
-        self.meets(Kind::ResetAfter, OFTEN)
+        self.half.set(self.half.get() || self.meets(FaultKind::HalfAnswer, OFTEN));
+        self.meets(FaultKind::ResetAfter, OFTEN)
     }
 
     /// From the server to the pooler.
@@ -229,14 +231,14 @@
             }
             self.write(to, &bytes[..count]).await?;
             self.passing.take().into_iter().for_each(|query| self.over(query));
-            if requests && self.meets(Kind::Noise, OFTEN) {
+            if requests && self.meets(FaultKind::Noise, OFTEN) {
                 self.write(to, b"C\0\0\0\x06x\0").await?;
             }
         }
     }
 
     async fn write(&self, mut to: &Async<TcpStream>, bytes: &[u8]) -> std::io::Result<()> {
-        if !self.meets(Kind::Dribble, OFTEN) {
+        if !self.meets(FaultKind::Dribble, OFTEN) {
             return to.write_all(bytes).await;
         }
         for piece in bytes.chunks(1 + bytes.len() / 4) {
--- a/crates/lab/src/soak/report.rs
+++ b/crates/lab/src/soak/report.rs
@@ -1,7 +1,7 @@
 //! What a soak has shown.
 
 use super::audit::{Audit, Counts, Rule};
-use super::troubles::{Kind, Troubles};
+use super::faults::{FaultKind, Faults};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,11 +19,11 @@
     /// The first of them in words.
     pub details: Vec<String>,
     /// How often each trouble was injected.
-    pub injected: BTreeMap<Kind, u64>,
+    pub injected: BTreeMap<FaultKind, u64>,
     /// Pairs of kinds that held at the same time.
-    pub pairs: BTreeSet<(Kind, Kind)>,
+    pub overlapping_pairs: BTreeSet<(FaultKind, FaultKind)>,
     /// How often each call of the system was made to fail.
-    pub calls: BTreeMap<String, u64>,
+    pub failed_calls: BTreeMap<String, u64>,
     /// How often processes were started.
     pub starts: u64,
 }
@@ -31,39 +31,39 @@
 impl Report {
     /// Of what was judged and injected.
     #[must_use]
-    pub(super) fn new(seed: u64, mutant: Option<String>, audit: &Audit, troubles: &Troubles) -> Self {
+    pub(super) fn new(seed: u64, mutant: Option<String>, audit: &Audit, faults: &Faults) -> Self {
         Self {
             seed,
             mutant,
             counts: audit.counts.clone(),
             violations: audit.violations().clone(),
             details: audit.details().to_vec(),
-            injected: troubles.counts().clone(),
-            pairs: BTreeSet::new(),
-            calls: BTreeMap::new(),
+            injected: faults.counts().clone(),
+            overlapping_pairs: BTreeSet::new(),
+            failed_calls: BTreeMap::new(),
             starts: 0,
         }
     }
 
     /// How often any rule was broken.
     #[must_use]
-    pub fn violated(&self) -> u64 {
+    pub fn violation_count(&self) -> u64 {
         self.violations.values().sum()
     }
 
     /// As one JSON object.
     #[must_use]
     pub fn json(&self) -> Value {
-        let named = |of: &BTreeMap<Kind, u64>| -> BTreeMap<String, u64> {
+        let named = |of: &BTreeMap<FaultKind, u64>| -> BTreeMap<String, u64> {
             of.iter().map(|(kind, count)| (format!("{kind:?}"), *count)).collect()
         };
         let violations: BTreeMap<String, u64> =
             self.violations.iter().map(|(rule, count)| (format!("{rule:?}"), *count)).collect();
         let Counts { asked, served, refused, failed, excused, left, attempts, .. } = self.counts;
-        json!({"seed": self.seed, "mutant": self.mutant, "violated": self.violated(), "violations": violations,
+        json!({"seed": self.seed, "mutant": self.mutant, "violated": self.violation_count(), "violations": violations,
             "asked": asked, "served": served, "refused": refused, "failed": failed, "excused": excused, "left": left,
             "attempts": attempts, "starts": self.starts, "worst_drain_ms": self.counts.worst_drain_ms,
             "worst_departure_ms": self.counts.worst_departure_ms, "worst_overstated_ms": self.counts.worst_overstated_ms,
-            "injected": named(&self.injected), "pairs": self.pairs.len(), "calls": self.calls})
+            "injected": named(&self.injected), "pairs": self.overlapping_pairs.len(), "calls": self.failed_calls})
     }
 }
--- a/crates/lab/src/soak/run.rs
+++ b/crates/lab/src/soak/run.rs
@@ -3,13 +3,13 @@
 use super::clients;
 use super::configuration::Place;
 use super::discovery::Discovery;
+use super::faults::{FaultKind, SCHEDULED_FAULTS};
 use super::poolers::{Pooler, State};
 use super::proxy;
 use super::report::Report;
 use super::servers::{Mode, Server};
-use super::troubles::{KINDS, Kind};
 use super::world::World;
-use crate::processes::fleet::own_address;
+use crate::processes::fleet::unique_loopback;
 use async_io::Timer;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -32,13 +32,13 @@
     /// Clients of each.
     pub clients: usize,
     /// How long troubles go on.
-    pub length: Duration,
+    pub duration: Duration,
     /// For all that is drawn.
     pub seed: u64,
     /// A broken variant.
     pub mutant: Option<String>,
     /// Only these kinds of trouble; all if there are none.
-    pub only: Vec<Kind>,
+    pub only: Vec<FaultKind>,
     /// So many of a thousand calls of the system fail in each process; few in two of three processes without it.
     pub failing_calls: Option<u64>,
 }
@@ -66,7 +66,7 @@
     servers: Vec<Rc<Server>>,
     list: Rc<Discovery>,
     poolers: Vec<Rc<Pooler>>,
-    pairs: RefCell<BTreeSet<(Kind, Kind)>>,
+    pairs: RefCell<BTreeSet<(FaultKind, FaultKind)>>,
 }
 
 /// Plays one.
@@ -74,7 +74,7 @@
 /// # Errors
 ///
 /// When addresses can't be had.
-pub fn play(spec: &Spec) -> std::io::Result<Report> {
+pub fn run_soak(spec: &Spec) -> std::io::Result<Report> {
     std::fs::create_dir_all(&spec.folder)?;
     let world = World::new(spec.seed);
     let site = Rc::new(Site::lay(&world, spec)?);
@@ -89,7 +89,7 @@
             .collect::<Result<_, _>>()?;
         let list = Discovery::new(servers.clone());
         // Nobody else on this machine uses that address, so that its ports need not be held once all are had.
-        let (ip, mut poolers) = (own_address(), Vec::new());
+        let (ip, mut poolers) = (unique_loopback(), Vec::new());
         let listeners: Vec<TcpListener> =
             (0..spec.poolers).map(|_| TcpListener::bind((ip, 0))).collect::<Result<_, _>>()?;
         for (number, listener) in listeners.iter().enumerate() {
@@ -116,7 +116,7 @@
             }
         }
         let began = Instant::now();
-        while began.elapsed() < self.spec.length {
+        while began.elapsed() < self.spec.duration {
             self.trouble().await;
             Timer::after(Duration::from_millis(world.scheduled(NEXT_MS))).await;
         }
@@ -134,13 +134,13 @@
     }
 
     fn report(&self) -> Report {
-        let (audit, troubles) = (self.world.audit.borrow(), self.world.troubles.borrow());
-        let mut report = Report::new(self.spec.seed, self.spec.mutant.clone(), &audit, &troubles);
-        report.pairs = self.pairs.borrow().clone();
+        let (audit, faults) = (self.world.audit.borrow(), self.world.faults.borrow());
+        let mut report = Report::new(self.spec.seed, self.spec.mutant.clone(), &audit, &faults);
+        report.overlapping_pairs = self.pairs.borrow().clone();
         for pooler in &self.poolers {
             report.starts += pooler.starts();
             for (name, count) in pooler.shim_counts() {
-                *report.calls.entry(name).or_default() += count;
+                *report.failed_calls.entry(name).or_default() += count;
             }
         }
         report
@@ -187,28 +187,34 @@
 
     /// Begins one trouble.
     async fn trouble(self: &Rc<Self>) {
-        let kinds = if self.spec.only.is_empty() { KINDS.as_slice() } else { &self.spec.only };
+        let kinds = if self.spec.only.is_empty() { SCHEDULED_FAULTS.as_slice() } else { &self.spec.only };
         let kind = kinds[self.world.scheduled(kinds.len() as u64) as usize];
         let length = Duration::from_millis(LASTS_MS.0 + self.world.scheduled(LASTS_MS.1));
-        self.world.troubles.borrow_mut().begin(kind, length);
-        let holding: Vec<Kind> =
-            KINDS.into_iter().filter(|other| self.world.troubles.borrow().holds(*other)).collect();
+        self.world.faults.borrow_mut().begin(kind, length);
+        let holding: Vec<FaultKind> =
+            SCHEDULED_FAULTS.into_iter().filter(|other| self.world.faults.borrow().holds(*other)).collect();
         let pairs =
             holding.iter().filter(|other| **other != kind).map(|other| (kind.min(*other), kind.max(*other)));
         self.pairs.borrow_mut().extend(pairs);
         if self.of_poolers(kind) || self.of_servers(kind, length) || self.of_discovery(kind, length) {
-            self.world.troubles.borrow_mut().injected(kind);
+            self.world.faults.borrow_mut().injected(kind);
         }
     }
 
-    /// Troubles of poolers; whether this is one that could be begun.
-    fn of_poolers(self: &Rc<Self>, kind: Kind) -> bool {
-        let signals =
-            [Kind::Stop, Kind::Kill, Kind::Pause, Kind::Reload, Kind::ReloadTwice, Kind::MoveDiscovery];
+    /// Faults of poolers; whether this is one that could be begun.
+    fn of_poolers(self: &Rc<Self>, kind: FaultKind) -> bool {
+        let signals = [
+            FaultKind::Stop,
+            FaultKind::Kill,
+            FaultKind::Pause,
+            FaultKind::Reload,
+            FaultKind::ReloadTwice,
+            FaultKind::MoveDiscovery,
+        ];
         if !signals.contains(&kind) {
             return false;
         }
-        if kind == Kind::Pause {
+        if kind == FaultKind::Pause {
             return self.pause_some();
         }
         let Some(pooler) = self.victim() else { return false };
@@ -216,20 +222,20 @@
         let act = async move {
             let (world, spec, list) = (&site.world, &site.spec, &site.list);
             match kind {
-                Kind::Stop => {
+                FaultKind::Stop => {
                     pooler.stop(world).await;
                     pooler.start(world, spec, list).await;
                 }
-                Kind::Kill => {
+                FaultKind::Kill => {
                     pooler.kill(world);
                     Timer::after(Duration::from_millis(world.below(500))).await;
                     pooler.start(world, spec, list).await;
                 }
-                Kind::MoveDiscovery => {
+                FaultKind::MoveDiscovery => {
                     pooler.agent.move_away();
                     pooler.reload(world, spec, list, false).await;
                 }
-                _ => pooler.reload(world, spec, list, kind == Kind::ReloadTwice).await,
+                _ => pooler.reload(world, spec, list, kind == FaultKind::ReloadTwice).await,
             }
         };
         self.world.executor.spawn(act).detach();
@@ -247,17 +253,17 @@
         !some.is_empty()
     }
 
-    /// Troubles of servers.
-    fn of_servers(self: &Rc<Self>, kind: Kind, length: Duration) -> bool {
+    /// Faults of servers.
+    fn of_servers(self: &Rc<Self>, kind: FaultKind, length: Duration) -> bool {
         let mode = match kind {
-            Kind::Drain | Kind::Remove => return self.withdraw(kind, length),
-            Kind::ReplicaLag => return self.fall_behind(length),
-            Kind::ServerDown => Mode::Down,
-            Kind::ServerHang => Mode::Hangs,
-            Kind::ServerSlow => Mode::Slow(Duration::from_millis(50 + self.world.below(400))),
-            Kind::ServerErrors => Mode::Says("XX000"),
-            Kind::ServerFull => Mode::Says("53300"),
-            Kind::ServerOddCode => Mode::RunsAndSays("57P03"),
+            FaultKind::Drain | FaultKind::Remove => return self.withdraw(kind, length),
+            FaultKind::ReplicaLag => return self.fall_behind(length),
+            FaultKind::ServerDown => Mode::Down,
+            FaultKind::ServerHang => Mode::Hangs,
+            FaultKind::ServerSlow => Mode::Slow(Duration::from_millis(50 + self.world.below(400))),
+            FaultKind::ServerErrors => Mode::Says("XX000"),
+            FaultKind::ServerFull => Mode::Says("53300"),
+            FaultKind::ServerOddCode => Mode::RunsAndSays("57P03"),
             _ => return false,
         };
         // The primary as well.
@@ -265,9 +271,9 @@
         true
     }
 
-    fn withdraw(self: &Rc<Self>, kind: Kind, length: Duration) -> bool {
+    fn withdraw(self: &Rc<Self>, kind: FaultKind, length: Duration) -> bool {
         let Some(at) = self.replica() else { return false };
-        let lifecycle = if kind == Kind::Drain { "draining" } else { "removed" };
+        let lifecycle = if kind == FaultKind::Drain { "draining" } else { "removed" };
         self.list.say(&self.world, at, lifecycle, false);
         let site = self.clone();
         let back = async move {
@@ -290,15 +296,15 @@
         true
     }
 
-    /// Troubles of discovery. Refusals are counted where they are met.
-    fn of_discovery(self: &Rc<Self>, kind: Kind, length: Duration) -> bool {
+    /// Faults of discovery. Refusals are counted where they are met.
+    fn of_discovery(self: &Rc<Self>, kind: FaultKind, length: Duration) -> bool {
         let some = |of: &Rc<Pooler>| of.number() % 2 == self.world.below(2) as usize;
         let hit: Vec<_> = self.poolers.iter().filter(|of| some(of)).cloned().collect();
         match kind {
-            Kind::WatchSilent => hit.iter().for_each(|pooler| pooler.agent.fall_silent()),
-            Kind::WatchReset => hit.iter().for_each(|pooler| pooler.agent.reset()),
-            Kind::WatchRefused => hit.iter().for_each(|pooler| pooler.agent.refuse(length)),
-            Kind::DiscoveryDown => {
+            FaultKind::WatchSilent => hit.iter().for_each(|pooler| pooler.agent.fall_silent()),
+            FaultKind::WatchReset => hit.iter().for_each(|pooler| pooler.agent.reset()),
+            FaultKind::WatchRefused => hit.iter().for_each(|pooler| pooler.agent.refuse(length)),
+            FaultKind::DiscoveryDown => {
                 hit.iter().for_each(|pooler| pooler.agent.set_down(&self.world, true));
                 let world = self.world.clone();
                 let back = async move {
--- a/crates/lab/src/soak/servers.rs
+++ b/crates/lab/src/soak/servers.rs
@@ -1,7 +1,7 @@
 //! Stand-in servers: groups of one primary and its replicas, with a position, a lag, and modes of misbehaving.
 
 use super::configuration::{BOUND_MS, Class};
-use super::troubles::Kind;
+use super::faults::FaultKind;
 use super::world::World;
 use crate::boxes::field;
 use crate::clients::now_ms;
@@ -162,7 +162,7 @@
         }
         let mode = self.mode();
         if mode == Mode::Hangs {
-            world.troubles.borrow_mut().injected(Kind::ServerHang);
+            world.faults.borrow_mut().injected(FaultKind::ServerHang);
             return std::future::pending().await;
         }
         if statement.starts_with("SHOW") {
@@ -184,19 +184,19 @@
         let position = self.position();
         let work = match mode {
             Mode::Slow(work) => {
-                world.troubles.borrow_mut().injected(Kind::ServerSlow);
+                world.faults.borrow_mut().injected(FaultKind::ServerSlow);
                 work
             }
             _ => Duration::from_millis(2 + world.below(8)),
         };
         match mode {
             Mode::Says(code) => {
-                let kind = if code == "53300" { Kind::ServerFull } else { Kind::ServerErrors };
-                world.troubles.borrow_mut().injected(kind);
+                let kind = if code == "53300" { FaultKind::ServerFull } else { FaultKind::ServerErrors };
+                world.faults.borrow_mut().injected(kind);
                 return self.error(out, code);
             }
             Mode::RunsAndSays(code) => {
-                world.troubles.borrow_mut().injected(Kind::ServerOddCode);
+                world.faults.borrow_mut().injected(FaultKind::ServerOddCode);
                 world.audit.borrow_mut().ran(id);
                 return self.error(out, code);
             }
@@ -207,7 +207,7 @@
         }
         Timer::after(work).await;
         if self.mode() == Mode::Hangs {
-            world.troubles.borrow_mut().injected(Kind::ServerHang);
+            world.faults.borrow_mut().injected(FaultKind::ServerHang);
             return std::future::pending().await;
         }
         world.audit.borrow_mut().ran(id);
--- a/crates/lab/src/soak/world.rs
+++ b/crates/lab/src/soak/world.rs
@@ -1,7 +1,7 @@
 //! What all parts of a soak share. They run on one thread, so that what one of them sees has happened for all.
 
 use super::audit::Audit;
-use super::troubles::Troubles;
+use super::faults::Faults;
 use async_executor::LocalExecutor;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
@@ -15,7 +15,7 @@
     /// The judge.
     pub audit: RefCell<Audit>,
     /// The troubles that hold at present, and how often each was injected.
-    pub troubles: RefCell<Troubles>,
+    pub faults: RefCell<Faults>,
     /// Nothing new is asked any more.
     pub over: Cell<bool>,
     /// For the schedule of troubles, which one seed fixes; and for what tasks draw in whatever order they run.
@@ -30,7 +30,7 @@
         Rc::new(Self {
             executor: LocalExecutor::new(),
             audit: RefCell::default(),
-            troubles: RefCell::default(),
+            faults: RefCell::default(),
             over: Cell::new(false),
             schedule: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(!seed)),
--- a/crates/lab/src/work/play.rs
+++ b/crates/lab/src/work/play.rs
@@ -6,9 +6,9 @@
 use crate::ledger::Ledger;
 use crate::lock;
 use crate::processes::fleet::{Fleet, Spec};
-use crate::processes::process::PATIENCE;
+use crate::processes::process::WAIT_TIMEOUT;
 use crate::processes::relay::Noise;
-use crate::processes::ways::Ways;
+use crate::processes::tcp_links::TcpLinks;
 use rand::SeedableRng;
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
@@ -140,7 +140,7 @@
     script: &'s Script,
     fleet: Fleet,
     site: Site,
-    ways: Option<Ways>,
+    ways: Option<TcpLinks>,
     ledger: Arc<Mutex<Ledger>>,
     crowd: Option<Crowd>,
     folder: PathBuf,
@@ -178,10 +178,10 @@
     let ledger = Arc::new(Mutex::new(Ledger::default()));
     let site = Site::start((script.groups, script.members, script.zones), script.poolers, ANSWER, &ledger)?;
     let addresses: Vec<SocketAddr> = site.servers.iter().map(|server| server.stand_in.address).collect();
-    let ways = if script.ways { Some(Ways::start(script.poolers, &addresses)?) } else { None };
+    let ways = if script.ways { Some(TcpLinks::start(script.poolers, &addresses)?) } else { None };
     let views: Vec<Vec<SocketAddr>> = (0..script.poolers)
         .map(|pooler| {
-            let of = |at: usize| ways.as_ref().and_then(|ways| ways.view(pooler, at));
+            let of = |at: usize| ways.as_ref().and_then(|ways| ways.address(pooler, at));
             (0..addresses.len()).map(|at| of(at).unwrap_or(addresses[at])).collect()
         })
         .collect();
@@ -190,12 +190,12 @@
         program: program.to_owned(),
         count: script.poolers,
         seed,
-        known: Box::new(move |pooler| Site::known(&servers, &|at| views[pooler][at])),
+        known_servers: Box::new(move |pooler| Site::known(&servers, &|at| views[pooler][at])),
         discovery: site.discovery.clone(),
         zones: (0..script.zones).map(|zone| char::from(b'a' + zone as u8).to_string()).collect(),
-        between: Box::new(|_, _| true),
+        relayed: Box::new(|_, _| true),
     };
-    let mut fleet = Fleet::lay(spec)?;
+    let mut fleet = Fleet::new(spec)?;
     // Cold for as long as the operator's file has it.
     fleet.settings["Rules"]["Cold"] = 400.0.into();
     let mut play = Play {
@@ -238,17 +238,17 @@
         }
         let mut doors = Vec::new();
         for at in 0..self.script.poolers {
-            doors.push(self.fleet.ready(at)?);
+            doors.push(self.fleet.wait_until_listening(at)?);
         }
         for at in 0..self.script.poolers {
             self.until_ready(at)?;
         }
         self.crowd = Some(Crowd::start(&doors, self.script, self.script.seed, &self.ledger));
-        self.until("a leader", PATIENCE, |play| play.view["leads"] == true)?;
+        self.until("a leader", WAIT_TIMEOUT, |play| play.view["leads"] == true)?;
         for round in 0..self.script.rounds {
             for (at, step) in self.script.steps.iter().enumerate() {
                 self.step(step).map_err(|error| format!("step {at} of round {round}: {error}"))?;
-                for gone in self.fleet.look() {
+                for gone in self.fleet.poll_logs() {
                     self.missed(&format!("pooler {gone} has ended by itself"));
                 }
                 if !self.outcome.missed.is_empty() {
@@ -257,7 +257,7 @@
                 }
             }
             if self.script.ends {
-                self.until("the plan's end", PATIENCE * 2, |play| {
+                self.until("the plan's end", WAIT_TIMEOUT * 2, |play| {
                     play.view["mode"] == "over" && !play.view["plan"].is_null()
                 })?;
                 if let Some(began) = self.began.take() {
@@ -272,7 +272,7 @@
     }
 
     fn until_ready(&mut self, at: usize) -> Result<(), Failure> {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         while self.fleet.call(at, "GET", "/-/ready").map_or(0, |(status, _)| status) != 200 {
             if Instant::now() > end {
                 return Err(format!("pooler {at} is never ready").into());
@@ -424,7 +424,7 @@
     }
 
     fn begin(&mut self, machine: &str) {
-        self.fleet.fault(&format!("work begins on {machine}"));
+        self.fleet.record_fault(&format!("work begins on {machine}"));
         self.jobs.push(Job { machine: machine.to_owned(), began: Instant::now(), over: None, done: false });
         if let Some(server) = self.site.place(machine) {
             if !self.free.contains_key(&server) {
@@ -440,7 +440,7 @@
                 _ => {}
             }
         } else if let Some(pooler) = pooler_of(machine) {
-            if let Err(error) = self.fleet.end(pooler) {
+            if let Err(error) = self.fleet.terminate(pooler) {
                 self.missed(&format!("the pooler that was free did not end: {error}"));
             }
         }
@@ -460,8 +460,10 @@
                 if !early.is_empty() {
                     self.outcome.sends_to_free += early.len();
                     let first = early.first().map(|when| **when - began);
-                    self.fleet
-                        .fault(&format!("{} sends to {machine}, the first after {first:?}", early.len()));
+                    self.fleet.record_fault(&format!(
+                        "{} sends to {machine}, the first after {first:?}",
+                        early.len()
+                    ));
                 }
                 match self.script.listed.as_str() {
                     "so" => self.site.list(server, "up", true),
@@ -471,12 +473,12 @@
             } else if let Some(pooler) = pooler_of(&machine) {
                 let started =
                     self.operator(pooler).and_then(|text| Ok(self.fleet.start(pooler, &text, &[])?));
-                if let Err(error) = started.and_then(|()| Ok(self.fleet.ready(pooler)?)) {
+                if let Err(error) = started.and_then(|()| Ok(self.fleet.wait_until_listening(pooler)?)) {
                     self.missed(&format!("pooler {pooler} did not start again: {error}"));
                 }
             }
             self.jobs[at].over = Some(Instant::now());
-            self.fleet.fault(&format!("work is done on {machine}"));
+            self.fleet.record_fault(&format!("work is done on {machine}"));
         }
         let path = machine.trim_start_matches("pooler ").to_owned();
         if matches!(self.call("done", Some(&path)), Some((200, _))) {
@@ -523,7 +525,7 @@
         }
         for words in wrong {
             self.outcome.limits_exceeded += 1;
-            self.fleet.fault(&format!("LIMIT at {machine}: {words}"));
+            self.fleet.record_fault(&format!("LIMIT at {machine}: {words}"));
         }
     }
 
@@ -570,7 +572,7 @@
         self.outcome.forgotten += if self.script.clients > 0 { unused.len() } else { 0 };
         for at in unused {
             let id = self.site.servers[at].id.clone();
-            self.fleet.fault(&format!("FORGOTTEN: {id} is not used again"));
+            self.fleet.record_fault(&format!("FORGOTTEN: {id} is not used again"));
         }
         // Nor does any pooler hold one to be out.
         for at in 0..self.script.poolers {
@@ -618,17 +620,17 @@
                     path = format!("/-/work/{}", step.text.replace('@', &id));
                 }
                 let body = if step.what == Do::Plan { step.text.clone() } else { String::new() };
-                let end = Instant::now() + PATIENCE;
+                let end = Instant::now() + WAIT_TIMEOUT;
                 let (mut status, mut words);
                 loop {
-                    (status, words) = self.fleet.send(at, "POST", &path, &body)?;
+                    (status, words) = self.fleet.call_with_body(at, "POST", &path, &body)?;
                     // Nobody leads yet, or any more.
                     if status != 503 || step.status == 503 || Instant::now() > end {
                         break;
                     }
                     self.wait(LOOK);
                 }
-                self.fleet.fault(&format!("{path} {body} at {at}: {status} {}", words.trim()));
+                self.fleet.record_fault(&format!("{path} {body} at {at}: {status} {}", words.trim()));
                 if step.status != 0 && status != step.status {
                     self.missed(&format!(
                         "{path} {body} at {at} was answered with {status} {}",
@@ -659,7 +661,7 @@
                     }
                     let text = self.operator(*at)?;
                     self.fleet.start(*at, &text, &[])?;
-                    self.fleet.ready(*at)?;
+                    self.fleet.wait_until_listening(*at)?;
                 }
             }
             Do::Replace => {
@@ -671,24 +673,24 @@
             Do::End => {
                 self.note_if_leader(&whom);
                 for at in &whom {
-                    self.fleet.end(*at)?;
+                    self.fleet.terminate(*at)?;
                 }
             }
             Do::DieAfter => {
                 let leader = self.leader().ok_or("nobody leads")?;
-                self.fleet.fault(&format!("{leader} is to die after {} letters", step.count));
-                self.fleet.relay.end_after(leader, step.count);
+                self.fleet.record_fault(&format!("{leader} is to die after {} letters", step.count));
+                self.fleet.relay.isolate_after(leader, step.count);
                 let end = Instant::now() + Duration::from_secs(10);
-                while !self.fleet.relay.has_ended() && Instant::now() < end {
+                while !self.fleet.relay.is_isolated() && Instant::now() < end {
                     self.pump();
                     std::thread::sleep(Duration::from_millis(1));
                 }
-                self.outcome.interrupted += usize::from(self.fleet.relay.has_ended());
+                self.outcome.interrupted += usize::from(self.fleet.relay.is_isolated());
                 if self.is_up(leader) {
                     self.waits = Some(Instant::now());
                     self.fleet.kill(leader);
                 }
-                self.fleet.relay.end_none();
+                self.fleet.relay.clear_isolation();
                 self.same = [leader].into();
                 return Ok(());
             }
@@ -697,23 +699,23 @@
                 for from in 0..self.script.poolers {
                     for to in (0..self.script.poolers).filter(|to| *to != from) {
                         if whom.contains(&from) != whom.contains(&to) {
-                            self.fleet.relay.cut(from, to, true);
+                            self.fleet.relay.set_cut(from, to, true);
                         }
                     }
                 }
-                self.fleet.fault(&format!("cut {whom:?}"));
+                self.fleet.record_fault(&format!("cut {whom:?}"));
             }
             Do::CutWays => {
                 let server = self.server(&step.server).ok_or("no such server")?;
                 if let Some(ways) = &self.ways {
-                    whom.iter().for_each(|at| ways.cut(*at, server, true));
+                    whom.iter().for_each(|at| ways.set_cut(*at, server, true));
                 }
-                self.fleet.fault(&format!("cut {whom:?} from {}", self.site.servers[server].id));
+                self.fleet.record_fault(&format!("cut {whom:?} from {}", self.site.servers[server].id));
             }
             Do::Heal => {
                 self.fleet.relay.heal();
-                self.ways.iter().for_each(Ways::heal);
-                self.fleet.fault("heal");
+                self.ways.iter().for_each(TcpLinks::heal);
+                self.fleet.record_fault("heal");
             }
             Do::Fell | Do::Raise => {
                 for server in self.servers(&step.server) {
@@ -731,7 +733,8 @@
                         self.dead.remove(&server);
                     }
                     let id = self.site.servers[server].id.clone();
-                    self.fleet.fault(&format!("{id} {}", if down { "dies" } else { "is there again" }));
+                    self.fleet
+                        .record_fault(&format!("{id} {}", if down { "dies" } else { "is there again" }));
                 }
             }
             Do::Load => {
@@ -739,12 +742,15 @@
                 if let Some(crowd) = &self.crowd {
                     crowd.pause.store(pause, Ordering::SeqCst);
                 }
-                self.fleet.fault(&format!("load {} percent", step.count));
+                self.fleet.record_fault(&format!("load {} percent", step.count));
             }
             Do::List => {
                 let server = self.server(&step.server).ok_or("no such server")?;
                 self.site.list(server, &step.text, step.text == "up");
-                self.fleet.fault(&format!("the list says {} of {}", step.text, self.site.servers[server].id));
+                self.fleet.record_fault(&format!(
+                    "the list says {} of {}",
+                    step.text, self.site.servers[server].id
+                ));
             }
             Do::ByHand => {
                 let server = self.server(&step.server).ok_or("no such server")?;
@@ -764,15 +770,15 @@
                     lock(&self.ledger).told(&id, true, (1, 1), Instant::now());
                     self.by_hand.remove(&server);
                 }
-                self.fleet.fault(&format!("{id} {} by hand", step.text));
+                self.fleet.record_fault(&format!("{id} {} by hand", step.text));
             }
             Do::Wait => self.wait(step.lasts),
             Do::Until => {
                 let (text, count) = (step.text.clone(), step.count);
                 if text == "over" {
-                    self.until("the plan's end", PATIENCE * 2, |play| play.view["mode"] == "over")?;
+                    self.until("the plan's end", WAIT_TIMEOUT * 2, |play| play.view["mode"] == "over")?;
                 } else {
-                    self.until(&format!("{count} machines {text}"), PATIENCE, |play| {
+                    self.until(&format!("{count} machines {text}"), WAIT_TIMEOUT, |play| {
                         // Some states are over too soon to be seen for sure.
                         let out = ["leaving", "free", "at work", "warming"];
                         if text == "out" {
@@ -788,8 +794,13 @@
             }
             Do::Noise => {
                 let lost = step.count as u32;
-                self.fleet.relay.noise(Noise { lost, doubled: lost / 2, flipped: lost / 10, late: lost / 5 });
-                self.fleet.fault(&format!("{lost} in a thousand are lost"));
+                self.fleet.relay.set_noise(Noise {
+                    lost,
+                    doubled: lost / 2,
+                    flipped: lost / 10,
+                    late: lost / 5,
+                });
+                self.fleet.record_fault(&format!("{lost} in a thousand are lost"));
             }
             Do::HangWorker => self.hung = true,
             Do::FreeWorker => self.hung = false,
@@ -890,7 +901,7 @@
     }
 
     fn missed(&mut self, words: &str) {
-        self.fleet.fault(&format!("MISSED: {words}"));
+        self.fleet.record_fault(&format!("MISSED: {words}"));
         self.outcome.missed.push(words.to_owned());
     }
 
@@ -899,7 +910,7 @@
         if let Some(mut crowd) = self.crowd.take() {
             crowd.stop();
         }
-        self.fleet.look();
+        self.fleet.poll_logs();
         self.look_for_pushes();
         let verdict = lock(&self.ledger).verdict();
         self.outcome.drains_broken = verdict.drains_broken;
@@ -908,7 +919,7 @@
         // Who is killed or stopped leaves its clients without an answer; that is not the plan's.
         self.outcome.unanswered = if self.breaks_clients() { 0 } else { verdict.requests - verdict.answered };
         self.outcome.served = (verdict.served, verdict.requests);
-        self.outcome.longest = self.fleet.relay.passed.longest.load(Ordering::Relaxed);
+        self.outcome.longest = self.fleet.relay.stats.max_bytes.load(Ordering::Relaxed);
         self.outcome.old_tokens = self.site.handovers().1;
         if self.outcome.is_well(self.script) {
             let _ = std::fs::remove_dir_all(&self.folder);
@@ -941,7 +952,7 @@
             if got > usual * FALL_MULTIPLE * FALL.as_secs_f64() + FEW {
                 self.outcome.cold_pushed += 1;
                 drop(ledger);
-                self.fleet.fault(&format!(
+                self.fleet.record_fault(&format!(
                     "PUSHED: {} got {got} in {FALL:?}, usually {usual:.1} a second",
                     job.machine
                 ));
--- a/crates/lab/src/work/proof.rs
+++ b/crates/lab/src/work/proof.rs
@@ -87,7 +87,7 @@
         schemes(&say)?;
     }
     let of = |name: &str| served.get(name).copied().map_or(0.0, rounded);
-    let (started, ended) = process::count();
+    let (started, ended) = process::counts();
     say(&json!({"processes": processes, "servers": servers, "scripts": plays.len(),
         "steps_interrupted": all.interrupted, "machines_worked": all.worked,
         "sends_to_free_machines": all.sends_to_free, "limits_exceeded": all.limits_exceeded,
--- a/crates/lab/src/work/site.rs
+++ b/crates/lab/src/work/site.rs
@@ -3,7 +3,7 @@
 use crate::boxes::{Log, StandIn};
 use crate::ledger::Ledger;
 use crate::lock;
-use crate::processes::head::Head;
+use crate::processes::http_head::RequestHead;
 use serde_json::{Value, json};
 use std::io::Write;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -108,7 +108,7 @@
                         return;
                     }
                     let Ok(mut stream) = stream else { continue };
-                    if !matches!(Head::read(&mut stream), Ok(Some(_))) {
+                    if !matches!(RequestHead::read(&mut stream), Ok(Some(_))) {
                         continue;
                     }
                     let mut inside = lock(&inside);
@@ -206,8 +206,8 @@
 }
 
 fn hand_over(mut stream: TcpStream, inside: &Mutex<Inside>, servers: &[Server]) -> std::io::Result<()> {
-    let Some(head) = Head::read(&mut stream)? else { return Ok(()) };
-    let field = |name: &str| head.field(name);
+    let Some(head) = RequestHead::read(&mut stream)? else { return Ok(()) };
+    let field = |name: &str| head.header(name);
     let mut inside = lock(inside);
     let status = match field("fencing-token").parse::<u64>() {
         Err(_) => "400 Bad Request",
