--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -134,7 +134,7 @@
     /// Waits until the predicate holds for the connection's TCP state and its count of unacknowledged bytes, or until the
     /// connection no longer exists.
     fn wait_tcp_state(&self, holds: impl Fn(u8, u32) -> bool) {
-        let port = |address: SocketAddr| format!(":{:04X}", address.port());
+        let port = |socket: SocketAddr| format!(":{:04X}", socket.port());
         let own = port(self.stream.local_addr().unwrap());
         // The other side may have reset the connection by now.
         let Ok(other) = self.stream.peer_addr().map(port) else { return };
@@ -525,11 +525,11 @@
         self.signal("CONT");
     }
 
-    /// Waits until the line of counters contains `count`.
-    pub fn wait_counter(&self, count: &str) {
+    /// Waits until the line of counters contains `expected`.
+    pub fn wait_counter(&self, expected: &str) {
         let deadline = std::time::Instant::now() + STEP_TIMEOUT;
-        while !self.counters().contains(count) {
-            assert!(std::time::Instant::now() < deadline, "counters never contained{count}");
+        while !self.counters().contains(expected) {
+            assert!(std::time::Instant::now() < deadline, "counters never contained{expected}");
         }
     }
 
@@ -544,11 +544,11 @@
         std::fs::write(&self.file, text).unwrap();
     }
 
-    /// Waits for the next log line that contains `text`.
-    pub fn wait_log(&self, text: &str) -> String {
+    /// Waits for the next log line that contains `fragment`.
+    pub fn wait_log(&self, fragment: &str) -> String {
         loop {
             let line = self.log.recv_timeout(STEP_TIMEOUT).unwrap();
-            if line.contains(text) {
+            if line.contains(fragment) {
                 return line;
             }
         }
