--- a/crates/daemon/tests/crossings.rs
+++ b/crates/daemon/tests/crossings.rs
@@ -142,8 +142,8 @@
 #[test]
 fn a_server_drained_while_a_request_waits_for_a_connection_slot_is_not_dialled() {
     let (release, released) = channel::<()>();
-    let (dials, released) = (Arc::new(AtomicUsize::new(0)), Mutex::new(released));
-    let dial_count = dials.clone();
+    let (dial_attempts, released) = (Arc::new(AtomicUsize::new(0)), Mutex::new(released));
+    let dial_count = dial_attempts.clone();
     let draining = Server::with_accept_hook(
         "s-1",
         move || {
@@ -171,7 +171,7 @@
     assert_eq!(values.iter().filter(|value| *value == b"s-1").count(), SERVER_SLOTS);
     assert_eq!(values.iter().filter(|value| *value == b"s-2").count(), 1);
     assert_eq!(draining.received().len(), SERVER_SLOTS);
-    assert_eq!(dials.load(Ordering::Relaxed), SERVER_SLOTS, "a draining server is not even dialled");
+    assert_eq!(dial_attempts.load(Ordering::Relaxed), SERVER_SLOTS, "a draining server is not even dialled");
 }
 
 #[test]
@@ -224,7 +224,7 @@
         let with_list = format!("{head}{:x}\r\n{line}\r\n", line.len());
         let busy = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
         let mut open = Vec::new();
-        // Answered without a change and ended, refused twice, closed without an answer, and then answered with the list.
+        // Answered without a change and ended, refused twice, reset without an answer, and then answered with the list.
         for response in [head, busy, busy, "", &with_list] {
             let mut stream = listener.accept().unwrap().0;
             let request =
@@ -285,9 +285,9 @@
 
 #[test]
 fn a_new_process_prefers_the_first_list_from_discovery_to_the_configured_one() {
-    let (draining, remaining) = (id_server("s-1", "replica"), id_server("s-2", "replica"));
+    let (removed, remaining) = (id_server("s-1", "replica"), id_server("s-2", "replica"));
     let discovery = Discovery::new();
-    let pooler = Pooler::new(&discovery, vec![draining.entry("up", "replica")]);
+    let pooler = Pooler::new(&discovery, vec![removed.entry("up", "replica")]);
     let (_, watch) = discovery.next_watch();
     pooler.suspend();
     // The list and the first client are found in the same poll.
@@ -298,7 +298,7 @@
     assert!(client.answer().tags.ends_with('Z'));
     assert!(discovery.next_watch().0.contains("since=42"));
     assert_eq!(client.execute(&menu("1")).value.as_deref(), Some(&b"s-2"[..]));
-    assert!(draining.received().is_empty());
+    assert!(removed.received().is_empty());
 }
 
 #[test]
@@ -334,13 +334,13 @@
     /// The client ports of the connections that carried statements.
     ports: Receiver<u16>,
     pings: Receiver<()>,
-    answers: Sender<()>,
-    answered: Receiver<()>,
+    answer_permits: Sender<()>,
+    answers_sent: Receiver<()>,
 }
 
 impl PingedServer {
     fn new(id: &'static str) -> Self {
-        let ((ping_sender, pings), (answers, permits), (answer_sent, answered)) =
+        let ((ping_sender, pings), (answer_permits, permits), (answer_sent, answers_sent)) =
             (channel(), channel(), channel());
         let ends = Mutex::new((ping_sender, permits, answer_sent));
         let (port_sender, ports) = channel();
@@ -373,7 +373,7 @@
             }
             true
         });
-        Self { server, ports, pings, answers, answered }
+        Self { server, ports, pings, answer_permits, answers_sent }
     }
 
     /// Whether the second statement was sent on a new connection: on a busy machine the ping may time out before the process
@@ -388,8 +388,8 @@
     }
 
     fn answer(&self) {
-        self.answers.send(()).unwrap();
-        self.answered.recv_timeout(STEP_TIMEOUT).unwrap();
+        self.answer_permits.send(()).unwrap();
+        self.answers_sent.recv_timeout(STEP_TIMEOUT).unwrap();
     }
 }
 
@@ -463,15 +463,15 @@
 fn disconnected_between_attempts() -> bool {
     let (one, two) = (ControlledServer::new("s-1"), ControlledServer::new("s-2"));
     let discovery = Discovery::new();
-    let known = [&one, &two].map(|slow| slow.server.entry("up", "replica")).to_vec();
+    let known = [&one, &two].map(|controlled| controlled.server.entry("up", "replica")).to_vec();
     let pooler = Pooler::new(&discovery, known);
     // Both servers get a kept connection, so that no attempt waits for one.
     let mut clients = [Client::connect(&pooler), Client::connect(&pooler)];
-    for round in 0.. {
-        assert!(round < 1_000, "the random pick never reached both");
-        let id = format!("w{round}");
+    for iteration in 0.. {
+        assert!(iteration < 1_000, "the random pick never reached both");
+        let id = format!("w{iteration}");
         clients[0].send(&menu(&id));
-        wait_until(|| [&one, &two].iter().any(|slow| ids_at(&slow.server).contains(&id)));
+        wait_until(|| [&one, &two].iter().any(|controlled| ids_at(&controlled.server).contains(&id)));
         let reached = if ids_at(&one.server).contains(&id) { &one } else { &two };
         reached.answer("row");
         assert!(clients[0].answer().value.is_some());
@@ -481,7 +481,7 @@
     }
     let [_stays, mut draining] = clients;
     draining.send(&menu("1"));
-    wait_until(|| [&one, &two].iter().any(|slow| ids_at(&slow.server).contains(&"1".to_owned())));
+    wait_until(|| [&one, &two].iter().any(|controlled| ids_at(&controlled.server).contains(&"1".to_owned())));
     let (first, second) =
         if ids_at(&one.server).contains(&"1".to_owned()) { (&one, &two) } else { (&two, &one) };
     pooler.suspend();
@@ -532,7 +532,7 @@
 
 #[test]
 fn a_request_of_a_client_that_disconnected_during_a_dial_is_not_sent() {
-    let ((dial_sender, dialled), (accept, accepted)) = (channel(), channel::<()>());
+    let ((dial_sender, dialled), (permit, permitted)) = (channel(), channel::<()>());
     let (ready_sender, ready) = channel();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -540,7 +540,7 @@
         let mut conn = PgConnection::new(listener.accept().unwrap().0);
         assert!(conn.read_startup());
         dial_sender.send(()).unwrap();
-        accepted.recv().unwrap();
+        permitted.recv().unwrap();
         let mut out = Vec::new();
         write::session_start(&mut out, 1, 1);
         conn.send_bytes(&out);
@@ -556,7 +556,7 @@
     dialled.recv_timeout(STEP_TIMEOUT).unwrap();
     // The session's start and the client's disconnect are found in the same poll.
     pooler.suspend();
-    accept.send(()).unwrap();
+    permit.send(()).unwrap();
     ready.recv_timeout(STEP_TIMEOUT).unwrap();
     client.0.close_and_wait();
     pooler.resume();
@@ -656,7 +656,7 @@
     pooler.wait_log("draining");
     (1..=4).for_each(|number| client.send(&short_request(&number.to_string())));
     let answers: Vec<String> = (1..=4).map(|_| client.answer().code.unwrap()).collect();
-    // 0.9 s for the first by its deadline; the second is cut, and what has not pooler may be sent again without harm.
+    // The first has 0.9 s by its deadline, and the second may be cut off; the others were not started, so a retry is safe.
     assert_eq!(answers[2..], ["53300", "53300"], "{answers:?}");
     assert!(pooler.child.wait().unwrap().success());
     assert!(server.received().len() <= 2, "{:?}", ids_at(&server));
@@ -721,14 +721,14 @@
 fn at_termination_the_answer_to_each_request_says_whether_it_may_have_run() {
     let (dial_sender, dialled) = channel();
     let dial_sender = Mutex::new(dial_sender);
-    let (accept, accepted) = channel::<()>();
-    let accepted = Mutex::new(accepted);
+    let (unblock, unblocked) = channel::<()>();
+    let unblocked = Mutex::new(unblocked);
     let (release, blocked) = blocked_server("s-2");
     let undialled = Server::with_accept_hook(
         "s-4",
         move || {
             dial_sender.lock().unwrap().send(()).unwrap();
-            assert!(accepted.lock().unwrap().recv().is_err());
+            assert!(unblocked.lock().unwrap().recv().is_err());
         },
         |_, _| true,
     );
@@ -742,7 +742,7 @@
         menu("dialled").replace("cluster=2", "cluster=4"),
     ];
     let mut clients: Vec<Client> = (0..4).map(|_| Client::connect(&pooler)).collect();
-    clients.iter_mut().zip(&statements).for_each(|(client, statement)| client.send(statement));
+    clients.iter_mut().zip(&statements).for_each(|(client, sql)| client.send(sql));
     dialled.recv_timeout(STEP_TIMEOUT).unwrap();
     wait_until(|| blocked.received().len() == 2);
     pooler.wait_counter(" taken=4 ");
@@ -753,7 +753,7 @@
     assert_eq!(codes, ["08007", "08007", "53300", "53300"]);
     assert!(pooler.child.wait().unwrap().success());
     assert!(undialled.received().is_empty());
-    drop((accept, release));
+    drop((unblock, release));
 }
 
 // ---- Connections
@@ -764,12 +764,12 @@
     let discovery = Discovery::new();
     let pooler = Pooler::new(&discovery, vec![slow.server.entry("up", "replica")]);
     let mut client = Client::connect(&pooler);
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     client.send(&menu("1").replace("d=8000", "d=900"));
     wait_until(|| slow.server.received().len() == 1);
     pooler.suspend();
     slow.answer("row");
-    wait_until(|| sent.elapsed() > Duration::from_millis(1_000));
+    wait_until(|| sent_at.elapsed() > Duration::from_millis(1_000));
     pooler.resume();
     assert_eq!(client.answer().value.as_deref(), Some(&b"done"[..]));
     assert!(pooler.counters().contains(" outcome.ok=1 "));
@@ -786,7 +786,7 @@
     let read = |id: &str| menu(id).replace("bundle-menu", "Menü für alle");
     let mut client = Client::connect(&pooler);
     assert_eq!(client.execute(&read("1")).value.as_deref(), Some(&b"s-1"[..]));
-    for (from, to, message) in [
+    for (from, to, reason) in [
         ("\"sockets\":1024", "\"sockets\":3", "limits.sockets 3 is under 16"),
         ("\"DialTimeout\":20000.0", "\"DialTimeout\":0", "setting Limits.DialTimeout is not above 0"),
         ("\"retryable\"", "\"maybe\"", "unknown Lanes.0.Effect 'maybe'"),
@@ -797,7 +797,7 @@
         pooler.write_config(&text.replace(from, to));
         pooler.signal("HUP");
         let line = pooler.wait_log("configuration kept as it was");
-        assert!(line.contains(message), "{line}");
+        assert!(line.contains(reason), "{line}");
         assert_eq!(client.execute(&read("2")).value.as_deref(), Some(&b"s-1"[..]), "nothing changed");
     }
     // Extremely large values are accepted.
