--- a/crates/registry/src/client.rs
+++ b/crates/registry/src/client.rs
@@ -35,7 +35,7 @@
     Http(#[from] hyper::Error),
     /// The time ran out.
     #[error("no answer within {0:?}")]
-    Late(Duration),
+    Timeout(Duration),
     /// The server said no.
     #[error("status {status}")]
     Status {
@@ -46,7 +46,7 @@
     },
     /// The body is of no kind that is read here.
     #[error("a body of type '{0}'")]
-    Type(String),
+    ContentType(String),
     /// The body can't be read.
     #[error("the body: {0}")]
     Body(String),
@@ -93,26 +93,26 @@
     /// # Errors
     ///
     /// When it is none.
-    pub fn new(url: &str, at: Option<SocketAddr>) -> Result<Self, SetupError> {
-        let shown = url.rsplit_once('@').map_or(url, |(_, rest)| rest).to_owned();
-        let bad = |what| SetupError::Url { url: shown.clone(), what };
-        let uri: Uri = url.parse().map_err(|_| bad("no URL"))?;
+    pub fn new(url: &str, resolved: Option<SocketAddr>) -> Result<Self, SetupError> {
+        let redacted = url.rsplit_once('@').map_or(url, |(_, rest)| rest).to_owned();
+        let invalid = |what| SetupError::Url { url: redacted.clone(), what };
+        let uri: Uri = url.parse().map_err(|_| invalid("no URL"))?;
         let tls = match uri.scheme_str() {
             Some("http") => false,
             Some("https") => true,
-            _ => return Err(bad("neither http nor https")),
+            _ => return Err(invalid("neither http nor https")),
         };
-        let authority = uri.authority().ok_or_else(|| bad("no host"))?;
+        let authority = uri.authority().ok_or_else(|| invalid("no host"))?;
         if authority.as_str().contains('@') {
-            return Err(bad("a user stands in it; name a user and a password file instead"));
+            return Err(invalid("a user stands in it; name a user and a password file instead"));
         }
         let host = authority.host().trim_start_matches('[').trim_end_matches(']').to_owned();
         let port = authority.port_u16().unwrap_or(if tls { 443 } else { 80 });
-        let address = at.or_else(|| host.parse().ok().map(|ip| SocketAddr::new(ip, port)));
+        let address = resolved.or_else(|| host.parse().ok().map(|ip| SocketAddr::new(ip, port)));
         let address =
-            address.ok_or_else(|| bad("the host is a name, and names are not looked up: give 'at'"))?;
+            address.ok_or_else(|| invalid("the host is a name, and names are not looked up: give 'at'"))?;
         if uri.query().is_some() {
-            return Err(bad("a query stands in it"));
+            return Err(invalid("a query stands in it"));
         }
         let path = uri.path().trim_end_matches('/').to_owned();
         Ok(Self { tls, host, address, authority: authority.to_string(), path })
@@ -147,8 +147,8 @@
     tls: Option<TlsConnector>,
     authorization: Option<HeaderValue>,
     timeout: Duration,
-    kept: Option<(Server, Connection)>,
-    connects: u64,
+    idle: Option<(Server, Connection)>,
+    connections_opened: u64,
 }
 
 struct Connection {
@@ -184,16 +184,16 @@
     pub fn new(access: &Access, tls: bool, timeout: Duration) -> Result<Self, SetupError> {
         let authorization = match &access.user {
             None => None,
-            Some((user, file)) => Some(basic(user, file)?),
+            Some((user, file)) => Some(basic_authorization(user, file)?),
         };
-        let tls = if tls { Some(connector(access)?) } else { None };
-        Ok(Self { tls, authorization, timeout, kept: None, connects: 0 })
+        let tls = if tls { Some(tls_connector(access)?) } else { None };
+        Ok(Self { tls, authorization, timeout, idle: None, connections_opened: 0 })
     }
 
     /// How many connections were opened.
     #[must_use]
-    pub fn connects(&self) -> u64 {
-        self.connects
+    pub fn connections_opened(&self) -> u64 {
+        self.connections_opened
     }
 
     /// Makes a call. What the body holds goes to `take` piece by piece, unpacked, and its type before that; an error of
@@ -206,39 +206,42 @@
         &mut self,
         server: &Server,
         call: Call<'_>,
-        take: &mut dyn FnMut(Chunk<'_>) -> Result<(), String>,
+        on_chunk: &mut dyn FnMut(Chunk<'_>) -> Result<(), String>,
     ) -> Result<(), CallError> {
         let timeout = self.timeout;
-        let late = async {
+        let timed_out = async {
             Timer::after(timeout).await;
-            Err(CallError::Late(timeout))
+            Err(CallError::Timeout(timeout))
         };
-        let kept = self.kept.take().filter(|(of, connection)| of == server && !connection.send.is_closed());
-        let work = async {
-            if let Some((_, mut connection)) = kept {
+        let idle = self
+            .idle
+            .take()
+            .filter(|(idle_server, connection)| idle_server == server && !connection.send.is_closed());
+        let attempt = async {
+            if let Some((_, mut connection)) = idle {
                 // One that the server closed while it was idle shows that once it is looked at, or by the first byte.
                 if poll_once(connection.driver.as_mut()).await.is_none() {
-                    let mut began = false;
-                    let mut noted = |chunk: Chunk<'_>| {
-                        began = true;
-                        take(chunk)
+                    let mut received_any = false;
+                    let mut tracked = |chunk: Chunk<'_>| {
+                        received_any = true;
+                        on_chunk(chunk)
                     };
                     let request = request(server, &call, self.authorization.as_ref());
-                    match connection.exchange(request, &mut noted).await {
+                    match connection.exchange(request, &mut tracked).await {
                         Ok(()) => return Ok(connection),
-                        Err(CallError::Http(_)) if !began => {}
+                        Err(CallError::Http(_)) if !received_any => {}
                         Err(error) => return Err(error),
                     }
                 }
             }
-            self.connects += 1;
+            self.connections_opened += 1;
             let mut connection = connect(self.tls.as_ref(), server).await?;
             let request = request(server, &call, self.authorization.as_ref());
-            connection.exchange(request, take).await?;
+            connection.exchange(request, on_chunk).await?;
             Ok(connection)
         };
-        let connection = or(work, late).await?;
-        self.kept = Some((server.clone(), connection));
+        let connection = or(attempt, timed_out).await?;
+        self.idle = Some((server.clone(), connection));
         Ok(())
     }
 }
@@ -247,7 +250,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Chunk<'a> {
     /// What type it says to be.
-    Type(&'a str),
+    ContentType(&'a str),
     /// Bytes of it, unpacked.
     Data(&'a [u8]),
 }
@@ -257,15 +260,15 @@
     async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
-        take: &mut dyn FnMut(Chunk<'_>) -> Result<(), String>,
+        on_chunk: &mut dyn FnMut(Chunk<'_>) -> Result<(), String>,
     ) -> Result<(), CallError> {
         let Self { send, driver } = self;
         // The driver moves the bytes; should it end first, the exchange learns why.
-        let moved = async {
+        let driver_ended = async {
             driver.as_mut().await;
             std::future::pending().await
         };
-        or(exchange(send, request, take), moved).await
+        or(exchange(send, request, on_chunk), driver_ended).await
     }
 }
 
@@ -317,7 +320,7 @@
 async fn exchange(
     send: &mut SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
-    take: &mut dyn FnMut(Chunk<'_>) -> Result<(), String>,
+    on_chunk: &mut dyn FnMut(Chunk<'_>) -> Result<(), String>,
 ) -> Result<(), CallError> {
     let mut response = send.send_request(request).await?;
     let status = response.status();
@@ -327,47 +330,49 @@
         let retry_after = retry_after.map(|seconds| Span::millis(seconds.saturating_mul(1_000)));
         return Err(CallError::Status { status: status.as_u16(), retry_after });
     }
-    let text = |name| response.headers().get(name).and_then(|value: &HeaderValue| value.to_str().ok());
-    let kind = text(header::CONTENT_TYPE).unwrap_or("").to_owned();
-    let packed = text(header::CONTENT_ENCODING).is_some_and(|of| of.eq_ignore_ascii_case("gzip"));
-    take(Chunk::Type(&kind)).map_err(|_| CallError::Type(kind.chars().take(80).collect()))?;
-    let mut sink = Sink { take, error: None };
-    if packed {
-        let mut unpacked = GzDecoder::new(&mut sink);
-        let mut done = Ok(());
+    let header_text = |name| response.headers().get(name).and_then(|value: &HeaderValue| value.to_str().ok());
+    let content_type = header_text(header::CONTENT_TYPE).unwrap_or("").to_owned();
+    let is_gzip =
+        header_text(header::CONTENT_ENCODING).is_some_and(|encoding| encoding.eq_ignore_ascii_case("gzip"));
+    on_chunk(Chunk::ContentType(&content_type))
+        .map_err(|_| CallError::ContentType(content_type.chars().take(80).collect()))?;
+    let mut writer = BodyWriter { on_chunk, error: None };
+    if is_gzip {
+        let mut decoder = GzDecoder::new(&mut writer);
+        let mut result = Ok(());
         while let Some(frame) = response.frame().await {
             if let Ok(data) = frame?.into_data() {
-                done = unpacked.write_all(&data);
-                if done.is_err() {
+                result = decoder.write_all(&data);
+                if result.is_err() {
                     break;
                 }
             }
         }
-        let done = done.and_then(|()| unpacked.try_finish());
-        drop(unpacked);
-        sink.ended(done)
+        let result = result.and_then(|()| decoder.try_finish());
+        drop(decoder);
+        writer.finish(result)
     } else {
         while let Some(frame) = response.frame().await {
             if let Ok(data) = frame?.into_data() {
-                let done = sink.write_all(&data);
-                if done.is_err() {
-                    return sink.ended(done);
+                let result = writer.write_all(&data);
+                if result.is_err() {
+                    return writer.finish(result);
                 }
             }
         }
-        sink.ended(Ok(()))
+        writer.finish(Ok(()))
     }
 }
 
 /// Hands on what is written to it, and keeps why that failed.
-struct Sink<'t> {
-    take: &'t mut dyn FnMut(Chunk<'_>) -> Result<(), String>,
+struct BodyWriter<'t> {
+    on_chunk: &'t mut dyn FnMut(Chunk<'_>) -> Result<(), String>,
     error: Option<String>,
 }
 
-impl Sink<'_> {
-    fn ended(self, done: io::Result<()>) -> Result<(), CallError> {
-        match (self.error, done) {
+impl BodyWriter<'_> {
+    fn finish(self, result: io::Result<()>) -> Result<(), CallError> {
+        match (self.error, result) {
             (Some(error), _) => Err(CallError::Body(error)),
             (None, Err(error)) => Err(CallError::Body(error.to_string())),
             (None, Ok(())) => Ok(()),
@@ -375,9 +380,9 @@
     }
 }
 
-impl Write for Sink<'_> {
+impl Write for BodyWriter<'_> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        match (self.take)(Chunk::Data(bytes)) {
+        match (self.on_chunk)(Chunk::Data(bytes)) {
             Ok(()) => Ok(bytes.len()),
             Err(error) => {
                 self.error = Some(error);
@@ -396,7 +401,7 @@
 }
 
 /// A file that others may read holds no secret.
-fn secret(path: &Path) -> Result<(), SetupError> {
+fn check_private(path: &Path) -> Result<(), SetupError> {
     use std::os::unix::fs::PermissionsExt;
     let mode = std::fs::metadata(path).map_err(|error| file_error(path, error))?.permissions().mode();
     if mode & 0o077 != 0 {
@@ -407,17 +412,18 @@
     Ok(())
 }
 
-fn basic(user: &str, file: &Path) -> Result<HeaderValue, SetupError> {
-    secret(file)?;
+fn basic_authorization(user: &str, file: &Path) -> Result<HeaderValue, SetupError> {
+    check_private(file)?;
     let password = std::fs::read_to_string(file).map_err(|error| file_error(file, error))?;
     let pair = format!("{user}:{}", password.trim_end_matches(['\r', '\n']));
-    let text = format!("Basic {}", base64::engine::general_purpose::STANDARD.encode(pair));
-    let mut value = HeaderValue::from_str(&text).map_err(|_| file_error(file, "not fit for a header"))?;
+    let credentials = format!("Basic {}", base64::engine::general_purpose::STANDARD.encode(pair));
+    let mut value =
+        HeaderValue::from_str(&credentials).map_err(|_| file_error(file, "not fit for a header"))?;
     value.set_sensitive(true);
     Ok(value)
 }
 
-fn connector(access: &Access) -> Result<TlsConnector, SetupError> {
+fn tls_connector(access: &Access) -> Result<TlsConnector, SetupError> {
     let mut roots = RootCertStore::empty();
     let certificates = |path: &Path| -> Result<Vec<CertificateDer<'static>>, SetupError> {
         let all = CertificateDer::pem_file_iter(path).and_then(|all| all.collect::<Result<Vec<_>, _>>());
@@ -433,10 +439,10 @@
     let config = match &access.identity {
         None => config.with_no_client_auth(),
         Some((certificate, key)) => {
-            secret(key)?;
-            let own = certificates(certificate)?;
+            check_private(key)?;
+            let own_certificates = certificates(certificate)?;
             let key = PrivateKeyDer::from_pem_file(key).map_err(|error| file_error(key, error))?;
-            config.with_client_auth_cert(own, key)?
+            config.with_client_auth_cert(own_certificates, key)?
         }
     };
     Ok(TlsConnector::from(Arc::new(config)))
--- a/crates/registry/src/eureka/body.rs
+++ b/crates/registry/src/eureka/body.rs
@@ -1,40 +1,40 @@
 //! Takes the instances out of a body as its bytes come in: a registry of 20,000 boxes writes some 25 MB, and no more
 //! than one instance of it is held at a time. No I/O.
 
-use super::model::LONGEST_INSTANCE;
+use super::model::MAX_INSTANCE_BYTES;
 
 /// Nesting that no registry writes.
-const DEEPEST: usize = 48;
+const MAX_DEPTH: usize = 48;
 /// Keys, tag names and the few plain values that are read are no longer than this.
-const LONGEST_WORD: usize = 256;
+const MAX_TOKEN_BYTES: usize = 256;
 /// A tag with its attributes is no longer than this.
-const LONGEST_TAG: usize = 4 * 1024;
+const MAX_TAG_BYTES: usize = 4 * 1024;
 
 /// Why a body can't be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
     /// Something stands where it can't.
-    #[error("byte {at}: {what}")]
-    Form {
+    #[error("byte {offset}: {what}")]
+    Syntax {
         /// How many bytes of the body came before.
-        at: u64,
+        offset: u64,
         /// What is wrong.
         what: &'static str,
     },
     /// It ends before its end.
     #[error("it ends after {0} bytes, in the middle")]
-    Cut(u64),
+    Truncated(u64),
     /// It is larger than is read.
     #[error("it is larger than {0} bytes")]
-    Large(u64),
+    TooLarge(u64),
     /// What was found in it can't be used.
     #[error("{0}")]
-    Piece(String),
+    InvalidItem(String),
 }
 
 /// Something found in a body.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Piece<'a> {
+pub enum Item<'a> {
     /// An instance, as it is written.
     Instance(&'a [u8]),
     /// The registry's own hash code of all that it holds (`apps__hashcode`).
@@ -42,7 +42,7 @@
 }
 
 /// What takes the pieces.
-pub type Take<'t> = dyn FnMut(Piece<'_>) -> Result<(), BodyError> + 't;
+pub type ItemHandler<'t> = dyn FnMut(Item<'_>) -> Result<(), BodyError> + 't;
 
 /// How a body is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,27 +55,27 @@
 
 /// Reads one body.
 #[derive(Debug)]
-pub struct Body {
-    reader: Reader,
-    seen: u64,
-    most: u64,
+pub struct BodyScanner {
+    scanner: FormatScanner,
+    bytes_read: u64,
+    max_bytes: u64,
 }
 
 #[derive(Debug)]
-enum Reader {
-    Json(Json),
-    Xml(Xml),
+enum FormatScanner {
+    Json(JsonScanner),
+    Xml(XmlScanner),
 }
 
-impl Body {
+impl BodyScanner {
     /// A reader of a body of at most `most` bytes.
     #[must_use]
-    pub fn new(format: Format, most: u64) -> Self {
-        let reader = match format {
-            Format::Json => Reader::Json(Json::default()),
-            Format::Xml => Reader::Xml(Xml::default()),
+    pub fn new(format: Format, max_bytes: u64) -> Self {
+        let scanner = match format {
+            Format::Json => FormatScanner::Json(JsonScanner::default()),
+            Format::Xml => FormatScanner::Xml(XmlScanner::default()),
         };
-        Self { reader, seen: 0, most }
+        Self { scanner, bytes_read: 0, max_bytes }
     }
 
     /// Reads on; what is whole by then goes to `take`.
@@ -83,26 +83,26 @@
     /// # Errors
     ///
     /// When the bytes are no such body. Nothing more of it can be read then.
-    pub fn push(&mut self, bytes: &[u8], take: &mut Take<'_>) -> Result<(), BodyError> {
-        let before = self.seen;
-        self.seen += bytes.len() as u64;
-        if self.seen > self.most {
-            return Err(BodyError::Large(self.most));
+    pub fn push(&mut self, bytes: &[u8], on_item: &mut ItemHandler<'_>) -> Result<(), BodyError> {
+        let start = self.bytes_read;
+        self.bytes_read += bytes.len() as u64;
+        if self.bytes_read > self.max_bytes {
+            return Err(BodyError::TooLarge(self.max_bytes));
         }
-        let read = match &mut self.reader {
-            Reader::Json(json) => json.push(bytes, take),
-            Reader::Xml(xml) => xml.push(bytes, take),
+        let outcome = match &mut self.scanner {
+            FormatScanner::Json(json) => json.push(bytes, on_item),
+            FormatScanner::Xml(xml) => xml.push(bytes, on_item),
         };
-        read.map_err(|error| match error {
-            Fault::At(at, what) => BodyError::Form { at: before + at as u64, what },
-            Fault::Piece(error) => error,
+        outcome.map_err(|error| match error {
+            ScanError::Syntax(offset, what) => BodyError::Syntax { offset: start + offset as u64, what },
+            ScanError::InvalidItem(error) => error,
         })
     }
 
     /// How many bytes were read.
     #[must_use]
-    pub fn seen(&self) -> u64 {
-        self.seen
+    pub fn bytes_read(&self) -> u64 {
+        self.bytes_read
     }
 
     /// The body's end.
@@ -111,18 +111,18 @@
     ///
     /// When it is not whole.
     pub fn finish(&self) -> Result<(), BodyError> {
-        let whole = match &self.reader {
-            Reader::Json(json) => json.state == State::After,
-            Reader::Xml(xml) => xml.ended && xml.part == Part::Text,
+        let complete = match &self.scanner {
+            FormatScanner::Json(json) => json.state == State::Done,
+            FormatScanner::Xml(xml) => xml.root_closed && xml.state == XmlState::Content,
         };
-        if whole { Ok(()) } else { Err(BodyError::Cut(self.seen)) }
+        if complete { Ok(()) } else { Err(BodyError::Truncated(self.bytes_read)) }
     }
 }
 
-enum Fault {
+enum ScanError {
     /// At this byte of what was pushed.
-    At(usize, &'static str),
-    Piece(BodyError),
+    Syntax(usize, &'static str),
+    InvalidItem(BodyError),
 }
 
 /// An instance that is being read.
@@ -136,83 +136,90 @@
 enum State {
     /// A value must come.
     #[default]
-    Value,
+    ExpectValue,
     /// A value or the end of the array.
-    FirstValue,
+    ExpectValueOrEnd,
     /// A key, or the end of the object.
-    FirstKey,
+    ExpectKeyOrEnd,
     /// A key must come.
-    Key,
+    ExpectKey,
     /// The colon behind a key.
-    Colon,
+    ExpectColon,
     /// A comma or the end of what holds the value.
-    Next,
+    ExpectCommaOrEnd,
     /// In a string.
-    Text { key: bool, escaped: bool },
+    InString { is_key: bool, escaped: bool },
     /// In a number or a word.
-    Word,
+    InLiteral,
     /// All is read.
-    After,
+    Done,
 }
 
 #[derive(Debug)]
 struct Frame {
-    array: bool,
+    is_array: bool,
     /// The key that it stands under is `instance`.
-    instances: bool,
+    holds_instances: bool,
 }
 
 /// JSON, read just so far as to find the objects under a key `instance`. What is in them is for another to read.
 #[derive(Debug, Default)]
-struct Json {
+struct JsonScanner {
     state: State,
     frames: Vec<Frame>,
-    word: Vec<u8>,
+    value: Vec<u8>,
     key: Vec<u8>,
     capture: Option<Capture>,
-    in_text: bool,
+    in_string: bool,
     escaped: bool,
 }
 
-impl Json {
-    fn push(&mut self, bytes: &[u8], take: &mut Take<'_>) -> Result<(), Fault> {
-        let mut at = 0;
-        while at < bytes.len() {
+impl JsonScanner {
+    fn push(&mut self, bytes: &[u8], on_item: &mut ItemHandler<'_>) -> Result<(), ScanError> {
+        let mut offset = 0;
+        while offset < bytes.len() {
             if self.capture.is_some() {
-                at = self.captured(bytes, at, take)?;
+                offset = self.continue_capture(bytes, offset, on_item)?;
             } else {
-                self.byte(bytes[at], take).map_err(|what| match what {
-                    Odd::Form(what) => Fault::At(at, what),
-                    Odd::Piece(error) => Fault::Piece(error),
+                self.push_byte(bytes[offset], on_item).map_err(|what| match what {
+                    ByteError::Syntax(what) => ScanError::Syntax(offset, what),
+                    ByteError::InvalidItem(error) => ScanError::InvalidItem(error),
                 })?;
-                at += 1;
+                offset += 1;
             }
         }
         Ok(())
     }
 
     /// Reads on in an instance; gives where what follows it begins.
-    fn captured(&mut self, bytes: &[u8], from: usize, take: &mut Take<'_>) -> Result<usize, Fault> {
+    fn continue_capture(
+        &mut self,
+        bytes: &[u8],
+        from: usize,
+        on_item: &mut ItemHandler<'_>,
+    ) -> Result<usize, ScanError> {
         let Some(capture) = &mut self.capture else { return Ok(from) };
         let mut end = None;
-        for (at, byte) in bytes.iter().enumerate().skip(from) {
-            if self.in_text {
+        for (offset, byte) in bytes.iter().enumerate().skip(from) {
+            if self.in_string {
                 match byte {
                     _ if self.escaped => self.escaped = false,
                     b'\\' => self.escaped = true,
-                    b'"' => self.in_text = false,
+                    b'"' => self.in_string = false,
                     _ => {}
                 }
                 continue;
             }
             match byte {
-                b'"' => self.in_text = true,
-                b'{' | b'[' if capture.depth >= DEEPEST => return Err(Fault::At(at, "nested too deeply")),
+                b'"' => self.in_string = true,
+                b'{' | b'[' if capture.depth >= MAX_DEPTH => {
+                    return Err(ScanError::Syntax(offset, "nested too deeply"));
+                }
                 b'{' | b'[' => capture.depth += 1,
                 b'}' | b']' => {
                     capture.depth -= 1;
                     if capture.depth == 0 {
-                        end = Some(at + 1);
+                        end = Some(offset + 1);
                         break;
                     }
                 }
@@ -220,292 +227,306 @@
             }
         }
         let to = end.unwrap_or(bytes.len());
-        if capture.bytes.len() + to - from > LONGEST_INSTANCE {
-            return Err(Fault::At(from, "an instance that is too long"));
+        if capture.bytes.len() + to - from > MAX_INSTANCE_BYTES {
+            return Err(ScanError::Syntax(from, "an instance that is too long"));
         }
         capture.bytes.extend_from_slice(&bytes[from..to]);
         if end.is_some() {
-            let piece = take(Piece::Instance(&capture.bytes)).map_err(Fault::Piece);
+            let result = on_item(Item::Instance(&capture.bytes)).map_err(ScanError::InvalidItem);
             self.capture = None;
-            self.state = State::Next;
-            piece?;
+            self.state = State::ExpectCommaOrEnd;
+            result?;
         }
         Ok(to)
     }
 
-    fn byte(&mut self, byte: u8, take: &mut Take<'_>) -> Result<(), Odd> {
+    fn push_byte(&mut self, byte: u8, on_item: &mut ItemHandler<'_>) -> Result<(), ByteError> {
         match self.state {
-            State::Text { key, escaped } => return self.text(byte, key, escaped, take),
-            State::Word if byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'+' | b'.') => {
-                return self.letter(byte);
+            State::InString { is_key, escaped } => {
+                return self.push_string_byte(byte, is_key, escaped, on_item);
+            }
+            State::InLiteral if byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'+' | b'.') => {
+                return self.push_literal_byte(byte);
             }
-            State::Word => self.value_ended(take)?,
+            State::InLiteral => self.finish_value(on_item)?,
             _ => {}
         }
         if matches!(byte, b' ' | b'\t' | b'\r' | b'\n') {
             return Ok(());
         }
         match (self.state, byte) {
-            (State::Value | State::FirstValue, b'{') => self.open(false),
-            (State::Value | State::FirstValue, b'[') => self.open(true),
-            (State::FirstValue, b']') => self.close(true),
-            (State::Value | State::FirstValue, b'"') => {
-                self.word.clear();
-                self.state = State::Text { key: false, escaped: false };
+            (State::ExpectValue | State::ExpectValueOrEnd, b'{') => self.open_container(false),
+            (State::ExpectValue | State::ExpectValueOrEnd, b'[') => self.open_container(true),
+            (State::ExpectValueOrEnd, b']') => self.close_container(true),
+            (State::ExpectValue | State::ExpectValueOrEnd, b'"') => {
+                self.value.clear();
+                self.state = State::InString { is_key: false, escaped: false };
                 Ok(())
             }
-            (State::Value | State::FirstValue, b'-' | b'0'..=b'9' | b't' | b'f' | b'n') => {
-                self.word.clear();
-                self.state = State::Word;
-                self.letter(byte)
+            (State::ExpectValue | State::ExpectValueOrEnd, b'-' | b'0'..=b'9' | b't' | b'f' | b'n') => {
+                self.value.clear();
+                self.state = State::InLiteral;
+                self.push_literal_byte(byte)
             }
-            (State::FirstKey | State::Key, b'"') => {
+            (State::ExpectKeyOrEnd | State::ExpectKey, b'"') => {
                 self.key.clear();
-                self.state = State::Text { key: true, escaped: false };
+                self.state = State::InString { is_key: true, escaped: false };
                 Ok(())
             }
-            (State::FirstKey, b'}') => self.close(false),
-            (State::Colon, b':') => {
-                self.state = State::Value;
+            (State::ExpectKeyOrEnd, b'}') => self.close_container(false),
+            (State::ExpectColon, b':') => {
+                self.state = State::ExpectValue;
                 Ok(())
             }
-            (State::Next, b',') => {
-                let array = self.frames.last().is_some_and(|frame| frame.array);
-                self.state = if array { State::Value } else { State::Key };
+            (State::ExpectCommaOrEnd, b',') => {
+                let is_array = self.frames.last().is_some_and(|frame| frame.is_array);
+                self.state = if is_array { State::ExpectValue } else { State::ExpectKey };
                 Ok(())
             }
-            (State::Next, b']') => self.close(true),
-            (State::Next, b'}') => self.close(false),
-            (State::After, _) => Err(Odd::Form("something behind the end")),
-            _ => Err(Odd::Form("no JSON")),
+            (State::ExpectCommaOrEnd, b']') => self.close_container(true),
+            (State::ExpectCommaOrEnd, b'}') => self.close_container(false),
+            (State::Done, _) => Err(ByteError::Syntax("something behind the end")),
+            _ => Err(ByteError::Syntax("no JSON")),
         }
     }
 
-    fn letter(&mut self, byte: u8) -> Result<(), Odd> {
-        if self.word.len() >= LONGEST_WORD {
-            return Err(Odd::Form("a number or a word that is too long"));
+    fn push_literal_byte(&mut self, byte: u8) -> Result<(), ByteError> {
+        if self.value.len() >= MAX_TOKEN_BYTES {
+            return Err(ByteError::Syntax("a number or a word that is too long"));
         }
-        self.word.push(byte);
+        self.value.push(byte);
         Ok(())
     }
 
-    fn text(&mut self, byte: u8, key: bool, escaped: bool, take: &mut Take<'_>) -> Result<(), Odd> {
+    fn push_string_byte(
+        &mut self,
+        byte: u8,
+        is_key: bool,
+        escaped: bool,
+        on_item: &mut ItemHandler<'_>,
+    ) -> Result<(), ByteError> {
         if !escaped && byte == b'"' {
-            if key {
-                self.state = State::Colon;
+            if is_key {
+                self.state = State::ExpectColon;
                 return Ok(());
             }
-            return self.value_ended(take);
+            return self.finish_value(on_item);
         }
         if byte < 0x20 {
-            return Err(Odd::Form("a control character in text"));
+            return Err(ByteError::Syntax("a control character in text"));
         }
-        let word = if key { &mut self.key } else { &mut self.word };
-        if word.len() < LONGEST_WORD {
-            word.push(byte);
-        } else if key {
-            return Err(Odd::Form("a key that is too long"));
+        let token = if is_key { &mut self.key } else { &mut self.value };
+        if token.len() < MAX_TOKEN_BYTES {
+            token.push(byte);
+        } else if is_key {
+            return Err(ByteError::Syntax("a key that is too long"));
         }
-        self.state = State::Text { key, escaped: !escaped && byte == b'\\' };
+        self.state = State::InString { is_key, escaped: !escaped && byte == b'\\' };
         Ok(())
     }
 
     /// A plain value is whole.
-    fn value_ended(&mut self, take: &mut Take<'_>) -> Result<(), Odd> {
-        self.state = if self.frames.is_empty() { State::After } else { State::Next };
-        let array = self.frames.last().is_none_or(|frame| frame.array);
-        if !array && self.key == b"apps__hashcode" {
-            let text =
-                std::str::from_utf8(&self.word).map_err(|_| Odd::Form("a hash code that is no text"))?;
-            take(Piece::HashCode(text)).map_err(Odd::Piece)?;
+    fn finish_value(&mut self, on_item: &mut ItemHandler<'_>) -> Result<(), ByteError> {
+        self.state = if self.frames.is_empty() { State::Done } else { State::ExpectCommaOrEnd };
+        let is_array = self.frames.last().is_none_or(|frame| frame.is_array);
+        if !is_array && self.key == b"apps__hashcode" {
+            let text = std::str::from_utf8(&self.value)
+                .map_err(|_| ByteError::Syntax("a hash code that is no text"))?;
+            on_item(Item::HashCode(text)).map_err(ByteError::InvalidItem)?;
         }
         Ok(())
     }
 
-    fn open(&mut self, array: bool) -> Result<(), Odd> {
+    fn open_container(&mut self, is_array: bool) -> Result<(), ByteError> {
         // What an array holds stands under the array's key.
-        let instances = match self.frames.last() {
-            Some(frame) if frame.array => frame.instances,
+        let holds_instances = match self.frames.last() {
+            Some(frame) if frame.is_array => frame.holds_instances,
             Some(_) => self.key == b"instance",
             None => false,
         };
-        if instances && !array {
+        if holds_instances && !is_array {
             self.capture = Some(Capture { bytes: b"{".to_vec(), depth: 1 });
-            (self.in_text, self.escaped) = (false, false);
+            (self.in_string, self.escaped) = (false, false);
             return Ok(());
         }
-        if self.frames.len() >= DEEPEST {
-            return Err(Odd::Form("nested too deeply"));
+        if self.frames.len() >= MAX_DEPTH {
+            return Err(ByteError::Syntax("nested too deeply"));
         }
-        self.frames.push(Frame { array, instances });
-        self.state = if array { State::FirstValue } else { State::FirstKey };
+        self.frames.push(Frame { is_array, holds_instances });
+        self.state = if is_array { State::ExpectValueOrEnd } else { State::ExpectKeyOrEnd };
         Ok(())
     }
 
-    fn close(&mut self, array: bool) -> Result<(), Odd> {
+    fn close_container(&mut self, is_array: bool) -> Result<(), ByteError> {
         match self.frames.pop() {
-            Some(frame) if frame.array == array => {
-                self.state = if self.frames.is_empty() { State::After } else { State::Next };
+            Some(frame) if frame.is_array == is_array => {
+                self.state = if self.frames.is_empty() { State::Done } else { State::ExpectCommaOrEnd };
                 Ok(())
             }
-            _ => Err(Odd::Form("a bracket that closes nothing")),
+            _ => Err(ByteError::Syntax("a bracket that closes nothing")),
         }
     }
 }
 
-enum Odd {
-    Form(&'static str),
-    Piece(BodyError),
+enum ByteError {
+    Syntax(&'static str),
+    InvalidItem(BodyError),
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Part {
+enum XmlState {
     #[default]
-    Text,
+    Content,
     /// Between `<` and `>`; the quote that is open, if one is.
     Tag(Option<u8>),
     Comment,
-    Data,
+    CData,
 }
 
 /// XML, read just so far as to find the elements `instance`.
 #[derive(Debug, Default)]
-struct Xml {
-    part: Part,
+struct XmlScanner {
+    state: XmlState,
     tag: Vec<u8>,
     text: Vec<u8>,
-    names: Vec<Box<[u8]>>,
+    open_elements: Vec<Box<[u8]>>,
     capture: Option<Capture>,
-    ended: bool,
+    root_closed: bool,
 }
 
-impl Xml {
-    fn push(&mut self, bytes: &[u8], take: &mut Take<'_>) -> Result<(), Fault> {
-        for (at, byte) in bytes.iter().enumerate() {
+impl XmlScanner {
+    fn push(&mut self, bytes: &[u8], on_item: &mut ItemHandler<'_>) -> Result<(), ScanError> {
+        for (offset, byte) in bytes.iter().enumerate() {
             if let Some(capture) = &mut self.capture {
-                if capture.bytes.len() >= LONGEST_INSTANCE {
-                    return Err(Fault::At(at, "an instance that is too long"));
+                if capture.bytes.len() >= MAX_INSTANCE_BYTES {
+                    return Err(ScanError::Syntax(offset, "an instance that is too long"));
                 }
                 capture.bytes.push(*byte);
             }
-            self.byte(*byte, take).map_err(|what| match what {
-                Odd::Form(what) => Fault::At(at, what),
-                Odd::Piece(error) => Fault::Piece(error),
+            self.push_byte(*byte, on_item).map_err(|what| match what {
+                ByteError::Syntax(what) => ScanError::Syntax(offset, what),
+                ByteError::InvalidItem(error) => ScanError::InvalidItem(error),
             })?;
         }
         Ok(())
     }
 
-    fn byte(&mut self, byte: u8, take: &mut Take<'_>) -> Result<(), Odd> {
-        match self.part {
-            Part::Text if byte == b'<' => {
+    fn push_byte(&mut self, byte: u8, on_item: &mut ItemHandler<'_>) -> Result<(), ByteError> {
+        match self.state {
+            XmlState::Content if byte == b'<' => {
                 self.tag.clear();
-                self.part = Part::Tag(None);
+                self.state = XmlState::Tag(None);
             }
-            Part::Text => {
-                if self.names.is_empty()
+            XmlState::Content => {
+                if self.open_elements.is_empty()
                     && !byte.is_ascii_whitespace()
                     && byte != 0xEF
                     && byte != 0xBB
                     && byte != 0xBF
                 {
-                    return Err(Odd::Form(if self.ended { "something behind the end" } else { "no XML" }));
+                    return Err(ByteError::Syntax(if self.root_closed {
+                        "something behind the end"
+                    } else {
+                        "no XML"
+                    }));
                 }
-                if self.text.len() < LONGEST_WORD {
+                if self.text.len() < MAX_TOKEN_BYTES {
                     self.text.push(byte);
                 }
             }
-            Part::Tag(quote) => {
-                if self.tag.len() >= LONGEST_TAG {
-                    return Err(Odd::Form("a tag that is too long"));
+            XmlState::Tag(quote) => {
+                if self.tag.len() >= MAX_TAG_BYTES {
+                    return Err(ByteError::Syntax("a tag that is too long"));
                 }
                 match (quote, byte) {
-                    (Some(open), _) if open == byte => self.part = Part::Tag(None),
-                    (None, b'"' | b'\'') if !self.tag.starts_with(b"?") => self.part = Part::Tag(Some(byte)),
+                    (Some(open), _) if open == byte => self.state = XmlState::Tag(None),
+                    (None, b'"' | b'\'') if !self.tag.starts_with(b"?") => {
+                        self.state = XmlState::Tag(Some(byte))
+                    }
                     (None, b'>') => {
-                        self.part = Part::Text;
-                        return self.tag_ended(take);
+                        self.state = XmlState::Content;
+                        return self.finish_tag(on_item);
                     }
-                    (None, b'<') => return Err(Odd::Form("a tag in a tag")),
+                    (None, b'<') => return Err(ByteError::Syntax("a tag in a tag")),
                     _ => {}
                 }
                 self.tag.push(byte);
                 match self.tag.as_slice() {
-                    b"!--" => self.part = Part::Comment,
-                    b"![CDATA[" => self.part = Part::Data,
-                    b"!D" | b"!E" => return Err(Odd::Form("a document type, which is not read")),
+                    b"!--" => self.state = XmlState::Comment,
+                    b"![CDATA[" => self.state = XmlState::CData,
+                    b"!D" | b"!E" => return Err(ByteError::Syntax("a document type, which is not read")),
                     _ => {}
                 }
-                if self.part != Part::Tag(None) && !matches!(self.part, Part::Tag(_)) {
+                if self.state != XmlState::Tag(None) && !matches!(self.state, XmlState::Tag(_)) {
                     self.tag.clear();
                 }
             }
-            Part::Comment => self.until(byte, b"-->"),
-            Part::Data => self.until(byte, b"]]>"),
+            XmlState::Comment => self.skip_until(byte, b"-->"),
+            XmlState::CData => self.skip_until(byte, b"]]>"),
         }
         Ok(())
     }
 
-    fn until(&mut self, byte: u8, end: &[u8]) {
+    fn skip_until(&mut self, byte: u8, end: &[u8]) {
         if self.tag.len() >= end.len() {
             self.tag.remove(0);
         }
         self.tag.push(byte);
         if self.tag == end {
-            self.part = Part::Text;
+            self.state = XmlState::Content;
         }
     }
 
-    fn tag_ended(&mut self, take: &mut Take<'_>) -> Result<(), Odd> {
+    fn finish_tag(&mut self, on_item: &mut ItemHandler<'_>) -> Result<(), ByteError> {
         let tag = std::mem::take(&mut self.tag);
         let text = std::mem::take(&mut self.text);
         if tag.starts_with(b"?") {
             return Ok(());
         }
         if tag.starts_with(b"!") {
-            return Err(Odd::Form("a declaration, which is not read"));
+            return Err(ByteError::Syntax("a declaration, which is not read"));
         }
         if let Some(name) = tag.strip_prefix(b"/") {
-            let open = self.names.pop().ok_or(Odd::Form("a tag that closes nothing"))?;
+            let open = self.open_elements.pop().ok_or(ByteError::Syntax("a tag that closes nothing"))?;
             if *open != *name.trim_ascii() {
-                return Err(Odd::Form("a tag that closes another"));
+                return Err(ByteError::Syntax("a tag that closes another"));
             }
             if open.as_ref() == b"apps__hashcode" && self.capture.is_none() {
-                let text =
-                    std::str::from_utf8(&text).map_err(|_| Odd::Form("a hash code that is no text"))?;
-                take(Piece::HashCode(text.trim())).map_err(Odd::Piece)?;
+                let text = std::str::from_utf8(&text)
+                    .map_err(|_| ByteError::Syntax("a hash code that is no text"))?;
+                on_item(Item::HashCode(text.trim())).map_err(ByteError::InvalidItem)?;
             }
-            return self.closed(take);
+            return self.element_closed(on_item);
         }
-        let closed = tag.ends_with(b"/");
+        let self_closing = tag.ends_with(b"/");
         let name = tag.split(|byte| byte.is_ascii_whitespace() || *byte == b'/').next().unwrap_or(b"");
-        if name.is_empty() || self.ended {
-            return Err(Odd::Form(if self.ended {
+        if name.is_empty() || self.root_closed {
+            return Err(ByteError::Syntax(if self.root_closed {
                 "something behind the end"
             } else {
                 "a tag without a name"
             }));
         }
-        if self.names.len() >= DEEPEST {
-            return Err(Odd::Form("nested too deeply"));
+        if self.open_elements.len() >= MAX_DEPTH {
+            return Err(ByteError::Syntax("nested too deeply"));
         }
         if name == b"instance" && self.capture.is_none() {
             let bytes = [b"<", tag.as_slice(), b">"].concat();
-            self.capture = Some(Capture { bytes, depth: self.names.len() });
+            self.capture = Some(Capture { bytes, depth: self.open_elements.len() });
         }
-        self.names.push(name.into());
-        if closed {
-            self.names.pop();
-            return self.closed(take);
+        self.open_elements.push(name.into());
+        if self_closing {
+            self.open_elements.pop();
+            return self.element_closed(on_item);
         }
         Ok(())
     }
 
     /// An element has ended.
-    fn closed(&mut self, take: &mut Take<'_>) -> Result<(), Odd> {
-        self.ended = self.names.is_empty();
-        if let Some(capture) = self.capture.take_if(|capture| capture.depth == self.names.len()) {
-            take(Piece::Instance(&capture.bytes)).map_err(Odd::Piece)?;
+    fn element_closed(&mut self, on_item: &mut ItemHandler<'_>) -> Result<(), ByteError> {
+        self.root_closed = self.open_elements.is_empty();
+        if let Some(capture) = self.capture.take_if(|capture| capture.depth == self.open_elements.len()) {
+            on_item(Item::Instance(&capture.bytes)).map_err(ByteError::InvalidItem)?;
         }
         Ok(())
     }
--- a/crates/registry/src/eureka/mapping.rs
+++ b/crates/registry/src/eureka/mapping.rs
@@ -74,19 +74,19 @@
 
 /// Why an instance is no member.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum MappingError {
     /// It belongs to another application.
     #[error("of another application")]
-    NotOurs,
+    OtherApplication,
     /// Its address is no IP address with a port.
     #[error("no address: '{0}'")]
-    Address(String),
+    InvalidAddress(String),
     /// It lies outside of all networks that are allowed.
     #[error("{0} lies outside of the networks in which boxes may lie")]
-    Outside(IpAddr),
+    OutsideNetworks(IpAddr),
     /// It names no group, or one that is no number.
     #[error("no group: '{0}'")]
-    Group(String),
+    InvalidGroup(String),
 }
 
 impl Mapping {
@@ -95,29 +95,35 @@
     /// # Errors
     ///
     /// When it can't be a member. One that has left is named whatever else it says.
-    pub fn claim(&self, instance: &Instance, server: usize) -> Result<Claim, Refused> {
+    pub fn claim(&self, instance: &Instance, server: usize) -> Result<Claim, MappingError> {
         if !self.apps.contains(&instance.app.to_ascii_uppercase()) {
-            return Err(Refused::NotOurs);
+            return Err(MappingError::OtherApplication);
         }
-        let meta = |key: &str| instance.metadata.get(key).map(String::as_str).filter(|text| !text.is_empty());
+        let metadata_value =
+            |key: &str| instance.metadata.get(key).map(String::as_str).filter(|text| !text.is_empty());
         let state = match (instance.action, instance.status) {
             (ActionType::Deleted, _) => ListState::Gone,
             (_, Status::Up) => ListState::Healthy,
             _ => ListState::Draining,
         };
-        let place = self.place(instance);
-        let group = match meta(&self.group_key) {
-            Some(text) => text.parse().map(Some).map_err(|_| Refused::Group(text.chars().take(64).collect())),
-            None => self.default_group.map(Some).ok_or_else(|| Refused::Group(String::new())),
+        let address_and_zone = self.resolve_address(instance);
+        let group = match metadata_value(&self.group_key) {
+            Some(text) => text
+                .parse()
+                .map(Some)
+                .map_err(|_| MappingError::InvalidGroup(text.chars().take(64).collect())),
+            None => self.default_group.map(Some).ok_or_else(|| MappingError::InvalidGroup(String::new())),
         };
         // Who drains or is gone is taken at its word, though the rest of what it says can't be used.
-        let (place, group) = match state {
-            ListState::Healthy => (Some(place?), group?),
-            _ => (place.ok(), group.ok().flatten()),
+        let (address_and_zone, group) = match state {
+            ListState::Healthy => (Some(address_and_zone?), group?),
+            _ => (address_and_zone.ok(), group.ok().flatten()),
         };
-        let zone = meta(&self.zone_key).map(str::to_owned);
-        let zone = zone.or_else(|| place.as_ref().and_then(|(_, zone)| zone.as_deref().map(str::to_owned)));
-        let started = meta(&self.started_key).and_then(|text| text.parse::<i64>().ok()).filter(|ms| *ms > 0);
+        let zone = metadata_value(&self.zone_key).map(str::to_owned);
+        let zone = zone
+            .or_else(|| address_and_zone.as_ref().and_then(|(_, zone)| zone.as_deref().map(str::to_owned)));
+        let started =
+            metadata_value(&self.started_key).and_then(|text| text.parse::<i64>().ok()).filter(|ms| *ms > 0);
         let started = started.map(|ms| Time(ms.saturating_mul(1_000)));
         // A registration that is not ready yet comes before the same registration in service.
         let ready =
@@ -127,28 +133,28 @@
             (self.drain_end == DrainEnd::OverrideRemoval).then_some((server, instance.registered_ms));
         Ok(Claim {
             member: MemberId(Arc::from(instance.id.as_str())),
-            address: place.map(|(address, _)| address),
+            address: address_and_zone.map(|(address, _)| address),
             group: group.map(GroupId),
             zone: zone.unwrap_or_default(),
             machine: String::new(),
-            primary: meta(&self.role_key).is_some_and(|role| role == self.primary_value),
+            primary: metadata_value(&self.role_key).is_some_and(|role| role == self.primary_value),
             started,
             state,
             version: ClaimVersion { started, stamp, registry_lease, lease_updated: instance.updated_ms },
         })
     }
 
-    fn place(&self, instance: &Instance) -> Result<(SocketAddr, Option<Arc<str>>), Refused> {
+    fn resolve_address(&self, instance: &Instance) -> Result<(SocketAddr, Option<Arc<str>>), MappingError> {
         let port = if self.secure_port { instance.secure_port } else { instance.port };
         let address = instance.ip.parse::<IpAddr>().ok().zip(port);
         let Some((ip, port)) = address else {
-            return Err(Refused::Address(format!(
+            return Err(MappingError::InvalidAddress(format!(
                 "{}:{port:?}",
                 instance.ip.chars().take(64).collect::<String>()
             )));
         };
         let ip = ip.to_canonical();
-        let zone = self.networks.zone(ip).ok_or(Refused::Outside(ip))?;
+        let zone = self.networks.zone(ip).ok_or(MappingError::OutsideNetworks(ip))?;
         Ok((SocketAddr::new(ip, port), zone))
     }
 }
--- a/crates/registry/src/eureka/mirror.rs
+++ b/crates/registry/src/eureka/mirror.rs
@@ -12,12 +12,12 @@
     /// By a keyed hash of application and id: 20,000 of them take up less than 1 MB.
     statuses: HashMap<u64, Status>,
     counts: [usize; Status::ALL.len()],
-    keys: RandomState,
+    hash_builder: RandomState,
 }
 
 /// An instance as far as a mirror needs it: 16 bytes, so that a delta of many is held cheaply until its end.
 #[derive(Clone, Copy, Debug)]
-pub struct Noted {
+pub struct StatusChange {
     key: u64,
     /// `None` for one that is gone.
     status: Option<Status>,
@@ -26,28 +26,28 @@
 impl Mirror {
     /// One of nothing, that notes instances as this one does.
     #[must_use]
-    pub fn empty(&self) -> Self {
-        Self { keys: self.keys.clone(), ..Self::default() }
+    pub fn empty_with_same_hasher(&self) -> Self {
+        Self { hash_builder: self.hash_builder.clone(), ..Self::default() }
     }
 
     /// Notes an instance as a body names it.
     #[must_use]
-    pub fn note(&self, instance: &Instance) -> Noted {
-        let key = self.keys.hash_one((instance.app.to_ascii_uppercase(), &instance.id));
-        Noted { key, status: Some(instance.status).filter(|_| instance.action != ActionType::Deleted) }
+    pub fn status_change(&self, instance: &Instance) -> StatusChange {
+        let key = self.hash_builder.hash_one((instance.app.to_ascii_uppercase(), &instance.id));
+        StatusChange { key, status: Some(instance.status).filter(|_| instance.action != ActionType::Deleted) }
     }
 
     /// Takes in what was noted. The cost does not depend on how many there are.
-    pub fn take(&mut self, Noted { key, status }: Noted) {
-        let before = match status {
+    pub fn apply(&mut self, StatusChange { key, status }: StatusChange) {
+        let previous = match status {
             None => self.statuses.remove(&key),
             Some(status) => {
-                self.counts[place(status)] += 1;
+                self.counts[index_of(status)] += 1;
                 self.statuses.insert(key, status)
             }
         };
-        if let Some(status) = before {
-            self.counts[place(status)] -= 1;
+        if let Some(status) = previous {
+            self.counts[index_of(status)] -= 1;
         }
     }
 
@@ -74,6 +74,6 @@
     }
 }
 
-fn place(status: Status) -> usize {
-    Status::ALL.iter().position(|one| *one == status).unwrap_or(0)
+fn index_of(status: Status) -> usize {
+    Status::ALL.iter().position(|candidate| *candidate == status).unwrap_or(0)
 }
--- a/crates/registry/src/eureka/mod.rs
+++ b/crates/registry/src/eureka/mod.rs
@@ -3,8 +3,8 @@
 
 pub mod body;
 pub mod lease;
+pub mod list_reader;
 pub mod mapping;
 pub mod mirror;
 pub mod model;
 pub mod poller;
-pub mod reading;
--- a/crates/registry/src/eureka/model.rs
+++ b/crates/registry/src/eureka/model.rs
@@ -9,17 +9,17 @@
 use std::fmt;
 
 /// A larger instance is not read.
-pub const LONGEST_INSTANCE: usize = 256 * 1024;
+pub const MAX_INSTANCE_BYTES: usize = 256 * 1024;
 
 /// Why an instance can't be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ModelError {
+pub enum InstanceError {
     /// It is no JSON or no XML of this kind.
     #[error("an instance that can't be read: {0}")]
-    Form(String),
+    Malformed(String),
     /// It lacks a field, or has an unreadable one.
     #[error("instance '{id}': {field} is '{value}'")]
-    Field {
+    InvalidField {
         /// The instance, as far as it was told.
         id: String,
         /// The field.
@@ -62,7 +62,7 @@
 
     /// The one that is written so; any other word counts as unknown, as in Eureka's own clients.
     #[must_use]
-    pub fn named(name: &str) -> Self {
+    pub fn from_name(name: &str) -> Self {
         Self::ALL.into_iter().find(|status| status.name().eq_ignore_ascii_case(name)).unwrap_or(Self::Unknown)
     }
 }
@@ -120,9 +120,9 @@
 }
 
 impl<'de> Deserialize<'de> for Scalar {
-    fn deserialize<D: serde::Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        struct AnyScalar;
-        impl<'de> Visitor<'de> for AnyScalar {
+    fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        struct ScalarVisitor;
+        impl<'de> Visitor<'de> for ScalarVisitor {
             type Value = Scalar;
             fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 f.write_str("a plain value")
@@ -160,20 +160,20 @@
                 Ok(scalar)
             }
         }
-        from.deserialize_any(AnyScalar)
+        deserializer.deserialize_any(ScalarVisitor)
     }
 }
 
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-struct Lease {
+struct LeaseInfo {
     registration_timestamp: Scalar,
 }
 
 /// The fields that are read; all others are passed over.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Raw {
+struct RawInstance {
     #[serde(default)]
     instance_id: Scalar,
     #[serde(default)]
@@ -197,7 +197,7 @@
     #[serde(default)]
     last_updated_timestamp: Scalar,
     #[serde(default)]
-    lease_info: Lease,
+    lease_info: LeaseInfo,
     #[serde(default)]
     action_type: Scalar,
     #[serde(default)]
@@ -210,9 +210,10 @@
     /// # Errors
     ///
     /// When it is no such object, or a field that is needed is missing or unreadable.
-    pub fn from_json(bytes: &[u8]) -> Result<Self, ModelError> {
-        let raw: Raw = serde_json::from_slice(bytes).map_err(|error| ModelError::Form(error.to_string()))?;
-        raw.checked()
+    pub fn from_json(bytes: &[u8]) -> Result<Self, InstanceError> {
+        let raw: RawInstance =
+            serde_json::from_slice(bytes).map_err(|error| InstanceError::Malformed(error.to_string()))?;
+        raw.validate()
     }
 
     /// Reads one from an XML element.
@@ -220,41 +221,42 @@
     /// # Errors
     ///
     /// As [`Instance::from_json`].
-    pub fn from_xml(bytes: &[u8]) -> Result<Self, ModelError> {
-        let text = std::str::from_utf8(bytes).map_err(|error| ModelError::Form(error.to_string()))?;
-        let raw: Raw = quick_xml::de::from_str(text).map_err(|error| ModelError::Form(error.to_string()))?;
-        raw.checked()
+    pub fn from_xml(bytes: &[u8]) -> Result<Self, InstanceError> {
+        let text = std::str::from_utf8(bytes).map_err(|error| InstanceError::Malformed(error.to_string()))?;
+        let raw: RawInstance =
+            quick_xml::de::from_str(text).map_err(|error| InstanceError::Malformed(error.to_string()))?;
+        raw.validate()
     }
 }
 
-impl Raw {
-    fn checked(self) -> Result<Instance, ModelError> {
+impl RawInstance {
+    fn validate(self) -> Result<Instance, InstanceError> {
         let id = if self.instance_id.text.is_empty() { &self.host_name.text } else { &self.instance_id.text };
         let id = id.clone();
-        let bad = |field, value: &str| ModelError::Field {
+        let invalid = |field, value: &str| InstanceError::InvalidField {
             id: id.chars().take(64).collect(),
             field,
             value: value.chars().take(64).collect(),
         };
         if id.is_empty() || id.len() > 256 {
-            return Err(bad("instanceId", &id));
+            return Err(invalid("instanceId", &id));
         }
-        let number = |field, of: &Scalar| match of.text.trim() {
+        let number = |field, input: &Scalar| match input.text.trim() {
             "" => Ok(0),
-            text => text.parse::<i64>().map_err(|_| bad(field, text)),
+            text => text.parse::<i64>().map_err(|_| invalid(field, text)),
         };
-        let port = |field, of: &Scalar| match of.text.trim() {
+        let port = |field, input: &Scalar| match input.text.trim() {
             "" => Ok(None),
             text => {
-                let port = text.parse::<u16>().map_err(|_| bad(field, text))?;
-                Ok(Some(port).filter(|port| *port != 0 && of.enabled != Some(false)))
+                let port = text.parse::<u16>().map_err(|_| invalid(field, text))?;
+                Ok(Some(port).filter(|port| *port != 0 && input.enabled != Some(false)))
             }
         };
         let action = match self.action_type.text.as_str() {
             "" | "ADDED" => ActionType::Added,
             "MODIFIED" => ActionType::Modified,
             "DELETED" => ActionType::Deleted,
-            other => return Err(bad("actionType", other)),
+            other => return Err(invalid("actionType", other)),
         };
         let metadata = self.metadata.into_iter().filter(|(key, _)| !key.starts_with('@'));
         Ok(Instance {
@@ -263,8 +265,8 @@
             dirty_ms: number("lastDirtyTimestamp", &self.last_dirty_timestamp)?,
             updated_ms: number("lastUpdatedTimestamp", &self.last_updated_timestamp)?,
             registered_ms: number("registrationTimestamp", &self.lease_info.registration_timestamp)?,
-            status: Status::named(&self.status.text),
-            overridden: Status::named(&self.overriddenstatus.text),
+            status: Status::from_name(&self.status.text),
+            overridden: Status::from_name(&self.overriddenstatus.text),
             app: self.app.text,
             ip: self.ip_addr.text,
             host: self.host_name.text,
--- a/crates/registry/src/eureka/poller.rs
+++ b/crates/registry/src/eureka/poller.rs
@@ -6,17 +6,17 @@
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 
 /// Between two servers of one round of failures.
-const NEXT_SERVER: Span = Span::millis(20);
+const NEXT_SERVER_DELAY: Span = Span::millis(20);
 /// After a first round in which all failed; it doubles from there.
-const FIRST_PAUSE: Span = Span::millis(500);
+const INITIAL_PAUSE: Span = Span::millis(500);
 /// A registry that asks to be left alone is left alone for no longer than this.
-const LONGEST_REST: Span = Span::millis(300_000);
+const MAX_RETRY_AFTER: Span = Span::millis(300_000);
 /// Whole lists that don't make deltas add up are asked for after this many intervals at the latest.
-const MOST_DOUBLINGS: u32 = 5;
+const MAX_DOUBLINGS: u32 = 5;
 
 /// What to ask for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum FetchKind {
     /// The whole list.
     Full,
     /// What has changed of late.
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// No answer, or one that can't be read.
-    Broken,
+    Unusable,
     /// An answer that says no, with the time to come back if it names one.
     Status(u16, Option<Span>),
 }
@@ -49,17 +49,17 @@
     options: PollOptions,
     rng: ChaCha8Rng,
     /// When each server may be asked again.
-    rests: Vec<Time>,
-    at: usize,
+    retry_at: Vec<Time>,
+    current: usize,
     /// Failures in a row.
-    failed: u32,
-    next: Time,
+    consecutive_failures: u32,
+    next_at: Time,
     /// When the whole list is wanted.
-    full_at: Option<Time>,
+    full_due: Option<Time>,
     /// Deltas in a row that did not add up.
-    apart: u32,
+    mismatches: u32,
     /// The server has no deltas.
-    without_deltas: bool,
+    full_only: bool,
 }
 
 impl Poller {
@@ -69,13 +69,13 @@
         Self {
             options,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            rests: vec![now; servers.max(1)],
-            at: 0,
-            failed: 0,
-            next: now,
-            full_at: Some(now),
-            apart: 0,
-            without_deltas: !options.use_deltas,
+            retry_at: vec![now; servers.max(1)],
+            current: 0,
+            consecutive_failures: 0,
+            next_at: now,
+            full_due: Some(now),
+            mismatches: 0,
+            full_only: !options.use_deltas,
         }
     }
 
@@ -83,77 +83,82 @@
     #[must_use]
     pub fn due(&self) -> Time {
         // After failures the pause counts, whatever is wanted.
-        if self.failed > 0 { self.next } else { self.full_at.map_or(self.next, |at| at.min(self.next)) }
+        if self.consecutive_failures > 0 {
+            self.next_at
+        } else {
+            self.full_due.map_or(self.next_at, |time| time.min(self.next_at))
+        }
     }
 
     /// Whom to ask for what, once it is due.
     #[must_use]
-    pub fn ask(&self, now: Time) -> (usize, Ask) {
-        let full = self.without_deltas || self.full_at.is_some_and(|at| at <= now);
-        (self.at, if full { Ask::Full } else { Ask::Delta })
+    pub fn next_fetch(&self, now: Time) -> (usize, FetchKind) {
+        let full = self.full_only || self.full_due.is_some_and(|time| time <= now);
+        (self.current, if full { FetchKind::Full } else { FetchKind::Delta })
     }
 
     /// How many failed in a row.
     #[must_use]
-    pub fn failures(&self) -> u32 {
-        self.failed
+    pub fn consecutive_failures(&self) -> u32 {
+        self.consecutive_failures
     }
 
     /// An answer was taken; `adds_up` if the registry's hash code agrees with what is held now.
-    pub fn answered(&mut self, now: Time, ask: Ask, adds_up: bool) {
-        self.failed = 0;
+    pub fn record_answer(&mut self, now: Time, kind: FetchKind, hash_matches: bool) {
+        self.consecutive_failures = 0;
         let interval = self.options.interval;
-        self.next = now + self.spread(interval, 0.1);
-        match ask {
-            Ask::Full => self.full_at = None,
-            Ask::Delta if adds_up => self.apart = 0,
+        self.next_at = now + self.with_jitter(interval, 0.1);
+        match kind {
+            FetchKind::Full => self.full_due = None,
+            FetchKind::Delta if hash_matches => self.mismatches = 0,
             // The first time at once; a registry whose hash code is always wrong is not asked for all each time.
-            Ask::Delta => {
-                let wait = match self.apart {
+            FetchKind::Delta => {
+                let wait = match self.mismatches {
                     0 => Span(0),
-                    times => interval.times(f64::from(1_u32 << times.min(MOST_DOUBLINGS))),
+                    count => interval.times(f64::from(1_u32 << count.min(MAX_DOUBLINGS))),
                 };
-                self.full_at.get_or_insert(now + wait);
-                self.apart += 1;
+                self.full_due.get_or_insert(now + wait);
+                self.mismatches += 1;
             }
         }
     }
 
     /// Nothing came of it.
-    pub fn failed(&mut self, now: Time, ask: Ask, failure: Failure) {
-        if ask == Ask::Delta && matches!(failure, Failure::Status(403 | 404 | 501, _)) {
+    pub fn record_failure(&mut self, now: Time, kind: FetchKind, failure: Failure) {
+        if kind == FetchKind::Delta && matches!(failure, Failure::Status(403 | 404 | 501, _)) {
             // It knows no deltas; nothing else is wrong with it.
-            self.without_deltas = true;
-            self.full_at = Some(now);
+            self.full_only = true;
+            self.full_due = Some(now);
             return;
         }
-        self.failed = self.failed.saturating_add(1);
-        if let Failure::Status(_, Some(rest)) = failure {
-            self.rests[self.at] = now + Span(rest.0.clamp(0, LONGEST_REST.0));
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        if let Failure::Status(_, Some(retry_after)) = failure {
+            self.retry_at[self.current] = now + Span(retry_after.0.clamp(0, MAX_RETRY_AFTER.0));
         }
-        let servers = self.rests.len();
+        let servers = self.retry_at.len();
         // Another server may know other changes: it is asked for all.
-        let order = (1..=servers).map(|step| (self.at + step) % servers);
-        let awake = order.clone().find(|at| self.rests[*at] <= now);
-        let next = awake.or_else(|| order.min_by_key(|at| self.rests[*at])).unwrap_or(0);
-        if next != self.at {
-            self.at = next;
-            self.without_deltas = !self.options.use_deltas;
+        let order = (1..=servers).map(|step| (self.current + step) % servers);
+        let available = order.clone().find(|server| self.retry_at[*server] <= now);
+        let next_server =
+            available.or_else(|| order.min_by_key(|server| self.retry_at[*server])).unwrap_or(0);
+        if next_server != self.current {
+            self.current = next_server;
+            self.full_only = !self.options.use_deltas;
         }
-        self.full_at = Some(now);
-        let rounds = (self.failed - 1) / servers as u32;
-        let within = self.failed % servers as u32 != 0;
-        let pause = if within {
-            NEXT_SERVER
+        self.full_due = Some(now);
+        let rounds = (self.consecutive_failures - 1) / servers as u32;
+        let round_incomplete = self.consecutive_failures % servers as u32 != 0;
+        let pause = if round_incomplete {
+            NEXT_SERVER_DELAY
         } else {
-            FIRST_PAUSE.times(f64::from(1_u32 << rounds.min(16))).min(self.options.max_pause)
+            INITIAL_PAUSE.times(f64::from(1_u32 << rounds.min(16))).min(self.options.max_pause)
         };
-        self.next = (now + self.spread(pause, 0.25)).max(self.rests[self.at]);
+        self.next_at = (now + self.with_jitter(pause, 0.25)).max(self.retry_at[self.current]);
     }
 
     /// The span, by up to this part more or less, so that many poolers don't ask in step.
-    fn spread(&mut self, span: Span, part: f64) -> Span {
-        let dice = f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
-        span.times(1.0 + part * (2.0 * dice - 1.0))
+    fn with_jitter(&mut self, span: Span, fraction: f64) -> Span {
+        let random = f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
+        span.times(1.0 + fraction * (2.0 * random - 1.0))
     }
 }
--- a/crates/registry/src/follow.rs
+++ b/crates/registry/src/follow.rs
@@ -3,12 +3,12 @@
 
 use crate::client::{Access, Call, CallError, Chunk, Client, Server, SetupError};
 use crate::eureka::body::Format;
-use crate::eureka::lease::{Act, Came, Lease};
+use crate::eureka::lease::{Lease, LeaseAction, LeaseResult};
+use crate::eureka::list_reader::{ListReader, ListUpdate};
 use crate::eureka::mapping::Mapping;
 use crate::eureka::mirror::Mirror;
 use crate::eureka::model::Status;
-use crate::eureka::poller::{Ask, Failure, PollOptions, Poller};
-use crate::eureka::reading::{Read, Reading};
+use crate::eureka::poller::{Failure, FetchKind, PollOptions, Poller};
 use async_io::Timer;
 use event_listener::Event;
 use futures_lite::future::or;
@@ -105,7 +105,7 @@
 
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let named = [
+        let fields = [
             ("fulls", &self.fulls),
             ("deltas", &self.deltas),
             ("failures", &self.failures),
@@ -121,7 +121,7 @@
             ("own_failed", &self.own_failed),
         ];
         write!(f, "registry")?;
-        named.iter().try_for_each(|(name, count)| write!(f, " {name}={}", count.get()))
+        fields.iter().try_for_each(|(name, count)| write!(f, " {name}={}", count.get()))
     }
 }
 
@@ -134,17 +134,17 @@
     sink: S,
     counters: Rc<Counters>,
     /// What was last said of the registry's state, so that it is said once.
-    said: Said,
-    told: bool,
+    last_logged: LogState,
+    rejections_logged: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Said {
-    Nothing,
-    Well,
-    Away,
-    Sick,
-    Apart,
+enum LogState {
+    Initial,
+    Healthy,
+    Unreachable,
+    SuspectList,
+    HashMismatch,
 }
 
 impl<S: Sink> Follower<S> {
@@ -163,8 +163,8 @@
         let client = Client::new(&registry.access, tls, registry.timeout)?;
         let poller = Poller::new(registry.servers.len(), registry.poll, seed, sink.now());
         let mirror = Mirror::default();
-        let (said, told) = (Said::Nothing, false);
-        Ok(Self { registry, client, poller, mirror, sink, counters, said, told })
+        let (last_logged, rejections_logged) = (LogState::Initial, false);
+        Ok(Self { registry, client, poller, mirror, sink, counters, last_logged, rejections_logged })
     }
 
     /// Asks once, whatever is due, and gives what was taken.
@@ -173,24 +173,25 @@
     ///
     /// When no answer came that can be used; it will be asked again in time.
     pub async fn poll(&mut self) -> Result<UpdateOutcome, CallError> {
-        let (at, ask) = self.poller.ask(self.sink.now());
-        match self.read(at, ask).await {
-            Ok(read) => {
-                let adds_up = read.hash_code.as_ref().is_none_or(|code| *code == self.mirror.hash_code());
-                self.poller.answered(self.sink.now(), ask, adds_up);
-                Ok(self.taken(at, ask, read, adds_up))
+        let (server, kind) = self.poller.next_fetch(self.sink.now());
+        match self.fetch(server, kind).await {
+            Ok(update) => {
+                let hash_matches =
+                    update.hash_code.as_ref().is_none_or(|code| *code == self.mirror.hash_code());
+                self.poller.record_answer(self.sink.now(), kind, hash_matches);
+                Ok(self.apply(server, kind, update, hash_matches))
             }
             Err(error) => {
                 let failure = match &error {
                     CallError::Status { status, retry_after } => Failure::Status(*status, *retry_after),
-                    _ => Failure::Broken,
+                    _ => Failure::Unusable,
                 };
-                self.poller.failed(self.sink.now(), ask, failure);
+                self.poller.record_failure(self.sink.now(), kind, failure);
                 add(&self.counters.failures, 1);
-                if self.poller.failures() as usize >= self.registry.servers.len() {
-                    let name = self.registry.servers[at].name().to_owned();
-                    self.say(
-                        Said::Away,
+                if self.poller.consecutive_failures() as usize >= self.registry.servers.len() {
+                    let name = self.registry.servers[server].name().to_owned();
+                    self.log_change(
+                        LogState::Unreachable,
                         &format_args!("registry: {name}: {error}; carrying on with what is known"),
                     );
                 }
@@ -199,78 +200,84 @@
         }
     }
 
-    async fn read(&mut self, at: usize, ask: Ask) -> Result<Read, CallError> {
+    async fn fetch(&mut self, server: usize, kind: FetchKind) -> Result<ListUpdate, CallError> {
         let Self { registry, client, mirror, .. } = self;
-        let path = match ask {
-            Ask::Full => registry.list_path.clone(),
-            Ask::Delta => "/apps/delta".to_owned(),
+        let path = match kind {
+            FetchKind::Full => registry.list_path.clone(),
+            FetchKind::Delta => "/apps/delta".to_owned(),
         };
-        let mut reading: Option<Reading<'_>> = None;
-        let mut take = |chunk: Chunk<'_>| match (chunk, &mut reading) {
-            (Chunk::Type(kind), of) => {
-                let format = match kind.split(';').next().unwrap_or("").trim() {
+        let mut reader: Option<ListReader<'_>> = None;
+        let mut on_chunk = |chunk: Chunk<'_>| match (chunk, &mut reader) {
+            (Chunk::ContentType(content_type), new_reader) => {
+                let format = match content_type.split(';').next().unwrap_or("").trim() {
                     "application/json" => Format::Json,
                     "application/xml" | "text/xml" => Format::Xml,
                     _ => return Err("type".to_owned()),
                 };
-                *of = Some(Reading::new(
+                *new_reader = Some(ListReader::new(
                     &registry.mapping,
-                    mirror.empty(),
-                    at,
-                    ask,
+                    mirror.empty_with_same_hasher(),
+                    server,
+                    kind,
                     format,
                     registry.max_body_bytes,
                 ));
                 Ok(())
             }
-            (Chunk::Data(data), Some(reading)) => reading.push(data).map_err(|error| error.to_string()),
+            (Chunk::Data(data), Some(reader)) => reader.push(data).map_err(|error| error.to_string()),
             (Chunk::Data(_), None) => Err("no type".to_owned()),
         };
-        client.call(&registry.servers[at], Call::get(&path), &mut take).await?;
+        client.call(&registry.servers[server], Call::get(&path), &mut on_chunk).await?;
         let body = |error: crate::eureka::body::BodyError| CallError::Body(error.to_string());
-        reading.ok_or(CallError::Type(String::new()))?.finish(mirror).map_err(body)
+        reader.ok_or(CallError::ContentType(String::new()))?.finish(mirror).map_err(body)
     }
 
-    fn taken(&mut self, at: usize, ask: Ask, read: Read, adds_up: bool) -> UpdateOutcome {
-        let (instances, hash_code) = (read.instances, read.hash_code.unwrap_or_default());
-        let taken = self.sink.apply_update(read.news);
+    fn apply(
+        &mut self,
+        server: usize,
+        kind: FetchKind,
+        update: ListUpdate,
+        hash_matches: bool,
+    ) -> UpdateOutcome {
+        let (instances, hash_code) = (update.instances, update.hash_code.unwrap_or_default());
+        let outcome = self.sink.apply_update(update.source_update);
         let counters = self.counters.clone();
-        add(if ask == Ask::Full { &counters.fulls } else { &counters.deltas }, 1);
-        add(&counters.mismatches, usize::from(!adds_up));
-        add(&counters.doubted, usize::from(taken.suspect_list.is_some()));
-        add(&counters.stale, taken.stale);
-        add(&counters.kept_out, taken.kept_out);
-        add(&counters.conflicts, taken.conflicts);
-        add(&counters.unreadable, read.unreadable);
-        add(&counters.refused, read.refused);
-        add(&counters.outside, read.outside);
+        add(if kind == FetchKind::Full { &counters.fulls } else { &counters.deltas }, 1);
+        add(&counters.mismatches, usize::from(!hash_matches));
+        add(&counters.doubted, usize::from(outcome.suspect_list.is_some()));
+        add(&counters.stale, outcome.stale);
+        add(&counters.kept_out, outcome.kept_out);
+        add(&counters.conflicts, outcome.conflicts);
+        add(&counters.unreadable, update.unreadable);
+        add(&counters.refused, update.refused);
+        add(&counters.outside, update.outside);
         // Whoever is refused is refused with each whole list: it is said once.
-        if !read.named.is_empty() && !std::mem::replace(&mut self.told, true) {
-            for words in &read.named {
-                self.sink.log(&format_args!("registry: {words}"));
+        if !update.problems.is_empty() && !std::mem::replace(&mut self.rejections_logged, true) {
+            for problem in &update.problems {
+                self.sink.log(&format_args!("registry: {problem}"));
             }
         }
-        let name = self.registry.servers[at].name().to_owned();
-        if let Some((lost, of)) = taken.suspect_list {
-            self.say(
-                Said::Sick,
-                &format_args!("registry: {name}: a list that lacks {lost} of {of} members is not believed; carrying on with what is known"),
+        let name = self.registry.servers[server].name().to_owned();
+        if let Some((lost, known)) = outcome.suspect_list {
+            self.log_change(
+                LogState::SuspectList,
+                &format_args!("registry: {name}: a list that lacks {lost} of {known} members is not believed; carrying on with what is known"),
             );
-        } else if ask == Ask::Full && !adds_up {
-            let own = self.mirror.hash_code();
-            self.say(
-                Said::Apart,
-                &format_args!("registry: {name}: a list whose hash code '{hash_code}' does not agree with what it holds, '{own}'"),
+        } else if kind == FetchKind::Full && !hash_matches {
+            let computed = self.mirror.hash_code();
+            self.log_change(
+                LogState::HashMismatch,
+                &format_args!("registry: {name}: a list whose hash code '{hash_code}' does not agree with what it holds, '{computed}'"),
             );
-        } else if adds_up {
-            self.say(Said::Well, &format_args!("registry: {name}: {instances} instances read"));
+        } else if hash_matches {
+            self.log_change(LogState::Healthy, &format_args!("registry: {name}: {instances} instances read"));
         }
-        taken
+        outcome
     }
 
-    fn say(&mut self, what: Said, words: &dyn fmt::Display) {
-        if std::mem::replace(&mut self.said, what) != what {
-            self.sink.log(words);
+    fn log_change(&mut self, state: LogState, line: &dyn fmt::Display) {
+        if std::mem::replace(&mut self.last_logged, state) != state {
+            self.sink.log(line);
         }
     }
 
@@ -314,27 +321,39 @@
     /// Tells the registry of this pooler for as long as it lives, and of its end.
     pub async fn run(mut self, pooler_status: Rc<PoolerStatus>) {
         let mut lease = Lease::new(self.registration.renew_interval, self.sink.now());
-        let mut at = 0;
+        let mut server = 0;
         loop {
             let changed = pooler_status.changed.listen();
-            lease.want(self.sink.now(), pooler_status.status.get());
-            match (lease.act(self.sink.now()), lease.due()) {
-                (None, None) => return pooler_status.gone.raise(),
+            lease.set_status(self.sink.now(), pooler_status.status.get());
+            match (lease.next_action(self.sink.now()), lease.due()) {
+                (None, None) => return pooler_status.deregistered.signal(),
                 (None, Some(due)) => or(wait_until(self.sink.now(), due), changed).await,
-                (Some(act), _) => {
-                    let call =
-                        tell(&mut self.client, &self.servers[at], &self.registration, act, lease.dirty_ms());
+                (Some(action), _) => {
+                    let call = send_action(
+                        &mut self.client,
+                        &self.servers[server],
+                        &self.registration,
+                        action,
+                        lease.dirty_ms(),
+                    );
                     // A status that changes while a server keeps silent is told at once, elsewhere if need be.
-                    let came = or(call, async {
+                    let result = or(call, async {
                         changed.await;
-                        Came::Nothing
+                        LeaseResult::Failed
                     });
-                    let came = came.await;
-                    lease.done(self.sink.now(), act, came);
+                    let result = result.await;
+                    lease.record_result(self.sink.now(), action, result);
                     let counters = &self.counters;
-                    add(if came == Came::Taken { &counters.own_taken } else { &counters.own_failed }, 1);
-                    if came == Came::Nothing {
-                        at = (at + 1) % self.servers.len();
+                    add(
+                        if result == LeaseResult::Accepted {
+                            &counters.own_taken
+                        } else {
+                            &counters.own_failed
+                        },
+                        1,
+                    );
+                    if result == LeaseResult::Failed {
+                        server = (server + 1) % self.servers.len();
                     }
                 }
             }
@@ -347,18 +366,18 @@
 pub struct PoolerStatus {
     status: Cell<Option<Status>>,
     changed: Event,
-    gone: Gone,
+    deregistered: DeregisteredFlag,
 }
 
 #[derive(Debug, Default)]
-struct Gone {
-    up: Cell<bool>,
+struct DeregisteredFlag {
+    is_set: Cell<bool>,
     event: Event,
 }
 
-impl Gone {
-    fn raise(&self) {
-        self.up.set(true);
+impl DeregisteredFlag {
+    fn signal(&self) {
+        self.is_set.set(true);
         self.event.notify(usize::MAX);
     }
 }
@@ -367,7 +386,11 @@
     /// One of a pooler that is starting.
     #[must_use]
     pub fn starting() -> Self {
-        Self { status: Cell::new(Some(Status::Starting)), changed: Event::new(), gone: Gone::default() }
+        Self {
+            status: Cell::new(Some(Status::Starting)),
+            changed: Event::new(),
+            deregistered: DeregisteredFlag::default(),
+        }
     }
 
     /// What it was last set to.
@@ -383,19 +406,19 @@
     }
 
     /// Waits until the registry knows of the end, but no longer than this.
-    pub async fn wait_deregistered(&self, longest: Duration) {
-        let told = async {
-            while !self.gone.up.get() {
-                let listener = self.gone.event.listen();
-                if !self.gone.up.get() {
+    pub async fn wait_deregistered(&self, timeout: Duration) {
+        let deregistration = async {
+            while !self.deregistered.is_set.get() {
+                let listener = self.deregistered.event.listen();
+                if !self.deregistered.is_set.get() {
                     listener.await;
                 }
             }
         };
-        let enough = async {
-            Timer::after(longest).await;
+        let timed_out = async {
+            Timer::after(timeout).await;
         };
-        or(told, enough).await;
+        or(deregistration, timed_out).await;
     }
 }
 
@@ -409,23 +432,29 @@
 }
 
 /// Tells a server of this pooler.
-async fn tell(client: &mut Client, server: &Server, own: &Registration, act: Act, dirty_ms: i64) -> Came {
+async fn send_action(
+    client: &mut Client,
+    server: &Server,
+    own: &Registration,
+    action: LeaseAction,
+    dirty_ms: i64,
+) -> LeaseResult {
     use hyper::Method;
     let (app, id) = (&own.app, &own.id);
-    let (method, path, body) = match act {
-        Act::Register(status) => {
+    let (method, path, body) = match action {
+        LeaseAction::Register(status) => {
             (Method::POST, format!("/apps/{app}"), Some(registration_body(own, status, dirty_ms)))
         }
-        Act::Renew(status) => {
+        LeaseAction::Renew(status) => {
             let status = status.name();
             (Method::PUT, format!("/apps/{app}/{id}?status={status}&lastDirtyTimestamp={dirty_ms}"), None)
         }
-        Act::Cancel => (Method::DELETE, format!("/apps/{app}/{id}"), None),
+        LeaseAction::Cancel => (Method::DELETE, format!("/apps/{app}/{id}"), None),
     };
     match client.call(server, Call { method, path: &path, body }, &mut |_| Ok(())).await {
-        Ok(()) => Came::Taken,
-        Err(CallError::Status { status: 404, .. }) => Came::Unknown,
-        Err(_) => Came::Nothing,
+        Ok(()) => LeaseResult::Accepted,
+        Err(CallError::Status { status: 404, .. }) => LeaseResult::NotFound,
+        Err(_) => LeaseResult::Failed,
     }
 }
 
--- a/crates/registry/tests/bodies.rs
+++ b/crates/registry/tests/bodies.rs
@@ -2,12 +2,12 @@
 
 use linnetdeal_core::ListState;
 use linnetdeal_core::membership::SourceUpdate;
-use linnetdeal_registry::eureka::body::{Body, BodyError, Format};
-use linnetdeal_registry::eureka::mapping::{Mapping, Networks, Refused};
+use linnetdeal_registry::eureka::body::{BodyError, BodyScanner, Format};
+use linnetdeal_registry::eureka::list_reader::{ListReader, ListUpdate};
+use linnetdeal_registry::eureka::mapping::{Mapping, MappingError, Networks};
 use linnetdeal_registry::eureka::mirror::Mirror;
 use linnetdeal_registry::eureka::model::{Instance, Status};
-use linnetdeal_registry::eureka::poller::Ask;
-use linnetdeal_registry::eureka::reading::{Read, Reading};
+use linnetdeal_registry::eureka::poller::FetchKind;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -53,16 +53,17 @@
     }
 }
 
-fn read(format: Format, text: &[u8], cuts: &[usize]) -> Result<(Read, Mirror), BodyError> {
+fn read(format: Format, text: &[u8], cuts: &[usize]) -> Result<(ListUpdate, Mirror), BodyError> {
     let (mapping, mut mirror) = (mapping(), Mirror::default());
-    let mut reading = Reading::new(&mapping, mirror.empty(), 0, Ask::Full, format, 8 << 20);
+    let mut reader =
+        ListReader::new(&mapping, mirror.empty_with_same_hasher(), 0, FetchKind::Full, format, 8 << 20);
     let mut from = 0;
     for cut in cuts.iter().copied().chain([text.len()]) {
         let to = cut.clamp(from, text.len());
-        reading.push(&text[from..to])?;
+        reader.push(&text[from..to])?;
         from = to;
     }
-    let read = reading.finish(&mut mirror)?;
+    let read = reader.finish(&mut mirror)?;
     Ok((read, mirror))
 }
 
@@ -70,7 +71,7 @@
     let (read, mirror) = read(format, text, cuts).unwrap();
     assert_eq!(read.hash_code.as_deref(), Some("OUT_OF_SERVICE_1_UP_1_"));
     assert_eq!(mirror.hash_code(), "OUT_OF_SERVICE_1_UP_1_");
-    let SourceUpdate::Full { claims, view } = read.news else { panic!("a whole list") };
+    let SourceUpdate::Full { claims, view } = read.source_update else { panic!("a whole list") };
     assert_eq!((view, read.instances, read.refused), (2 * 1_767_225_600_200 + 1, 2, 0));
     let one = &claims[0];
     assert_eq!((&*one.member.0, one.state, one.primary), ("s-1", ListState::Healthy, true));
@@ -121,7 +122,7 @@
 #[test]
 fn what_is_no_list_is_told_apart_by_its_byte() {
     let form = |format, text: &str| match read(format, text.as_bytes(), &[]) {
-        Err(BodyError::Form { at, what }) => (at, what),
+        Err(BodyError::Syntax { offset, what }) => (offset, what),
         other => panic!("{text:?}: {other:?}"),
     };
     assert_eq!(form(Format::Json, "<html>"), (0, "no JSON"));
@@ -138,8 +139,8 @@
     assert_eq!(form(Format::Xml, &"<a>".repeat(10_000)).1, "nested too deeply");
     let long = format!("{{\"instance\":{{\"a\":\"{}", "x".repeat(300_000));
     assert_eq!(form(Format::Json, &long).1, "an instance that is too long");
-    let mut body = Body::new(Format::Json, 100);
-    assert_eq!(body.push(&[b' '; 101], &mut |_| Ok(())), Err(BodyError::Large(100)));
+    let mut body = BodyScanner::new(Format::Json, 100);
+    assert_eq!(body.push(&[b' '; 101], &mut |_| Ok(())), Err(BodyError::TooLarge(100)));
 }
 
 #[test]
@@ -147,7 +148,7 @@
     let many = "{\"instanceId\":\"1\"},".repeat(50_001);
     let body = format!("{{\"instance\":[{}]}}", many.trim_end_matches(','));
     match read(Format::Json, body.as_bytes(), &[]) {
-        Err(BodyError::Piece(words)) => assert_eq!(words, "more than 50000 instances"),
+        Err(BodyError::InvalidItem(words)) => assert_eq!(words, "more than 50000 instances"),
         other => panic!("{other:?}"),
     }
 }
@@ -156,20 +157,21 @@
 fn a_delta_is_added_to_what_was_there_only_at_its_end() {
     let (mapping, mut mirror) = (mapping(), Mirror::default());
     let mut take = |ask, text: &str, end: bool| {
-        let mut reading = Reading::new(&mapping, mirror.empty(), 0, ask, Format::Json, 1 << 20);
-        reading.push(text.as_bytes()).unwrap();
+        let mut reader =
+            ListReader::new(&mapping, mirror.empty_with_same_hasher(), 0, ask, Format::Json, 1 << 20);
+        reader.push(text.as_bytes()).unwrap();
         if end {
-            reading.finish(&mut mirror).unwrap();
+            reader.finish(&mut mirror).unwrap();
         }
         mirror.hash_code()
     };
-    assert_eq!(take(Ask::Full, &json(), true), "OUT_OF_SERVICE_1_UP_1_");
+    assert_eq!(take(FetchKind::Full, &json(), true), "OUT_OF_SERVICE_1_UP_1_");
     let gone = ONE.replace("ADDED", "DELETED");
     let other = OTHER.replace("OUT_OF_SERVICE", "UP").replace("\"db\"", "\"DB\"");
     let delta = format!("{{\"application\":{{\"instance\":[{gone},{other}]}}}}");
-    assert_eq!(take(Ask::Delta, &delta[..delta.len() - 3], false), "OUT_OF_SERVICE_1_UP_1_");
-    assert_eq!(take(Ask::Delta, &delta, true), "UP_1_", "one left, the other is the same box");
-    assert_eq!(take(Ask::Delta, &delta, true), "UP_1_", "and twice changes nothing");
+    assert_eq!(take(FetchKind::Delta, &delta[..delta.len() - 3], false), "OUT_OF_SERVICE_1_UP_1_");
+    assert_eq!(take(FetchKind::Delta, &delta, true), "UP_1_", "one left, the other is the same box");
+    assert_eq!(take(FetchKind::Delta, &delta, true), "UP_1_", "and twice changes nothing");
 }
 
 #[test]
@@ -178,9 +180,9 @@
     let body = format!(r#"{{"applications":{{"application":{{"instance":[{bad},{OTHER}]}}}}}}"#);
     let (read, _) = read(Format::Json, body.as_bytes(), &[]).unwrap();
     assert_eq!((read.instances, read.unreadable), (2, 1));
-    assert_eq!(read.named, ["instance 's-9': lastDirtyTimestamp is 'soon'"]);
+    assert_eq!(read.problems, ["instance 's-9': lastDirtyTimestamp is 'soon'"]);
     // Nobody counts as missing from it: the one that could not be read may be anybody.
-    assert!(matches!(read.news, SourceUpdate::Full { claims, view: i64::MIN } if claims.len() == 1));
+    assert!(matches!(read.source_update, SourceUpdate::Full { claims, view: i64::MIN } if claims.len() == 1));
 }
 
 #[test]
@@ -189,23 +191,23 @@
     let body = format!(r#"{{"application":{{"instance":[{outside}]}}}}"#);
     let (read, _) = read(Format::Json, body.as_bytes(), &[]).unwrap();
     assert_eq!((read.refused, read.outside), (1, 1));
-    let SourceUpdate::Full { claims, .. } = read.news else { panic!("a whole list") };
+    let SourceUpdate::Full { claims, .. } = read.source_update else { panic!("a whole list") };
     assert_eq!((claims[0].state, claims[0].address), (ListState::Draining, None));
     let instance = |text: &str| Instance::from_json(text.as_bytes()).unwrap();
     let refused = |text: &str| mapping().claim(&instance(text), 0).unwrap_err();
-    assert_eq!(refused(&ONE.replace("\"DB\"", "\"WEB\"")), Refused::NotOurs);
+    assert_eq!(refused(&ONE.replace("\"DB\"", "\"WEB\"")), MappingError::OtherApplication);
     assert_eq!(
         refused(&ONE.replace("10.1.0.4", "box.example")),
-        Refused::Address("box.example:Some(6543)".into())
+        MappingError::InvalidAddress("box.example:Some(6543)".into())
     );
-    assert_eq!(refused(&ONE.replace("\"2\"", "\"two\"")), Refused::Group("two".into()));
+    assert_eq!(refused(&ONE.replace("\"2\"", "\"two\"")), MappingError::InvalidGroup("two".into()));
     assert_eq!(
         refused(&ONE.replace("\"$\":6543,\"@enabled\":\"true\"", "\"$\":6543,\"@enabled\":\"false\"")),
-        Refused::Address("10.1.0.4:None".into())
+        MappingError::InvalidAddress("10.1.0.4:None".into())
     );
     assert_eq!(
         refused(&ONE.replace("10.1.0.4", "::ffff:10.2.0.4")),
-        Refused::Outside("10.2.0.4".parse().unwrap())
+        MappingError::OutsideNetworks("10.2.0.4".parse().unwrap())
     );
 }
 
@@ -217,7 +219,7 @@
         mapping().claim(&instance, 0).unwrap().version.stamp
     };
     assert!(stamp("STARTING") < stamp("UP") && stamp("UP") == stamp("DOWN"));
-    assert_eq!(Status::named("whatever"), Status::Unknown);
+    assert_eq!(Status::from_name("whatever"), Status::Unknown);
 }
 
 #[test]
--- a/crates/registry/tests/client.rs
+++ b/crates/registry/tests/client.rs
@@ -16,7 +16,7 @@
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const GOOD: &str = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}";
 
 /// Answers each request with the next of these and then closes; an empty one closes at once. Requests are handed back.
@@ -101,11 +101,11 @@
 fn a_connection_is_kept_and_one_that_was_closed_meanwhile_loses_no_call() {
     // Two requests a connection; the third call finds the connection closed, or closed under it.
     let (address, requests) = serve(vec![GOOD, GOOD, GOOD, GOOD], 2, None);
-    let mut client = Client::new(&Access::default(), false, PATIENCE).unwrap();
+    let mut client = Client::new(&Access::default(), false, TIMEOUT).unwrap();
     for turn in 1..=4 {
         assert_eq!(call(&mut client, &plain(address)).unwrap(), "{}", "call {turn}");
     }
-    assert_eq!(client.connects(), 2);
+    assert_eq!(client.connections_opened(), 2);
     let first = requests.recv().unwrap().to_ascii_lowercase();
     assert!(
         first.starts_with("get /eureka/apps http/1.1\r\n") && first.contains("accept-encoding: gzip"),
@@ -127,7 +127,7 @@
         1,
         None,
     );
-    let mut client = Client::new(&Access::default(), false, PATIENCE).unwrap();
+    let mut client = Client::new(&Access::default(), false, TIMEOUT).unwrap();
     let server = plain(address);
     match call(&mut client, &server) {
         Err(CallError::Status { status: 429, retry_after }) => {
@@ -146,20 +146,20 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let server = plain(listener.local_addr().unwrap());
     let mut client = Client::new(&Access::default(), false, Duration::from_millis(50)).unwrap();
-    assert!(matches!(call(&mut client, &server), Err(CallError::Late(_))));
+    assert!(matches!(call(&mut client, &server), Err(CallError::Timeout(_))));
 }
 
 #[test]
 fn a_password_goes_with_each_call_and_never_comes_from_a_file_that_others_may_read() {
     let (address, requests) = serve(vec![GOOD], 1, None);
     let access = |path: PathBuf| Access { user: Some(("kofi".into(), path)), ..Access::default() };
-    let mut client = Client::new(&access(file("pw", "s3cret\n", 0o600)), false, PATIENCE).unwrap();
+    let mut client = Client::new(&access(file("pw", "s3cret\n", 0o600)), false, TIMEOUT).unwrap();
     call(&mut client, &plain(address)).unwrap();
     assert!(requests.recv().unwrap().contains("authorization: Basic a29maTpzM2NyZXQ=\r\n"));
     let error =
-        Client::new(&access(file("pw-open", "s3cret", 0o640)), false, PATIENCE).err().unwrap().to_string();
+        Client::new(&access(file("pw-open", "s3cret", 0o640)), false, TIMEOUT).err().unwrap().to_string();
     assert!(error.contains("mode is 640") && !error.contains("s3cret"), "{error}");
-    assert!(Client::new(&access("/nonexistent".into()), false, PATIENCE).is_err());
+    assert!(Client::new(&access("/nonexistent".into()), false, TIMEOUT).is_err());
 }
 
 #[test]
@@ -175,7 +175,7 @@
     assert!(server.is_tls());
 }
 
-struct Papers {
+struct Certificates {
     ca: PathBuf,
     other_ca: PathBuf,
     server: Arc<ServerConfig>,
@@ -184,9 +184,9 @@
 }
 
 /// A certificate authority of this test's own, a server's papers and a client's.
-fn papers() -> &'static Papers {
-    static PAPERS: OnceLock<Papers> = OnceLock::new();
-    PAPERS.get_or_init(|| {
+fn certificates() -> &'static Certificates {
+    static CERTIFICATES: OnceLock<Certificates> = OnceLock::new();
+    CERTIFICATES.get_or_init(|| {
         let authority = || {
             let mut params = CertificateParams::new(Vec::new()).unwrap();
             params.is_ca = rcgen::IsCa::Ca(rcgen::BasicConstraints::Unconstrained);
@@ -212,7 +212,7 @@
             .with_single_cert(chain, secret())
             .unwrap();
         let (own, own_key) = signed("pooler.example");
-        Papers {
+        Certificates {
             ca: file("ca.pem", &ca.pem(), 0o644),
             other_ca: file("other.pem", &other.pem(), 0o644),
             server: Arc::new(server),
@@ -228,36 +228,36 @@
 
 #[test]
 fn tls_goes_by_the_operators_own_authority() {
-    let papers = papers();
+    let certificates = certificates();
     let access = |ca: &PathBuf| Access { ca: Some(ca.clone()), ..Access::default() };
     let with = |ca: &PathBuf, host: &str| {
-        let (address, _requests) = serve(vec![GOOD], 1, Some(papers.server.clone()));
-        call(&mut Client::new(&access(ca), true, PATIENCE).unwrap(), &tls(address, host))
+        let (address, _requests) = serve(vec![GOOD], 1, Some(certificates.server.clone()));
+        call(&mut Client::new(&access(ca), true, TIMEOUT).unwrap(), &tls(address, host))
     };
-    assert_eq!(with(&papers.ca, "registry.example").unwrap(), "{}");
+    assert_eq!(with(&certificates.ca, "registry.example").unwrap(), "{}");
     assert!(
-        matches!(with(&papers.other_ca, "registry.example"), Err(CallError::Connect(_))),
+        matches!(with(&certificates.other_ca, "registry.example"), Err(CallError::Connect(_))),
         "another authority"
     );
-    assert!(matches!(with(&papers.ca, "other.example"), Err(CallError::Connect(_))), "another name");
+    assert!(matches!(with(&certificates.ca, "other.example"), Err(CallError::Connect(_))), "another name");
 }
 
 #[test]
 fn a_server_that_wants_to_know_who_calls_is_shown_the_own_certificate() {
-    let papers = papers();
+    let certificates = certificates();
     let with = |identity: Option<(PathBuf, PathBuf)>| {
-        let (address, _requests) = serve(vec![GOOD], 1, Some(papers.strict.clone()));
-        let access = Access { ca: Some(papers.ca.clone()), identity, ..Access::default() };
-        call(&mut Client::new(&access, true, PATIENCE).unwrap(), &tls(address, "registry.example"))
+        let (address, _requests) = serve(vec![GOOD], 1, Some(certificates.strict.clone()));
+        let access = Access { ca: Some(certificates.ca.clone()), identity, ..Access::default() };
+        call(&mut Client::new(&access, true, TIMEOUT).unwrap(), &tls(address, "registry.example"))
     };
-    assert_eq!(with(Some(papers.own.clone())).unwrap(), "{}");
+    assert_eq!(with(Some(certificates.own.clone())).unwrap(), "{}");
     assert!(with(None).is_err());
-    let open = file("open.key", &std::fs::read_to_string(&papers.own.1).unwrap(), 0o604);
-    let access = Access { identity: Some((papers.own.0.clone(), open)), ..Access::default() };
-    assert!(matches!(Client::new(&access, true, PATIENCE), Err(SetupError::File { .. })));
+    let open = file("open.key", &std::fs::read_to_string(&certificates.own.1).unwrap(), 0o604);
+    let access = Access { identity: Some((certificates.own.0.clone(), open)), ..Access::default() };
+    assert!(matches!(Client::new(&access, true, TIMEOUT), Err(SetupError::File { .. })));
     let access = Access { ca: Some(file("none.pem", "no certificate", 0o644)), ..Access::default() };
     assert!(
-        Client::new(&access, true, PATIENCE)
+        Client::new(&access, true, TIMEOUT)
             .err()
             .unwrap()
             .to_string()
