--- a/crates/daemon/src/leases.rs
+++ b/crates/daemon/src/leases.rs
@@ -68,7 +68,7 @@
     });
     let calls = settings.tasks.iter().filter_map(|task| {
         let call = task.call.as_ref()?;
-        let (path, interval, act_duration) = (call.path.clone(), call.every, call.lasts);
+        let (path, interval, act_duration) = (call.path.clone(), call.interval, call.act_duration);
         Some(HolderCall { task: task.name.clone(), address: call.address, path, interval, act_duration })
     });
     let setup = LeaseSetup {
@@ -79,7 +79,7 @@
         voters: settings.voters.clone(),
         previous: settings.previous.clone(),
         drift: settings.drift,
-        max_term: span_of(settings.longest),
+        max_term: span_of(settings.max_term),
         keys: read_keys(settings)?,
         tasks: tasks.collect(),
         wall_ms: linnetdeal_net::clock::wall_ms(),
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -10,7 +10,7 @@
 use linnetdeal_core::{Expected, Span};
 use linnetdeal_net::Pooler;
 use linnetdeal_net::config::{Config, IneffectiveSettings};
-use linnetdeal_operator::{ChangeSettings, Operator};
+use linnetdeal_operator::{Operator, PrimaryChangeSettings};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -157,9 +157,9 @@
 }
 
 /// Converts the expected duration of primary changes to the router's type.
-fn expected(change: ChangeSettings) -> Expected {
+fn expected(change: PrimaryChangeSettings) -> Expected {
     let span = |duration: Duration| Span(i64::try_from(duration.as_micros()).unwrap_or(i64::MAX));
-    Expected { least: span(change.least), usual: span(change.usual) }
+    Expected { least: span(change.minimum), usual: span(change.typical) }
 }
 
 fn check(file: Option<PathBuf>, config: Option<PathBuf>) -> Result<(), ExitError> {
--- a/crates/daemon/src/registry.rs
+++ b/crates/daemon/src/registry.rs
@@ -4,7 +4,7 @@
 use linnetdeal_core::{ListState, Span, Time};
 use linnetdeal_net::Pooler;
 use linnetdeal_net::members::{Feed, REGISTRY};
-use linnetdeal_operator::{ReadWhat, RegistrySettings};
+use linnetdeal_operator::{ReadMode, RegistrySettings};
 use linnetdeal_registry::client::{Access, Client, Server, SetupError};
 use linnetdeal_registry::eureka::mapping::{DrainEnd, Mapping, Networks};
 use linnetdeal_registry::eureka::model::Status;
@@ -42,45 +42,46 @@
     settings: &RegistrySettings,
     own: Option<(&str, SocketAddr)>,
 ) -> Result<RegistryOptions, SetupError> {
-    let servers = settings.servers.iter().map(|server| Server::new(&server.url, server.at));
+    let servers = settings.servers.iter().map(|server| Server::new(&server.url, server.address));
     let mut networks = Networks::default();
     for network in &settings.networks {
         networks.add(network.prefix, network.zone.as_deref().map(Arc::from));
     }
-    let registration = settings.register.as_ref().zip(own).map(|(register, (name, address))| Registration {
-        app: register.app.clone(),
-        id: register.id.clone().unwrap_or_else(|| url_safe_id(&format!("{name}:{address}"))),
-        address,
-        renew_interval: span(register.renew),
-        lease_duration: span(register.expires),
-    });
+    let registration =
+        settings.registration.as_ref().zip(own).map(|(register, (name, address))| Registration {
+            app: register.app.clone(),
+            id: register.id.clone().unwrap_or_else(|| url_safe_id(&format!("{name}:{address}"))),
+            address,
+            renew_interval: span(register.renew_interval),
+            lease_duration: span(register.lease_duration),
+        });
     let list_path = match settings.read {
-        ReadWhat::Delta | ReadWhat::Full => "/apps".to_owned(),
-        ReadWhat::App => format!("/apps/{}", settings.apps.first().map_or("", String::as_str)),
-        ReadWhat::Vip => format!("/vips/{}", settings.vip),
+        ReadMode::Delta | ReadMode::Full => "/apps".to_owned(),
+        ReadMode::App => format!("/apps/{}", settings.apps.first().map_or("", String::as_str)),
+        ReadMode::Vip => format!("/vips/{}", settings.vip),
     };
     Ok(RegistryOptions {
         servers: servers.collect::<Result<_, _>>()?,
         access: Access {
-            user: settings.user.as_ref().map(|user| (user.name.clone(), user.password_file.clone())),
+            user: settings.credentials.as_ref().map(|user| (user.name.clone(), user.password_file.clone())),
             ca: settings.ca.clone(),
             identity: settings.identity.clone(),
         },
-        timeout: settings.patience,
+        timeout: settings.timeout,
         poll: PollOptions {
             interval: span(settings.interval),
-            max_pause: span(settings.longest_pause),
-            use_deltas: settings.read == ReadWhat::Delta,
+            max_pause: span(settings.max_pause),
+            use_deltas: settings.read == ReadMode::Delta,
         },
-        max_body_bytes: settings.most_body,
+        max_body_bytes: settings.max_body_bytes,
         mapping: Mapping {
             apps: settings.apps.iter().map(|app| app.to_ascii_uppercase()).collect(),
             networks,
             group_key: settings.metadata.group.clone(),
-            default_group: settings.group,
+            default_group: settings.default_group,
             zone_key: settings.metadata.zone.clone(),
             role_key: settings.metadata.role.clone(),
-            primary_value: settings.primary.clone(),
+            primary_value: settings.primary_value.clone(),
             started_key: settings.metadata.started.clone(),
             secure_port: settings.secure_port,
             drain_end: if settings.lifts_overrides {
--- a/crates/daemon/src/work.rs
+++ b/crates/daemon/src/work.rs
@@ -9,7 +9,7 @@
 use linnetdeal_net::config::{Config, span_of};
 use linnetdeal_net::leases::LeaseOptions;
 use linnetdeal_net::work::{PlanRequest, ServerCandidate, TASK, WorkOptions, zone_hash};
-use linnetdeal_operator::{Bounds, Operator, WorkSettings};
+use linnetdeal_operator::{Operator, OutLimits, WorkSettings};
 use std::path::Path;
 
 /// The lease task whose holder executes maintenance plans.
@@ -17,16 +17,16 @@
     TaskSetup { name: TASK.to_owned(), term: span_of(settings.term), wanted: true }
 }
 
-fn limits(settings: &WorkSettings, bounds: Bounds) -> Limits {
+fn limits(settings: &WorkSettings, bounds: OutLimits) -> Limits {
     Limits {
-        total: bounds.all,
-        per_zone: bounds.zone,
-        per_group: settings.group,
+        total: bounds.total,
+        per_zone: bounds.per_zone,
+        per_group: settings.per_group,
         zones: bounds.zones,
-        min_warm: settings.warm,
-        load_factor: settings.spare,
-        cold_period: span_of(settings.cold),
-        handover_timeout: span_of(settings.handing),
+        min_warm: settings.min_warm,
+        load_factor: settings.load_factor,
+        cold_period: span_of(settings.cold_period),
+        handover_timeout: span_of(settings.handover_timeout),
         order: match settings.order.as_str() {
             "named" => OrderPolicy::AsNamed,
             "spare" => OrderPolicy::MostSpare,
@@ -47,15 +47,15 @@
             fleet,
             voters: lease_setup.voters.clone(),
             previous: lease_setup.previous.clone(),
-            heartbeat_interval: span_of(settings.every),
-            start_timeout: span_of(settings.hold),
-            server_limits: limits(settings, settings.servers),
-            pooler_limits: limits(settings, settings.poolers),
+            heartbeat_interval: span_of(settings.heartbeat_interval),
+            start_timeout: span_of(settings.start_timeout),
+            server_limits: limits(settings, settings.server_limits),
+            pooler_limits: limits(settings, settings.pooler_limits),
         },
         capacity: settings.capacity.iter().cloned().collect(),
-        quiet_hours: settings.quiet.clone(),
+        quiet_hours: settings.quiet_hours.clone(),
         handover: settings.handover.clone(),
-        max_out_time: settings.longest,
+        max_out_time: settings.max_out_time,
         zone: config.settings.zone.clone(),
         tasks: own_tasks.chain([TaskId::of(TASK)]).collect(),
     }
@@ -111,8 +111,10 @@
         let voters = operator.leases.iter().flat_map(|leases| leases.voters.iter());
         fleet_state.voters = voters.map(|voter| u64::from(*voter)).collect();
     }
-    let limits =
-        limits(settings, if kind == MachineKind::Servers { settings.servers } else { settings.poolers });
+    let limits = limits(
+        settings,
+        if kind == MachineKind::Servers { settings.server_limits } else { settings.pooler_limits },
+    );
     let name = |machine: u64| match kind {
         MachineKind::Poolers => format!("pooler {machine}"),
         MachineKind::Servers => servers
--- a/crates/fleet/src/scenario.rs
+++ b/crates/fleet/src/scenario.rs
@@ -1,7 +1,7 @@
 //! Scenarios as files: typed records in the operator's form, each fault with its place.
 
 use linnetdeal_core::Span;
-use linnetdeal_operator::{Fault, Faults, Tree, unify};
+use linnetdeal_operator::{Diagnostic, Diagnostics, Tree, unify};
 use serde::{Deserialize, Deserializer};
 
 /// The schema of scenarios.
@@ -432,7 +432,7 @@
     /// # Errors
     ///
     /// When something in it is wrong.
-    pub fn decode(name: &str, bytes: &[u8]) -> Result<Self, Faults> {
+    pub fn decode(name: &str, bytes: &[u8]) -> Result<Self, Diagnostics> {
         Self::decode_in("", name, bytes)
     }
 
@@ -441,10 +441,10 @@
     /// # Errors
     ///
     /// When something in either is wrong.
-    pub fn decode_in(world: &str, name: &str, bytes: &[u8]) -> Result<Self, Faults> {
+    pub fn decode_in(world: &str, name: &str, bytes: &[u8]) -> Result<Self, Diagnostics> {
         let shared: Vec<&str> = world.lines().filter(|line| !line.starts_with("package ")).collect();
         let tree = unify(&format!("{SCHEMA}\n{}\n", shared.join("\n")), name, bytes)?;
-        let faults = |faults: Vec<Fault>| Faults { file: name.to_owned(), faults };
+        let faults = |faults: Vec<Diagnostic>| Diagnostics { file: name.to_owned(), diagnostics: faults };
         let scenario: Self = tree.decode().map_err(|fault| faults(vec![fault]))?;
         let wrong = scenario.check(&tree);
         if wrong.is_empty() { Ok(scenario) } else { Err(faults(wrong)) }
@@ -473,9 +473,9 @@
     }
 
     /// What no schema can check.
-    fn check(&self, tree: &Tree) -> Vec<Fault> {
+    fn check(&self, tree: &Tree) -> Vec<Diagnostic> {
         let mut wrong = Vec::new();
-        let mut fault = |path: &str, what: String| wrong.push(tree.fault(path, what));
+        let mut fault = |path: &str, what: String| wrong.push(tree.diagnostic(path, what));
         let Fleet { groups, members, poolers, reach, .. } = self.fleet;
         let boxes = groups * members;
         if boxes > MOST_BOXES {
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -4,7 +4,7 @@
 use crate::emulator::{self, Played};
 use indicatif::{ProgressBar, ProgressStyle};
 use linnetdeal_fleet::scenario::Scenario;
-use linnetdeal_operator::{Fault, Faults, unify};
+use linnetdeal_operator::{Diagnostic, Diagnostics, unify};
 use parquet::column::writer::ColumnWriter;
 use parquet::data_type::ByteArray;
 use parquet::file::properties::WriterProperties;
@@ -85,7 +85,7 @@
 pub enum ExperimentError {
     /// A file of it is wrong.
     #[error("{0}")]
-    Wrong(#[from] Faults),
+    Wrong(#[from] Diagnostics),
     /// A file can't be read or written.
     #[error("{0}: {1}")]
     File(PathBuf, std::io::Error),
@@ -105,7 +105,7 @@
             |path: &Path| std::fs::read(path).map_err(|error| ExperimentError::File(path.into(), error));
         let name = path.display().to_string();
         let tree = unify(SCHEMA, &name, &read(path)?)?;
-        let faults = |fault: Fault| Faults { file: name.clone(), faults: vec![fault] };
+        let faults = |fault: Diagnostic| Diagnostics { file: name.clone(), diagnostics: vec![fault] };
         let experiment: Self = tree.decode().map_err(faults)?;
         let file = path.parent().unwrap_or(Path::new(".")).join(&experiment.scenario);
         let scenario = Scenario::decode(&file.display().to_string(), &read(&file)?)?;
--- a/crates/lab/src/leases/script.rs
+++ b/crates/lab/src/leases/script.rs
@@ -1,7 +1,7 @@
 //! Scripts of leases as files, in the operator's typed records; each fault with its place.
 
 use crate::processes::records;
-use linnetdeal_operator::{Faults, unify};
+use linnetdeal_operator::{Diagnostics, unify};
 use serde::{Deserialize, Deserializer};
 use std::path::Path;
 use std::time::Duration;
@@ -175,12 +175,14 @@
     /// # Errors
     ///
     /// When something in it is wrong.
-    pub fn decode(name: &str, bytes: &[u8]) -> Result<Self, Faults> {
+    pub fn decode(name: &str, bytes: &[u8]) -> Result<Self, Diagnostics> {
         let tree = unify(SCHEMA, name, bytes)?;
-        let fault =
-            |path: &str, what: String| Faults { file: name.to_owned(), faults: vec![tree.fault(path, what)] };
+        let fault = |path: &str, what: String| Diagnostics {
+            file: name.to_owned(),
+            diagnostics: vec![tree.diagnostic(path, what)],
+        };
         let script: Self =
-            tree.decode().map_err(|fault| Faults { file: name.to_owned(), faults: vec![fault] })?;
+            tree.decode().map_err(|fault| Diagnostics { file: name.to_owned(), diagnostics: vec![fault] })?;
         if let Some(voter) = script.voters.iter().find(|voter| **voter >= script.poolers) {
             return Err(fault("voters", format!("there is no pooler {voter}")));
         }
--- a/crates/lab/src/work/script.rs
+++ b/crates/lab/src/work/script.rs
@@ -1,7 +1,7 @@
 //! Scripts of machines out for work as files, in the operator's typed records; each fault with its place.
 
 use crate::processes::records;
-use linnetdeal_operator::{Faults, unify};
+use linnetdeal_operator::{Diagnostics, unify};
 use serde::Deserialize;
 use std::path::Path;
 use std::time::Duration;
@@ -144,9 +144,9 @@
     /// # Errors
     ///
     /// When something in it is wrong.
-    pub fn decode(name: &str, bytes: &[u8]) -> Result<Self, Faults> {
+    pub fn decode(name: &str, bytes: &[u8]) -> Result<Self, Diagnostics> {
         let tree = unify(SCHEMA, name, bytes)?;
-        tree.decode().map_err(|fault| Faults { file: name.to_owned(), faults: vec![fault] })
+        tree.decode().map_err(|fault| Diagnostics { file: name.to_owned(), diagnostics: vec![fault] })
     }
 
     /// All scripts of a folder, by name.
--- a/crates/operator/src/eval.rs
+++ b/crates/operator/src/eval.rs
@@ -12,14 +12,14 @@
 
 /// A place in a file; line 0 is the file as a whole.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct Location {
     /// From 1.
     pub line: usize,
     /// From 1, in characters.
     pub column: usize,
 }
 
-impl Place {
+impl Location {
     fn or(self, other: Self) -> Self {
         if self == Self::default() { other } else { self }
     }
@@ -27,11 +27,11 @@
 
 /// Something that is wrong.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Fault {
+pub struct Diagnostic {
     /// Where.
-    pub place: Place,
+    pub location: Location,
     /// What.
-    pub what: String,
+    pub message: String,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -132,7 +132,7 @@
 struct Slot {
     presence: Presence,
     value: Value,
-    place: Place,
+    place: Location,
 }
 
 #[derive(Clone, Debug)]
@@ -155,7 +155,7 @@
 #[derive(Clone, Debug)]
 struct Value {
     shape: Shape,
-    place: Place,
+    place: Location,
 }
 
 impl fmt::Display for Value {
@@ -182,37 +182,37 @@
 pub struct Tree {
     pub(crate) value: serde_json::Value,
     /// By path, such as `registry.servers[0].url`.
-    pub(crate) places: BTreeMap<String, Place>,
+    pub(crate) places: BTreeMap<String, Location>,
 }
 
-type Faulty<T> = Result<T, Vec<Fault>>;
+type Faulty<T> = Result<T, Vec<Diagnostic>>;
 
 impl Tree {
     /// The value as a type of one's own. Its own faults name no place: what can be said with one belongs into the schema, or
-    /// is told by [`Tree::fault`].
+    /// is told by [`Tree::diagnostic`].
     ///
     /// # Errors
     ///
     /// When the type can't hold it.
-    pub fn decode<T: serde::de::DeserializeOwned>(&self) -> Result<T, Fault> {
+    pub fn decode<T: serde::de::DeserializeOwned>(&self) -> Result<T, Diagnostic> {
         let value = self.value.clone();
         serde_json::from_value(value)
-            .map_err(|error| Fault { place: Place::default(), what: error.to_string() })
+            .map_err(|error| Diagnostic { location: Location::default(), message: error.to_string() })
     }
 
     /// What is wrong at a path, with its place.
     #[must_use]
-    pub fn fault(&self, path: &str, what: impl fmt::Display) -> Fault {
+    pub fn diagnostic(&self, path: &str, what: impl fmt::Display) -> Diagnostic {
         // A default stands nowhere in the file; the record that it is in does.
         let mut at = path;
         let place = loop {
             match self.places.get(at) {
-                Some(place) if *place != Place::default() => break *place,
-                _ if at.is_empty() => break Place::default(),
+                Some(place) if *place != Location::default() => break *place,
+                _ if at.is_empty() => break Location::default(),
                 _ => at = at.rfind(['.', '[']).map_or("", |end| &at[..end]),
             }
         };
-        Fault { place, what: format!("'{path}': {what}") }
+        Diagnostic { location: place, message: format!("'{path}': {what}") }
     }
 }
 
@@ -224,7 +224,10 @@
         schema.iter().map(|field| (field, false)).chain(file.iter().map(|field| (field, true)))
     {
         if shared(&field.name) && definitions.insert(&field.name, field).is_some() && own {
-            faults.push(Fault { place: field.place, what: format!("'{}' is defined already", field.name) });
+            faults.push(Diagnostic {
+                location: field.place,
+                message: format!("'{}' is defined already", field.name),
+            });
         }
     }
     if !faults.is_empty() {
@@ -238,10 +241,11 @@
     let (wanted, given) = (root(schema, false)?, root(file, true)?);
     let whole = unify(&wanted, &given)?;
     let mut tree = Tree { value: serde_json::Value::Null, places: BTreeMap::new() };
-    tree.value = whole.export(String::new(), Place::default(), &mut tree.places).map_err(|mut faults| {
-        faults.sort();
-        faults
-    })?;
+    tree.value =
+        whole.export(String::new(), Location::default(), &mut tree.places).map_err(|mut faults| {
+            faults.sort();
+            faults
+        })?;
     Ok(tree)
 }
 
@@ -260,11 +264,11 @@
         let mut slots: BTreeMap<String, Slot> = BTreeMap::new();
         let mut faults = Vec::new();
         for field in fields {
-            let place = if self.own { field.place } else { Place::default() };
+            let place = if self.own { field.place } else { Location::default() };
             if shared(&field.name) {
-                faults.push(Fault {
-                    place,
-                    what: "definitions and hidden fields stand at the top of the file".into(),
+                faults.push(Diagnostic {
+                    location: place,
+                    message: "definitions and hidden fields stand at the top of the file".into(),
                 });
                 continue;
             }
@@ -273,14 +277,17 @@
                     let slot = Slot { presence: field.presence, value, place };
                     // In CUE a field that stands twice means both; whoever writes that here has made a mistake.
                     if slots.insert(field.name.clone(), slot).is_some() {
-                        faults.push(Fault { place, what: format!("'{}' stands here twice", field.name) });
+                        faults.push(Diagnostic {
+                            location: place,
+                            message: format!("'{}' stands here twice", field.name),
+                        });
                     }
                 }
                 Err(more) => faults.extend(more),
             }
         }
-        let place = fields.first().map_or(Place::default(), |field| field.place);
-        let place = if self.own { place } else { Place::default() };
+        let place = fields.first().map_or(Location::default(), |field| field.place);
+        let place = if self.own { place } else { Location::default() };
         if faults.is_empty() {
             Ok(Value { shape: Shape::Record { fields: slots, closed }, place })
         } else {
@@ -289,8 +296,8 @@
     }
 
     fn value(&self, of: &Expression, depth: usize, closed: bool) -> Faulty<Value> {
-        let place = if self.own { of.place } else { Place::default() };
-        let fault = |what: String| vec![Fault { place, what }];
+        let place = if self.own { of.place } else { Location::default() };
+        let fault = |what: String| vec![Diagnostic { location: place, message: what }];
         if depth > DEEPEST {
             return Err(fault("it refers to itself, or is nested too deeply".into()));
         }
@@ -359,8 +366,8 @@
     let at = |shape| Ok(Value { shape, place });
     let clash = || {
         // Who wants something comes first, what was given second.
-        let (wanted, given) = if one.place == Place::default() { (one, other) } else { (other, one) };
-        Err(vec![Fault { place, what: format!("{given} does not fit {wanted}") }])
+        let (wanted, given) = if one.place == Location::default() { (one, other) } else { (other, one) };
+        Err(vec![Diagnostic { location: place, message: format!("{given} does not fit {wanted}") }])
     };
     match (&one.shape, &other.shape) {
         (Shape::Top, shape) | (shape, Shape::Top) => at(shape.clone()),
@@ -407,7 +414,7 @@
 fn either(
     options: &[(bool, Value)],
     with: &Value,
-    place: Place,
+    place: Location,
     clash: impl Fn() -> Faulty<Value>,
 ) -> Faulty<Value> {
     let mut left: Vec<(bool, Value)> = Vec::new();
@@ -427,7 +434,10 @@
         }
     }
     if left.len() > MOST_OPTIONS {
-        return Err(vec![Fault { place, what: format!("more than {MOST_OPTIONS} alternatives") }]);
+        return Err(vec![Diagnostic {
+            location: place,
+            message: format!("more than {MOST_OPTIONS} alternatives"),
+        }]);
     }
     match (left.len(), why) {
         (0, Some(why)) if matches!(with.shape, Shape::Record { .. } | Shape::List(_)) => Err(why),
@@ -440,7 +450,7 @@
 fn records(
     (one, closed): (&BTreeMap<String, Slot>, bool),
     (other, too): (&BTreeMap<String, Slot>, bool),
-    place: Place,
+    place: Location,
 ) -> Faulty<Value> {
     let mut fields = BTreeMap::new();
     let mut faults = Vec::new();
@@ -459,14 +469,14 @@
                 Err(more) => {
                     let place = b.place.or(a.place);
                     faults.extend(more.into_iter().map(|fault| {
-                        let what = if fault.place == Place::default()
-                            || fault.place >= place && !fault.what.contains('\'')
+                        let what = if fault.location == Location::default()
+                            || fault.location >= place && !fault.message.contains('\'')
                         {
-                            format!("'{name}': {}", fault.what)
+                            format!("'{name}': {}", fault.message)
                         } else {
-                            fault.what
+                            fault.message
                         };
-                        Fault { place: fault.place.or(place), what }
+                        Diagnostic { location: fault.location.or(place), message: what }
                     }));
                 }
             },
@@ -477,7 +487,7 @@
             (Some(slot), None) | (None, Some(slot)) => {
                 let known: Vec<&str> = if closed { one } else { other }.keys().map(String::as_str).collect();
                 let what = format!("there is no field '{name}' here{}", nearest(name, &known));
-                faults.push(Fault { place: slot.place, what });
+                faults.push(Diagnostic { location: slot.place, message: what });
             }
             (None, None) => {}
         }
@@ -515,12 +525,12 @@
     fn export(
         &self,
         path: String,
-        parent: Place,
-        places: &mut BTreeMap<String, Place>,
+        parent: Location,
+        places: &mut BTreeMap<String, Location>,
     ) -> Faulty<serde_json::Value> {
         use serde_json::Value as Json;
         let place = self.place.or(parent);
-        let fault = |what: String| vec![Fault { place, what }];
+        let fault = |what: String| vec![Diagnostic { location: place, message: what }];
         let value = match &self.shape {
             Shape::Plain(Scalar::Int(number)) => Json::from(*number),
             Shape::Plain(Scalar::Float(number)) => Json::from(*number),
--- a/crates/operator/src/syntax.rs
+++ b/crates/operator/src/syntax.rs
@@ -1,6 +1,6 @@
 //! From text to the parts of a file, each with its place.
 
-use crate::eval::{Fault, Place};
+use crate::eval::{Diagnostic, Location};
 use pest::Parser;
 use pest::iterators::Pair;
 
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Expression {
     pub(crate) kind: Kind,
-    pub(crate) place: Place,
+    pub(crate) place: Location,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -59,13 +59,13 @@
     pub(crate) name: String,
     pub(crate) presence: Presence,
     pub(crate) value: Expression,
-    pub(crate) place: Place,
+    pub(crate) place: Location,
 }
 
 /// The fields of a file, definitions with their `#`.
-pub(crate) fn parse(text: &str) -> Result<Vec<Field>, Fault> {
+pub(crate) fn parse(text: &str) -> Result<Vec<Field>, Diagnostic> {
     if let Some(place) = too_deep(text) {
-        return Err(Fault { place, what: format!("nested more than {DEEPEST} deep") });
+        return Err(Diagnostic { location: place, message: format!("nested more than {DEEPEST} deep") });
     }
     let mut parsed = Grammar::parse(Rule::file, text).map_err(|error| {
         let (line, column) = match error.line_col {
@@ -80,14 +80,14 @@
             }
             pest::error::ErrorVariant::CustomError { message } => message.clone(),
         };
-        Fault { place: Place { line, column }, what }
+        Diagnostic { location: Location { line, column }, message: what }
     })?;
     let file = parsed.next().map(Pair::into_inner);
     file.into_iter().flatten().filter(|pair| pair.as_rule() == Rule::field).map(field).collect()
 }
 
 /// The parser goes down with each bracket, so that these are counted first.
-fn too_deep(text: &str) -> Option<Place> {
+fn too_deep(text: &str) -> Option<Location> {
     let (mut depth, mut quoted, mut escaped, mut comment) = (0_usize, false, false, false);
     let (mut line, mut column) = (1, 0);
     for letter in text.chars() {
@@ -111,7 +111,7 @@
             _ => {}
         }
         if depth > DEEPEST {
-            return Some(Place { line, column });
+            return Some(Location { line, column });
         }
     }
     None
@@ -134,12 +134,12 @@
     }
 }
 
-fn place(pair: &Pair<'_, Rule>) -> Place {
+fn place(pair: &Pair<'_, Rule>) -> Location {
     let (line, column) = pair.line_col();
-    Place { line, column }
+    Location { line, column }
 }
 
-fn field(pair: Pair<'_, Rule>) -> Result<Field, Fault> {
+fn field(pair: Pair<'_, Rule>) -> Result<Field, Diagnostic> {
     let place = place(&pair);
     let (mut name, mut presence, mut value) = (String::new(), Presence::Regular, None);
     for part in pair.into_inner() {
@@ -156,7 +156,7 @@
             _ => value = Some(expression(part)?),
         }
     }
-    let value = value.ok_or(Fault { place, what: "a field without a value".into() })?;
+    let value = value.ok_or(Diagnostic { location: place, message: "a field without a value".into() })?;
     Ok(Field { name, presence, value, place })
 }
 
@@ -177,7 +177,7 @@
     out
 }
 
-fn expression(pair: Pair<'_, Rule>) -> Result<Expression, Fault> {
+fn expression(pair: Pair<'_, Rule>) -> Result<Expression, Diagnostic> {
     let place = place(&pair);
     let rule = pair.as_rule();
     let written = pair.as_str();
@@ -202,15 +202,17 @@
             }
         }
         Rule::conjunct => {
-            let what = Fault { place, what: "a value that is empty".into() };
+            let what = Diagnostic { location: place, message: "a value that is empty".into() };
             return expression(pair.into_inner().next().ok_or(what)?);
         }
         Rule::record => Kind::Record(pair.into_inner().map(field).collect::<Result<_, _>>()?),
         Rule::list => match pair.into_inner().next() {
             None => Kind::List(Vec::new()),
             Some(inner) if inner.as_rule() == Rule::open => {
-                let of =
-                    inner.into_inner().next().ok_or(Fault { place, what: "a list of nothing".into() })?;
+                let of = inner
+                    .into_inner()
+                    .next()
+                    .ok_or(Diagnostic { location: place, message: "a list of nothing".into() })?;
                 Kind::ListOf(Box::new(expression(of)?))
             }
             Some(inner) => Kind::List(inner.into_inner().map(expression).collect::<Result<_, _>>()?),
@@ -225,12 +227,15 @@
                 Some("!=") => Operator::Not,
                 _ => Operator::Matches,
             };
-            let of = parts.next().ok_or(Fault { place, what: "a bound without a value".into() })?;
+            let of = parts
+                .next()
+                .ok_or(Diagnostic { location: place, message: "a bound without a value".into() })?;
             Kind::Bound(operator, Box::new(expression(of)?))
         }
         Rule::number => {
             let digits = written.replace('_', "");
-            let odd = |_| Fault { place, what: format!("'{written}' is no number that fits") };
+            let odd =
+                |_| Diagnostic { location: place, message: format!("'{written}' is no number that fits") };
             if digits.contains('.') {
                 Kind::Float(digits.parse().map_err(|_| odd(()))?)
             } else {
--- a/crates/operator/src/typed.rs
+++ b/crates/operator/src/typed.rs
@@ -3,7 +3,7 @@
 mod leases;
 mod work;
 
-use crate::eval::{Fault, Place, Tree};
+use crate::eval::{Diagnostic, Location, Tree};
 use ipnet::IpNet;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 use leases::RawLeases;
-pub use leases::{Call, LeaseSettings, Task};
+pub use leases::{HolderCall, LeaseSettings, Task};
 use work::RawWork;
-pub use work::{Bounds, WorkSettings};
+pub use work::{OutLimits, WorkSettings};
 
 /// What an operator wants.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -32,26 +32,26 @@
 
 /// How long a change of primary takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ChangeSettings {
+pub struct PrimaryChangeSettings {
     /// None is over sooner.
-    pub least: Duration,
+    pub minimum: Duration,
     /// Most are over by then.
-    pub usual: Duration,
+    pub typical: Duration,
 }
 
 /// What is known of changes of primary before any was seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PrimarySettings {
     /// Of those by plan.
-    pub planned: Option<ChangeSettings>,
+    pub planned: Option<PrimaryChangeSettings>,
     /// Of all others.
-    pub unplanned: Option<ChangeSettings>,
+    pub unplanned: Option<PrimaryChangeSettings>,
 }
 
 /// What is asked of a registry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum ReadWhat {
+pub enum ReadMode {
     /// All, and then what changes.
     #[default]
     Delta,
@@ -73,17 +73,17 @@
     /// Where boxes may lie.
     pub networks: Vec<Network>,
     /// What is asked for.
-    pub read: ReadWhat,
+    pub read: ReadMode,
     /// The virtual address, where that is read.
     pub vip: String,
     /// How often it is asked.
     pub interval: Duration,
     /// How long a call may take.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// The longest pause while all servers fail.
-    pub longest_pause: Duration,
+    pub max_pause: Duration,
     /// A larger body is not read, in bytes.
-    pub most_body: u64,
+    pub max_body_bytes: u64,
     /// The share of boxes in service that a list may lack and still be believed.
     pub lost_share: f64,
     /// For how long a list has to tell the same until it is believed; `None` for ever.
@@ -93,19 +93,19 @@
     /// The metadata keys.
     pub metadata: Metadata,
     /// The role of a primary.
-    pub primary: String,
+    pub primary_value: String,
     /// The group of who names none.
-    pub group: Option<i64>,
+    pub default_group: Option<i64>,
     /// Whether boxes are reached on their secure port.
     pub secure_port: bool,
     /// Who calls.
-    pub user: Option<User>,
+    pub credentials: Option<Credentials>,
     /// Who may vouch for servers.
     pub ca: Option<PathBuf>,
     /// The own certificate and key.
     pub identity: Option<(PathBuf, PathBuf)>,
     /// What this pooler says of itself.
-    pub register: Option<Own>,
+    pub registration: Option<Registration>,
 }
 
 /// A server of a registry.
@@ -114,7 +114,7 @@
     /// Its URL.
     pub url: String,
     /// Where a host that is a name listens.
-    pub at: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
 }
 
 /// A network with its zone.
@@ -141,7 +141,7 @@
 
 /// Who calls, by name and password.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
-pub struct User {
+pub struct Credentials {
     /// The name.
     pub name: String,
     /// The file that holds the password.
@@ -150,15 +150,15 @@
 
 /// What the pooler says of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Own {
+pub struct Registration {
     /// Its application.
     pub app: String,
     /// Its id; by default its name and where it listens.
     pub id: Option<String>,
     /// How often it renews that.
-    pub renew: Duration,
+    pub renew_interval: Duration,
     /// After how long without that it may be dropped.
-    pub expires: Duration,
+    pub lease_duration: Duration,
 }
 
 /// How log lines are written.
@@ -213,7 +213,7 @@
     servers: Vec<RawServer>,
     apps: Vec<String>,
     networks: Vec<RawNetwork>,
-    read: ReadWhat,
+    read: ReadMode,
     vip: String,
     interval: String,
     patience: String,
@@ -226,7 +226,7 @@
     primary: String,
     group: Option<i64>,
     secure_port: bool,
-    user: Option<User>,
+    user: Option<Credentials>,
     ca: Option<PathBuf>,
     identity: Option<RawIdentity>,
     register: Option<RawOwn>,
@@ -261,12 +261,12 @@
 /// Collects what is wrong, by path.
 struct Checker<'t> {
     tree: &'t Tree,
-    faults: Vec<Fault>,
+    faults: Vec<Diagnostic>,
 }
 
 impl Checker<'_> {
     fn fault(&mut self, path: &str, what: impl Into<String>) {
-        self.faults.push(self.tree.fault(path, what.into()));
+        self.faults.push(self.tree.diagnostic(path, what.into()));
     }
 
     fn duration(&mut self, path: &str, text: &str, range: (Duration, Duration)) -> Duration {
@@ -292,9 +292,9 @@
 const MOST_SERVERS: usize = 16;
 const MOST_NETWORKS: usize = 10_000;
 
-pub(crate) fn decode(tree: &Tree) -> Result<Operator, Vec<Fault>> {
+pub(crate) fn decode(tree: &Tree) -> Result<Operator, Vec<Diagnostic>> {
     let raw: RawFile = serde_json::from_value(tree.value.clone())
-        .map_err(|error| vec![Fault { place: Place::default(), what: error.to_string() }])?;
+        .map_err(|error| vec![Diagnostic { location: Location::default(), message: error.to_string() }])?;
     let mut check = Checker { tree, faults: Vec::new() };
     let registry = raw.registry.map(|raw| registry(raw, &mut check));
     let leases = raw.leases.map(|raw| leases::decode(raw, &mut check));
@@ -311,14 +311,14 @@
     }
 }
 
-fn change(path: &str, raw: &RawChange, check: &mut Checker<'_>) -> ChangeSettings {
+fn change(path: &str, raw: &RawChange, check: &mut Checker<'_>) -> PrimaryChangeSettings {
     let range = (Duration::from_millis(1), HOUR);
-    let least = check.duration(&format!("{path}.least"), &raw.least, range);
-    let usual = check.duration(&format!("{path}.usual"), &raw.usual, range);
-    if usual < least {
+    let minimum = check.duration(&format!("{path}.least"), &raw.least, range);
+    let typical = check.duration(&format!("{path}.usual"), &raw.usual, range);
+    if typical < minimum {
         check.fault(&format!("{path}.usual"), "it is shorter than 'least'");
     }
-    ChangeSettings { least, usual }
+    PrimaryChangeSettings { minimum, typical }
 }
 
 fn registry(raw: RawRegistry, check: &mut Checker<'_>) -> RegistrySettings {
@@ -341,7 +341,7 @@
         if servers.iter().any(|other| other.url == server.url) {
             check.fault(&format!("{path}.url"), "it is named twice");
         }
-        servers.push(Server { url: server.url, at: address.and_then(Result::ok) });
+        servers.push(Server { url: server.url, address: address.and_then(Result::ok) });
     }
     let mut networks: Vec<Network> = Vec::new();
     let mut seen = std::collections::HashSet::new();
@@ -361,10 +361,10 @@
             Err(error) => check.fault(&path, error.to_string()),
         }
     }
-    if raw.read == ReadWhat::App && raw.apps.len() > 1 {
+    if raw.read == ReadMode::App && raw.apps.len() > 1 {
         check.fault("registry.read", "\"app\" reads one application, and several are named");
     }
-    if (raw.read == ReadWhat::Vip) == raw.vip.is_empty() {
+    if (raw.read == ReadMode::Vip) == raw.vip.is_empty() {
         check.fault("registry.vip", "it goes with read: \"vip\", and with nothing else");
     }
     let believe_after = match raw.believe_after.as_str() {
@@ -372,20 +372,21 @@
         text => Some(check.duration("registry.believe_after", text, (SECOND, 30 * DAY))),
     };
     let interval = check.duration("registry.interval", &raw.interval, (SECOND / 10, HOUR));
-    let register = raw.register.map(|own| {
-        let renew = check.duration("registry.register.renew", &own.renew, (SECOND, HOUR));
-        let expires = check.duration("registry.register.expires", &own.expires, (SECOND, DAY));
-        if expires < renew * 2 {
+    let registration = raw.register.map(|own| {
+        let renew_interval = check.duration("registry.register.renew", &own.renew, (SECOND, HOUR));
+        let lease_duration = check.duration("registry.register.expires", &own.expires, (SECOND, DAY));
+        if lease_duration < renew_interval * 2 {
             check.fault(
                 "registry.register.expires",
                 "one renewal that is lost must not end it: twice 'renew' at least",
             );
         }
-        Own { app: own.app, id: own.id, renew, expires }
+        Registration { app: own.app, id: own.id, renew_interval, lease_duration }
     });
     let (number, unit) = raw.most_body.split_at(raw.most_body.len() - 2);
-    let most_body = number.parse::<u64>().unwrap_or(0) * if unit == "KB" { 1_024 } else { 1_024 * 1_024 };
-    if !(64 * 1_024..=1_024 * 1_024 * 1_024).contains(&most_body) {
+    let max_body_bytes =
+        number.parse::<u64>().unwrap_or(0) * if unit == "KB" { 1_024 } else { 1_024 * 1_024 };
+    if !(64 * 1_024..=1_024 * 1_024 * 1_024).contains(&max_body_bytes) {
         check.fault("registry.most_body", "between 64KB and 1024MB");
     }
     RegistrySettings {
@@ -395,19 +396,19 @@
         read: raw.read,
         vip: raw.vip,
         interval,
-        patience: check.duration("registry.patience", &raw.patience, (SECOND / 10, 10 * 60 * SECOND)),
-        longest_pause: check.duration("registry.longest_pause", &raw.longest_pause, (SECOND / 10, HOUR)),
-        most_body,
+        timeout: check.duration("registry.patience", &raw.patience, (SECOND / 10, 10 * 60 * SECOND)),
+        max_pause: check.duration("registry.longest_pause", &raw.longest_pause, (SECOND / 10, HOUR)),
+        max_body_bytes,
         lost_share: raw.lost_share,
         believe_after,
         lifts_overrides: raw.lifts == "override",
         metadata: raw.metadata,
-        primary: raw.primary,
-        group: raw.group,
+        primary_value: raw.primary,
+        default_group: raw.group,
         secure_port: raw.secure_port,
-        user: raw.user,
+        credentials: raw.user,
         ca: raw.ca,
         identity: raw.identity.map(|identity| (identity.certificate, identity.key)),
-        register,
+        registration,
     }
 }
--- a/crates/operator/src/typed/leases.rs
+++ b/crates/operator/src/typed/leases.rs
@@ -21,7 +21,7 @@
     /// By how many parts in a thousand a clock may run wrong.
     pub drift: u16,
     /// No term is longer.
-    pub longest: Duration,
+    pub max_term: Duration,
     /// The files of the keys, the one that signs first.
     pub keys: Vec<PathBuf>,
     /// The tasks.
@@ -40,20 +40,20 @@
     /// Who may hold it; all where it is empty.
     pub candidates: BTreeSet<u16>,
     /// What its holder calls.
-    pub call: Option<Call>,
+    pub call: Option<HolderCall>,
 }
 
 /// What a holder calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Call {
+pub struct HolderCall {
     /// Where.
     pub address: SocketAddr,
     /// What.
     pub path: String,
     /// The pause between two acts.
-    pub every: Duration,
+    pub interval: Duration,
     /// How long an act lasts.
-    pub lasts: Duration,
+    pub act_duration: Duration,
 }
 
 #[derive(Deserialize)]
@@ -133,12 +133,12 @@
     if raw.tasks.len() > MOST_TASKS {
         check.fault("leases.tasks", format!("{} tasks are named, and {MOST_TASKS} can be", raw.tasks.len()));
     }
-    let longest = check.duration("leases.longest", &raw.longest, (SHORTEST_TERM, LONGEST_TERM));
+    let max_term = check.duration("leases.longest", &raw.longest, (SHORTEST_TERM, LONGEST_TERM));
     let mut tasks: Vec<Task> = Vec::new();
     for (at, raw) in raw.tasks.into_iter().enumerate() {
         let path = format!("leases.tasks[{at}]");
         let term = check.duration(&format!("{path}.term"), &raw.term, (SHORTEST_TERM, LONGEST_TERM));
-        if term > longest {
+        if term > max_term {
             check.fault(&format!("{path}.term"), format!("{} is longer than 'longest'", raw.term));
         }
         if tasks.iter().any(|other| other.name == raw.name) {
@@ -150,7 +150,7 @@
     }
     let positions = raw.positions.map(|raw| {
         let term =
-            check.duration("leases.positions.term", &raw.term, (SHORTEST_TERM, longest.max(SHORTEST_TERM)));
+            check.duration("leases.positions.term", &raw.term, (SHORTEST_TERM, max_term.max(SHORTEST_TERM)));
         let every = check.duration("leases.positions.every", &raw.every, (SHORTEST_TERM, LONGEST_TERM));
         (term, every)
     });
@@ -160,19 +160,19 @@
         voters,
         previous,
         drift: raw.drift,
-        longest,
+        max_term,
         keys: raw.keys,
         tasks,
         positions,
     }
 }
 
-fn call(path: &str, raw: &RawCall, check: &mut Checker<'_>) -> Option<Call> {
+fn call(path: &str, raw: &RawCall, check: &mut Checker<'_>) -> Option<HolderCall> {
     let range = (MS, LONGEST_TERM);
-    let every = check.duration(&format!("{path}.every"), &raw.every, range);
-    let lasts = check.duration(&format!("{path}.lasts"), &raw.lasts, range);
+    let interval = check.duration(&format!("{path}.every"), &raw.every, range);
+    let act_duration = check.duration(&format!("{path}.lasts"), &raw.lasts, range);
     match raw.address.parse() {
-        Ok(address) => Some(Call { address, path: raw.path.clone(), every, lasts }),
+        Ok(address) => Some(HolderCall { address, path: raw.path.clone(), interval, act_duration }),
         Err(error) => {
             check.fault(&format!("{path}.address"), format!("{error}"));
             None
--- a/crates/operator/src/typed/work.rs
+++ b/crates/operator/src/typed/work.rs
@@ -10,44 +10,44 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkSettings {
     /// How often a pooler says how far it is while a plan is under way.
-    pub every: Duration,
+    pub heartbeat_interval: Duration,
     /// The term of the lease of who has steps taken.
     pub term: Duration,
     /// A pooler that starts waits so long for a majority of the voters.
-    pub hold: Duration,
+    pub start_timeout: Duration,
     /// Servers out at once.
-    pub servers: Bounds,
+    pub server_limits: OutLimits,
     /// Of one group.
-    pub group: usize,
+    pub per_group: usize,
     /// Warm replicas that a group keeps.
-    pub warm: usize,
+    pub min_warm: usize,
     /// What a group keeps can do so many times its load.
-    pub spare: f64,
+    pub load_factor: f64,
     /// Back, a machine counts as cold for so long.
-    pub cold: Duration,
+    pub cold_period: Duration,
     /// A primary that is not handed over by then is left out.
-    pub handing: Duration,
+    pub handover_timeout: Duration,
     /// A machine that is out for longer is told of.
-    pub longest: Duration,
+    pub max_out_time: Duration,
     /// `ahead`, `spare` or `named`.
     pub order: String,
     /// Requests a second that a machine of a type bears.
     pub capacity: Vec<(String, f64)>,
     /// Minutes of the day, in UTC, from and to, in which nothing begins.
-    pub quiet: Vec<(u16, u16)>,
+    pub quiet_hours: Vec<(u16, u16)>,
     /// What is called to have another primary.
     pub handover: Option<(SocketAddr, String)>,
     /// Poolers out at once.
-    pub poolers: Bounds,
+    pub pooler_limits: OutLimits,
 }
 
 /// So many at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct OutLimits {
     /// Of all.
-    pub all: usize,
+    pub total: usize,
     /// Of one zone.
-    pub zone: usize,
+    pub per_zone: usize,
     /// In so many zones.
     pub zones: usize,
 }
@@ -57,7 +57,7 @@
     every: String,
     term: String,
     hold: String,
-    servers: RawBounds,
+    servers: RawOutLimits,
     group: usize,
     warm: usize,
     spare: f64,
@@ -68,11 +68,11 @@
     capacity: Vec<RawCapacity>,
     quiet: Vec<RawQuiet>,
     handover: Option<RawHandover>,
-    poolers: RawBounds,
+    poolers: RawOutLimits,
 }
 
 #[derive(Deserialize)]
-struct RawBounds {
+struct RawOutLimits {
     all: usize,
     zone: usize,
     zones: usize,
@@ -100,9 +100,9 @@
 const MINUTE: Duration = Duration::from_secs(60);
 const DAY: Duration = Duration::from_secs(86_400);
 
-impl From<&RawBounds> for Bounds {
-    fn from(raw: &RawBounds) -> Self {
-        Self { all: raw.all, zone: raw.zone, zones: raw.zones }
+impl From<&RawOutLimits> for OutLimits {
+    fn from(raw: &RawOutLimits) -> Self {
+        Self { total: raw.all, per_zone: raw.zone, zones: raw.zones }
     }
 }
 
@@ -115,17 +115,21 @@
     let mut span = |name: &str, text: &str, least: Duration, most: Duration| {
         check.duration(&format!("work.{name}"), text, (least, most))
     };
-    let every = span("every", &raw.every, 50 * MS, MINUTE);
+    let heartbeat_interval = span("every", &raw.every, 50 * MS, MINUTE);
     let term = span("term", &raw.term, 100 * MS, 10 * MINUTE);
-    let hold = span("hold", &raw.hold, MS, DAY);
-    let cold = span("cold", &raw.cold, MS, DAY);
-    let handing = span("handing", &raw.handing, MS, DAY);
-    let longest = span("longest", &raw.longest, MS, 30 * DAY);
+    let start_timeout = span("hold", &raw.hold, MS, DAY);
+    let cold_period = span("cold", &raw.cold, MS, DAY);
+    let handover_timeout = span("handing", &raw.handing, MS, DAY);
+    let max_out_time = span("longest", &raw.longest, MS, 30 * DAY);
     let Some(leases) = leases else {
         check.fault("work", "it rests on 'leases', which are not there");
-        return settle(raw, [every, term, hold, cold, handing, longest], check);
+        return settle(
+            raw,
+            [heartbeat_interval, term, start_timeout, cold_period, handover_timeout, max_out_time],
+            check,
+        );
     };
-    if term > leases.longest {
+    if term > leases.max_term {
         check.fault("work.term", format!("{} is longer than 'leases.longest'", raw.term));
     }
     let voters: BTreeSet<u16> =
@@ -142,19 +146,19 @@
             "this name is that of the lease that 'work' rests on",
         );
     }
-    settle(raw, [every, term, hold, cold, handing, longest], check)
+    settle(raw, [heartbeat_interval, term, start_timeout, cold_period, handover_timeout, max_out_time], check)
 }
 
 fn settle(raw: RawWork, spans: [Duration; 6], check: &mut Checker<'_>) -> WorkSettings {
-    let [every, term, hold, cold, handing, longest] = spans;
-    let mut quiet = Vec::new();
+    let [heartbeat_interval, term, start_timeout, cold_period, handover_timeout, max_out_time] = spans;
+    let mut quiet_hours = Vec::new();
     for (at, one) in raw.quiet.iter().enumerate() {
         let minute = |text: &str| {
             let (hours, minutes) = text.split_once(':')?;
             Some(hours.parse::<u16>().ok()? * 60 + minutes.parse::<u16>().ok()?)
         };
         match (minute(&one.from), minute(&one.to)) {
-            (Some(from), Some(to)) if from != to => quiet.push((from, to)),
+            (Some(from), Some(to)) if from != to => quiet_hours.push((from, to)),
             _ => check.fault(&format!("work.quiet[{at}]"), "it begins when it ends"),
         }
     }
@@ -166,20 +170,20 @@
         }
     });
     WorkSettings {
-        every,
+        heartbeat_interval,
         term,
-        hold,
-        servers: (&raw.servers).into(),
-        group: raw.group,
-        warm: raw.warm,
-        spare: raw.spare,
-        cold,
-        handing,
-        longest,
+        start_timeout,
+        server_limits: (&raw.servers).into(),
+        per_group: raw.group,
+        min_warm: raw.warm,
+        load_factor: raw.spare,
+        cold_period,
+        handover_timeout,
+        max_out_time,
         order: raw.order,
         capacity: raw.capacity.into_iter().map(|of| (of.machine, of.requests)).collect(),
-        quiet,
+        quiet_hours,
         handover,
-        poolers: (&raw.poolers).into(),
+        pooler_limits: (&raw.poolers).into(),
     }
 }
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -1,6 +1,6 @@
 //! Files that are good, and files that are not: each fault with its place.
 
-use linnetdeal_operator::{Operator, ReadWhat};
+use linnetdeal_operator::{Operator, ReadMode};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::time::Duration;
@@ -40,18 +40,18 @@
     let operator = decode(&good()).unwrap();
     let registry = operator.registry.unwrap();
     assert_eq!(registry.interval, Duration::from_secs(5));
-    assert_eq!(registry.patience, Duration::from_secs(10));
-    assert_eq!((registry.lost_share, registry.believe_after, registry.read), (0.25, None, ReadWhat::Delta));
-    assert_eq!(registry.servers[1].at.unwrap().port(), 8443);
+    assert_eq!(registry.timeout, Duration::from_secs(10));
+    assert_eq!((registry.lost_share, registry.believe_after, registry.read), (0.25, None, ReadMode::Delta));
+    assert_eq!(registry.servers[1].address.unwrap().port(), 8443);
     assert_eq!(registry.networks[1].prefix.to_string(), "fd00::/8");
-    assert_eq!(registry.most_body, 64 << 20);
+    assert_eq!(registry.max_body_bytes, 64 << 20);
     assert_eq!(registry.metadata.group, "group");
-    let own = registry.register.unwrap();
-    assert_eq!((own.renew, own.expires), (Duration::from_secs(10), Duration::from_secs(90)));
+    let own = registry.registration.unwrap();
+    assert_eq!((own.renew_interval, own.lease_duration), (Duration::from_secs(10), Duration::from_secs(90)));
     assert_eq!(operator.log.level, "warn");
     let (planned, unplanned) = (operator.primary.planned, operator.primary.unplanned.unwrap());
     assert_eq!(
-        (planned, unplanned.least, unplanned.usual.as_secs()),
+        (planned, unplanned.minimum, unplanned.typical.as_secs()),
         (None, Duration::from_millis(2_800), 5)
     );
     let shorter = good().replace("\"2800ms\"", "\"6s\"");
@@ -106,8 +106,8 @@
         .replace("0.25", "2")
         .replace("\"warn\"", "3")
         .replace("\"2800ms\"", "4");
-    let faults = Operator::decode("f", text.as_bytes()).unwrap_err().faults;
-    assert_eq!(faults.iter().map(|fault| fault.place.line).collect::<Vec<_>>(), [11, 12, 15, 17, 17]);
+    let faults = Operator::decode("f", text.as_bytes()).unwrap_err().diagnostics;
+    assert_eq!(faults.iter().map(|fault| fault.location.line).collect::<Vec<_>>(), [11, 12, 15, 17, 17]);
 }
 
 #[test]
@@ -166,8 +166,11 @@
 fn work_is_read_with_its_defaults_or_refused_with_its_places() {
     let with = |text: &str| format!("{LEASES}work: {{{text}}}\n");
     let work = decode(&with("quiet: [{from: \"22:00\", to: \"05:30\"}]")).unwrap().work.unwrap();
-    assert_eq!((work.servers.all, work.group, work.warm, work.order.as_str()), (1, 1, 1, "ahead"));
-    assert_eq!(work.quiet, [(1_320, 330)]);
+    assert_eq!(
+        (work.server_limits.total, work.per_group, work.min_warm, work.order.as_str()),
+        (1, 1, 1, "ahead")
+    );
+    assert_eq!(work.quiet_hours, [(1_320, 330)]);
     assert!(decode("package linnetdeal\nwork: {}\n").unwrap_err().contains("rests on 'leases'"));
     for (text, words) in [
         ("term: \"11s\"", "longer than 'leases.longest'"),
