--- a/crates/fleet/src/audit.rs
+++ b/crates/fleet/src/audit.rs
@@ -1,25 +1,25 @@
 //! Holds what happened to the rules, on the records alone and with nothing of the pooler's own code.
 
-use crate::record::{Record, Sink, What};
+use crate::record::{Record, RecordKind, Sink};
 use linnetdeal_core::{Span, Time};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// A class as the rules see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Law {
+pub struct ClassRules {
     /// It must not run twice.
-    pub fragile: bool,
+    pub run_once: bool,
     /// It is a write.
     pub write: bool,
     /// A read's data.
-    pub fresh: Fresh,
+    pub freshness: Freshness,
     /// How long a client waits, over all its tries.
     pub deadline: Span,
 }
 
 /// How current a read's data must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fresh {
+pub enum Freshness {
     /// As it comes.
     Any,
     /// No older than this when it was sent.
@@ -34,35 +34,35 @@
 #[derive(Clone, Debug)]
 pub struct Rules {
     /// By class.
-    pub laws: Vec<Law>,
+    pub classes: Vec<ClassRules>,
     /// Nothing new to a box later than this after its drain was told.
-    pub grace: Span,
+    pub drain_grace: Span,
     /// How long past the deadline an answer may come.
-    pub slack: Span,
+    pub answer_slack: Span,
     /// A cold box's share, and when it is warm.
     pub cold: (f64, Span),
     /// It must not be sent more than this multiple of its capacity for so long.
     pub fall: (f64, Span),
     /// Whether what may run twice may have two attempts out.
-    pub copies: bool,
+    pub second_copies: bool,
     /// Whether clients say when their sessions last wrote; else a router need only know of what it was told itself.
-    pub carried: bool,
+    pub tokens_carried: bool,
     /// Where the list has to be asked: a router without a watch that has not asked for so long, four times that after a call
     /// that failed, counts as told of what was published that long before.
-    pub asked: Option<Span>,
+    pub poll_interval: Option<Span>,
     /// What the full records are held to.
-    pub full: Option<Full>,
+    pub full: Option<FullRules>,
 }
 
 /// What clients' tries and the way of jobs through boxes are held to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Full {
+pub struct FullRules {
     /// Tries of a client after the first.
     pub retries: u32,
     /// How much a box runs at once, first come, first served.
     pub cores: usize,
     /// The speed of the quickest box's cores.
-    pub quickest: f64,
+    pub max_core_speed: f64,
 }
 
 /// A rule.
@@ -159,10 +159,10 @@
     /// Since when the list has said that a box is out of service.
     out: HashMap<u32, Time>,
     first_tries: u64,
-    broken: BTreeMap<Rule, u64>,
-    first: Option<(Rule, Record)>,
-    peak: f64,
-    asked: u64,
+    violations: BTreeMap<Rule, u64>,
+    first_violation: Option<(Rule, Record)>,
+    cold_peak: f64,
+    requests: u64,
     swept: Time,
 }
 
@@ -193,29 +193,35 @@
             asking: HashMap::new(),
             out: HashMap::new(),
             first_tries: 0,
-            broken: BTreeMap::new(),
-            first: None,
-            peak: 0.0,
-            asked: 0,
+            violations: BTreeMap::new(),
+            first_violation: None,
+            cold_peak: 0.0,
+            requests: 0,
             swept: Time(0),
         }
     }
 
     /// How often each rule was broken, once the run has ended; what has no answer by then is unanswered.
     #[must_use]
-    pub fn verdict(mut self, end: Time) -> Verdict {
+    pub fn finish(mut self, end: Time) -> AuditReport {
         let unanswered =
-            self.open.values().filter(|open| open.deadline + self.rules.slack < end).count() as u64;
+            self.open.values().filter(|open| open.deadline + self.rules.answer_slack < end).count() as u64;
         if unanswered > 0 {
-            *self.broken.entry(Rule::Answered).or_default() += unanswered;
+            *self.violations.entry(Rule::Answered).or_default() += unanswered;
+        }
+        let (requests, first_tries) = (self.requests, self.first_tries);
+        AuditReport {
+            requests,
+            first_tries,
+            violations: self.violations,
+            first_violation: self.first_violation,
+            cold_peak: self.cold_peak,
         }
-        let (asked, first_tries) = (self.asked, self.first_tries);
-        Verdict { asked, first_tries, broken: self.broken, first: self.first, peak: self.peak }
     }
 
     fn breaks(&mut self, rule: Rule, record: &Record) {
-        *self.broken.entry(rule).or_default() += 1;
-        self.first.get_or_insert((rule, *record));
+        *self.violations.entry(rule).or_default() += 1;
+        self.first_violation.get_or_insert((rule, *record));
     }
 
     fn answer(&mut self, record: &Record) {
@@ -223,37 +229,37 @@
             self.breaks(Rule::Answered, record);
             return;
         };
-        let law = self.rules.laws[open.class];
-        if record.at > open.deadline + self.rules.slack {
+        let law = self.rules.classes[open.class];
+        if record.at > open.deadline + self.rules.answer_slack {
             self.breaks(Rule::Answered, record);
         }
-        let refused = record.what == What::Refused;
-        if refused && law.fragile && (open.runs > 0 || open.out > 0) {
+        let refused = record.what == RecordKind::Refused;
+        if refused && law.run_once && (open.runs > 0 || open.out > 0) {
             self.breaks(Rule::Once, record);
         }
-        if record.what == What::Served {
+        if record.what == RecordKind::Served {
             let position = Time(record.x);
             if law.write {
                 if open.runs == 0 {
                     self.breaks(Rule::Honest, record);
                 }
-                let knows = if self.rules.carried { ANYBODY } else { open.router };
+                let knows = if self.rules.tokens_carried { ANYBODY } else { open.router };
                 let token = self.tokens.entry((knows, open.session)).or_insert(position);
                 *token = position.max(*token);
                 let commit = self.commits.entry(open.group).or_insert(position);
                 *commit = position.max(*commit);
             } else {
-                let need = match law.fresh {
-                    Fresh::Any => Time(i64::MIN),
-                    Fresh::Bounded(bound) => open.sent - bound,
-                    Fresh::Session | Fresh::All => open.need,
+                let need = match law.freshness {
+                    Freshness::Any => Time(i64::MIN),
+                    Freshness::Bounded(bound) => open.sent - bound,
+                    Freshness::Session | Freshness::All => open.need,
                 };
                 if position < need {
                     self.breaks(Rule::Stale, record);
                 }
             }
         }
-        self.ended.insert(record.request, (refused && law.fragile, record.at));
+        self.ended.insert(record.request, (refused && law.run_once, record.at));
     }
 
     fn sweep(&mut self, now: Time) {
@@ -269,7 +275,7 @@
         let (Some(full), Some((request, client, number))) = (self.rules.full, self.trying.take()) else {
             return;
         };
-        let until = record.at + self.rules.laws[class].deadline;
+        let until = record.at + self.rules.classes[class].deadline;
         let wrong = match self.clients.get(&client).copied() {
             _ if request != record.request || number > i64::from(full.retries) => true,
             None => number != 0 || Time(record.x) > until,
@@ -291,15 +297,15 @@
     fn job(&mut self, record: &Record) {
         let Some(full) = self.rules.full else { return };
         let jobs = self.jobs.entry(record.b).or_default();
-        if record.what == What::Took {
+        if record.what == RecordKind::Took {
             let (request, attempt, work) = (record.request, record.y, record.x as f64);
             jobs.push_back(Job { request, attempt, work, began: None });
         } else {
             let of = |job: &Job| (job.request, job.attempt) == (record.request, record.y);
             let job = jobs.iter().position(of).and_then(|at| jobs.remove(at));
-            let least = |job: &Job| job.work / full.quickest - ROUNDING;
+            let least = |job: &Job| job.work / full.max_core_speed - ROUNDING;
             let right = job.is_some_and(|job| {
-                record.what == What::Lost
+                record.what == RecordKind::Lost
                     || job.began.is_some_and(|at| (record.at - at).0 as f64 >= least(&job))
             });
             if !right {
@@ -313,14 +319,14 @@
 
     /// Whether a router counts as told that a box is out of service, by what it could have asked long enough ago.
     fn deemed_told(&self, record: &Record) -> bool {
-        let Some(every) = self.rules.asked else { return false };
+        let Some(every) = self.rules.poll_interval else { return false };
         let of = self.asking.get(&record.a).copied();
         let of = of.unwrap_or(Asking { watching: false, called: Time(0), failed: false });
         let age = if of.failed { every.times(AFTER_FAILURE) } else { every };
         let since = self.out.get(&record.b).copied();
         !of.watching
             && record.at - of.called > age
-            && since.is_some_and(|since| record.at - since > Span(age.0 + self.rules.grace.0))
+            && since.is_some_and(|since| record.at - since > Span(age.0 + self.rules.drain_grace.0))
     }
 
     /// Work has come to a box that may be cold.
@@ -345,7 +351,7 @@
         let budget =
             multiple * cold.capacity * (warmth(began) + warmth(record.at)) / 2.0 * span.0 as f64 / 1e6;
         let used = cold.work / budget;
-        self.peak = self.peak.max(used);
+        self.cold_peak = self.cold_peak.max(used);
         if used > 1.0 {
             self.breaks(Rule::Cold, record);
         }
@@ -353,19 +359,21 @@
 }
 
 impl Sink for Auditor {
-    fn take(&mut self, record: Record) {
+    fn record(&mut self, record: Record) {
         self.sweep(record.at);
         match record.what {
-            What::Told if record.x == 1 => drop(self.told.remove(&(record.a, record.b))),
-            What::Told => drop(self.told.entry((record.a, record.b)).or_insert(record.at)),
-            What::Asked => {
-                self.asked += 1;
+            RecordKind::Told if record.x == 1 => drop(self.told.remove(&(record.a, record.b))),
+            RecordKind::Told => drop(self.told.entry((record.a, record.b)).or_insert(record.at)),
+            RecordKind::Asked => {
+                self.requests += 1;
                 let (class, group) = ((record.b % 256) as usize, record.b / 256);
-                let need = match self.rules.laws[class].fresh {
-                    Fresh::Session if self.rules.carried => self.tokens.get(&(ANYBODY, record.y)).copied(),
-                    Fresh::Session => self.tokens.get(&(record.a, record.y)).copied(),
-                    Fresh::All => self.commits.get(&group).copied(),
-                    Fresh::Any | Fresh::Bounded(_) => None,
+                let need = match self.rules.classes[class].freshness {
+                    Freshness::Session if self.rules.tokens_carried => {
+                        self.tokens.get(&(ANYBODY, record.y)).copied()
+                    }
+                    Freshness::Session => self.tokens.get(&(record.a, record.y)).copied(),
+                    Freshness::All => self.commits.get(&group).copied(),
+                    Freshness::Any | Freshness::Bounded(_) => None,
                 };
                 let open = Open {
                     router: record.a,
@@ -383,15 +391,15 @@
                 self.tries(&record, class);
                 self.open.insert(record.request, open);
             }
-            What::Sent => {
-                let late = |at: &Time| record.at - *at > self.rules.grace;
+            RecordKind::Sent => {
+                let late = |at: &Time| record.at - *at > self.rules.drain_grace;
                 if self.told.get(&(record.a, record.b)).is_some_and(late) || self.deemed_told(&record) {
                     self.breaks(Rule::Drain, &record);
                 }
                 match self.open.get_mut(&record.request) {
                     Some(open) => {
                         (open.out, open.sent) = (open.out + 1, record.at);
-                        let copies = self.rules.copies && !self.rules.laws[open.class].fragile;
+                        let copies = self.rules.second_copies && !self.rules.classes[open.class].run_once;
                         if open.out > if copies { 2 } else { 1 } {
                             self.breaks(Rule::OneOut, &record);
                         }
@@ -399,16 +407,16 @@
                     None => self.breaks(Rule::Answered, &record),
                 }
             }
-            What::Came => self.came(&record),
-            What::Over => {
+            RecordKind::Came => self.came(&record),
+            RecordKind::Over => {
                 if let Some(open) = self.open.get_mut(&record.request) {
                     open.out = open.out.saturating_sub(1);
                 }
             }
-            What::Ran => match self.open.get_mut(&record.request) {
+            RecordKind::Ran => match self.open.get_mut(&record.request) {
                 Some(open) => {
                     open.runs += 1;
-                    if open.runs > 1 && self.rules.laws[open.class].fragile {
+                    if open.runs > 1 && self.rules.classes[open.class].run_once {
                         self.breaks(Rule::Once, &record);
                     }
                 }
@@ -417,59 +425,59 @@
                 }
                 None => {}
             },
-            What::Served | What::Refused | What::Failed => self.answer(&record),
-            What::Killed => {
+            RecordKind::Served | RecordKind::Refused | RecordKind::Failed => self.answer(&record),
+            RecordKind::Killed => {
                 self.open.retain(|_, open| open.router != record.a);
                 self.tokens.retain(|(router, _), _| *router != record.a);
                 self.told.retain(|(router, _), _| *router != record.a);
                 self.asking.remove(&record.a);
             }
-            What::Started => {
+            RecordKind::Started => {
                 let capacity = record.x as f64;
                 self.cold.insert(
                     record.b,
                     Cold { started: record.at, capacity, sent: VecDeque::new(), work: 0.0 },
                 );
             }
-            What::Try => self.trying = Some((record.request, record.x, record.y)),
-            What::Took | What::Through | What::Lost => self.job(&record),
-            What::Published if record.x == 1 => drop(self.out.remove(&record.b)),
-            What::Published => drop(self.out.entry(record.b).or_insert(record.at)),
-            What::Called => {
+            RecordKind::Try => self.trying = Some((record.request, record.x, record.y)),
+            RecordKind::Took | RecordKind::Through | RecordKind::Lost => self.job(&record),
+            RecordKind::Published if record.x == 1 => drop(self.out.remove(&record.b)),
+            RecordKind::Published => drop(self.out.entry(record.b).or_insert(record.at)),
+            RecordKind::Called => {
                 let of = self.asking.entry(record.a);
                 of.or_insert(Asking { watching: false, called: record.at, failed: false }).called = record.at;
             }
-            What::Watching => {
+            RecordKind::Watching => {
                 let of = self.asking.entry(record.a);
                 let of = of.or_insert(Asking { watching: false, called: record.at, failed: false });
                 (of.watching, of.failed) = (record.x == 1, record.x < 0);
             }
-            What::Kept | What::Fell | What::Trouble => {}
+            RecordKind::Kept | RecordKind::Fell | RecordKind::Trouble => {}
         }
     }
 }
 
 /// What an audit found.
 #[derive(Clone, Debug)]
-pub struct Verdict {
+pub struct AuditReport {
     /// Requests asked.
-    pub asked: u64,
+    pub requests: u64,
     /// Those that were clients' first tries, where the records tell.
     pub first_tries: u64,
     /// How often each rule was broken.
-    pub broken: BTreeMap<Rule, u64>,
+    pub violations: BTreeMap<Rule, u64>,
     /// The first time.
-    pub first: Option<(Rule, Record)>,
+    pub first_violation: Option<(Rule, Record)>,
     /// The most that a cold box was sent, as a part of its budget.
-    pub peak: f64,
+    pub cold_peak: f64,
 }
 
-impl Verdict {
+impl AuditReport {
     /// Holds the run's own count of first tries to the records, where these tell which are first.
     #[must_use]
-    pub fn counted(mut self, rules: &Rules, first_tries: u64) -> Self {
+    pub fn check_first_tries(mut self, rules: &Rules, first_tries: u64) -> Self {
         if rules.full.is_some() && self.first_tries != first_tries {
-            *self.broken.entry(Rule::Counted).or_default() += self.first_tries.abs_diff(first_tries);
+            *self.violations.entry(Rule::Counted).or_default() += self.first_tries.abs_diff(first_tries);
         }
         self
     }
--- a/crates/fleet/src/even.rs
+++ b/crates/fleet/src/even.rs
@@ -9,10 +9,10 @@
 mod scheme;
 
 pub use figures::Figures;
-pub use scheme::{Scheme, TwoOf};
+pub use scheme::{ChoicePool, Scheme};
 
-use crate::agenda::Agenda;
-use crate::server::{Came, Job, Kind, Life, Server};
+use crate::event_queue::EventQueue;
+use crate::server::{Admission, Job, Server, ServerConfig, ServerState};
 use figures::Loads;
 use linnetdeal_core::{Span, Time};
 use rand::{Rng, SeedableRng};
@@ -47,7 +47,7 @@
 const HEAVIER: f64 = 4.0;
 const HEAVIEST: f64 = 10.0;
 /// Until then nothing counts.
-pub const SETTLED: i64 = 2;
+pub const WARM_UP_SECONDS: i64 = 2;
 const BEGIN: Time = Time(1_000_000_000_000);
 
 /// What makes load uneven; each can be taken away.
@@ -89,7 +89,7 @@
     /// How long.
     pub seconds: i64,
     /// How often what is told is told anew, to all at one moment.
-    pub age: Span,
+    pub publish_interval: Span,
     /// What makes load uneven.
     pub sources: Sources,
     /// A step, slow servers, a restart, errors and a shift between zones, see [`troubles`].
@@ -99,7 +99,7 @@
 impl Plan {
     /// The usual one for so many poolers: a server for each two to five of them, in groups as large as the fleets of the bench have them.
     #[must_use]
-    pub fn of(poolers: usize) -> Self {
+    pub fn for_poolers(poolers: usize) -> Self {
         let (groups, members) = match poolers {
             0..=10 => (2, 6),
             11..=100 => (4, 10),
@@ -113,7 +113,7 @@
             members,
             load: 0.65,
             seconds: 26,
-            age: Span::millis(100),
+            publish_interval: Span::millis(100),
             sources: Sources::ALL,
             troubles: true,
         }
@@ -172,7 +172,7 @@
 
 /// When troubles begin and end, in seconds: the step, what befalls servers, the shift.
 #[must_use]
-pub fn troubles() -> Vec<f64> {
+pub fn trouble_times() -> Vec<f64> {
     let servers = TROUBLES.iter().map(|(ms, _)| *ms as f64 / 1_000.0);
     [STEP.start, STEP.end].into_iter().chain(servers).chain([SHIFT as f64]).collect()
 }
@@ -218,7 +218,8 @@
 
 impl Arrivals {
     fn new(plan: Plan, servers: &[Member]) -> Self {
-        let capacity = |of: &[Member]| of.iter().map(|of| of.kind.cores as f64 * of.kind.speed).sum::<f64>();
+        let capacity =
+            |of: &[Member]| of.iter().map(|of| of.config.cores as f64 * of.config.speed).sum::<f64>();
         let groups: Vec<f64> = servers.chunks(plan.members).map(capacity).collect();
         let weight = |pooler: usize, when: usize| {
             let zone = if plan.sources.zones { ASKED[when][pooler % ZONES] * ZONES as f64 } else { 1.0 };
@@ -273,7 +274,7 @@
 /// A server, and what is known of it without asking.
 #[derive(Clone, Debug)]
 struct Member {
-    kind: Kind,
+    config: ServerConfig,
     server: Server,
     zone: usize,
     lag: Span,
@@ -285,18 +286,18 @@
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed ^ 0x5EED);
     let member = |at: usize| {
         let speed = rng.random_range(0.85..1.7);
-        let kind = Kind {
+        let config = ServerConfig {
             cores: 4,
             speed: if plan.sources.speed { speed } else { 1.25 },
-            room: 64,
-            crowding: 0.0,
+            queue_limit: 64,
+            queue_slowdown: 0.0,
             thrash: (5.0, 0.15),
             cold: (0.2, Span::millis(12_000)),
             fall: (f64::INFINITY, Span::millis(1)),
         };
         let near = Span::millis(rng.random_range(LAG));
         let lag = if at % 6 == 5 { FAR_BEHIND } else { near };
-        Member { kind, server: Server::new(kind), zone: at % ZONES, lag, listed: true, errs: false }
+        Member { config, server: Server::new(config), zone: at % ZONES, lag, listed: true, errs: false }
     };
     (0..plan.servers()).map(member).collect()
 }
@@ -329,7 +330,7 @@
 struct World {
     plan: Plan,
     members: Vec<Member>,
-    agenda: Agenda<Event>,
+    agenda: EventQueue<Event>,
     open: Vec<Open>,
     free: Vec<usize>,
     chooser: Chooser,
@@ -346,7 +347,7 @@
 }
 
 /// Plays a scheme, and gives with its figures what takes one more decision as it stood at the end, for who measures what one costs.
-pub fn run_then(plan: &Plan, scheme: Scheme) -> (Figures, impl FnMut(usize) -> Option<u32>) {
+pub fn run_with_chooser(plan: &Plan, scheme: Scheme) -> (Figures, impl FnMut(usize) -> Option<u32>) {
     let mut world = play(plan, scheme);
     let figures = world.figures.clone();
     let again = move |at: usize| {
@@ -368,27 +369,27 @@
         chooser: Chooser::new(plan, scheme, rate),
         loads: Loads::new(plan.members, members.len()),
         members,
-        agenda: Agenda::default(),
+        agenda: EventQueue::default(),
         open: Vec::new(),
         free: Vec::new(),
         figures: Figures::default(),
         pool: Vec::new(),
         rng: ChaCha8Rng::seed_from_u64(plan.seed ^ 0xC01D),
     };
-    world.agenda.enter(BEGIN, Event::Look);
-    world.agenda.enter(BEGIN, Event::Told);
+    world.agenda.schedule(BEGIN, Event::Look);
+    world.agenda.schedule(BEGIN, Event::Told);
     for (at, (ms, _)) in TROUBLES.iter().enumerate().filter(|_| plan.troubles) {
-        world.agenda.enter(BEGIN + Span::millis(*ms), Event::Trouble(at));
+        world.agenda.schedule(BEGIN + Span::millis(*ms), Event::Trouble(at));
     }
     let mut next = arrivals.next();
     loop {
-        let due = world.agenda.next_at().unwrap_or(Time(i64::MAX));
+        let due = world.agenda.next_time().unwrap_or(Time(i64::MAX));
         if let Some(asked) = next.filter(|asked| asked.at <= due) {
             world.ask(asked);
             next = arrivals.next();
             continue;
         }
-        match world.agenda.take() {
+        match world.agenda.pop() {
             Some((now, event)) if now < second(plan.seconds) => world.happens(now, event),
             _ => break,
         }
@@ -448,28 +449,28 @@
             let pooler = open.asked.pooler as usize;
             open.beside = self.pool.iter().any(|at| {
                 let of = &self.members[*at as usize];
-                of.server.life() == Life::Up && !of.errs && of.server.holds() < of.kind.cores
+                of.server.state() == ServerState::Up && !of.errs && of.server.jobs() < of.config.cores
             });
             let pick = self.chooser.choose(now, pooler, &self.pool, &self.members);
             let to = pick.unwrap_or(self.pool[0]);
             open.tried[open.attempts] = to;
             open.attempts += 1;
             open.sent = now;
-            let counts = now >= second(SETTLED);
-            self.figures.sent += u64::from(counts);
+            let counts = now >= second(WARM_UP_SECONDS);
+            self.figures.attempts += u64::from(counts);
             let of = &mut self.members[to as usize];
             if self.chooser.connects(pooler, to) {
-                of.server.disturb(HANDSHAKE);
+                of.server.add_overhead(HANDSHAKE);
             }
             self.loads.sent(to, open.asked.work);
             // An error, as a refusal, teaches nothing: it must not look like a quick answer.
             if of.errs {
                 continue;
             }
-            match of.server.come(now, Job { id: slot as u64, work: open.asked.work }) {
-                Came::Runs(ends) => self.agenda.enter(ends, Event::Done { server: to, slot }),
-                Came::Waits => {}
-                Came::Full | Came::Nobody | Came::Fell => continue,
+            match of.server.admit(now, Job { id: slot as u64, work: open.asked.work }) {
+                Admission::Started(ends) => self.agenda.schedule(ends, Event::Done { server: to, slot }),
+                Admission::Queued => {}
+                Admission::Rejected | Admission::Down | Admission::Collapsed => continue,
             }
             self.chooser.sent(now, pooler, to);
             self.open[slot] = open;
@@ -479,16 +480,16 @@
 
     /// The final outcome: answered then, or never.
     fn ends(&mut self, open: &Open, took: Option<Span>) {
-        if open.asked.at < second(SETTLED) {
+        if open.asked.at < second(WARM_UP_SECONDS) {
             return;
         }
         let late = took.is_none_or(|took| took > AIM);
-        self.figures.asked += 1;
+        self.figures.requests += 1;
         self.figures.refused += u64::from(took.is_none());
         self.figures.late += u64::from(late && took.is_some());
-        self.figures.beside_idle += u64::from(late && open.beside);
+        self.figures.failed_beside_idle += u64::from(late && open.beside);
         if let Some(took) = took.filter(|_| !open.asked.write) {
-            self.figures.times.saturating_record(took.0.max(1) as u64);
+            self.figures.latencies.saturating_record(took.0.max(1) as u64);
         }
     }
 
@@ -497,9 +498,9 @@
             Event::Done { server, slot } => {
                 let of = &mut self.members[server as usize];
                 // The box has died since, and the slot may have been given to another request.
-                let Some(next) = of.server.done(now, slot as u64) else { return };
+                let Some(next) = of.server.complete(now, slot as u64) else { return };
                 if let Some((id, ends)) = next {
-                    self.agenda.enter(ends, Event::Done { server, slot: id as usize });
+                    self.agenda.schedule(ends, Event::Done { server, slot: id as usize });
                 }
                 let open = self.open[slot];
                 let pooler = open.asked.pooler as usize;
@@ -510,11 +511,11 @@
             }
             Event::Told => {
                 self.chooser.told(now, &self.members);
-                self.agenda.enter(now + self.plan.age, Event::Told);
+                self.agenda.schedule(now + self.plan.publish_interval, Event::Told);
             }
             Event::Look => {
-                self.loads.look(now >= second(SETTLED), now, &self.members);
-                self.agenda.enter(now + figures::LOOK, Event::Look);
+                self.loads.look(now >= second(WARM_UP_SECONDS), now, &self.members);
+                self.agenda.schedule(now + figures::LOOK, Event::Look);
             }
             Event::Trouble(at) => {
                 for group in 0..self.plan.groups {
@@ -527,7 +528,7 @@
     fn befalls(&mut self, now: Time, trouble: Trouble, at: usize) {
         let of = &mut self.members[at];
         match trouble {
-            Trouble::Slow(percent) => of.server.slow = percent as f64 / 100.0,
+            Trouble::Slow(percent) => of.server.slowdown = percent as f64 / 100.0,
             Trouble::Unlisted => of.listed = false,
             Trouble::Listed => of.listed = true,
             Trouble::Errs(errs) => of.errs = errs,
--- a/crates/fleet/src/even/figures.rs
+++ b/crates/fleet/src/even/figures.rs
@@ -1,7 +1,7 @@
 //! What is counted of a play, at the servers.
 
 use super::Member;
-use crate::server::Life;
+use crate::server::ServerState;
 use hdrhistogram::Histogram;
 use linnetdeal_core::{Span, Time};
 
@@ -9,7 +9,7 @@
 pub(super) const LOOK: Span = Span::millis(250);
 const WINDOW: usize = 4;
 /// A server that gets more than so many times the mean of its group in a look is in a herd.
-pub const HERD: f64 = 4.0;
+pub const HERD_FACTOR: f64 = 4.0;
 /// A server with less than this part of its group's mean idles.
 const IDLE: f64 = 0.5;
 
@@ -18,17 +18,17 @@
 pub struct Figures {
     /// Requests, and how they ended: refused, or answered after the aim; and either of them though a member that might have answered
     /// had a free core as it was sent.
-    pub asked: u64,
+    pub requests: u64,
     /// See `asked`.
     pub refused: u64,
     /// See `asked`.
     pub late: u64,
     /// See `asked`.
-    pub beside_idle: u64,
+    pub failed_beside_idle: u64,
     /// Attempts.
-    pub sent: u64,
+    pub attempts: u64,
     /// How long reads took that were answered, in microseconds.
-    pub times: Histogram<u64>,
+    pub latencies: Histogram<u64>,
     /// Loads in windows of 1 s, in thousandths.
     pub loads: Histogram<u64>,
     /// By second: the greatest load.
@@ -36,9 +36,9 @@
     /// Seconds of servers that had less than half of the mean for two windows on end, warm and in service.
     pub idle_seconds: u64,
     /// The greatest load within 250 ms, and how often one was over `HERD`, 4 times the mean.
-    pub swing: f64,
+    pub max_interval_load: f64,
     /// See `swing`.
-    pub herds: u64,
+    pub herd_events: u64,
     /// Connections that poolers hold at the end; as many handshakes were made.
     pub connections: u64,
     /// What was told, by poolers or in answer to probes.
@@ -49,17 +49,17 @@
     fn default() -> Self {
         let histogram = |most| Histogram::new_with_bounds(1, most, 3).expect("bounds that are constants");
         Self {
-            asked: 0,
+            requests: 0,
             refused: 0,
             late: 0,
-            beside_idle: 0,
-            sent: 0,
-            times: histogram(60_000_000),
+            failed_beside_idle: 0,
+            attempts: 0,
+            latencies: histogram(60_000_000),
             loads: histogram(1_000_000),
             peaks: Vec::new(),
             idle_seconds: 0,
-            swing: 0.0,
-            herds: 0,
+            max_interval_load: 0.0,
+            herd_events: 0,
             connections: 0,
             messages: 0,
         }
@@ -69,38 +69,38 @@
 impl Figures {
     /// Peak to mean: the load that one in a hundred windows of servers is over.
     #[must_use]
-    pub fn peak(&self) -> f64 {
+    pub fn peak_to_mean(&self) -> f64 {
         self.loads.value_at_quantile(0.99) as f64 / 1_000.0
     }
 
     /// The time that one read in a hundred is over, in ms.
     #[must_use]
     pub fn p99_ms(&self) -> f64 {
-        self.times.value_at_quantile(0.99) as f64 / 1_000.0
+        self.latencies.value_at_quantile(0.99) as f64 / 1_000.0
     }
 
     /// The mean time of reads, in ms.
     #[must_use]
     pub fn mean_ms(&self) -> f64 {
-        self.times.mean() / 1_000.0
+        self.latencies.mean() / 1_000.0
     }
 
     /// The part of requests that were refused or late.
     #[must_use]
-    pub fn bad(&self) -> f64 {
-        (self.refused + self.late) as f64 / self.asked.max(1) as f64
+    pub fn failed_share(&self) -> f64 {
+        (self.refused + self.late) as f64 / self.requests.max(1) as f64
     }
 
     /// The part that was so beside an idle server.
     #[must_use]
-    pub fn bad_beside_idle(&self) -> f64 {
-        self.beside_idle as f64 / self.asked.max(1) as f64
+    pub fn failed_share_beside_idle(&self) -> f64 {
+        self.failed_beside_idle as f64 / self.requests.max(1) as f64
     }
 
     /// Messages for each request.
     #[must_use]
-    pub fn messages_a_request(&self) -> f64 {
-        self.messages as f64 / self.asked.max(1) as f64
+    pub fn messages_per_request(&self) -> f64 {
+        self.messages as f64 / self.requests.max(1) as f64
     }
 }
 
@@ -141,23 +141,23 @@
     /// Looks at what was sent since the last look.
     pub(super) fn look(&mut self, counts: bool, now: Time, members: &[Member]) {
         for (at, of) in members.iter().enumerate() {
-            let up = of.server.life() == Life::Up && of.listed;
+            let up = of.server.state() == ServerState::Up && of.listed;
             self.whole[at] &= up;
             self.warm[at] &= of.server.warmth(now) >= 1.0 && !of.errs;
             self.window[at].0 += self.sent[at];
-            self.window[at].1 += of.server.capacity(now) / of.server.slow * LOOK.0 as f64;
+            self.window[at].1 += of.server.capacity(now) / of.server.slowdown * LOOK.0 as f64;
         }
         if counts {
             for begin in (0..members.len()).step_by(self.members) {
                 let replicas = begin + 1..begin + self.members;
-                let capacity = |at: usize| members[at].server.capacity(now) / members[at].server.slow;
+                let capacity = |at: usize| members[at].server.capacity(now) / members[at].server.slowdown;
                 let up: Vec<usize> = replicas.filter(|at| self.whole[*at]).collect();
                 let work: f64 = up.iter().map(|at| self.sent[*at]).sum();
                 let mean = work / up.iter().map(|at| capacity(*at)).sum::<f64>();
                 for at in up.into_iter().filter(|at| self.warm[*at]) {
                     let load = self.sent[at] / capacity(at) / mean.max(f64::EPSILON);
-                    self.told.swing = self.told.swing.max(load);
-                    self.told.herds += u64::from(load > HERD);
+                    self.told.max_interval_load = self.told.max_interval_load.max(load);
+                    self.told.herd_events += u64::from(load > HERD_FACTOR);
                 }
             }
         }
@@ -204,7 +204,7 @@
         figures.loads = self.told.loads.clone();
         figures.peaks = std::mem::take(&mut self.told.peaks);
         figures.idle_seconds = self.told.idle_seconds;
-        figures.swing = self.told.swing;
-        figures.herds = self.told.herds;
+        figures.max_interval_load = self.told.max_interval_load;
+        figures.herd_events = self.told.herd_events;
     }
 }
--- a/crates/fleet/src/even/forward.rs
+++ b/crates/fleet/src/even/forward.rs
@@ -6,14 +6,14 @@
 //! Against the schemes that were played beside it see `docs/design/even-load.md`.
 
 /// How many members after the pick are looked at: the paper's m. It follows from no setting; 3 in the model: `docs/design/even-load.md`.
-pub const FORWARD: usize = 2;
+pub const FORWARD_STEPS: usize = 2;
 
 /// The place to send to, of so many (at least one): `first` is the random pick, `load` is asked of it and of [`FORWARD`] after it at most.
 /// Of equals the first is taken, so that the random pick stands where nothing is known; a load that is no number is never less.
 #[must_use]
-pub fn least(first: usize, members: usize, load: impl Fn(usize) -> f64) -> usize {
+pub fn least_loaded(first: usize, members: usize, load: impl Fn(usize) -> f64) -> usize {
     let members = members.max(1);
-    let places = (0..=FORWARD.min(members - 1)).map(|step| (first + step) % members);
+    let places = (0..=FORWARD_STEPS.min(members - 1)).map(|step| (first + step) % members);
     let known = |at: usize| Some(load(at)).filter(|load| !load.is_nan()).unwrap_or(f64::INFINITY);
     let least =
         places.map(|at| (at, known(at))).reduce(|best, next| if next.1 < best.1 { next } else { best });
--- a/crates/fleet/src/even/scheme.rs
+++ b/crates/fleet/src/even/scheme.rs
@@ -23,13 +23,13 @@
 
 /// Whom two choices are drawn from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TwoOf {
+pub enum ChoicePool {
     /// All that may answer.
     All,
     /// A part of the ring of members, by rank.
     Ring,
     /// The same, and counts of all poolers are told.
-    RingTold,
+    RingPublished,
     /// Members of the own zone.
     Zone,
 }
@@ -40,19 +40,19 @@
     /// Any.
     Random,
     /// The random pick with the forward step, as it was before windows.
-    Forward,
+    ForwardStep,
     /// The same in windows: the program's choice on 2026-12-02.
     Windows,
     /// The lesser of two by own counts.
-    Two(TwoOf),
+    TwoChoices(ChoicePool),
     /// At random, by weights that are learned speeds.
-    Speeds,
+    LearnedSpeeds,
     /// The least of all by the counts that are told.
-    LeastTold,
+    LeastPublished,
     /// The random pick with the forward step, by the counts that are told.
-    ForwardTold,
+    ForwardPublished,
     /// Counts that are told, and what must have come since (Dahlin).
-    Interpreted,
+    StaleInterpreted,
     /// Probes, kept and used a few times (Prequal's hot and cold).
     Probes,
     /// The least of the random pick in its window and of those after it, by what the pooler knows by itself: `forward.rs` beside this.
@@ -65,16 +65,16 @@
     /// All of them, in the order of the table.
     pub const ALL: [Self; 14] = [
         Self::Random,
-        Self::Forward,
+        Self::ForwardStep,
         Self::Windows,
-        Self::Two(TwoOf::All),
-        Self::Two(TwoOf::Ring),
-        Self::Two(TwoOf::Zone),
-        Self::Two(TwoOf::RingTold),
-        Self::Speeds,
-        Self::LeastTold,
-        Self::ForwardTold,
-        Self::Interpreted,
+        Self::TwoChoices(ChoicePool::All),
+        Self::TwoChoices(ChoicePool::Ring),
+        Self::TwoChoices(ChoicePool::Zone),
+        Self::TwoChoices(ChoicePool::RingPublished),
+        Self::LearnedSpeeds,
+        Self::LeastPublished,
+        Self::ForwardPublished,
+        Self::StaleInterpreted,
         Self::Probes,
         Self::LeastOfStep,
         Self::Central,
@@ -85,16 +85,16 @@
     pub fn name(self) -> &'static str {
         match self {
             Self::Random => "random",
-            Self::Forward => "random, forward step",
+            Self::ForwardStep => "random, forward step",
             Self::Windows => "windows, forward step",
-            Self::Two(TwoOf::All) => "two choices, own counts",
-            Self::Two(TwoOf::Ring) => "two choices on a ring's part",
-            Self::Two(TwoOf::Zone) => "two choices in the zone",
-            Self::Two(TwoOf::RingTold) => "two choices on a ring's part, told",
-            Self::Speeds => "learned speeds",
-            Self::LeastTold => "least loaded as told",
-            Self::ForwardTold => "forward step, counts told",
-            Self::Interpreted => "stale load interpreted",
+            Self::TwoChoices(ChoicePool::All) => "two choices, own counts",
+            Self::TwoChoices(ChoicePool::Ring) => "two choices on a ring's part",
+            Self::TwoChoices(ChoicePool::Zone) => "two choices in the zone",
+            Self::TwoChoices(ChoicePool::RingPublished) => "two choices on a ring's part, told",
+            Self::LearnedSpeeds => "learned speeds",
+            Self::LeastPublished => "least loaded as told",
+            Self::ForwardPublished => "forward step, counts told",
+            Self::StaleInterpreted => "stale load interpreted",
             Self::Probes => "probes, hot and cold",
             Self::LeastOfStep => "windows, least of the step",
             Self::Central => "central, knows all",
@@ -103,8 +103,14 @@
 
     /// Whether poolers tell each other counts for it.
     #[must_use]
-    pub fn told(self) -> bool {
-        matches!(self, Self::LeastTold | Self::ForwardTold | Self::Interpreted | Self::Two(TwoOf::RingTold))
+    pub fn uses_published_loads(self) -> bool {
+        matches!(
+            self,
+            Self::LeastPublished
+                | Self::ForwardPublished
+                | Self::StaleInterpreted
+                | Self::TwoChoices(ChoicePool::RingPublished)
+        )
     }
 }
 
@@ -190,27 +196,27 @@
         let any = pool[draw % all];
         Some(match self.scheme {
             Scheme::Random => any,
-            Scheme::Forward => self.forward(now, pooler, pool, draw % all),
+            Scheme::ForwardStep => self.forward(now, pooler, pool, draw % all),
             Scheme::Windows => {
                 let first = subset::first_pick(draw, pooler as u32, self.plan.poolers as u32, all);
                 self.forward(now, pooler, pool, first)
             }
-            Scheme::Two(of) => self.two(pooler, pool, of, members),
-            Scheme::Speeds => self.speeds(pooler, pool),
-            Scheme::LeastTold => self.least(pool, |this, at| this.held[at as usize]),
-            Scheme::ForwardTold => {
+            Scheme::TwoChoices(of) => self.two(pooler, pool, of, members),
+            Scheme::LearnedSpeeds => self.speeds(pooler, pool),
+            Scheme::LeastPublished => self.least_loaded(pool, |this, at| this.held[at as usize]),
+            Scheme::ForwardPublished => {
                 self.loads = pool.iter().map(|at| 1.0 + self.held[*at as usize]).collect();
                 self.step(pool, draw % all)
             }
-            Scheme::Interpreted => self.interpreted(now, pool),
+            Scheme::StaleInterpreted => self.interpreted(now, pool),
             Scheme::Probes => self.probed(now, pooler, pool, members),
             Scheme::LeastOfStep => {
                 let first = subset::first_pick(draw, pooler as u32, self.plan.poolers as u32, all);
-                pool[forward::least(first, all, |at| self.load(now, pooler, pool[at]))]
+                pool[forward::least_loaded(first, all, |at| self.load(now, pooler, pool[at]))]
             }
-            Scheme::Central => self.least(pool, |_, at| {
+            Scheme::Central => self.least_loaded(pool, |_, at| {
                 let server = &members[at as usize].server;
-                (server.holds() + 1) as f64 * server.slow / server.capacity(now)
+                (server.jobs() + 1) as f64 * server.slowdown / server.capacity(now)
             }),
         })
     }
@@ -230,26 +236,27 @@
 
     fn step(&self, pool: &[u32], first: usize) -> u32 {
         let valid = THRESHOLD * self.loads.iter().sum::<f64>() / pool.len() as f64;
-        let mut steps = (0..=forward::FORWARD.min(pool.len() - 1)).map(|step| (first + step) % pool.len());
+        let mut steps =
+            (0..=forward::FORWARD_STEPS.min(pool.len() - 1)).map(|step| (first + step) % pool.len());
         pool[steps.find(|at| self.loads[*at] <= valid).unwrap_or(first)]
     }
 
     /// The least; of equals one by chance.
-    fn least(&mut self, pool: &[u32], load: impl Fn(&Self, u32) -> f64) -> u32 {
+    fn least_loaded(&mut self, pool: &[u32], load: impl Fn(&Self, u32) -> f64) -> u32 {
         let begin = self.rng.next_u32() as usize;
         let order = (0..pool.len()).map(|at| pool[(begin + at) % pool.len()]);
         let least = order.min_by(|a, b| load(self, *a).total_cmp(&load(self, *b)));
         least.unwrap_or(pool[0])
     }
 
-    fn two(&mut self, pooler: usize, pool: &[u32], of: TwoOf, members: &[Member]) -> u32 {
+    fn two(&mut self, pooler: usize, pool: &[u32], of: ChoicePool, members: &[Member]) -> u32 {
         let mut part: Vec<u32> = match of {
-            TwoOf::All => pool.to_vec(),
-            TwoOf::Zone => {
+            ChoicePool::All => pool.to_vec(),
+            ChoicePool::Zone => {
                 let near = |at: &&u32| members[**at as usize].zone == pooler % ZONES;
                 pool.iter().filter(near).copied().collect()
             }
-            TwoOf::Ring | TwoOf::RingTold => {
+            ChoicePool::Ring | ChoicePool::RingPublished => {
                 let begin = pooler * pool.len() / self.plan.poolers;
                 (0..APERTURE.min(pool.len())).map(|at| pool[(begin + at) % pool.len()]).collect()
             }
@@ -263,7 +270,7 @@
         }
         let second = part[self.rng.random_range(0..part.len())];
         let load = |at: u32| match of {
-            TwoOf::RingTold => self.held[at as usize],
+            ChoicePool::RingPublished => self.held[at as usize],
             _ => f64::from(self.pair(pooler, at).out),
         };
         if load(second) < load(first) { second } else { first }
@@ -330,11 +337,11 @@
         for _ in 0..PROBES {
             let to = pool[self.rng.random_range(0..pool.len())];
             let of = &members[to as usize];
-            if of.server.life() != crate::server::Life::Up {
+            if of.server.state() != crate::server::ServerState::Up {
                 continue;
             }
-            let held = of.server.holds() as f64;
-            let takes = (held / of.kind.cores as f64).max(1.0) * of.server.slow / of.kind.speed;
+            let held = of.server.jobs() as f64;
+            let takes = (held / of.config.cores as f64).max(1.0) * of.server.slowdown / of.config.speed;
             if kept.len() == PROBES_KEPT {
                 kept.remove(0);
             }
@@ -377,9 +384,9 @@
     pub(super) fn told(&mut self, now: Time, members: &[Member]) {
         self.told_at = now;
         for (held, of) in self.held.iter_mut().zip(members) {
-            *held = of.server.holds() as f64;
+            *held = of.server.jobs() as f64;
         }
-        if self.scheme.told() {
+        if self.scheme.uses_published_loads() {
             self.messages += (self.plan.poolers * (self.plan.poolers - 1)) as u64;
         }
     }
--- a/crates/fleet/src/agenda.rs
+++ b/crates/fleet/src/event_queue.rs
@@ -34,32 +34,32 @@
 
 /// Events that are due.
 #[derive(Clone, Debug)]
-pub struct Agenda<E> {
+pub struct EventQueue<E> {
     due: BinaryHeap<Due<E>>,
     number: u64,
 }
 
-impl<E> Default for Agenda<E> {
+impl<E> Default for EventQueue<E> {
     fn default() -> Self {
         Self { due: BinaryHeap::new(), number: 0 }
     }
 }
 
-impl<E> Agenda<E> {
+impl<E> EventQueue<E> {
     /// Enters one.
-    pub fn enter(&mut self, at: Time, event: E) {
+    pub fn schedule(&mut self, at: Time, event: E) {
         self.number += 1;
         self.due.push(Due { at, number: self.number, event });
     }
 
     /// When the next is due.
     #[must_use]
-    pub fn next_at(&self) -> Option<Time> {
+    pub fn next_time(&self) -> Option<Time> {
         self.due.peek().map(|due| due.at)
     }
 
     /// Takes the next.
-    pub fn take(&mut self) -> Option<(Time, E)> {
+    pub fn pop(&mut self) -> Option<(Time, E)> {
         self.due.pop().map(|due| (due.at, due.event))
     }
 }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,10 +1,10 @@
 //! The boxes of a fleet with their groups and the list that tells of them, and what befalls them by a scenario. The same for
 //! every host: time is handed in, and what follows comes back as consequences for the host to see to.
 
-use crate::group::{Group, Ways};
-use crate::record::What;
-use crate::scenario::{Ill, Scenario, Trouble, Who};
-use crate::server::{Came, Job, Kind, Life, Server};
+use crate::group::{Group, ReplicationTiming};
+use crate::record::RecordKind;
+use crate::scenario::{Scenario, Target, Trouble, TroubleKind};
+use crate::server::{Admission, Job, Server, ServerConfig, ServerState};
 use linnetdeal_core::{Expected, ListState, Note, Role, Span, Time, Verdict};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -14,41 +14,41 @@
 
 /// What happens to boxes by themselves or by plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Happens {
+pub enum FleetEvent {
     /// Work may be through.
-    Done {
+    JobDone {
         /// The box.
         server: u32,
         /// The job.
         id: u64,
     },
     /// A trouble of the scenario begins.
-    Trouble {
+    TroubleStarts {
         /// Its number.
         at: usize,
     },
     /// It befalls a box.
-    Befalls {
+    TroubleHits {
         /// The trouble's number.
         trouble: usize,
         /// The box.
         server: u32,
     },
     /// It is over for the box, if that still has the life it had.
-    Over {
+    TroubleEnds {
         /// The trouble's number.
         trouble: usize,
         /// The box.
         server: u32,
         /// Its life then.
-        life: u32,
+        incarnation: u32,
     },
     /// What was deployed there starts, if the box still has that life.
-    Successor {
+    SuccessorStarts {
         /// The box.
         server: u32,
         /// Its life then.
-        life: u32,
+        incarnation: u32,
     },
     /// A group looks for a primary.
     Elect {
@@ -70,30 +70,30 @@
 
 /// What follows from it, for the host to see to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Consequence {
+pub enum FleetAction {
     /// This happens then.
-    At(Time, Happens),
+    Schedule(Time, FleetEvent),
     /// For the records: what, pooler, box, request, and two numbers.
-    Record(What, u32, u64, i64),
+    Record(RecordKind, u32, u64, i64),
     /// A box has died with this job on it.
-    Lost(u64),
+    JobLost(u64),
     /// A job is through; see [`Fleet::finish`].
-    Through(u32, u64),
+    JobDone(u32, u64),
     /// The list says something new of a box, by the change of this number, and is heard from then on.
-    Listed(usize, Time),
+    ListChanged(usize, Time),
     /// A box has died, stands still, goes on or has started.
-    Lives(u32),
+    StateChanged(u32),
     /// A pooler is killed then, by the trouble of this number.
-    Kill(Time, usize, u32),
+    KillPooler(Time, usize, u32),
     /// Clients ask so many times as much.
-    Surge(f64),
+    SetSurge(f64),
     /// The service that has the list ends all watches, and takes so many times as long for each call.
-    Overbooked(f64),
+    ListOverbooked(f64),
 }
 
 /// A change of the list: what it says from then on.
 #[derive(Clone, Copy, Debug)]
-pub struct Change {
+pub struct ListChange {
     /// The box.
     pub server: u32,
     /// Its state.
@@ -118,7 +118,7 @@
     /// Its zone.
     pub zone: usize,
     /// How often it has died: connections of an earlier life are gone.
-    pub life: u32,
+    pub incarnation: u32,
     /// It stands still, but connections and probes are taken.
     pub hangs: bool,
     /// The latest report, and when it was made.
@@ -129,24 +129,24 @@
 
 /// What becomes of a request that has come to a box.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Arrival {
+pub enum Delivery {
     /// It runs or waits; [`Consequence::Through`] or [`Consequence::Lost`] tell of its end.
-    Taken,
+    Accepted,
     /// It is answered at once, and has not run.
     Answered(Verdict, Note),
     /// Its connection breaks.
-    Broken,
+    ConnectionLost,
 }
 
 /// What a job gave that is through.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Finished {
+pub enum JobResult {
     /// A read, from what the box had: its exact position beside what a note tells.
     Read(Note, Time),
     /// A write, committed now; a replica has it a little later.
     Committed(Time),
     /// A write at a box that lost its role while it held it: nothing was committed.
-    Lost(Note),
+    RoleLost(Note),
 }
 
 /// All boxes.
@@ -159,11 +159,11 @@
     groups: Vec<Group>,
     epochs: Vec<u32>,
     /// What the list has said so far.
-    pub changes: Vec<Change>,
+    pub changes: Vec<ListChange>,
     /// When boxes took over as primaries.
-    pub promoted: Vec<(Time, u32)>,
+    pub promotions: Vec<(Time, u32)>,
     /// Boxes that fell.
-    pub fallen: u64,
+    pub collapsed: u64,
     /// How much further behind the list runs than usual.
     behind: Span,
 }
@@ -173,7 +173,7 @@
     #[must_use]
     pub fn new(plan: &Scenario, begin: Time, rng: &mut ChaCha8Rng) -> Self {
         let (boxes, fleet) = (&plan.boxes, &plan.fleet);
-        let ways = Ways {
+        let timing = ReplicationTiming {
             ship: boxes.ship,
             apply: boxes.apply,
             detect: boxes.detect,
@@ -184,21 +184,21 @@
         for group in 0..fleet.groups {
             for member in 0..fleet.members {
                 let spread = 1.0 + boxes.spread * (rng.random::<f64>() * 2.0 - 1.0);
-                let kind = Kind {
+                let config = ServerConfig {
                     cores: boxes.cores,
                     speed: boxes.speed * spread,
-                    room: boxes.room,
-                    crowding: boxes.crowding,
+                    queue_limit: boxes.room,
+                    queue_slowdown: boxes.crowding,
                     thrash: (boxes.thrash_at, boxes.thrash),
                     cold: boxes.cold(),
                     fall: boxes.fall(),
                 };
                 hosts.push(Host {
-                    server: Server::new(kind),
+                    server: Server::new(config),
                     group: group as u32,
                     member: member as u32,
                     zone: (group + member) % fleet.zones,
-                    life: 0,
+                    incarnation: 0,
                     hangs: false,
                     report: (Time(0), [0.0; 3]),
                     noticed: begin,
@@ -208,11 +208,11 @@
         Self {
             begin,
             hosts,
-            groups: vec![Group::new(ways, fleet.members, begin); fleet.groups],
+            groups: vec![Group::new(timing, fleet.members, begin); fleet.groups],
             epochs: vec![0; fleet.groups],
             changes: Vec::new(),
-            promoted: Vec::new(),
-            fallen: 0,
+            promotions: Vec::new(),
+            collapsed: 0,
             behind: Span(0),
             plan: plan.clone(),
         }
@@ -229,9 +229,9 @@
     }
 
     /// What was planned of troubles, to be scheduled at the beginning.
-    pub fn begin(&self, out: &mut Vec<Consequence>) {
+    pub fn schedule_troubles(&self, out: &mut Vec<FleetAction>) {
         for (at, trouble) in self.plan.troubles.iter().enumerate() {
-            out.push(Consequence::At(self.begin + trouble.at, Happens::Trouble { at }));
+            out.push(FleetAction::Schedule(self.begin + trouble.at, FleetEvent::TroubleStarts { at }));
         }
     }
 
@@ -260,37 +260,39 @@
     }
 
     /// A request has come to a box whole.
-    pub fn come(
+    pub fn deliver(
         &mut self,
         now: Time,
         server: u32,
         job: Job,
         write: bool,
         rng: &mut ChaCha8Rng,
-        out: &mut Vec<Consequence>,
-    ) -> Arrival {
-        let life = self.hosts[server as usize].server.life();
-        if matches!(life, Life::Dead | Life::Fallen) {
-            return Arrival::Broken;
+        out: &mut Vec<FleetAction>,
+    ) -> Delivery {
+        let state = self.hosts[server as usize].server.state();
+        if matches!(state, ServerState::Dead | ServerState::Collapsed) {
+            return Delivery::ConnectionLost;
         }
-        if write && life == Life::Up && !self.is_primary(server) {
+        if write && state == ServerState::Up && !self.is_primary(server) {
             let note = self.note(server, now);
             let drains = self.hosts[server as usize].server.draining;
-            return Arrival::Answered(if drains { Verdict::Full } else { Verdict::Miss }, note);
+            return Delivery::Answered(if drains { Verdict::Full } else { Verdict::Miss }, note);
         }
-        match self.hosts[server as usize].server.come(now, job) {
-            Came::Runs(ends) => out.push(Consequence::At(ends, Happens::Done { server, id: job.id })),
-            Came::Waits => {}
-            Came::Full => return Arrival::Answered(Verdict::Full, self.note(server, now)),
-            Came::Nobody => return Arrival::Broken,
-            Came::Fell => {
-                self.fallen += 1;
-                out.push(Consequence::Record(What::Fell, server, 0, 0));
+        match self.hosts[server as usize].server.admit(now, job) {
+            Admission::Started(ends) => {
+                out.push(FleetAction::Schedule(ends, FleetEvent::JobDone { server, id: job.id }))
+            }
+            Admission::Queued => {}
+            Admission::Rejected => return Delivery::Answered(Verdict::Full, self.note(server, now)),
+            Admission::Down => return Delivery::ConnectionLost,
+            Admission::Collapsed => {
+                self.collapsed += 1;
+                out.push(FleetAction::Record(RecordKind::Fell, server, 0, 0));
                 self.dies(now, server, rng, out);
-                return Arrival::Broken;
+                return Delivery::ConnectionLost;
             }
         }
-        Arrival::Taken
+        Delivery::Accepted
     }
 
     /// What a box says of itself.
@@ -302,31 +304,31 @@
     }
 
     /// What a job gave that is through.
-    pub fn finish(&mut self, now: Time, server: u32, write: bool) -> Finished {
+    pub fn finish(&mut self, now: Time, server: u32, write: bool) -> JobResult {
         if !write {
-            return Finished::Read(self.note(server, now), self.position(server, now));
+            return JobResult::Read(self.note(server, now), self.position(server, now));
         }
         if !self.is_primary(server) {
-            return Finished::Lost(self.note(server, now));
+            return JobResult::RoleLost(self.note(server, now));
         }
         let (group, _) = self.place(server);
         self.groups[group].commit(now);
-        Finished::Committed(now)
+        JobResult::Committed(now)
     }
 
     /// What it answers to a probe: its position in seconds since the beginning, whether it is primary, and how many requests
     /// wait. `None` while nobody answers; one that hangs answers, as a probe passes beside its queue.
     pub fn report(&mut self, server: u32, now: Time) -> Option<[f64; 3]> {
         let host = &self.hosts[server as usize];
-        match host.server.life() {
-            Life::Up => {}
-            Life::Paused(_) if host.hangs => {}
+        match host.server.state() {
+            ServerState::Up => {}
+            ServerState::Paused(_) if host.hangs => {}
             _ => return None,
         }
         if now - host.report.0 >= self.plan.boxes.report {
             let primary = self.is_primary(server);
             let position = self.position(server, now);
-            let waits = self.hosts[server as usize].server.waits() as f64;
+            let waits = self.hosts[server as usize].server.queued() as f64;
             let report = [(position - self.begin).0 as f64 / 1e6, f64::from(u8::from(primary)), waits];
             self.hosts[server as usize].report = (now, report);
         }
@@ -334,24 +336,28 @@
     }
 
     /// Something happens.
-    pub fn happens(&mut self, now: Time, what: Happens, rng: &mut ChaCha8Rng, out: &mut Vec<Consequence>) {
+    pub fn handle(&mut self, now: Time, what: FleetEvent, rng: &mut ChaCha8Rng, out: &mut Vec<FleetAction>) {
         match what {
-            Happens::Done { server, id } => {
-                if let Some(next) = self.hosts[server as usize].server.done(now, id) {
+            FleetEvent::JobDone { server, id } => {
+                if let Some(next) = self.hosts[server as usize].server.complete(now, id) {
                     if let Some((id, ends)) = next {
-                        out.push(Consequence::At(ends, Happens::Done { server, id }));
+                        out.push(FleetAction::Schedule(ends, FleetEvent::JobDone { server, id }));
                     }
-                    out.push(Consequence::Through(server, id));
+                    out.push(FleetAction::JobDone(server, id));
                 }
             }
-            Happens::Trouble { at } => self.trouble(now, at, rng, out),
-            Happens::Befalls { trouble, server } => self.befalls(now, trouble, server, rng, out),
-            Happens::Over { trouble, server, life } => {
-                self.ends_trouble(now, trouble, server, life, rng, out)
+            FleetEvent::TroubleStarts { at } => self.trouble(now, at, rng, out),
+            FleetEvent::TroubleHits { trouble, server } => self.befalls(now, trouble, server, rng, out),
+            FleetEvent::TroubleEnds { trouble, server, incarnation } => {
+                self.ends_trouble(now, trouble, server, incarnation, rng, out)
+            }
+            FleetEvent::SuccessorStarts { server, incarnation } => {
+                self.starts(now, server, incarnation, rng, out)
+            }
+            FleetEvent::Elect { group, epoch } => self.elect(now, group, epoch, out),
+            FleetEvent::Promote { group, epoch, member } => {
+                self.promote(now, (group, epoch, member), rng, out)
             }
-            Happens::Successor { server, life } => self.starts(now, server, life, rng, out),
-            Happens::Elect { group, epoch } => self.elect(now, group, epoch, out),
-            Happens::Promote { group, epoch, member } => self.promote(now, (group, epoch, member), rng, out),
         }
     }
 
@@ -363,29 +369,29 @@
         state: ListState,
         (started, primary): (Option<Time>, bool),
         rng: &mut ChaCha8Rng,
-        out: &mut Vec<Consequence>,
+        out: &mut Vec<FleetAction>,
     ) {
         let number = self.changes.len() as i64 + 1;
-        self.changes.push(Change { server, state, started, primary, number });
+        self.changes.push(ListChange { server, state, started, primary, number });
         let (least, most) = (self.plan.network.list_least.0, self.plan.network.list_most.0);
         let notice = now + Span(rng.random_range(least..=most)) + self.behind;
         // What it says of one box it says in order.
         let host = &mut self.hosts[server as usize];
         host.noticed = host.noticed.max(notice);
-        out.push(Consequence::Listed(self.changes.len() - 1, host.noticed));
+        out.push(FleetAction::ListChanged(self.changes.len() - 1, host.noticed));
     }
 
     /// What a box held is lost with it, and its group may need another primary.
-    fn dies(&mut self, now: Time, server: u32, rng: &mut ChaCha8Rng, out: &mut Vec<Consequence>) {
+    fn dies(&mut self, now: Time, server: u32, rng: &mut ChaCha8Rng, out: &mut Vec<FleetAction>) {
         let lost = self.hosts[server as usize].server.die();
-        self.hosts[server as usize].life += 1;
-        out.extend(lost.into_iter().map(Consequence::Lost));
-        out.push(Consequence::Lives(server));
+        self.hosts[server as usize].incarnation += 1;
+        out.extend(lost.into_iter().map(FleetAction::JobLost));
+        out.push(FleetAction::StateChanged(server));
         self.list(now, server, ListState::Gone, (None, false), rng, out);
         self.leaves(now, server, rng, out);
     }
 
-    fn leaves(&mut self, now: Time, server: u32, rng: &mut ChaCha8Rng, out: &mut Vec<Consequence>) {
+    fn leaves(&mut self, now: Time, server: u32, rng: &mut ChaCha8Rng, out: &mut Vec<FleetAction>) {
         let (group, member) = self.place(server);
         if self.groups[group].leave(member, now) {
             let takes = Span(self.plan.boxes.detect.0 + self.plan.boxes.elect.0);
@@ -393,12 +399,15 @@
         }
     }
 
-    fn seeks(&mut self, group: usize, at: Time, out: &mut Vec<Consequence>) {
+    fn seeks(&mut self, group: usize, at: Time, out: &mut Vec<FleetAction>) {
         self.epochs[group] += 1;
-        out.push(Consequence::At(at, Happens::Elect { group: group as u32, epoch: self.epochs[group] }));
+        out.push(FleetAction::Schedule(
+            at,
+            FleetEvent::Elect { group: group as u32, epoch: self.epochs[group] },
+        ));
     }
 
-    fn elect(&mut self, now: Time, group: u32, epoch: u32, out: &mut Vec<Consequence>) {
+    fn elect(&mut self, now: Time, group: u32, epoch: u32, out: &mut Vec<FleetAction>) {
         if self.epochs[group as usize] != epoch || self.groups[group as usize].primary().is_some() {
             return;
         }
@@ -406,13 +415,13 @@
         let hosts = &self.hosts;
         let may = |at: usize| {
             let server = &hosts[first + at].server;
-            server.life() == Life::Up && !server.draining
+            server.state() == ServerState::Up && !server.draining
         };
-        let next = match self.groups[group as usize].heir(now, may) {
+        let next = match self.groups[group as usize].successor(now, may) {
             Some((member, at)) => {
-                Consequence::At(at, Happens::Promote { group, epoch, member: member as u32 })
+                FleetAction::Schedule(at, FleetEvent::Promote { group, epoch, member: member as u32 })
             }
-            None => Consequence::At(now + Span::millis(200), Happens::Elect { group, epoch }),
+            None => FleetAction::Schedule(now + Span::millis(200), FleetEvent::Elect { group, epoch }),
         };
         out.push(next);
     }
@@ -422,17 +431,17 @@
         now: Time,
         (group, epoch, member): (u32, u32, u32),
         rng: &mut ChaCha8Rng,
-        out: &mut Vec<Consequence>,
+        out: &mut Vec<FleetAction>,
     ) {
         if self.epochs[group as usize] != epoch || self.groups[group as usize].primary().is_some() {
             return;
         }
         let server = group as usize * self.plan.fleet.members + member as usize;
-        if self.hosts[server].server.life() != Life::Up {
+        if self.hosts[server].server.state() != ServerState::Up {
             return self.elect(now, group, epoch, out);
         }
         self.groups[group as usize].promote(member as usize, now);
-        self.promoted.push((now, server as u32));
+        self.promotions.push((now, server as u32));
         let started = self.hosts[server].server.started();
         self.list(now, server as u32, ListState::Healthy, (started, true), rng, out);
     }
@@ -441,43 +450,46 @@
     fn befallen(&self, trouble: &Trouble, rng: &mut ChaCha8Rng) -> Vec<u32> {
         let members = self.plan.fleet.members;
         match trouble.who {
-            Who::Primary => (0..trouble.groups)
+            Target::Primary => (0..trouble.groups)
                 .filter_map(|group| Some((group * members + self.groups[group].primary()?) as u32))
                 .collect(),
-            Who::Replica(number) => (0..trouble.groups)
+            Target::Replica(number) => (0..trouble.groups)
                 .filter_map(|group| {
                     let primary = self.groups[group].primary();
                     let mut replicas = (0..members).filter(|at| Some(*at) != primary);
                     replicas.nth(number).map(|at| (group * members + at) as u32)
                 })
                 .collect(),
-            Who::Boxes(share) => some(self.hosts.len(), share, rng),
-            Who::Poolers(share) => some(self.plan.fleet.poolers, share, rng),
-            Who::List => Vec::new(),
+            Target::Boxes(share) => some(self.hosts.len(), share, rng),
+            Target::Poolers(share) => some(self.plan.fleet.poolers, share, rng),
+            Target::List => Vec::new(),
         }
     }
 
-    fn trouble(&mut self, now: Time, at: usize, rng: &mut ChaCha8Rng, out: &mut Vec<Consequence>) {
+    fn trouble(&mut self, now: Time, at: usize, rng: &mut ChaCha8Rng, out: &mut Vec<FleetAction>) {
         let trouble = &self.plan.troubles[at];
-        if matches!(trouble.what, Ill::Surge | Ill::Stale | Ill::Overbook) {
+        if matches!(trouble.what, TroubleKind::Surge | TroubleKind::Stale | TroubleKind::Overbook) {
             match trouble.what {
-                Ill::Stale => self.behind = Span::millis(1_000).times(trouble.factor),
-                Ill::Overbook => out.push(Consequence::Overbooked(trouble.factor)),
-                _ => out.push(Consequence::Surge(trouble.factor)),
+                TroubleKind::Stale => self.behind = Span::millis(1_000).times(trouble.factor),
+                TroubleKind::Overbook => out.push(FleetAction::ListOverbooked(trouble.factor)),
+                _ => out.push(FleetAction::SetSurge(trouble.factor)),
             }
-            out.push(Consequence::Record(What::Trouble, 0, 0, trouble.what as i64));
+            out.push(FleetAction::Record(RecordKind::Trouble, 0, 0, trouble.what as i64));
             if let Some(lasts) = trouble.lasts {
-                out.push(Consequence::At(now + lasts, Happens::Over { trouble: at, server: 0, life: 0 }));
+                out.push(FleetAction::Schedule(
+                    now + lasts,
+                    FleetEvent::TroubleEnds { trouble: at, server: 0, incarnation: 0 },
+                ));
             }
             return;
         }
-        let poolers = matches!(trouble.who, Who::Poolers(_));
+        let poolers = matches!(trouble.who, Target::Poolers(_));
         for (place, one) in self.befallen(trouble, rng).into_iter().enumerate() {
             let when = now + trouble.apart.times(place as f64);
             out.push(if poolers {
-                Consequence::Kill(when, at, one)
+                FleetAction::KillPooler(when, at, one)
             } else {
-                Consequence::At(when, Happens::Befalls { trouble: at, server: one })
+                FleetAction::Schedule(when, FleetEvent::TroubleHits { trouble: at, server: one })
             });
         }
     }
@@ -488,33 +500,34 @@
         at: usize,
         server: u32,
         rng: &mut ChaCha8Rng,
-        out: &mut Vec<Consequence>,
+        out: &mut Vec<FleetAction>,
     ) {
         let (what, factor, lasts) = {
             let trouble = &self.plan.troubles[at];
             (trouble.what, trouble.factor, trouble.lasts)
         };
-        out.push(Consequence::Record(What::Trouble, server, 0, what as i64));
+        out.push(FleetAction::Record(RecordKind::Trouble, server, 0, what as i64));
         let (group, member) = self.place(server);
         let model = &mut self.hosts[server as usize].server;
-        if what == Ill::Deploy && matches!(model.life(), Life::Dead | Life::Fallen) {
+        if what == TroubleKind::Deploy && matches!(model.state(), ServerState::Dead | ServerState::Collapsed)
+        {
             return;
         }
         match what {
-            Ill::Crash => {
-                if matches!(model.life(), Life::Up | Life::Paused(_)) {
+            TroubleKind::Crash => {
+                if matches!(model.state(), ServerState::Up | ServerState::Paused(_)) {
                     self.dies(now, server, rng, out);
                 }
             }
-            Ill::Pause | Ill::Hang => {
+            TroubleKind::Pause | TroubleKind::Hang => {
                 model.pause(now);
-                self.hosts[server as usize].hangs = what == Ill::Hang;
-                out.push(Consequence::Lives(server));
+                self.hosts[server as usize].hangs = what == TroubleKind::Hang;
+                out.push(FleetAction::StateChanged(server));
                 self.leaves(now, server, rng, out);
             }
-            Ill::Slow => model.slow = factor,
-            Ill::Lag => self.groups[group].slow(member, factor),
-            Ill::Drain | Ill::Deploy => {
+            TroubleKind::Slow => model.slowdown = factor,
+            TroubleKind::Lag => self.groups[group].set_apply_factor(member, factor),
+            TroubleKind::Drain | TroubleKind::Deploy => {
                 model.draining = true;
                 self.list(now, server, ListState::Draining, (None, false), rng, out);
                 if self.groups[group].primary() == Some(member) {
@@ -522,11 +535,14 @@
                     self.seeks(group, now + self.plan.boxes.switch, out);
                 }
             }
-            Ill::Surge | Ill::Stale | Ill::Overbook => {}
+            TroubleKind::Surge | TroubleKind::Stale | TroubleKind::Overbook => {}
         }
         if let Some(lasts) = lasts {
-            let life = self.hosts[server as usize].life;
-            out.push(Consequence::At(now + lasts, Happens::Over { trouble: at, server, life }));
+            let incarnation = self.hosts[server as usize].incarnation;
+            out.push(FleetAction::Schedule(
+                now + lasts,
+                FleetEvent::TroubleEnds { trouble: at, server, incarnation },
+            ));
         }
     }
 
@@ -535,40 +551,44 @@
         now: Time,
         at: usize,
         server: u32,
-        life: u32,
+        incarnation: u32,
         rng: &mut ChaCha8Rng,
-        out: &mut Vec<Consequence>,
+        out: &mut Vec<FleetAction>,
     ) {
         let what = self.plan.troubles[at].what;
         let (group, member) = self.place(server);
         let host = &mut self.hosts[server as usize];
         match what {
-            Ill::Surge => out.push(Consequence::Surge(1.0)),
-            Ill::Stale => self.behind = Span(0),
-            Ill::Overbook => out.push(Consequence::Overbooked(1.0)),
-            Ill::Crash => self.starts(now, server, life, rng, out),
-            Ill::Deploy => {
-                if host.life == life && matches!(host.server.life(), Life::Up | Life::Paused(_)) {
+            TroubleKind::Surge => out.push(FleetAction::SetSurge(1.0)),
+            TroubleKind::Stale => self.behind = Span(0),
+            TroubleKind::Overbook => out.push(FleetAction::ListOverbooked(1.0)),
+            TroubleKind::Crash => self.starts(now, server, incarnation, rng, out),
+            TroubleKind::Deploy => {
+                if host.incarnation == incarnation
+                    && matches!(host.server.state(), ServerState::Up | ServerState::Paused(_))
+                {
                     self.dies(now, server, rng, out);
-                    let next = Happens::Successor { server, life: life + 1 };
-                    out.push(Consequence::At(now + self.plan.troubles[at].away, next));
+                    let next = FleetEvent::SuccessorStarts { server, incarnation: incarnation + 1 };
+                    out.push(FleetAction::Schedule(now + self.plan.troubles[at].away, next));
                 }
             }
-            Ill::Pause | Ill::Hang => {
+            TroubleKind::Pause | TroubleKind::Hang => {
                 host.hangs = false;
                 let running = host.server.resume(now);
                 out.extend(
-                    running.into_iter().map(|(id, ends)| Consequence::At(ends, Happens::Done { server, id })),
+                    running
+                        .into_iter()
+                        .map(|(id, ends)| FleetAction::Schedule(ends, FleetEvent::JobDone { server, id })),
                 );
-                out.push(Consequence::Lives(server));
+                out.push(FleetAction::StateChanged(server));
                 // One that died meanwhile gets the log again when it starts.
-                if self.hosts[server as usize].server.life() == Life::Up {
+                if self.hosts[server as usize].server.state() == ServerState::Up {
                     self.groups[group].join(member, now);
                 }
             }
-            Ill::Slow => host.server.slow = 1.0,
-            Ill::Lag => self.groups[group].slow(member, 1.0),
-            Ill::Drain => {
+            TroubleKind::Slow => host.server.slowdown = 1.0,
+            TroubleKind::Lag => self.groups[group].set_apply_factor(member, 1.0),
+            TroubleKind::Drain => {
                 host.server.draining = false;
                 self.list(now, server, ListState::Healthy, (None, false), rng, out);
             }
@@ -580,16 +600,16 @@
         &mut self,
         now: Time,
         server: u32,
-        life: u32,
+        incarnation: u32,
         rng: &mut ChaCha8Rng,
-        out: &mut Vec<Consequence>,
+        out: &mut Vec<FleetAction>,
     ) {
         let (group, member) = self.place(server);
         let host = &mut self.hosts[server as usize];
-        if host.life == life && host.server.start(now) {
+        if host.incarnation == incarnation && host.server.start(now) {
             let capacity = host.server.capacity(now + self.plan.boxes.cold_in);
-            out.push(Consequence::Record(What::Started, server, 0, (capacity * 1e6) as i64));
-            out.push(Consequence::Lives(server));
+            out.push(FleetAction::Record(RecordKind::Started, server, 0, (capacity * 1e6) as i64));
+            out.push(FleetAction::StateChanged(server));
             self.groups[group].join(member, now);
             self.list(now, server, ListState::Healthy, (Some(now), false), rng, out);
         }
--- a/crates/fleet/src/group.rs
+++ b/crates/fleet/src/group.rs
@@ -4,11 +4,11 @@
 use std::collections::VecDeque;
 
 /// So much of the log is kept for who comes back; who was away for longer starts from a copy.
-const LOG: usize = 65_536;
+const MAX_LOG_LEN: usize = 65_536;
 
 /// How a group replicates and changes its primary.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ways {
+pub struct ReplicationTiming {
     /// From a commit until a replica has it.
     pub ship: Span,
     /// What applying one commit takes a replica.
@@ -28,7 +28,7 @@
     /// What it has received and not applied: when each will be, and its commit.
     queue: VecDeque<(Time, Time)>,
     /// How much slower than usual it applies.
-    slow: f64,
+    apply_factor: f64,
     /// It gets the log.
     alive: bool,
 }
@@ -36,7 +36,7 @@
 /// A group.
 #[derive(Clone, Debug)]
 pub struct Group {
-    ways: Ways,
+    timing: ReplicationTiming,
     replicas: Vec<Replica>,
     primary: Option<usize>,
     /// Since when there is none; positions stand still.
@@ -47,9 +47,9 @@
 impl Group {
     /// A group of so many, the first of them the primary; all have applied all.
     #[must_use]
-    pub fn new(ways: Ways, members: usize, now: Time) -> Self {
-        let replica = Replica { applied: now, queue: VecDeque::new(), slow: 1.0, alive: true };
-        Self { ways, replicas: vec![replica; members], primary: Some(0), lost: None, log: VecDeque::new() }
+    pub fn new(timing: ReplicationTiming, members: usize, now: Time) -> Self {
+        let replica = Replica { applied: now, queue: VecDeque::new(), apply_factor: 1.0, alive: true };
+        Self { timing, replicas: vec![replica; members], primary: Some(0), lost: None, log: VecDeque::new() }
     }
 
     /// The primary, if there is one.
@@ -60,20 +60,20 @@
 
     /// How it works.
     #[must_use]
-    pub fn ways(&self) -> Ways {
-        self.ways
+    pub fn timing(&self) -> ReplicationTiming {
+        self.timing
     }
 
     /// A commit of the primary.
     pub fn commit(&mut self, now: Time) {
-        if self.log.len() == LOG {
+        if self.log.len() == MAX_LOG_LEN {
             self.log.pop_front();
         }
         self.log.push_back(now);
-        let (primary, ways) = (self.primary, self.ways);
+        let (primary, timing) = (self.primary, self.timing);
         for (at, replica) in self.replicas.iter_mut().enumerate() {
             if Some(at) != primary && replica.alive {
-                replica.receive(now + ways.ship, now, ways.apply);
+                replica.receive(now + timing.ship, now, timing.apply);
             }
         }
     }
@@ -83,7 +83,7 @@
         if self.primary == Some(at) {
             return now;
         }
-        let seen = self.lost.map_or(now, |lost| lost.min(now)) - self.ways.ship;
+        let seen = self.lost.map_or(now, |lost| lost.min(now)) - self.timing.ship;
         let replica = &mut self.replicas[at];
         while let Some((_, commit)) = replica.queue.front().copied().filter(|(done, _)| *done <= now) {
             replica.applied = replica.applied.max(commit);
@@ -97,8 +97,8 @@
     }
 
     /// A replica applies so much more slowly from now on.
-    pub fn slow(&mut self, at: usize, factor: f64) {
-        self.replicas[at].slow = factor;
+    pub fn set_apply_factor(&mut self, at: usize, factor: f64) {
+        self.replicas[at].apply_factor = factor;
     }
 
     /// A member gets nothing any more. Gives whether it was the primary: then another has to take over.
@@ -124,7 +124,7 @@
 
     /// A member gets the log again, and goes on from where it stood.
     pub fn join(&mut self, at: usize, now: Time) {
-        let (ways, lost) = (self.ways, self.lost);
+        let (timing, lost) = (self.timing, self.lost);
         let replica = &mut self.replicas[at];
         if replica.alive {
             return;
@@ -135,13 +135,13 @@
         for commit in
             self.log.iter().filter(|commit| **commit > from && lost.is_none_or(|lost| **commit <= lost))
         {
-            replica.receive(now + ways.ship, *commit, ways.apply);
+            replica.receive(now + timing.ship, *commit, timing.apply);
         }
     }
 
     /// Who takes over: of those that may, the one that has received most; gives it and when it has applied that.
     #[must_use]
-    pub fn heir(&self, now: Time, may: impl Fn(usize) -> bool) -> Option<(usize, Time)> {
+    pub fn successor(&self, now: Time, may: impl Fn(usize) -> bool) -> Option<(usize, Time)> {
         let able = self.replicas.iter().enumerate().filter(|(at, replica)| replica.alive && may(*at));
         let has = |replica: &Replica| replica.queue.back().map_or(replica.applied, |(_, commit)| *commit);
         let (at, replica) = able.max_by_key(|(at, replica)| (has(replica), std::cmp::Reverse(*at)))?;
@@ -164,6 +164,6 @@
 impl Replica {
     fn receive(&mut self, arrives: Time, commit: Time, apply: Span) {
         let free = self.queue.back().map_or(arrives, |(done, _)| (*done).max(arrives));
-        self.queue.push_back((free + apply.times(self.slow), commit));
+        self.queue.push_back((free + apply.times(self.apply_factor), commit));
     }
 }
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -6,7 +6,7 @@
 /// What happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[repr(u8)]
-pub enum What {
+pub enum RecordKind {
     /// A router was told that a box is in service (`x` 1) or not (0). `y` is when it started, 0 for long ago.
     Told = 1,
     /// A client asked a router. `x` is its deadline, `y` its session; `b` is class + 256 × group.
@@ -57,7 +57,7 @@
     /// When.
     pub at: Time,
     /// What.
-    pub what: What,
+    pub what: RecordKind,
     /// The router.
     pub a: u32,
     /// The box, or see [`What`].
@@ -89,7 +89,7 @@
 /// Takes records as they happen.
 pub trait Sink {
     /// One more.
-    fn take(&mut self, record: Record);
+    fn record(&mut self, record: Record);
 }
 
 /// A log: its digest and its length, and the records if they are kept.
@@ -97,14 +97,14 @@
 pub struct Log {
     hash: Xxh3,
     len: u64,
-    kept: Option<Vec<Record>>,
+    records: Option<Vec<Record>>,
 }
 
 impl Log {
     /// One that keeps its records.
     #[must_use]
-    pub fn keeping() -> Self {
-        Self { kept: Some(Vec::new()), ..Self::default() }
+    pub fn with_records() -> Self {
+        Self { records: Some(Vec::new()), ..Self::default() }
     }
 
     /// A digest of all records' bytes.
@@ -128,16 +128,16 @@
     /// The records, where they were kept.
     #[must_use]
     pub fn into_records(self) -> Vec<Record> {
-        self.kept.unwrap_or_default()
+        self.records.unwrap_or_default()
     }
 }
 
 impl Sink for Log {
-    fn take(&mut self, record: Record) {
+    fn record(&mut self, record: Record) {
         self.hash.update(&record.bytes());
         self.len += 1;
-        if let Some(kept) = &mut self.kept {
-            kept.push(record);
+        if let Some(records) = &mut self.records {
+            records.push(record);
         }
     }
 }
--- a/crates/fleet/src/scenario.rs
+++ b/crates/fleet/src/scenario.rs
@@ -32,7 +32,7 @@
 
 /// Whom a trouble befalls.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Who {
+pub enum Target {
     /// A group's primary at that moment.
     Primary,
     /// A group's replica of this number at that moment.
@@ -45,7 +45,7 @@
     List,
 }
 
-impl<'de> Deserialize<'de> for Who {
+impl<'de> Deserialize<'de> for Target {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let text = String::deserialize(from)?;
         let (what, number) = text.split_once(' ').unwrap_or((&text, "0"));
@@ -64,7 +64,7 @@
 /// What goes wrong, or is done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Ill {
+pub enum TroubleKind {
     /// The process ends; a box comes back cold and goes on from where it stood.
     Crash,
     /// It stands still, with its connections open.
@@ -94,9 +94,9 @@
     #[serde(deserialize_with = "span")]
     pub at: Span,
     /// What.
-    pub what: Ill,
+    pub what: TroubleKind,
     /// Whom.
-    pub who: Who,
+    pub who: Target,
     /// The first so many groups.
     pub groups: usize,
     /// For how long.
@@ -237,7 +237,7 @@
 /// How a client's waits between its tries go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Wait {
+pub enum RetryWait {
     /// Each is drawn alike.
     Fixed,
     /// Each is drawn from twice as much as the one before.
@@ -248,7 +248,7 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Clients {
     /// How they wait.
-    pub wait: Wait,
+    pub wait: RetryWait,
     /// The least and
     #[serde(deserialize_with = "span")]
     pub wait_least: Span,
@@ -266,7 +266,7 @@
 /// What data a class needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Data {
+pub enum DataNeed {
     /// Any member's.
     Any,
     /// No older than its bound.
@@ -282,7 +282,7 @@
 /// How the work of a class is spread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Spread {
+pub enum WorkDistribution {
     /// Exponentially.
     Exponential,
     /// Lognormally.
@@ -291,11 +291,11 @@
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct OwnClass {
+pub struct ClassSpec {
     /// Its name.
     pub name: String,
     /// What data it needs.
-    pub need: Data,
+    pub need: DataNeed,
     /// How old that may be.
     #[serde(deserialize_with = "span")]
     pub bound: Span,
@@ -305,7 +305,7 @@
     #[serde(deserialize_with = "span")]
     pub work: Span,
     /// How that is spread.
-    pub spread: Spread,
+    pub spread: WorkDistribution,
     /// The deviation as a part of the mean.
     pub cv: f64,
     /// Answered within this it has its full worth.
@@ -324,7 +324,7 @@
 
 /// A customer.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Customer {
+pub struct TenantSpec {
     /// Its name.
     pub name: String,
     /// Its part of what all may ask.
@@ -354,7 +354,7 @@
 /// What a run records, and is held to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Audit {
+pub enum AuditLevel {
     /// Requests and attempts.
     Usual,
     /// Clients' tries and the way of jobs through boxes, too.
@@ -413,12 +413,12 @@
     pub list: List,
     /// Classes; none for those of [`crate::traffic::portal`].
     #[serde(default)]
-    pub classes: Vec<OwnClass>,
+    pub classes: Vec<ClassSpec>,
     /// Customers; none where nobody counts them.
     #[serde(default)]
-    pub tenants: Vec<Customer>,
+    pub tenants: Vec<TenantSpec>,
     /// What is recorded.
-    pub audit: Audit,
+    pub audit: AuditLevel,
     /// What goes wrong.
     #[serde(default)]
     pub troubles: Vec<Trouble>,
@@ -452,8 +452,13 @@
 
     /// What in it only virtual time has, if anything.
     #[must_use]
-    pub fn beyond_sockets(&self) -> Option<&'static str> {
-        let troubles = |of: &Trouble| matches!(of.what, Ill::Hang | Ill::Deploy | Ill::Stale | Ill::Overbook);
+    pub fn unsupported_on_sockets(&self) -> Option<&'static str> {
+        let troubles = |of: &Trouble| {
+            matches!(
+                of.what,
+                TroubleKind::Hang | TroubleKind::Deploy | TroubleKind::Stale | TroubleKind::Overbook
+            )
+        };
         let (boxes, traffic, clients) = (&self.boxes, &self.traffic, &self.clients);
         let all = [
             (!self.classes.is_empty(), "own classes"),
@@ -466,7 +471,7 @@
             ),
             (clients.heeds < 1.0 || clients.patience < 1.0, "clients that don't heed or wait"),
             (clients.marks, "marks of retries"),
-            (self.audit == Audit::Full, "the full audit"),
+            (self.audit == AuditLevel::Full, "the full audit"),
             (self.troubles.iter().any(troubles), "such a trouble"),
         ];
         all.into_iter().find(|(is, _)| *is).map(|(_, what)| what)
@@ -505,27 +510,27 @@
             if trouble.groups > groups {
                 fault(&format!("{path}.groups"), format!("there are only {groups}"));
             }
-            if matches!(trouble.who, Who::Replica(number) if number + 1 >= members) {
+            if matches!(trouble.who, Target::Replica(number) if number + 1 >= members) {
                 fault(&format!("{path}.who"), format!("a group has {} replicas, from 0", members - 1));
             }
             if trouble.at >= self.traffic.lasts {
                 fault(&format!("{path}.at"), "nobody asks any more by then".into());
             }
-            let poolers = matches!(trouble.who, Who::Poolers(_));
-            if poolers && !matches!(trouble.what, Ill::Crash | Ill::Surge) {
+            let poolers = matches!(trouble.who, Target::Poolers(_));
+            if poolers && !matches!(trouble.what, TroubleKind::Crash | TroubleKind::Surge) {
                 fault(&format!("{path}.what"), "poolers can crash, and nothing else".into());
             }
-            let lists = matches!(trouble.what, Ill::Stale | Ill::Overbook);
-            if lists != (trouble.who == Who::List) {
+            let lists = matches!(trouble.what, TroubleKind::Stale | TroubleKind::Overbook);
+            if lists != (trouble.who == Target::List) {
                 fault(
                     &format!("{path}.who"),
                     "'stale' and 'overbook' befall the list, and nothing else does".into(),
                 );
             }
-            if trouble.what == Ill::Overbook && !self.list.asked {
+            if trouble.what == TroubleKind::Overbook && !self.list.asked {
                 fault(&format!("{path}.what"), "nobody asks this list".into());
             }
-            if trouble.what == Ill::Deploy && trouble.lasts.is_none() {
+            if trouble.what == TroubleKind::Deploy && trouble.lasts.is_none() {
                 fault(&path, "a deploy needs 'lasts', which is how long a box drains".into());
             }
         }
@@ -539,7 +544,7 @@
             fault("classes", format!("there can be from 2 to {MOST_CLASSES}, or none"));
         }
         for (at, class) in self.classes.iter().enumerate() {
-            if (class.need == Data::Write) != (at + 1 == self.classes.len()) {
+            if (class.need == DataNeed::Write) != (at + 1 == self.classes.len()) {
                 fault(&format!("classes[{at}].need"), "the last class takes writes, and no other".into());
             }
             if class.aim > class.deadline || class.work.0 == 0 {
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -6,15 +6,15 @@
 
 /// What a box is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Kind {
+pub struct ServerConfig {
     /// How much runs at once.
     pub cores: usize,
     /// Of a core, as a multiple of the standard.
     pub speed: f64,
     /// How much may wait.
-    pub room: usize,
+    pub queue_limit: usize,
     /// How much longer work takes when the room is full, as a part of itself.
-    pub crowding: f64,
+    pub queue_slowdown: f64,
     /// Beyond so many held for each core work takes longer, by this part of itself from twice as many on.
     pub thrash: (f64, f64),
     /// The share of its capacity that it starts with, and when it has all.
@@ -34,7 +34,7 @@
 
 /// How a box lives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum ServerState {
     /// It works.
     Up,
     /// It stands still, since then; connections stay open.
@@ -42,22 +42,22 @@
     /// Its process is gone.
     Dead,
     /// It was sent too much while it was cold, and stays down.
-    Fallen,
+    Collapsed,
 }
 
 /// What becomes of what is sent to a box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Came {
+pub enum Admission {
     /// It runs, until then.
-    Runs(Time),
+    Started(Time),
     /// It waits its turn.
-    Waits,
+    Queued,
     /// The room is full, or the box drains: it never runs.
-    Full,
+    Rejected,
     /// Nobody is there.
-    Nobody,
+    Down,
     /// The box has fallen by it; all that it held is lost, and is told by [`Server::die`].
-    Fell,
+    Collapsed,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -69,17 +69,17 @@
 /// A box.
 #[derive(Clone, Debug)]
 pub struct Server {
-    kind: Kind,
-    life: Life,
+    config: ServerConfig,
+    state: ServerState,
     /// Nothing new is taken.
     pub draining: bool,
     started: Option<Time>,
     /// How much slower than usual new work runs.
-    pub slow: f64,
+    pub slowdown: f64,
     running: Vec<Running>,
     waiting: VecDeque<Job>,
     /// Work of probes and handshakes that is done by what runs next.
-    aside: Span,
+    overhead: Span,
     /// What came in the last while of a cold start: when, and how much work.
     sent: VecDeque<(Time, f64)>,
     sent_work: f64,
@@ -88,16 +88,16 @@
 impl Server {
     /// A warm box.
     #[must_use]
-    pub fn new(kind: Kind) -> Self {
+    pub fn new(config: ServerConfig) -> Self {
         Self {
-            kind,
-            life: Life::Up,
+            config,
+            state: ServerState::Up,
             draining: false,
             started: None,
-            slow: 1.0,
-            running: Vec::with_capacity(kind.cores),
+            slowdown: 1.0,
+            running: Vec::with_capacity(config.cores),
             waiting: VecDeque::new(),
-            aside: Span(0),
+            overhead: Span(0),
             sent: VecDeque::new(),
             sent_work: 0.0,
         }
@@ -105,8 +105,8 @@
 
     /// How it lives.
     #[must_use]
-    pub fn life(&self) -> Life {
-        self.life
+    pub fn state(&self) -> ServerState {
+        self.state
     }
 
     /// When it last started, if that was not long ago.
@@ -118,7 +118,7 @@
     /// The part of its capacity that it has.
     #[must_use]
     pub fn warmth(&self, now: Time) -> f64 {
-        let (share, span) = self.kind.cold;
+        let (share, span) = self.config.cold;
         let Some(started) = self.started else { return 1.0 };
         (share + (1.0 - share) * (now - started).0 as f64 / span.0.max(1) as f64).clamp(share, 1.0)
     }
@@ -126,59 +126,62 @@
     /// Work on standard cores that it can do in a microsecond, now.
     #[must_use]
     pub fn capacity(&self, now: Time) -> f64 {
-        self.kind.cores as f64 * self.kind.speed * self.warmth(now)
+        self.config.cores as f64 * self.config.speed * self.warmth(now)
     }
 
     /// How much it holds.
     #[must_use]
-    pub fn holds(&self) -> usize {
+    pub fn jobs(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
     /// How much of that waits.
     #[must_use]
-    pub fn waits(&self) -> usize {
+    pub fn queued(&self) -> usize {
         self.waiting.len()
     }
 
     /// Work beside requests, as of a probe or a handshake: what runs next takes so much longer.
-    pub fn disturb(&mut self, work: Span) {
-        self.aside = Span(self.aside.0.saturating_add(work.0));
+    pub fn add_overhead(&mut self, work: Span) {
+        self.overhead = Span(self.overhead.0.saturating_add(work.0));
     }
 
     /// Work arrives.
-    pub fn come(&mut self, now: Time, job: Job) -> Came {
-        if matches!(self.life, Life::Dead | Life::Fallen) {
-            return Came::Nobody;
+    pub fn admit(&mut self, now: Time, job: Job) -> Admission {
+        if matches!(self.state, ServerState::Dead | ServerState::Collapsed) {
+            return Admission::Down;
         }
-        if self.falls(now, job.work) {
-            self.life = Life::Fallen;
-            return Came::Fell;
+        if self.is_overloaded_cold(now, job.work) {
+            self.state = ServerState::Collapsed;
+            return Admission::Collapsed;
         }
-        if self.draining || self.waiting.len() >= self.kind.room {
-            return Came::Full;
+        if self.draining || self.waiting.len() >= self.config.queue_limit {
+            return Admission::Rejected;
         }
-        if self.running.len() < self.kind.cores && self.life == Life::Up {
-            return Came::Runs(self.run(now, job));
+        if self.running.len() < self.config.cores && self.state == ServerState::Up {
+            return Admission::Started(self.run(now, job));
         }
         self.waiting.push_back(job);
-        Came::Waits
+        Admission::Queued
     }
 
     fn run(&mut self, now: Time, job: Job) -> Time {
-        let crowd = 1.0 + self.kind.crowding * self.waiting.len() as f64 / self.kind.room.max(1) as f64;
-        let (from, most) = self.kind.thrash;
-        let thrash = 1.0 + most * (self.holds() as f64 / self.kind.cores as f64 / from - 1.0).clamp(0.0, 1.0);
-        let work = Span(job.work.0 + std::mem::take(&mut self.aside).0);
-        let takes = work.times(self.slow * crowd * thrash / (self.kind.speed * self.warmth(now)));
+        let queue_factor = 1.0
+            + self.config.queue_slowdown * self.waiting.len() as f64 / self.config.queue_limit.max(1) as f64;
+        let (from, most) = self.config.thrash;
+        let thrash =
+            1.0 + most * (self.jobs() as f64 / self.config.cores as f64 / from - 1.0).clamp(0.0, 1.0);
+        let work = Span(job.work.0 + std::mem::take(&mut self.overhead).0);
+        let takes =
+            work.times(self.slowdown * queue_factor * thrash / (self.config.speed * self.warmth(now)));
         let ends = now + takes.max(Span(1));
         self.running.push(Running { id: job.id, ends });
         ends
     }
 
     /// Counts what a cold box is sent, what it turns away included.
-    fn falls(&mut self, now: Time, work: Span) -> bool {
-        let (multiple, span) = self.kind.fall;
+    fn is_overloaded_cold(&mut self, now: Time, work: Span) -> bool {
+        let (multiple, span) = self.config.fall;
         if self.warmth(now) >= 1.0 {
             self.sent.clear();
             self.sent_work = 0.0;
@@ -196,8 +199,8 @@
     }
 
     /// The work of this number is through, if it is now that it ends. Gives what runs in its place, and until when.
-    pub fn done(&mut self, now: Time, id: u64) -> Option<Option<(u64, Time)>> {
-        if self.life != Life::Up {
+    pub fn complete(&mut self, now: Time, id: u64) -> Option<Option<(u64, Time)>> {
+        if self.state != ServerState::Up {
             return None;
         }
         let at = self.running.iter().position(|of| of.id == id && of.ends <= now)?;
@@ -212,41 +215,42 @@
 
     /// It stands still.
     pub fn pause(&mut self, now: Time) {
-        if self.life == Life::Up {
-            self.life = Life::Paused(now);
+        if self.state == ServerState::Up {
+            self.state = ServerState::Paused(now);
         }
     }
 
     /// It goes on; gives what runs now, and until when.
     pub fn resume(&mut self, now: Time) -> Vec<(u64, Time)> {
-        let Life::Paused(since) = self.life else { return Vec::new() };
-        self.life = Life::Up;
+        let ServerState::Paused(since) = self.state else { return Vec::new() };
+        self.state = ServerState::Up;
         for of in &mut self.running {
             of.ends = of.ends + (now - since);
         }
-        while self.running.len() < self.kind.cores && self.next(now).is_some() {}
+        while self.running.len() < self.config.cores && self.next(now).is_some() {}
         self.running.iter().map(|of| (of.id, of.ends)).collect()
     }
 
     /// Its process ends; gives what it held.
     pub fn die(&mut self) -> Vec<u64> {
-        if self.life != Life::Fallen {
-            self.life = Life::Dead;
+        if self.state != ServerState::Collapsed {
+            self.state = ServerState::Dead;
         }
-        self.lose()
+        self.take_jobs()
     }
 
-    fn lose(&mut self) -> Vec<u64> {
+    fn take_jobs(&mut self) -> Vec<u64> {
         let running = std::mem::take(&mut self.running).into_iter().map(|of| of.id);
         running.chain(std::mem::take(&mut self.waiting).into_iter().map(|job| job.id)).collect()
     }
 
     /// It starts anew, cold; one that has fallen stays down.
     pub fn start(&mut self, now: Time) -> bool {
-        if self.life != Life::Dead {
+        if self.state != ServerState::Dead {
             return false;
         }
-        (self.life, self.started, self.draining, self.aside) = (Life::Up, Some(now), false, Span(0));
+        (self.state, self.started, self.draining, self.overhead) =
+            (ServerState::Up, Some(now), false, Span(0));
         true
     }
 }
--- a/crates/fleet/src/service.rs
+++ b/crates/fleet/src/service_level.rs
@@ -2,7 +2,7 @@
 //! tries of a client folded into the first; by second, tenant and class. What is beyond a tenant's share counts less.
 
 use crate::scenario::Scenario;
-use crate::traffic::Plan;
+use crate::traffic::ClassPlan;
 use linnetdeal_core::{Span, Time};
 
 /// Windows of so many seconds are looked at for the worst one.
@@ -15,7 +15,7 @@
 
 /// The accounting of a run.
 #[derive(Clone, Debug)]
-pub struct Service {
+pub struct ServiceLevel {
     begin: Time,
     classes: Vec<(Span, f64, f64)>,
     quotas: Vec<f64>,
@@ -26,10 +26,10 @@
     cells: Vec<Worth>,
 }
 
-impl Service {
+impl ServiceLevel {
     /// The accounting of a scenario that begins then.
     #[must_use]
-    pub fn new(scenario: &Scenario, plans: &[Plan], quotas: &[f64], begin: Time) -> Self {
+    pub fn new(scenario: &Scenario, plans: &[ClassPlan], quotas: &[f64], begin: Time) -> Self {
         let seconds = (scenario.traffic.lasts.0 / 1_000_000) as usize + 2;
         let tenants = quotas.len().max(1);
         let classes = plans.iter().map(|of| (of.class.aim, of.class.worth, of.class.late_worth));
@@ -58,7 +58,7 @@
     }
 
     /// A client asks for the first time; gives whether that is within its tenant's share.
-    pub fn asked(&mut self, now: Time, tenant: Option<usize>, class: usize) -> bool {
+    pub fn record_request(&mut self, now: Time, tenant: Option<usize>, class: usize) -> bool {
         let within = tenant.is_none_or(|tenant| {
             let (quota, (left, since)) = (self.quotas[tenant], self.left[tenant]);
             let left = (left + quota * (now - since).0 as f64 / 1e6).min(quota * BURST);
@@ -74,7 +74,14 @@
     }
 
     /// It was answered, so long after it had first asked.
-    pub fn served(&mut self, asked: Time, took: Span, tenant: Option<usize>, within: bool, class: usize) {
+    pub fn record_served(
+        &mut self,
+        asked: Time,
+        took: Span,
+        tenant: Option<usize>,
+        within: bool,
+        class: usize,
+    ) {
         let (aim, _, late) = self.classes[class];
         let part = if took <= aim { 1.0 } else { late };
         let (cell, worth) = (self.cell(asked, tenant, within, class), self.worth(class, within));
@@ -99,13 +106,13 @@
 
     /// The whole run's share.
     #[must_use]
-    pub fn whole(&self) -> f64 {
+    pub fn overall(&self) -> f64 {
         share(self.sum(|_, _, _, _| true))
     }
 
     /// The second in which the worst window of 10 s begins, and its share; windows without a request don't count.
     #[must_use]
-    pub fn worst(&self) -> (usize, f64) {
+    pub fn worst_window(&self) -> (usize, f64) {
         self.worst_of(|_, _, _| true)
     }
 
@@ -128,13 +135,13 @@
 
     /// A class's share in the whole run and in its worst window.
     #[must_use]
-    pub fn of_class(&self, class: usize) -> [f64; 2] {
+    pub fn class_shares(&self, class: usize) -> [f64; 2] {
         [share(self.sum(|_, _, _, of| of == class)), self.worst_of(|_, _, of| of == class).1]
     }
 
     /// A tenant's share, in the whole run and in its worst window, of what it asked within its part.
     #[must_use]
-    pub fn of_tenant(&self, tenant: usize) -> [f64; 2] {
+    pub fn tenant_shares(&self, tenant: usize) -> [f64; 2] {
         let of = |at: usize, within: bool| at == tenant && within;
         [share(self.sum(|_, at, within, _| of(at, within))), self.worst_of(|at, within, _| of(at, within)).1]
     }
--- a/crates/fleet/src/sim.rs
+++ b/crates/fleet/src/sim.rs
@@ -1,15 +1,15 @@
 //! The host in virtual time: events in the order of their times, and of their making where these are equal. It drives the same
 //! router and membership as the daemon and decides nothing for them.
 
-use crate::agenda::Agenda;
-use crate::audit::{Fresh, Full, Law, Rules};
-use crate::fleet::{Arrival, Change, Consequence, Finished, Fleet, Happens};
-use crate::list::{self, Called};
-use crate::record::{Record, Sink, What};
-use crate::scenario::{Audit, Customer, Scenario, Wait};
-use crate::server::{Job, Life};
-use crate::service::Service;
-use crate::traffic::{Drawn, Plan, Traffic, plans};
+use crate::audit::{ClassRules, Freshness, FullRules, Rules};
+use crate::discovery::{CallOutcome, DiscoveryService};
+use crate::event_queue::EventQueue;
+use crate::fleet::{Delivery, Fleet, FleetAction, FleetEvent, JobResult, ListChange};
+use crate::record::{Record, RecordKind, Sink};
+use crate::scenario::{AuditLevel, RetryWait, Scenario, TenantSpec};
+use crate::server::{Job, ServerState};
+use crate::service_level::ServiceLevel;
+use crate::traffic::{ClassPlan, ClientRequest, Traffic, class_plans};
 use hdrhistogram::Histogram;
 use linnetdeal_core::membership::{Claim, ClaimVersion, Membership, ShrinkPolicy, SourceId, SourceUpdate};
 use linnetdeal_core::*;
@@ -33,31 +33,31 @@
 /// The rules that a scenario's run is to be held to.
 #[must_use]
 pub fn rules(scenario: &Scenario) -> Rules {
-    let law = |plan: &Plan| Law {
-        fragile: plan.class.effect == Effect::Unsafe,
+    let law = |plan: &ClassPlan| ClassRules {
+        run_once: plan.class.effect == Effect::Unsafe,
         write: plan.class.need == Need::Write,
-        fresh: match plan.class.need {
-            Need::Any | Need::Write => Fresh::Any,
-            Need::Bounded(bound) => Fresh::Bounded(bound),
-            Need::Session => Fresh::Session,
-            Need::Fresh => Fresh::All,
+        freshness: match plan.class.need {
+            Need::Any | Need::Write => Freshness::Any,
+            Need::Bounded(bound) => Freshness::Bounded(bound),
+            Need::Session => Freshness::Session,
+            Need::Fresh => Freshness::All,
         },
         deadline: plan.deadline,
     };
     let boxes = &scenario.boxes;
     Rules {
-        laws: plans(scenario).iter().map(law).collect(),
-        grace: scenario.fleet.grace,
-        slack: SLACK,
+        classes: class_plans(scenario).iter().map(law).collect(),
+        drain_grace: scenario.fleet.grace,
+        answer_slack: SLACK,
         cold: boxes.cold(),
         fall: boxes.fall(),
-        copies: scenario.fleet.second_copies,
-        carried: scenario.traffic.tokens_carried,
-        asked: scenario.list.asked.then_some(ASK_EVERY),
-        full: (scenario.audit == Audit::Full).then_some(Full {
+        second_copies: scenario.fleet.second_copies,
+        tokens_carried: scenario.traffic.tokens_carried,
+        poll_interval: scenario.list.asked.then_some(ASK_EVERY),
+        full: (scenario.audit == AuditLevel::Full).then_some(FullRules {
             retries: scenario.traffic.retries,
             cores: boxes.cores,
-            quickest: boxes.speed * (1.0 + boxes.spread),
+            max_core_speed: boxes.speed * (1.0 + boxes.spread),
         }),
     }
 }
@@ -73,10 +73,10 @@
         attempt: usize,
         dialed: bool,
     },
-    Fleet(Happens),
+    Fleet(FleetEvent),
     Shipped {
         attempt: usize,
-        life: u32,
+        incarnation: u32,
     },
     Back {
         attempt: usize,
@@ -90,16 +90,16 @@
     },
     Wake {
         router: u32,
-        life: u32,
+        incarnation: u32,
     },
     Ask {
         router: u32,
-        life: u32,
+        incarnation: u32,
         server: u32,
     },
     Tell {
         router: u32,
-        life: u32,
+        incarnation: u32,
         server: u32,
         report: Option<[f64; 3]>,
         verdict: Verdict,
@@ -114,11 +114,11 @@
     },
     News {
         router: u32,
-        life: u32,
+        incarnation: u32,
     },
     Watch {
         router: u32,
-        life: u32,
+        incarnation: u32,
         failed: bool,
     },
     /// A router called off an attempt.
@@ -141,7 +141,7 @@
     router: Option<Box<Router>>,
     members: Membership,
     zone: usize,
-    life: u32,
+    incarnation: u32,
     wake: Option<Time>,
     /// Idle connections by box, and the life of the box that they are to.
     idle: HashMap<u32, (u32, u32)>,
@@ -171,11 +171,11 @@
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     router: u32,
-    life: u32,
+    incarnation: u32,
     request: u64,
     number: u32,
     server: u32,
-    server_life: u32,
+    server_incarnation: u32,
     class: usize,
     work: Span,
     sent: Time,
@@ -187,11 +187,11 @@
 
 /// What came out of a run, by the model's own count.
 #[derive(Clone, Debug)]
-pub struct Outcome {
+pub struct RunOutcome {
     /// Events.
     pub events: u64,
     /// First tries, by class.
-    pub asked: Vec<u64>,
+    pub requests: Vec<u64>,
     /// Of these, those that were served before their client gave up, be it at a later try.
     pub served: Vec<u64>,
     /// From the first try to the answer, in µs, by class.
@@ -199,66 +199,66 @@
     /// First tries and served ones by the second in which they were asked.
     pub by_second: Vec<(u64, u64)>,
     /// Attempts that were sent, and probes.
-    pub sent: u64,
+    pub attempts: u64,
     /// Probes.
     pub probes: u64,
     /// The most boxes, poolers and requests that were open at once.
-    pub most_open: usize,
+    pub max_open: usize,
     /// Boxes that fell.
-    pub fallen: u64,
+    pub collapsed: u64,
     /// When the last event happened.
     pub end: Time,
     /// When boxes took over as primaries.
-    pub promoted: Vec<(Time, u32)>,
+    pub promotions: Vec<(Time, u32)>,
     /// Worth served, by second, tenant and class.
-    pub service: Service,
+    pub service: ServiceLevel,
     /// Tries of clients, first ones included, that reached a pooler.
     pub tries: u64,
     /// First tries that found their pooler dead.
-    pub unreached: u64,
+    pub pooler_down: u64,
     /// Calls for the list where it is asked, and those that failed.
     pub calls: (u64, u64),
 }
 
-impl Outcome {
+impl RunOutcome {
     /// First tries that reached a pooler.
     #[must_use]
     pub fn first_tries(&self) -> u64 {
-        self.asked.iter().sum::<u64>() - self.unreached
+        self.requests.iter().sum::<u64>() - self.pooler_down
     }
 
     /// The number of the class of writes.
     #[must_use]
-    pub fn writes(&self) -> usize {
-        self.asked.len() - 1
+    pub fn write_class(&self) -> usize {
+        self.requests.len() - 1
     }
 
     /// The share of all that was served.
     #[must_use]
-    pub fn share(&self) -> f64 {
-        self.served.iter().sum::<u64>() as f64 / self.asked.iter().sum::<u64>().max(1) as f64
+    pub fn served_share(&self) -> f64 {
+        self.served.iter().sum::<u64>() as f64 / self.requests.iter().sum::<u64>().max(1) as f64
     }
 
     /// The same of a class.
     #[must_use]
-    pub fn share_of(&self, class: usize) -> f64 {
-        self.served[class] as f64 / self.asked[class].max(1) as f64
+    pub fn class_served_share(&self, class: usize) -> f64 {
+        self.served[class] as f64 / self.requests[class].max(1) as f64
     }
 }
 
 /// The number of the class of writes where the scenario names none.
-pub const WRITES: usize = 4;
+pub const WRITE_CLASS: usize = 4;
 
 /// The host.
 struct Sim<'s, S> {
     plan: &'s Scenario,
-    plans: Vec<Plan>,
+    plans: Vec<ClassPlan>,
     settings: Settings,
     sink: &'s mut S,
     rng: ChaCha8Rng,
     traffic: Traffic,
     now: Time,
-    queue: Agenda<Event>,
+    queue: EventQueue<Event>,
     fleet: Fleet,
     poolers: Vec<Pooler>,
     names: Vec<MemberId>,
@@ -266,26 +266,26 @@
     free: Vec<usize>,
     clients: Vec<Client>,
     free_clients: Vec<u32>,
-    effects: Vec<Consequence>,
+    effects: Vec<FleetAction>,
     next_request: u64,
     next_client: u64,
     surge: f64,
-    list: list::Service,
+    discovery: DiscoveryService,
     published: Vec<usize>,
     /// The latest commits of sessions, as their clients know them.
     tokens: HashMap<u64, Time>,
     /// Attempts that may be called off, by request and number.
     out: HashMap<(u64, u32), usize>,
     until: Time,
-    outcome: Outcome,
+    outcome: RunOutcome,
     actions: Vec<Action>,
 }
 
 /// Runs a scenario, and tells `sink` all that happens.
-pub fn run<S: Sink>(scenario: &Scenario, sink: &mut S) -> Outcome {
+pub fn run<S: Sink>(scenario: &Scenario, sink: &mut S) -> RunOutcome {
     let mut sim = Sim::new(scenario, sink);
     sim.begin();
-    while let Some((at, event)) = sim.queue.take() {
+    while let Some((at, event)) = sim.queue.pop() {
         if at > sim.until + AFTER {
             break;
         }
@@ -294,8 +294,8 @@
         sim.happens(event);
     }
     sim.outcome.end = sim.until + AFTER;
-    (sim.outcome.promoted, sim.outcome.fallen) = (sim.fleet.promoted, sim.fleet.fallen);
-    sim.outcome.calls = sim.list.calls;
+    (sim.outcome.promotions, sim.outcome.collapsed) = (sim.fleet.promotions, sim.fleet.collapsed);
+    sim.outcome.calls = sim.discovery.calls;
     sim.outcome
 }
 
@@ -303,8 +303,8 @@
     fn new(plan: &'s Scenario, sink: &'s mut S) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
         let traffic = Traffic::new(plan);
-        let plans = plans(plan);
-        let tenant = |(of, quota): (&Customer, &f64)| Tenant { name: of.name.clone(), quota: *quota };
+        let plans = class_plans(plan);
+        let tenant = |(of, quota): (&TenantSpec, &f64)| Tenant { name: of.name.clone(), quota: *quota };
         let fields = if plan.boxes.report_queue { &["x0", "x1", "queue"][..] } else { &["x0", "x1"] };
         let settings = Settings {
             tenants: plan.tenants.iter().zip(&traffic.quotas).map(tenant).collect(),
@@ -312,7 +312,7 @@
             discovery: if plan.list.asked { Discovery::Ask } else { Discovery::Push },
             second_copies: plan.fleet.second_copies,
             classes: plans.iter().map(|plan| plan.class.clone()).collect(),
-            fleet: traffic.sharing(),
+            fleet: traffic.poolers_per_group(),
             checks: if plan.boxes.checks { Checks::Refuse } else { Checks::None },
             tokens: if plan.traffic.tokens_carried { Tokens::Carried } else { Tokens::Remembered },
             zero: BEGIN,
@@ -339,7 +339,7 @@
                 router: None,
                 members: Membership::new(Span::millis(900_000), 16_384),
                 zone: at % fleet.zones,
-                life: 0,
+                incarnation: 0,
                 wake: None,
                 idle: HashMap::new(),
                 open: HashMap::new(),
@@ -348,28 +348,28 @@
             })
             .collect();
         let histogram = || Histogram::new_with_bounds(1, 100_000_000, 3).expect("bounds that are in order");
-        let outcome = Outcome {
+        let outcome = RunOutcome {
             events: 0,
-            asked: vec![0; plans.len()],
+            requests: vec![0; plans.len()],
             served: vec![0; plans.len()],
             latency: plans.iter().map(|_| histogram()).collect(),
             by_second: vec![(0, 0); (plan.traffic.lasts.0 / 1_000_000) as usize + 2],
-            sent: 0,
+            attempts: 0,
             probes: 0,
-            most_open: 0,
-            fallen: 0,
+            max_open: 0,
+            collapsed: 0,
             end: BEGIN,
-            promoted: Vec::new(),
-            service: Service::new(plan, &plans, &traffic.quotas, BEGIN),
+            promotions: Vec::new(),
+            service: ServiceLevel::new(plan, &plans, &traffic.quotas, BEGIN),
             tries: 0,
-            unreached: 0,
+            pooler_down: 0,
             calls: (0, 0),
         };
         Self {
             fleet: boxes_of,
             until: BEGIN + plan.traffic.lasts,
             now: BEGIN,
-            queue: Agenda::default(),
+            queue: EventQueue::default(),
             attempts: Vec::new(),
             free: Vec::new(),
             clients: Vec::new(),
@@ -378,7 +378,7 @@
             next_request: 1,
             next_client: 0,
             surge: 1.0,
-            list: list::Service::new(&plan.list),
+            discovery: DiscoveryService::new(&plan.list),
             published: Vec::new(),
             tokens: HashMap::new(),
             out: HashMap::new(),
@@ -396,15 +396,15 @@
     }
 
     fn at(&mut self, at: Time, event: Event) {
-        self.queue.enter(at, event);
+        self.queue.schedule(at, event);
     }
 
     fn after(&mut self, span: Span, event: Event) {
         self.at(self.now + span, event);
     }
 
-    fn record(&mut self, what: What, a: u32, b: u32, request: u64, x: i64, y: i64) {
-        self.sink.take(Record { at: self.now, what, a, b, request, x, y });
+    fn record(&mut self, what: RecordKind, a: u32, b: u32, request: u64, x: i64, y: i64) {
+        self.sink.record(Record { at: self.now, what, a, b, request, x, y });
     }
 
     fn begin(&mut self) {
@@ -414,20 +414,20 @@
         let first = Span(1_000_000);
         self.after(first, Event::Arrive);
         let mut effects = Vec::new();
-        self.fleet.begin(&mut effects);
+        self.fleet.schedule_troubles(&mut effects);
         self.effects = effects;
         self.follow();
     }
 
     /// A pooler starts with its list: as it was last told, roles included.
     fn start(&mut self, router: u32) {
-        let life = self.poolers[router as usize].life;
-        let seed = self.plan.seed ^ (u64::from(router) << 20) ^ (u64::from(life) << 52);
+        let incarnation = self.poolers[router as usize].incarnation;
+        let seed = self.plan.seed ^ (u64::from(router) << 20) ^ (u64::from(incarnation) << 52);
         let mut claims = Vec::new();
         for server in 0..self.fleet.hosts.len() as u32 {
-            if self.traffic.reaches(router, self.fleet.hosts[server as usize].group) {
+            if self.traffic.serves(router, self.fleet.hosts[server as usize].group) {
                 let primary = self.fleet.hosts[server as usize].member == 0;
-                claims.push(self.claim(Change {
+                claims.push(self.claim(ListChange {
                     server,
                     state: ListState::Healthy,
                     started: None,
@@ -449,17 +449,15 @@
             return;
         }
         for change in 0..self.fleet.changes.len() {
-            if self
-                .traffic
-                .reaches(router, self.fleet.hosts[self.fleet.changes[change].server as usize].group)
-                && life > 0
+            if self.traffic.serves(router, self.fleet.hosts[self.fleet.changes[change].server as usize].group)
+                && incarnation > 0
             {
                 self.after(Span::millis(50), Event::Told { router, change });
             }
         }
     }
 
-    fn claim(&self, change: Change) -> Claim {
+    fn claim(&self, change: ListChange) -> Claim {
         let host = &self.fleet.hosts[change.server as usize];
         Claim {
             member: self.names[change.server as usize].clone(),
@@ -491,11 +489,11 @@
                 Action::Send { request, member, timeout } => self.send(router, request.0, &member, timeout),
                 Action::Refuse { request, retry_after } => {
                     let back = retry_after.unwrap_or_default();
-                    self.record(What::Refused, router, 0, request.0, back.0, 0);
+                    self.record(RecordKind::Refused, router, 0, request.0, back.0, 0);
                     self.ended(router, request.0, Some(back));
                 }
                 Action::Fail { request } => {
-                    self.record(What::Failed, router, 0, request.0, 0, 0);
+                    self.record(RecordKind::Failed, router, 0, request.0, 0, 0);
                     self.ended(router, request.0, None);
                 }
                 Action::Probe { member } => self.probe(router, &member),
@@ -504,8 +502,8 @@
                     // One that is due by now must not come before time goes on: no clock of a host stands still.
                     let at = if at > self.now { at } else { self.now + TICK };
                     pooler.wake = Some(at);
-                    let life = pooler.life;
-                    self.at(at, Event::Wake { router, life });
+                    let incarnation = pooler.incarnation;
+                    self.at(at, Event::Wake { router, incarnation });
                 }
                 Action::Subscribe if self.plan.list.asked => self.subscribe(router),
                 Action::Cancel { request, attempt } if self.plan.fleet.cancels => {
@@ -530,13 +528,14 @@
         let pooler = &mut self.poolers[router as usize];
         let Some(client) = pooler.open.get(&request).copied() else { return };
         let client = self.clients[client as usize];
-        let (life, server_life) = (pooler.life, self.fleet.hosts[server as usize].life);
-        let idle = pooler.idle.get_mut(&server).filter(|(count, of)| *count > 0 && *of == server_life);
+        let (incarnation, server_incarnation) =
+            (pooler.incarnation, self.fleet.hosts[server as usize].incarnation);
+        let idle = pooler.idle.get_mut(&server).filter(|(count, of)| *count > 0 && *of == server_incarnation);
         let dialed = idle.map(|(count, _)| *count -= 1).is_none();
         // Attempts are numbered by request; a request has no two out, so that its own count does.
         let number = self.attempts_of(router, request);
-        self.record(What::Sent, router, server, request, i64::from(number), 0);
-        self.outcome.sent += 1;
+        self.record(RecordKind::Sent, router, server, request, i64::from(number), 0);
+        self.outcome.attempts += 1;
         let way = self.way(router, server);
         let need = match self.plans[client.class].class.need {
             Need::Bounded(bound) => self.now - bound,
@@ -545,11 +544,11 @@
         };
         let attempt = Attempt {
             router,
-            life,
+            incarnation,
             request,
             number,
             server,
-            server_life,
+            server_incarnation,
             class: client.class,
             work: client.work,
             sent: self.now,
@@ -582,10 +581,10 @@
     }
 
     fn probe(&mut self, router: u32, member: &MemberId) {
-        let (server, life) = (Self::number_of(member), self.poolers[router as usize].life);
+        let (server, incarnation) = (Self::number_of(member), self.poolers[router as usize].incarnation);
         self.outcome.probes += 1;
         let way = self.way(router, server);
-        self.after(way, Event::Ask { router, life, server });
+        self.after(way, Event::Ask { router, incarnation, server });
     }
 
     fn asked(&mut self, router: u32, client: u32) {
@@ -596,7 +595,7 @@
             deadline = deadline.min(self.now + full.times(self.rng.random_range(patience..=1.0)));
         }
         if self.poolers[router as usize].router.is_none() || deadline <= self.now {
-            self.outcome.unreached += u64::from(of.tries == 0);
+            self.outcome.pooler_down += u64::from(of.tries == 0);
             self.over(client, None);
             return;
         }
@@ -604,13 +603,13 @@
         self.next_request += 1;
         let b = of.class as u32 + 256 * of.group;
         self.outcome.tries += 1;
-        if self.plan.audit == Audit::Full {
-            self.record(What::Try, router, 0, request, of.number as i64, i64::from(of.tries));
+        if self.plan.audit == AuditLevel::Full {
+            self.record(RecordKind::Try, router, 0, request, of.number as i64, i64::from(of.tries));
         }
-        self.record(What::Asked, router, b, request, deadline.0, of.session as i64);
+        self.record(RecordKind::Asked, router, b, request, deadline.0, of.session as i64);
         let pooler = &mut self.poolers[router as usize];
         pooler.open.insert(request, client);
-        self.outcome.most_open = self.outcome.most_open.max(self.clients.len() - self.free_clients.len());
+        self.outcome.max_open = self.outcome.max_open.max(self.clients.len() - self.free_clients.len());
         let need = self.plans[of.class].class.need;
         let session = matches!(need, Need::Write | Need::Session);
         let wrote = self.tokens.get(&of.session).filter(|_| need == Need::Session);
@@ -644,7 +643,7 @@
         }
         of.tries += 1;
         let (clients, heeds) = (&self.plan.clients, of.heeds);
-        let longer = if clients.wait == Wait::Exponential { 1 << (of.tries - 1).min(16) } else { 1 };
+        let longer = if clients.wait == RetryWait::Exponential { 1 << (of.tries - 1).min(16) } else { 1 };
         let ms = |of: Span| of.0 / 1_000;
         let most = ms(clients.wait_most).max(ms(clients.wait_least) + 1);
         let drawn = Span::millis(self.rng.random_range(ms(clients.wait_least)..most) * longer);
@@ -657,7 +656,7 @@
         let of = self.clients[client as usize];
         if let Some(at) = served {
             self.outcome.served[of.class] += 1;
-            self.outcome.service.served(of.asked, at - of.asked, of.tenant, of.within, of.class);
+            self.outcome.service.record_served(of.asked, at - of.asked, of.tenant, of.within, of.class);
             let took = (at - of.asked).0.max(1).unsigned_abs();
             self.outcome.latency[of.class].saturating_record(took);
             let second = ((of.asked - BEGIN).0 / 1_000_000) as usize;
@@ -673,10 +672,10 @@
         if self.now + gap < self.until {
             self.after(gap, Event::Arrive);
         }
-        let Drawn { class, session, group, router, work, tenant } = self.traffic.draw(&mut self.rng);
+        let ClientRequest { class, session, group, router, work, tenant } = self.traffic.draw(&mut self.rng);
         let share = self.plan.clients.heeds;
         let heeds = share >= 1.0 || self.rng.random::<f64>() < share;
-        let within = self.outcome.service.asked(self.now, tenant, class);
+        let within = self.outcome.service.record_request(self.now, tenant, class);
         self.next_client += 1;
         let number = self.next_client;
         let client =
@@ -691,7 +690,7 @@
                 self.clients.len() as u32 - 1
             }
         };
-        self.outcome.asked[class] += 1;
+        self.outcome.requests[class] += 1;
         let second = ((self.now - BEGIN).0 / 1_000_000) as usize;
         if let Some(of) = self.outcome.by_second.get_mut(second) {
             of.0 += 1;
@@ -709,33 +708,35 @@
     fn reach(&mut self, at: usize, dialed: bool) {
         let of = self.attempts[at];
         let host = &self.fleet.hosts[of.server as usize];
-        match host.server.life() {
-            Life::Dead | Life::Fallen => {
+        match host.server.state() {
+            ServerState::Dead | ServerState::Collapsed => {
                 let verdict = if dialed { Verdict::ConnectFailed } else { Verdict::Reset };
                 return self.answer(at, verdict, None);
             }
-            Life::Paused(_) if dialed && !host.hangs => {
+            ServerState::Paused(_) if dialed && !host.hangs => {
                 self.after(DIAL, Event::Back { attempt: at, verdict: Verdict::Unreachable, note: None });
                 return;
             }
-            _ if !dialed && host.life != of.server_life => return self.answer(at, Verdict::Reset, None),
+            _ if !dialed && host.incarnation != of.server_incarnation => {
+                return self.answer(at, Verdict::Reset, None);
+            }
             _ => {}
         }
-        self.attempts[at].server_life = host.life;
-        self.record(What::Came, of.router, of.server, of.request, of.work.0, 0);
+        self.attempts[at].server_incarnation = host.incarnation;
+        self.record(RecordKind::Came, of.router, of.server, of.request, of.work.0, 0);
         if dialed {
-            self.fleet.hosts[of.server as usize].server.disturb(self.plan.boxes.handshake_work);
+            self.fleet.hosts[of.server as usize].server.add_overhead(self.plan.boxes.handshake_work);
         }
-        if self.behind(&of) && self.fleet.hosts[of.server as usize].server.life() == Life::Up {
+        if self.behind(&of) && self.fleet.hosts[of.server as usize].server.state() == ServerState::Up {
             let note = self.fleet.note(of.server, self.now);
             return self.answer(at, Verdict::Miss, Some(note));
         }
         let (job, write) = (Job { id: at as u64, work: of.work }, self.is_write(of.class));
-        let came = self.fleet.come(self.now, of.server, job, write, &mut self.rng, &mut self.effects);
+        let came = self.fleet.deliver(self.now, of.server, job, write, &mut self.rng, &mut self.effects);
         match came {
-            Arrival::Taken => self.record_job(What::Took, &of, of.work.0),
-            Arrival::Answered(verdict, note) => self.answer(at, verdict, Some(note)),
-            Arrival::Broken => self.answer(at, Verdict::Reset, None),
+            Delivery::Accepted => self.record_job(RecordKind::Took, &of, of.work.0),
+            Delivery::Answered(verdict, note) => self.answer(at, verdict, Some(note)),
+            Delivery::ConnectionLost => self.answer(at, Verdict::Reset, None),
         }
         self.follow();
     }
@@ -747,8 +748,8 @@
             && self.fleet.position(of.server, self.now) < of.need
     }
 
-    fn record_job(&mut self, what: What, of: &Attempt, x: i64) {
-        if self.plan.audit == Audit::Full {
+    fn record_job(&mut self, what: RecordKind, of: &Attempt, x: i64) {
+        if self.plan.audit == AuditLevel::Full {
             self.record(what, of.router, of.server, of.request, x, i64::from(of.number));
         }
     }
@@ -762,20 +763,20 @@
         let mut effects = std::mem::take(&mut self.effects);
         for effect in effects.drain(..) {
             match effect {
-                Consequence::At(at, what) => self.at(at, Event::Fleet(what)),
-                Consequence::Record(what, server, request, x) => self.record(what, 0, server, request, x, 0),
-                Consequence::Lost(id) => {
+                FleetAction::Schedule(at, what) => self.at(at, Event::Fleet(what)),
+                FleetAction::Record(what, server, request, x) => self.record(what, 0, server, request, x, 0),
+                FleetAction::JobLost(id) => {
                     let of = self.attempts[id as usize];
-                    self.record_job(What::Lost, &of, 0);
+                    self.record_job(RecordKind::Lost, &of, 0);
                     self.answer(id as usize, Verdict::Reset, None);
                 }
-                Consequence::Through(server, id) => self.through(server, id as usize),
-                Consequence::Listed(change, noticed) => self.listed(change, noticed),
+                FleetAction::JobDone(server, id) => self.through(server, id as usize),
+                FleetAction::ListChanged(change, noticed) => self.listed(change, noticed),
                 // Its connections are told from those of its earlier life, and what it holds waits in the model.
-                Consequence::Lives(_) => {}
-                Consequence::Kill(at, trouble, router) => self.at(at, Event::Kill { trouble, router }),
-                Consequence::Surge(factor) => self.surge = factor,
-                Consequence::Overbooked(factor) => self.overbooked(factor),
+                FleetAction::StateChanged(_) => {}
+                FleetAction::KillPooler(at, trouble, router) => self.at(at, Event::Kill { trouble, router }),
+                FleetAction::SetSurge(factor) => self.surge = factor,
+                FleetAction::ListOverbooked(factor) => self.overbooked(factor),
             }
         }
         self.effects = effects;
@@ -783,60 +784,62 @@
 
     fn through(&mut self, server: u32, at: usize) {
         let of = self.attempts[at];
-        self.record_job(What::Through, &of, 0);
+        self.record_job(RecordKind::Through, &of, 0);
         // It came while the box stood still, and could not be turned away.
         if self.behind(&of) {
             let note = self.fleet.note(of.server, self.now);
             return self.answer(at, Verdict::Miss, Some(note));
         }
         match self.fleet.finish(self.now, server, self.is_write(of.class)) {
-            Finished::Read(note, position) => {
+            JobResult::Read(note, position) => {
                 self.attempts[at].commit = position;
                 self.answer(at, Verdict::Ok, Some(note));
             }
             // It lost its role while it held the write.
-            Finished::Lost(note) => self.answer(at, Verdict::Error, Some(note)),
-            Finished::Committed(commit) => {
+            JobResult::RoleLost(note) => self.answer(at, Verdict::Error, Some(note)),
+            JobResult::Committed(commit) => {
                 self.attempts[at].commit = commit;
-                self.record(What::Ran, of.router, server, of.request, commit.0, 0);
-                let life = self.fleet.hosts[server as usize].life;
-                self.after(self.fleet.ship(), Event::Shipped { attempt: at, life });
+                self.record(RecordKind::Ran, of.router, server, of.request, commit.0, 0);
+                let incarnation = self.fleet.hosts[server as usize].incarnation;
+                self.after(self.fleet.ship(), Event::Shipped { attempt: at, incarnation });
             }
         }
     }
 
     /// A router asks for the list, and to be told of what changes.
     fn subscribe(&mut self, router: u32) {
-        self.record(What::Called, router, 0, 0, 0, 0);
-        let life = self.poolers[router as usize].life;
-        let (at, failed) = match self.list.call(self.now) {
-            Called::Answered(at) => (at, false),
-            Called::Failed(at) => (at, true),
+        self.record(RecordKind::Called, router, 0, 0, 0, 0);
+        let incarnation = self.poolers[router as usize].incarnation;
+        let (at, failed) = match self.discovery.call(self.now) {
+            CallOutcome::Answered(at) => (at, false),
+            CallOutcome::Failed(at) => (at, true),
         };
-        self.at(at, Event::Watch { router, life, failed });
+        self.at(at, Event::Watch { router, incarnation, failed });
     }
 
-    fn watch(&mut self, router: u32, life: u32, failed: bool) {
-        if self.poolers[router as usize].life != life || self.poolers[router as usize].router.is_none() {
+    fn watch(&mut self, router: u32, incarnation: u32, failed: bool) {
+        if self.poolers[router as usize].incarnation != incarnation
+            || self.poolers[router as usize].router.is_none()
+        {
             return;
         }
         self.poolers[router as usize].watch = !failed;
-        self.record(What::Watching, router, 0, 0, if failed { -1 } else { 1 }, 0);
+        self.record(RecordKind::Watching, router, 0, 0, if failed { -1 } else { 1 }, 0);
         let answer = if failed { Listing::Failed } else { Listing::Changes(Vec::new()) };
         self.feed(router, linnetdeal_core::Event::List(answer));
-        self.news(router, life);
+        self.news(router, incarnation);
     }
 
     /// A watch brings what was published since it last did.
-    fn news(&mut self, router: u32, life: u32) {
+    fn news(&mut self, router: u32, incarnation: u32) {
         let pooler = &self.poolers[router as usize];
-        if pooler.life != life || !pooler.watch {
+        if pooler.incarnation != incarnation || !pooler.watch {
             return;
         }
         while let Some(change) = self.published.get(self.poolers[router as usize].seen).copied() {
             self.poolers[router as usize].seen += 1;
             let group = self.fleet.hosts[self.fleet.changes[change].server as usize].group;
-            if self.traffic.reaches(router, group) {
+            if self.traffic.serves(router, group) {
                 self.told(router, change);
             }
         }
@@ -845,23 +848,23 @@
     fn publish(&mut self, change: usize) {
         let of = self.fleet.changes[change];
         let up = i64::from(of.state == ListState::Healthy);
-        self.record(What::Published, 0, of.server, 0, up, 0);
+        self.record(RecordKind::Published, 0, of.server, 0, up, 0);
         self.published.push(change);
-        let out = self.list.news(self.now);
+        let out = self.discovery.next_notification(self.now);
         for router in 0..self.poolers.len() as u32 {
-            let life = self.poolers[router as usize].life;
+            let incarnation = self.poolers[router as usize].incarnation;
             if self.poolers[router as usize].watch {
-                self.at(out + self.traffic.hears_after(router), Event::News { router, life });
+                self.at(out + self.traffic.list_delay(router), Event::News { router, incarnation });
             }
         }
     }
 
     /// All watches end, and calls take so many times as long; or it is over.
     fn overbooked(&mut self, factor: f64) {
-        self.list.slow = factor;
+        self.discovery.slowdown = factor;
         for router in 0..self.poolers.len() as u32 {
             if factor > 1.0 && std::mem::take(&mut self.poolers[router as usize].watch) {
-                self.record(What::Watching, router, 0, 0, 0, 0);
+                self.record(RecordKind::Watching, router, 0, 0, 0, 0);
                 self.feed(router, linnetdeal_core::Event::List(Listing::Failed));
             }
         }
@@ -873,18 +876,18 @@
         }
         let group = self.fleet.hosts[self.fleet.changes[change].server as usize].group;
         for router in 0..self.poolers.len() as u32 {
-            if self.traffic.reaches(router, group) {
-                self.at(noticed + self.traffic.hears_after(router), Event::Told { router, change });
+            if self.traffic.serves(router, group) {
+                self.at(noticed + self.traffic.list_delay(router), Event::Told { router, change });
             }
         }
     }
 
-    fn shipped(&mut self, at: usize, life: u32) {
+    fn shipped(&mut self, at: usize, incarnation: u32) {
         let of = self.attempts[at];
-        if self.fleet.hosts[of.server as usize].life != life {
+        if self.fleet.hosts[of.server as usize].incarnation != incarnation {
             return self.answer(at, Verdict::Reset, None);
         }
-        self.record(What::Kept, of.router, of.server, of.request, of.commit.0, 0);
+        self.record(RecordKind::Kept, of.router, of.server, of.request, of.commit.0, 0);
         let commit = Time(of.commit.0.div_euclid(1_000) * 1_000 + 1_000);
         self.answer(at, Verdict::Ok, Some(Note { role: Some(Role::Primary), position: Some(commit) }));
     }
@@ -896,25 +899,30 @@
         if std::mem::replace(&mut self.attempts[at].over, true) {
             return;
         }
-        if self.poolers[of.router as usize].life != of.life {
+        if self.poolers[of.router as usize].incarnation != of.incarnation {
             return;
         }
         let kept = !matches!(verdict, Verdict::ConnectFailed | Verdict::Unreachable | Verdict::Reset);
-        if kept && self.fleet.hosts[of.server as usize].life == of.server_life {
-            let idle = self.poolers[of.router as usize].idle.entry(of.server).or_insert((0, of.server_life));
-            *idle = if idle.1 == of.server_life { (idle.0 + 1, idle.1) } else { (1, of.server_life) };
+        if kept && self.fleet.hosts[of.server as usize].incarnation == of.server_incarnation {
+            let idle =
+                self.poolers[of.router as usize].idle.entry(of.server).or_insert((0, of.server_incarnation));
+            *idle = if idle.1 == of.server_incarnation {
+                (idle.0 + 1, idle.1)
+            } else {
+                (1, of.server_incarnation)
+            };
         }
         self.ends(of, verdict, note);
     }
 
     fn ends(&mut self, of: Attempt, verdict: Verdict, note: Option<Note>) {
-        self.record(What::Over, of.router, of.server, of.request, i64::from(of.number), 0);
+        self.record(RecordKind::Over, of.router, of.server, of.request, i64::from(of.number), 0);
         self.out.remove(&(of.request, of.number));
         let client = self.poolers[of.router as usize].open.get(&of.request).copied();
         let served = verdict == Verdict::Ok && client.is_some();
         if let Some(client) = client.filter(|_| served) {
             // The commit of a write, the position that a read was answered from: as they are, not as a note rounds them.
-            self.record(What::Served, of.router, of.server, of.request, of.commit.0, 0);
+            self.record(RecordKind::Served, of.router, of.server, of.request, of.commit.0, 0);
             if self.plan.traffic.tokens_carried && self.is_write(of.class) {
                 let token = self.tokens.entry(self.clients[client as usize].session).or_insert(of.commit);
                 *token = of.commit.max(*token);
@@ -943,7 +951,7 @@
         let of = self.attempts[at];
         // Its place may be another's by now.
         let same = (of.request, of.number) == (request, number);
-        if of.over || !same || self.poolers[of.router as usize].life != of.life {
+        if of.over || !same || self.poolers[of.router as usize].incarnation != of.incarnation {
             return;
         }
         self.attempts[at].over = true;
@@ -957,26 +965,26 @@
             return;
         }
         self.attempts[at].over = true;
-        if self.poolers[of.router as usize].life == of.life {
+        if self.poolers[of.router as usize].incarnation == of.incarnation {
             self.ends(of, Verdict::Cancelled, None);
         }
     }
 
-    fn ask(&mut self, router: u32, life: u32, server: u32) {
-        let (verdict, report) = match self.fleet.hosts[server as usize].server.life() {
-            Life::Dead | Life::Fallen => (Verdict::ConnectFailed, None),
-            Life::Paused(_) if !self.fleet.hosts[server as usize].hangs => {
+    fn ask(&mut self, router: u32, incarnation: u32, server: u32) {
+        let (verdict, report) = match self.fleet.hosts[server as usize].server.state() {
+            ServerState::Dead | ServerState::Collapsed => (Verdict::ConnectFailed, None),
+            ServerState::Paused(_) if !self.fleet.hosts[server as usize].hangs => {
                 let verdict = Verdict::Unreachable;
-                self.after(DIAL, Event::Tell { router, life, server, report: None, verdict });
+                self.after(DIAL, Event::Tell { router, incarnation, server, report: None, verdict });
                 return;
             }
-            Life::Up | Life::Paused(_) => {
-                self.fleet.hosts[server as usize].server.disturb(self.plan.boxes.probe_work);
+            ServerState::Up | ServerState::Paused(_) => {
+                self.fleet.hosts[server as usize].server.add_overhead(self.plan.boxes.probe_work);
                 (Verdict::Ok, self.fleet.report(server, self.now))
             }
         };
         let way = self.way(router, server);
-        self.after(way, Event::Tell { router, life, server, report, verdict });
+        self.after(way, Event::Tell { router, incarnation, server, report, verdict });
     }
 
     fn told(&mut self, router: u32, change: usize) {
@@ -985,7 +993,7 @@
         }
         let change = self.fleet.changes[change];
         let (up, started) = (change.state == ListState::Healthy, change.started.unwrap_or(Time(0)));
-        self.record(What::Told, router, change.server, 0, i64::from(up), started.0);
+        self.record(RecordKind::Told, router, change.server, 0, i64::from(up), started.0);
         let claim = self.claim(change);
         let now = self.now;
         let taken = self.poolers[router as usize].members.apply_update(
@@ -1003,11 +1011,11 @@
         if pooler.router.take().is_none() {
             return;
         }
-        pooler.life += 1;
+        pooler.incarnation += 1;
         (pooler.wake, pooler.idle, pooler.watch) = (None, HashMap::new(), false);
         let mut open: Vec<(u64, u32)> = std::mem::take(&mut pooler.open).into_iter().collect();
         open.sort_unstable();
-        self.record(What::Killed, router, 0, 0, 0, 0);
+        self.record(RecordKind::Killed, router, 0, 0, 0, 0);
         for (request, client) in open {
             if request & COUNT == 0 {
                 self.over(client, None);
@@ -1024,22 +1032,22 @@
             Event::Again { router, try_of } => self.asked(router, try_of),
             Event::Reach { attempt, dialed } => self.reach(attempt, dialed),
             Event::Fleet(what) => {
-                self.fleet.happens(self.now, what, &mut self.rng, &mut self.effects);
+                self.fleet.handle(self.now, what, &mut self.rng, &mut self.effects);
                 self.follow();
             }
-            Event::Shipped { attempt, life } => self.shipped(attempt, life),
+            Event::Shipped { attempt, incarnation } => self.shipped(attempt, incarnation),
             Event::Back { attempt, verdict, note } => self.back(attempt, verdict, note),
             Event::Late { attempt, request, number } => self.late(attempt, request, number),
-            Event::Wake { router, life } => {
+            Event::Wake { router, incarnation } => {
                 let pooler = &mut self.poolers[router as usize];
-                if pooler.life == life && pooler.wake == Some(self.now) {
+                if pooler.incarnation == incarnation && pooler.wake == Some(self.now) {
                     pooler.wake = None;
                     self.feed(router, linnetdeal_core::Event::Wake);
                 }
             }
-            Event::Ask { router, life, server } => self.ask(router, life, server),
-            Event::Tell { router, life, server, report, verdict } => {
-                if self.poolers[router as usize].life == life {
+            Event::Ask { router, incarnation, server } => self.ask(router, incarnation, server),
+            Event::Tell { router, incarnation, server, report, verdict } => {
+                if self.poolers[router as usize].incarnation == incarnation {
                     let member = self.names[server as usize].clone();
                     let fields = self.settings.report.len();
                     let report = report.map(|report| report[..fields].to_vec());
@@ -1049,8 +1057,8 @@
             }
             Event::Told { router, change } => self.told(router, change),
             Event::Publish { change } => self.publish(change),
-            Event::News { router, life } => self.news(router, life),
-            Event::Watch { router, life, failed } => self.watch(router, life, failed),
+            Event::News { router, incarnation } => self.news(router, incarnation),
+            Event::Watch { router, incarnation, failed } => self.watch(router, incarnation, failed),
             Event::Cancelled { attempt, request, number } => self.cancelled(attempt, request, number),
             Event::Kill { trouble, router } => self.kill(trouble, router),
             Event::Start { router } => self.start(router),
--- a/crates/fleet/src/traffic.rs
+++ b/crates/fleet/src/traffic.rs
@@ -1,13 +1,13 @@
 //! What clients ask, and of whom: drawn from one generator in a fixed order, so that every host of a scenario has the same.
 
-use crate::scenario::{Data, OwnClass, Scenario, Spread};
+use crate::scenario::{ClassSpec, DataNeed, Scenario, WorkDistribution};
 use linnetdeal_core::{Class, Effect, Need, Span};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, LogNormal, Zipf};
 
 /// What a client that may ask again waits at the least, in ms.
-pub const BACK_MS: std::ops::Range<i64> = 10..80;
+pub const RETRY_WAIT_MS: std::ops::Range<i64> = 10..80;
 
 /// No request has more work than this multiple of its class's mean.
 const MOST_WORK: f64 = 20.0;
@@ -26,11 +26,11 @@
 }
 
 impl Work {
-    fn of(class: &OwnClass) -> Self {
+    fn of(class: &ClassSpec) -> Self {
         let mean = class.work.0 as f64;
         let variance = (1.0 + class.cv * class.cv).ln();
         match (class.spread, LogNormal::new(mean.ln() - variance / 2.0, variance.sqrt())) {
-            (Spread::Lognormal, Ok(of)) => Self::Lognormal(mean, of),
+            (WorkDistribution::Lognormal, Ok(of)) => Self::Lognormal(mean, of),
             _ => Self::Exponential(mean),
         }
     }
@@ -60,7 +60,7 @@
 
 /// A class of the model: what a client asks of it, and the share of requests that it is.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct ClassPlan {
     /// Its class.
     pub class: Class,
     /// Its share.
@@ -73,21 +73,21 @@
 
 /// All classes of a scenario, writes last.
 #[must_use]
-pub fn plans(scenario: &Scenario) -> Vec<Plan> {
+pub fn class_plans(scenario: &Scenario) -> Vec<ClassPlan> {
     if scenario.classes.is_empty() {
         return portal();
     }
     let all: f64 = scenario.classes.iter().map(|of| of.share).sum();
-    let plan = |of: &OwnClass| Plan {
+    let plan = |of: &ClassSpec| ClassPlan {
         class: Class {
             name: of.name.clone(),
             effect: if of.once { Effect::Unsafe } else { Effect::Safe },
             need: match of.need {
-                Data::Any => Need::Any,
-                Data::Bounded => Need::Bounded(of.bound),
-                Data::Session => Need::Session,
-                Data::Fresh => Need::Fresh,
-                Data::Write => Need::Write,
+                DataNeed::Any => Need::Any,
+                DataNeed::Bounded => Need::Bounded(of.bound),
+                DataNeed::Session => Need::Session,
+                DataNeed::Fresh => Need::Fresh,
+                DataNeed::Write => Need::Write,
             },
             aim: of.aim,
             aim_stretch: 0.0,
@@ -103,8 +103,8 @@
 
 /// The classes of a scenario that names none.
 #[must_use]
-pub fn portal() -> Vec<Plan> {
-    let plan = |name: &str, need, effect, share, aim, deadline, worth, late, work| Plan {
+pub fn portal() -> Vec<ClassPlan> {
+    let plan = |name: &str, need, effect, share, aim, deadline, worth, late, work| ClassPlan {
         class: Class {
             name: name.into(),
             effect,
@@ -131,7 +131,7 @@
 
 /// What a client asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Drawn {
+pub struct ClientRequest {
     /// Its class.
     pub class: usize,
     /// Its session.
@@ -150,7 +150,7 @@
 #[derive(Clone, Debug)]
 pub struct Traffic {
     /// Its classes.
-    pub plans: Vec<Plan>,
+    pub plans: Vec<ClassPlan>,
     /// Requests a second, without a surge.
     pub rate: f64,
     /// What each tenant may ask in a second.
@@ -158,7 +158,7 @@
     /// The part of all requests that is each tenant's.
     asks: Vec<f64>,
     /// Poolers come in so many sets, each of which serves its own groups.
-    pub sets: usize,
+    pub pooler_sets: usize,
     zipf: Option<Zipf<f64>>,
     sessions: u64,
     groups: usize,
@@ -169,8 +169,8 @@
     /// That of a scenario.
     #[must_use]
     pub fn new(plan: &Scenario) -> Self {
-        let (boxes, fleet, plans) = (&plan.boxes, &plan.fleet, plans(plan));
-        let mean = |of: &dyn Fn(&Plan) -> bool| -> f64 {
+        let (boxes, fleet, plans) = (&plan.boxes, &plan.fleet, class_plans(plan));
+        let mean = |of: &dyn Fn(&ClassPlan) -> bool| -> f64 {
             plans.iter().filter(|plan| of(plan)).map(|plan| plan.share * plan.work.mean()).sum()
         };
         let one = boxes.cores as f64 * boxes.speed;
@@ -181,32 +181,32 @@
             .then(|| Zipf::new(plan.traffic.sessions as f64, plan.traffic.zipf).ok())
             .flatten();
         let reach = if fleet.reach == 0 { fleet.groups } else { fleet.reach };
-        let sets = fleet.groups.div_ceil(reach).clamp(1, fleet.poolers);
+        let pooler_sets = fleet.groups.div_ceil(reach).clamp(1, fleet.poolers);
         let (sessions, groups, poolers) = (plan.traffic.sessions, fleet.groups, fleet.poolers);
         let shares: f64 = plan.tenants.iter().map(|of| of.share).sum();
         let quota = |share: f64| able * plan.traffic.quota * share / shares;
         let quotas = plan.tenants.iter().map(|of| quota(of.share)).collect();
         let usage: f64 = plan.tenants.iter().map(|of| of.share * of.usage).sum();
         let asks = plan.tenants.iter().map(|of| of.share * of.usage / usage).collect();
-        Self { plans, rate, quotas, asks, sets, zipf, sessions, groups, poolers }
+        Self { plans, rate, quotas, asks, pooler_sets, zipf, sessions, groups, poolers }
     }
 
     /// How many poolers share a group.
     #[must_use]
-    pub fn sharing(&self) -> u32 {
-        (self.poolers / self.sets).max(1) as u32
+    pub fn poolers_per_group(&self) -> u32 {
+        (self.poolers / self.pooler_sets).max(1) as u32
     }
 
     /// How long after others may hear of it a pooler hears what the list says.
     #[must_use]
-    pub fn hears_after(&self, router: u32) -> Span {
+    pub fn list_delay(&self, router: u32) -> Span {
         Span(35_000 + i64::from(router) * 7_919 % 265_000)
     }
 
     /// Whether a pooler serves a group.
     #[must_use]
-    pub fn reaches(&self, router: u32, group: u32) -> bool {
-        router as usize % self.sets == group as usize % self.sets
+    pub fn serves(&self, router: u32, group: u32) -> bool {
+        router as usize % self.pooler_sets == group as usize % self.pooler_sets
     }
 
     /// Until the next request is asked.
@@ -216,7 +216,7 @@
     }
 
     /// What is asked.
-    pub fn draw(&self, rng: &mut ChaCha8Rng) -> Drawn {
+    pub fn draw(&self, rng: &mut ChaCha8Rng) -> ClientRequest {
         let tenant = (!self.asks.is_empty()).then(|| pick(&self.asks, rng));
         let session = match &self.zipf {
             Some(zipf) => zipf.sample(rng) as u64,
@@ -225,9 +225,9 @@
         let session = session + tenant.unwrap_or(0) as u64 * SESSIONS_OF_A_TENANT;
         let mixed = session.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let group = ((mixed >> 33) % self.groups as u64) as u32;
-        let set = group as usize % self.sets;
-        let of_set = (self.poolers - set).div_ceil(self.sets);
-        let router = (set + ((mixed >> 13) as usize % of_set) * self.sets) as u32;
+        let set = group as usize % self.pooler_sets;
+        let of_set = (self.poolers - set).div_ceil(self.pooler_sets);
+        let router = (set + ((mixed >> 13) as usize % of_set) * self.pooler_sets) as u32;
         let mut dice = rng.random::<f64>();
         let class = self
             .plans
@@ -238,7 +238,7 @@
             })
             .unwrap_or(0);
         let work = self.plans[class].work.draw(rng);
-        Drawn { class, session, group, router, work, tenant }
+        ClientRequest { class, session, group, router, work, tenant }
     }
 }
 
--- a/crates/fleet/tests/even.rs
+++ b/crates/fleet/tests/even.rs
@@ -1,22 +1,22 @@
 //! The model of many poolers, in short: it is the same each time, shows the herd, and what the forward step by own answers brings.
 
 use linnetdeal_core::Span;
-use linnetdeal_fleet::even::{Figures, Plan, Scheme, Sources, TwoOf, run};
+use linnetdeal_fleet::even::{ChoicePool, Figures, Plan, Scheme, Sources, run};
 
 /// 60 poolers over 24 servers for 14 s: a step and servers that turn slow.
 fn plan(seed: u64) -> Plan {
-    Plan { seed, groups: 3, members: 8, seconds: 14, ..Plan::of(60) }
+    Plan { seed, groups: 3, members: 8, seconds: 14, ..Plan::for_poolers(60) }
 }
 
 fn told(figures: &Figures) -> String {
     format!(
         "peak {:.2}, p99 {:.0} ms, bad {:.4}, idle {}, swing {:.1}, herds {}, connections {}",
-        figures.peak(),
+        figures.peak_to_mean(),
         figures.p99_ms(),
-        figures.bad(),
+        figures.failed_share(),
         figures.idle_seconds,
-        figures.swing,
-        figures.herds,
+        figures.max_interval_load,
+        figures.herd_events,
         figures.connections
     )
 }
@@ -26,9 +26,9 @@
     let [one, same, other] =
         [Scheme::Windows, Scheme::Windows, Scheme::Random].map(|scheme| run(&plan(3), scheme));
     assert_eq!(told(&one), told(&same));
-    assert_eq!((one.asked, one.sent, one.late), (same.asked, same.sent, same.late));
+    assert_eq!((one.requests, one.attempts, one.late), (same.requests, same.attempts, same.late));
     // What is still out at the end is not counted, and that differs.
-    assert!(one.asked.abs_diff(other.asked) < one.asked / 50, "{} {}", one.asked, other.asked);
+    assert!(one.requests.abs_diff(other.requests) < one.requests / 50, "{} {}", one.requests, other.requests);
 }
 
 #[test]
@@ -37,21 +37,33 @@
         let before = run(&plan(seed), Scheme::Windows);
         let now = run(&plan(seed), Scheme::LeastOfStep);
         let (was, is) = (told(&before), told(&now));
-        assert!(now.p99_ms() < before.p99_ms() && now.bad() <= before.bad(), "seed {seed}: {is}, was {was}");
-        assert!(now.herds == 0 && now.idle_seconds == 0, "seed {seed}: {is}");
+        assert!(
+            now.p99_ms() < before.p99_ms() && now.failed_share() <= before.failed_share(),
+            "seed {seed}: {is}, was {was}"
+        );
+        assert!(now.herd_events == 0 && now.idle_seconds == 0, "seed {seed}: {is}");
         assert!(now.connections < before.connections * 11 / 10, "seed {seed}: {is}, was {was}");
     }
 }
 
 #[test]
 fn the_least_loaded_by_what_all_are_told_is_a_herd() {
-    let stale = Plan { age: Span::millis(500), ..plan(1) };
-    let herd = run(&stale, Scheme::LeastTold);
+    let stale = Plan { publish_interval: Span::millis(500), ..plan(1) };
+    let herd = run(&stale, Scheme::LeastPublished);
     let own = run(&stale, Scheme::LeastOfStep);
-    assert!(herd.herds > 0 && own.herds == 0, "{}, by own answers {}", told(&herd), told(&own));
-    assert!(herd.bad() > 10.0 * own.bad(), "{}, by own answers {}", told(&herd), told(&own));
-    let interpreted = run(&stale, Scheme::Interpreted);
-    assert!(interpreted.herds == 0 && interpreted.bad() < herd.bad(), "{}", told(&interpreted));
+    assert!(herd.herd_events > 0 && own.herd_events == 0, "{}, by own answers {}", told(&herd), told(&own));
+    assert!(
+        herd.failed_share() > 10.0 * own.failed_share(),
+        "{}, by own answers {}",
+        told(&herd),
+        told(&own)
+    );
+    let interpreted = run(&stale, Scheme::StaleInterpreted);
+    assert!(
+        interpreted.herd_events == 0 && interpreted.failed_share() < herd.failed_share(),
+        "{}",
+        told(&interpreted)
+    );
 }
 
 #[test]
@@ -67,8 +79,8 @@
             told(&all)
         );
     }
-    let zone = run(&plan(1), Scheme::Two(TwoOf::Zone));
-    assert!(zone.bad() > 10.0 * all.bad(), "{}", told(&zone));
+    let zone = run(&plan(1), Scheme::TwoChoices(ChoicePool::Zone));
+    assert!(zone.failed_share() > 10.0 * all.failed_share(), "{}", told(&zone));
 }
 
 #[test]
@@ -79,7 +91,7 @@
     let all = run(&calm, Scheme::Central);
     let bare = run(&Plan { sources: none, ..calm }, Scheme::Central);
     assert!(
-        bare.peak() < 1.15 && bare.peak() < all.peak(),
+        bare.peak_to_mean() < 1.15 && bare.peak_to_mean() < all.peak_to_mean(),
         "{}, with all sources {}",
         told(&bare),
         told(&all)
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! The boxes with what befalls them, as any host drives them.
 
 use linnetdeal_core::{ListState, Role, Span, Time, Verdict};
-use linnetdeal_fleet::fleet::{Arrival, Consequence, Finished, Fleet, Happens};
+use linnetdeal_fleet::fleet::{Delivery, Fleet, FleetAction, FleetEvent, JobResult};
 use linnetdeal_fleet::scenario::Scenario;
-use linnetdeal_fleet::server::{Job, Life};
+use linnetdeal_fleet::server::{Job, ServerState};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 
@@ -13,8 +13,8 @@
 struct World {
     fleet: Fleet,
     rng: ChaCha8Rng,
-    due: Vec<(Time, Happens)>,
-    seen: Vec<(Time, Consequence)>,
+    due: Vec<(Time, FleetEvent)>,
+    seen: Vec<(Time, FleetAction)>,
 }
 
 impl World {
@@ -25,15 +25,15 @@
         let fleet = Fleet::new(&plan, BEGIN, &mut rng);
         let mut world = Self { fleet, rng, due: Vec::new(), seen: Vec::new() };
         let mut out = Vec::new();
-        world.fleet.begin(&mut out);
+        world.fleet.schedule_troubles(&mut out);
         world.follow(BEGIN, out);
         world
     }
 
-    fn follow(&mut self, now: Time, out: Vec<Consequence>) {
+    fn follow(&mut self, now: Time, out: Vec<FleetAction>) {
         for of in out {
             match of {
-                Consequence::At(at, what) => self.due.push((at, what)),
+                FleetAction::Schedule(at, what) => self.due.push((at, what)),
                 other => self.seen.push((now, other)),
             }
         }
@@ -46,21 +46,21 @@
             }
             let (now, what) = self.due.remove(next);
             let mut out = Vec::new();
-            self.fleet.happens(now, what, &mut self.rng, &mut out);
+            self.fleet.handle(now, what, &mut self.rng, &mut out);
             self.follow(now, out);
         }
     }
 
-    fn come(&mut self, now: Time, server: u32, id: u64, write: bool) -> Arrival {
+    fn deliver(&mut self, now: Time, server: u32, id: u64, write: bool) -> Delivery {
         let (job, mut out) = (Job { id, work: Span::millis(50) }, Vec::new());
-        let came = self.fleet.come(now, server, job, write, &mut self.rng, &mut out);
+        let delivery = self.fleet.deliver(now, server, job, write, &mut self.rng, &mut out);
         self.follow(now, out);
-        came
+        delivery
     }
 
     fn through(&self) -> Vec<u64> {
         let through = self.seen.iter().filter_map(|(_, of)| match of {
-            Consequence::Through(_, id) => Some(*id),
+            FleetAction::JobDone(_, id) => Some(*id),
             _ => None,
         });
         through.collect()
@@ -79,21 +79,21 @@
 fn a_dead_primary_loses_what_it_held_and_another_takes_over_and_is_listed() {
     let mut world = World::new("{at: \"1s\", what: \"crash\", who: \"primary\", lasts: \"20s\"}");
     world.until(at(990));
-    assert_eq!(world.come(at(990), 0, 7, true), Arrival::Taken);
+    assert_eq!(world.deliver(at(990), 0, 7, true), Delivery::Accepted);
     world.until(at(1_000));
-    assert!(world.seen.iter().any(|(_, of)| *of == Consequence::Lost(7)));
-    assert_eq!(world.come(at(1_001), 0, 8, true), Arrival::Broken);
-    assert!(matches!(world.come(at(1_001), 1, 9, true), Arrival::Answered(Verdict::Miss, _)));
+    assert!(world.seen.iter().any(|(_, of)| *of == FleetAction::JobLost(7)));
+    assert_eq!(world.deliver(at(1_001), 0, 8, true), Delivery::ConnectionLost);
+    assert!(matches!(world.deliver(at(1_001), 1, 9, true), Delivery::Answered(Verdict::Miss, _)));
     world.until(at(19_000));
-    let (when, heir) = world.fleet.promoted[0];
+    let (when, successor) = world.fleet.promotions[0];
     // 2.2 s until it is given up and 2 s for the choice, a quarter less or more.
     assert!((at(1_000 + 3_150)..at(1_000 + 5_300)).contains(&when), "{when:?}");
-    assert!(heir != 0 && world.fleet.is_primary(heir));
-    assert_eq!(world.listed(), [(0, ListState::Gone, false), (heir, ListState::Healthy, true)]);
-    assert_eq!(world.come(at(19_000), heir, 10, true), Arrival::Taken);
+    assert!(successor != 0 && world.fleet.is_primary(successor));
+    assert_eq!(world.listed(), [(0, ListState::Gone, false), (successor, ListState::Healthy, true)]);
+    assert_eq!(world.deliver(at(19_000), successor, 10, true), Delivery::Accepted);
     world.until(at(21_000));
     // It is back, cold, and no primary any more.
-    assert_eq!(world.fleet.hosts[0].server.life(), Life::Up);
+    assert_eq!(world.fleet.hosts[0].server.state(), ServerState::Up);
     assert!(world.fleet.hosts[0].server.warmth(at(21_000)) < 0.2 && !world.fleet.is_primary(0));
     assert_eq!(world.through(), [10]);
 }
@@ -102,22 +102,22 @@
 fn a_box_that_stood_still_goes_on_with_what_it_held() {
     let mut world = World::new("{at: \"1s\", what: \"pause\", who: \"replica 0\", lasts: \"5s\"}");
     world.until(at(990));
-    assert_eq!(world.come(at(990), 1, 7, false), Arrival::Taken);
+    assert_eq!(world.deliver(at(990), 1, 7, false), Delivery::Accepted);
     world.until(at(5_999));
     assert_eq!(world.through(), [0_u64; 0]);
-    assert_eq!(world.come(at(3_000), 1, 8, false), Arrival::Taken);
+    assert_eq!(world.deliver(at(3_000), 1, 8, false), Delivery::Accepted);
     assert_eq!(world.fleet.report(1, at(3_000)), None);
     world.until(at(7_000));
     assert_eq!(world.through(), [7, 8]);
     assert!(world.fleet.report(1, at(7_000)).is_some());
-    assert!(world.fleet.promoted.is_empty());
+    assert!(world.fleet.promotions.is_empty());
 }
 
 #[test]
 fn a_box_that_hangs_takes_work_and_answers_nothing_but_probes() {
     let mut world = World::new("{at: \"1s\", what: \"hang\", who: \"replica 0\", lasts: \"5s\"}");
     world.until(at(3_000));
-    assert_eq!(world.come(at(3_000), 1, 7, false), Arrival::Taken);
+    assert_eq!(world.deliver(at(3_000), 1, 7, false), Delivery::Accepted);
     assert!(world.fleet.report(1, at(3_000)).is_some_and(|[_, _, waits]| waits == 1.0));
     world.until(at(5_999));
     assert_eq!(world.through(), [0_u64; 0]);
@@ -130,9 +130,9 @@
     let mut world =
         World::new("{at: \"1s\", what: \"deploy\", who: \"replica 0\", lasts: \"2s\", away: \"1s\"}");
     world.until(at(2_000));
-    assert!(matches!(world.come(at(2_000), 1, 7, false), Arrival::Answered(Verdict::Full, _)));
+    assert!(matches!(world.deliver(at(2_000), 1, 7, false), Delivery::Answered(Verdict::Full, _)));
     world.until(at(3_500));
-    assert_eq!(world.fleet.hosts[1].server.life(), Life::Dead);
+    assert_eq!(world.fleet.hosts[1].server.state(), ServerState::Dead);
     world.until(at(4_000));
     assert!(world.fleet.hosts[1].server.warmth(at(4_000)) < 0.2);
     let states: Vec<ListState> = world.listed().into_iter().map(|(_, state, _)| state).collect();
@@ -142,16 +142,16 @@
 #[test]
 fn a_planned_change_turns_writes_away_and_loses_none_that_was_committed() {
     let mut world = World::new("{at: \"1s\", what: \"drain\", who: \"primary\"}");
-    assert_eq!(world.come(at(900), 0, 7, true), Arrival::Taken);
+    assert_eq!(world.deliver(at(900), 0, 7, true), Delivery::Accepted);
     world.until(at(999));
-    assert_eq!(world.fleet.finish(at(999), 0, true), Finished::Committed(at(999)));
+    assert_eq!(world.fleet.finish(at(999), 0, true), JobResult::Committed(at(999)));
     world.until(at(1_000));
-    assert!(matches!(world.come(at(1_001), 0, 8, true), Arrival::Answered(Verdict::Full, _)));
+    assert!(matches!(world.deliver(at(1_001), 0, 8, true), Delivery::Answered(Verdict::Full, _)));
     world.until(at(2_000));
-    let (when, heir) = world.fleet.promoted[0];
+    let (when, successor) = world.fleet.promotions[0];
     assert!(when >= at(1_600), "{when:?}");
-    assert!(world.fleet.position(heir, at(2_000)) >= at(999));
-    assert_eq!(world.fleet.note(heir, at(2_000)).role, Some(Role::Primary));
+    assert!(world.fleet.position(successor, at(2_000)) >= at(999));
+    assert_eq!(world.fleet.note(successor, at(2_000)).role, Some(Role::Primary));
     assert_eq!(world.listed()[0], (0, ListState::Draining, false));
 }
 
@@ -160,11 +160,11 @@
     let mut world = World::new("{at: \"1s\", what: \"lag\", who: \"replica 0\", factor: 100}");
     world.until(at(1_000));
     for ms in 0..20 {
-        assert!(matches!(world.fleet.finish(at(2_000 + ms), 0, true), Finished::Committed(_)));
+        assert!(matches!(world.fleet.finish(at(2_000 + ms), 0, true), JobResult::Committed(_)));
     }
     // Twenty commits at half a second each: after three seconds it has at most six of them, and others all.
-    let Finished::Read(note, exact) = world.fleet.finish(at(5_000), 1, false) else { panic!("a read") };
+    let JobResult::Read(note, exact) = world.fleet.finish(at(5_000), 1, false) else { panic!("a read") };
     assert!(exact < at(2_006) && note.position.is_some_and(|told| told <= exact), "{exact:?}");
-    let Finished::Read(_, other) = world.fleet.finish(at(5_000), 2, false) else { panic!("a read") };
+    let JobResult::Read(_, other) = world.fleet.finish(at(5_000), 2, false) else { panic!("a read") };
     assert!(other >= at(2_019), "{other:?}");
 }
--- a/crates/fleet/tests/freight.rs
+++ b/crates/fleet/tests/freight.rs
@@ -1,13 +1,13 @@
 //! The second kind of deployment: its parts by themselves, its troubles in short and audited, and the faults that its records can hold.
 
 use linnetdeal_core::{Span, Time};
-use linnetdeal_fleet::audit::{Auditor, Rule, Verdict};
+use linnetdeal_fleet::audit::{AuditReport, Auditor, Rule};
+use linnetdeal_fleet::discovery::{CallOutcome, DiscoveryService};
 use linnetdeal_fleet::faults::{self, Fault};
-use linnetdeal_fleet::list::{self, Called};
-use linnetdeal_fleet::record::{Log, Record, Sink, What};
+use linnetdeal_fleet::record::{Log, Record, RecordKind, Sink};
 use linnetdeal_fleet::scenario::Scenario;
-use linnetdeal_fleet::server::{Came, Job, Kind, Server};
-use linnetdeal_fleet::service::Service;
+use linnetdeal_fleet::server::{Admission, Job, Server, ServerConfig};
+use linnetdeal_fleet::service_level::ServiceLevel;
 use linnetdeal_fleet::sim;
 use linnetdeal_fleet::traffic::Traffic;
 
@@ -30,18 +30,18 @@
     plan
 }
 
-fn run(plan: &Scenario) -> (sim::Outcome, Vec<Record>, u64) {
-    let mut log = Log::keeping();
+fn run(plan: &Scenario) -> (sim::RunOutcome, Vec<Record>, u64) {
+    let mut log = Log::with_records();
     let outcome = sim::run(plan, &mut log);
     let digest = log.digest();
     (outcome, log.into_records(), digest)
 }
 
-fn audit(plan: &Scenario, records: &[Record], end: Time, first_tries: u64) -> Verdict {
+fn audit(plan: &Scenario, records: &[Record], end: Time, first_tries: u64) -> AuditReport {
     let rules = sim::rules(plan);
     let mut auditor = Auditor::new(rules.clone());
-    records.iter().for_each(|record| auditor.take(*record));
-    auditor.verdict(end).counted(&rules, first_tries)
+    records.iter().for_each(|record| auditor.record(*record));
+    auditor.finish(end).check_first_tries(&rules, first_tries)
 }
 
 #[test]
@@ -60,9 +60,22 @@
         let plan = scenario(seed, load, &troubles);
         let (outcome, records, digest) = run(&plan);
         let verdict = audit(&plan, &records, outcome.end, outcome.first_tries());
-        println!("seed {seed}: {troubles}: service {:.3}, {:?}", outcome.service.whole(), verdict.broken);
-        assert!(verdict.broken.is_empty(), "seed {seed}: {:?} {:?}", verdict.broken, verdict.first);
-        assert!(outcome.share() > 0.5 && verdict.asked > 2_000, "seed {seed}: {:.3}", outcome.share());
+        println!(
+            "seed {seed}: {troubles}: service {:.3}, {:?}",
+            outcome.service.overall(),
+            verdict.violations
+        );
+        assert!(
+            verdict.violations.is_empty(),
+            "seed {seed}: {:?} {:?}",
+            verdict.violations,
+            verdict.first_violation
+        );
+        assert!(
+            outcome.served_share() > 0.5 && verdict.requests > 2_000,
+            "seed {seed}: {:.3}",
+            outcome.served_share()
+        );
         assert_eq!(run(&plan).2, digest, "seed {seed}");
     }
 }
@@ -72,34 +85,37 @@
     let plan = scenario(4, 0.9, "{at: \"3s\", what: \"crash\", who: \"boxes 0.2\", lasts: \"4s\"}");
     let (outcome, records, _) = run(&plan);
     let clean = audit(&plan, &records, outcome.end, outcome.first_tries());
-    assert!(clean.broken.is_empty(), "{:?} {:?}", clean.broken, clean.first);
+    assert!(clean.violations.is_empty(), "{:?} {:?}", clean.violations, clean.first_violation);
     let mut plan = plan;
     // An age that fits into so short a run.
-    for fault in Fault::FULL.into_iter().chain([Fault::TwoOut, Fault::StaleSession, Fault::PushedOver]) {
+    for fault in Fault::FULL_AUDIT.into_iter().chain([Fault::TwoOut, Fault::StaleSession, Fault::PushedOver])
+    {
         let mut rules = sim::rules(&plan);
-        rules.asked = Some(Span::millis(3_000));
-        let changed = fault.put(&records, &rules).unwrap_or_else(|| panic!("{fault:?} finds no place"));
+        rules.poll_interval = Some(Span::millis(3_000));
+        let changed = fault.inject(&records, &rules).unwrap_or_else(|| panic!("{fault:?} finds no place"));
         let mut auditor = Auditor::new(rules.clone());
-        changed.iter().for_each(|record| auditor.take(*record));
-        let verdict = auditor.verdict(faults::end(&changed)).counted(&rules, outcome.first_tries());
-        assert!(verdict.broken.contains_key(&fault.rule()), "{fault:?}: {:?}", verdict.broken);
+        changed.iter().for_each(|record| auditor.record(*record));
+        let verdict =
+            auditor.finish(faults::audit_end(&changed)).check_first_tries(&rules, outcome.first_tries());
+        assert!(verdict.violations.contains_key(&fault.rule()), "{fault:?}: {:?}", verdict.violations);
     }
     // One try fewer than clients make breaks the same rule.
     plan.traffic.retries -= 1;
     let verdict = audit(&plan, &records, outcome.end, outcome.first_tries());
-    assert!(verdict.broken.contains_key(&Rule::Tries), "{:?}", verdict.broken);
+    assert!(verdict.violations.contains_key(&Rule::Tries), "{:?}", verdict.violations);
 }
 
 #[test]
 fn what_is_given_up_works_on_and_clients_come_back_by_themselves() {
     let (outcome, records, _) = run(&scenario(5, 1.1, ""));
-    let count = |what: What| records.iter().filter(|of| of.what == what).count();
-    assert_eq!(count(What::Took), count(What::Through), "all that was taken was worked through");
-    let tries = |number: i64| records.iter().filter(|of| of.what == What::Try && of.y == number).count();
+    let count = |what: RecordKind| records.iter().filter(|of| of.what == what).count();
+    assert_eq!(count(RecordKind::Took), count(RecordKind::Through), "all that was taken was worked through");
+    let tries =
+        |number: i64| records.iter().filter(|of| of.what == RecordKind::Try && of.y == number).count();
     assert!(tries(1) > tries(2) && tries(2) > tries(3) && tries(3) > 0 && tries(4) == 0);
-    assert_eq!((tries(0) as u64, count(What::Try) as u64), (outcome.first_tries(), outcome.tries));
-    let asked: u64 = outcome.asked.iter().sum();
-    assert!(outcome.served.iter().sum::<u64>() < asked && outcome.service.whole() < outcome.share());
+    assert_eq!((tries(0) as u64, count(RecordKind::Try) as u64), (outcome.first_tries(), outcome.tries));
+    let asked: u64 = outcome.requests.iter().sum();
+    assert!(outcome.served.iter().sum::<u64>() < asked && outcome.service.overall() < outcome.served_share());
 }
 
 #[test]
@@ -108,43 +124,47 @@
     let marked = run(&plan).0;
     plan.clients.marks = false;
     let unmarked = run(&plan).0;
-    let whole = [&marked, &unmarked].map(|of| of.service.whole());
+    let whole = [&marked, &unmarked].map(|of| of.service.overall());
     println!("seed 6: marked {:.3}, not marked {:.3}", whole[0], whole[1]);
     assert!(whole[0] > whole[1] + 0.02, "{whole:?}");
 }
 
 #[test]
 fn calls_for_the_list_are_seen_to_one_after_another_and_fail_by_waiting() {
-    let mut list = list::Service::new(&scenario(1, 0.5, "").list);
-    assert_eq!(list.call(ms(0)), Called::Answered(ms(350)));
-    list.slow = 6.0;
-    assert_eq!(list.call(ms(0)), Called::Answered(ms(2_450)));
-    assert_eq!(list.call(ms(100)), Called::Failed(ms(2_100)), "it would begin after 2,350 ms");
-    list.slow = 1.0;
-    assert_eq!(list.call(ms(4_550)), Called::Answered(ms(4_900)), "and it took its time all the same");
-    assert_eq!((list.calls, list.news(ms(1_200))), ((4, 1), ms(1_500)));
+    let mut discovery = DiscoveryService::new(&scenario(1, 0.5, "").list);
+    assert_eq!(discovery.call(ms(0)), CallOutcome::Answered(ms(350)));
+    discovery.slowdown = 6.0;
+    assert_eq!(discovery.call(ms(0)), CallOutcome::Answered(ms(2_450)));
+    assert_eq!(discovery.call(ms(100)), CallOutcome::Failed(ms(2_100)), "it would begin after 2,350 ms");
+    discovery.slowdown = 1.0;
+    assert_eq!(
+        discovery.call(ms(4_550)),
+        CallOutcome::Answered(ms(4_900)),
+        "and it took its time all the same"
+    );
+    assert_eq!((discovery.calls, discovery.next_notification(ms(1_200))), ((4, 1), ms(1_500)));
 }
 
 #[test]
 fn a_box_that_holds_too_much_takes_longer_and_probes_take_from_it() {
-    let kind = Kind {
+    let config = ServerConfig {
         cores: 1,
         speed: 1.0,
-        room: 9,
-        crowding: 0.0,
+        queue_limit: 9,
+        queue_slowdown: 0.0,
         thrash: (2.0, 0.5),
         cold: (0.2, Span::millis(1)),
         fall: (2.0, Span::millis(1)),
     };
-    let mut server = Server::new(kind);
+    let mut server = Server::new(config);
     let job = |id| Job { id, work: Span::millis(10) };
-    server.disturb(Span::millis(2));
-    assert_eq!(server.come(ms(0), job(0)), Came::Runs(ms(12)));
+    server.add_overhead(Span::millis(2));
+    assert_eq!(server.admit(ms(0), job(0)), Admission::Started(ms(12)));
     for id in 1..5 {
-        assert_eq!(server.come(ms(0), job(id)), Came::Waits);
+        assert_eq!(server.admit(ms(0), job(id)), Admission::Queued);
     }
     // Three wait beside it: by a quarter of itself; from four held on by half.
-    assert_eq!((server.done(ms(12), 0), server.waits()), (Some(Some((1, Time(ms(24).0 + 500)))), 3));
+    assert_eq!((server.complete(ms(12), 0), server.queued()), (Some(Some((1, Time(ms(24).0 + 500)))), 3));
 }
 
 #[test]
@@ -153,17 +173,20 @@
     let quotas = Traffic::new(&plan).quotas;
     assert!((quotas[0] / quotas[2] - 2.5).abs() < 1e-9, "{quotas:?}");
     let traffic = Traffic::new(&plan);
-    let mut service = Service::new(&plan, &traffic.plans, &[2.0, 100.0], BEGIN);
-    let within: Vec<bool> = (0..4).map(|at| service.asked(ms(at), Some(0), 1)).collect();
+    let mut service = ServiceLevel::new(&plan, &traffic.plans, &[2.0, 100.0], BEGIN);
+    let within: Vec<bool> = (0..4).map(|at| service.record_request(ms(at), Some(0), 1)).collect();
     assert_eq!(within, [true, true, false, false]);
-    service.served(ms(0), Span::millis(300), Some(0), true, 1);
-    service.served(ms(1), Span::millis(301), Some(0), true, 1);
-    service.served(ms(2), Span::millis(10), Some(0), false, 1);
-    assert!(service.asked(ms(10_500), Some(1), 3));
+    service.record_served(ms(0), Span::millis(300), Some(0), true, 1);
+    service.record_served(ms(1), Span::millis(301), Some(0), true, 1);
+    service.record_served(ms(2), Span::millis(10), Some(0), false, 1);
+    assert!(service.record_request(ms(10_500), Some(1), 3));
     // Of 2 + 2 + 0.1 + 0.1 + 3: 2 in time, a fifth of 2 late, and 0.1.
-    assert!((service.whole() - 2.5 / 7.2).abs() < 1e-9, "{}", service.whole());
-    assert!((service.of_tenant(0)[0] - 2.4 / 4.0).abs() < 1e-9 && service.of_tenant(1)[0] == 0.0);
-    assert_eq!((service.worst().1, service.of_class(0), service.of_class(3)[0]), (0.0, [1.0, 1.0], 0.0));
+    assert!((service.overall() - 2.5 / 7.2).abs() < 1e-9, "{}", service.overall());
+    assert!((service.tenant_shares(0)[0] - 2.4 / 4.0).abs() < 1e-9 && service.tenant_shares(1)[0] == 0.0);
+    assert_eq!(
+        (service.worst_window().1, service.class_shares(0), service.class_shares(3)[0]),
+        (0.0, [1.0, 1.0], 0.0)
+    );
 }
 
 #[test]
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,21 +1,21 @@
 //! The model's parts by themselves, the auditor against seeded faults, and runs that are the same from the same seed.
 
 use linnetdeal_core::{Span, Time};
-use linnetdeal_fleet::audit::{Auditor, Verdict};
+use linnetdeal_fleet::audit::{AuditReport, Auditor};
 use linnetdeal_fleet::faults::{self, Fault};
-use linnetdeal_fleet::group::{Group, Ways};
+use linnetdeal_fleet::group::{Group, ReplicationTiming};
 use linnetdeal_fleet::record::{Log, Record, Sink};
 use linnetdeal_fleet::scenario::Scenario;
-use linnetdeal_fleet::server::{Came, Job, Kind, Life, Server};
+use linnetdeal_fleet::server::{Admission, Job, Server, ServerConfig, ServerState};
 use linnetdeal_fleet::sim;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const KIND: Kind = Kind {
+const CONFIG: ServerConfig = ServerConfig {
     cores: 2,
     speed: 1.0,
-    room: 3,
-    crowding: 0.0,
+    queue_limit: 3,
+    queue_slowdown: 0.0,
     thrash: (4.0, 0.0),
     cold: (0.16, Span::millis(16_000)),
     fall: (2.5, Span::millis(3_000)),
@@ -31,47 +31,47 @@
 
 #[test]
 fn a_box_runs_what_came_first_and_turns_away_what_has_no_room() {
-    let mut server = Server::new(KIND);
-    assert_eq!(server.come(ms(0), job(1, 10)), Came::Runs(ms(10)));
-    assert_eq!(server.come(ms(0), job(2, 30)), Came::Runs(ms(30)));
+    let mut server = Server::new(CONFIG);
+    assert_eq!(server.admit(ms(0), job(1, 10)), Admission::Started(ms(10)));
+    assert_eq!(server.admit(ms(0), job(2, 30)), Admission::Started(ms(30)));
     for id in 3..6 {
-        assert_eq!(server.come(ms(1), job(id, 10)), Came::Waits);
+        assert_eq!(server.admit(ms(1), job(id, 10)), Admission::Queued);
     }
-    assert_eq!(server.come(ms(1), job(6, 10)), Came::Full);
-    assert_eq!(server.done(ms(10), 1), Some(Some((3, ms(20)))));
-    assert_eq!(server.done(ms(10), 1), None, "it is through already");
-    assert_eq!(server.done(ms(19), 3), None, "not yet");
+    assert_eq!(server.admit(ms(1), job(6, 10)), Admission::Rejected);
+    assert_eq!(server.complete(ms(10), 1), Some(Some((3, ms(20)))));
+    assert_eq!(server.complete(ms(10), 1), None, "it is through already");
+    assert_eq!(server.complete(ms(19), 3), None, "not yet");
     assert_eq!(server.die().len(), 4);
-    assert_eq!(server.come(ms(20), job(7, 10)), Came::Nobody);
+    assert_eq!(server.admit(ms(20), job(7, 10)), Admission::Down);
 }
 
 #[test]
 fn a_pause_moves_all_ends_and_a_cold_start_is_slow() {
-    let mut server = Server::new(KIND);
-    server.come(ms(0), job(1, 10));
+    let mut server = Server::new(CONFIG);
+    server.admit(ms(0), job(1, 10));
     server.pause(ms(4));
-    assert_eq!((server.done(ms(10), 1), server.come(ms(5), job(2, 10))), (None, Came::Waits));
+    assert_eq!((server.complete(ms(10), 1), server.admit(ms(5), job(2, 10))), (None, Admission::Queued));
     assert_eq!(server.resume(ms(104)), [(1, ms(110)), (2, ms(114))]);
     server.die();
     assert!(server.start(ms(1_000)));
-    assert_eq!(server.come(ms(1_000), job(3, 16)), Came::Runs(ms(1_100)), "at 16%");
+    assert_eq!(server.admit(ms(1_000), job(3, 16)), Admission::Started(ms(1_100)), "at 16%");
     assert!((server.warmth(ms(9_000)) - 0.58).abs() < 0.001 && server.warmth(ms(20_000)) == 1.0);
 }
 
 #[test]
 fn a_cold_box_that_is_sent_too_much_falls_and_stays_down() {
-    let mut server = Server::new(KIND);
+    let mut server = Server::new(CONFIG);
     server.die();
     server.start(ms(0));
     // 2.5 times some 0.24 of two cores for 3 s are 3.6 s of work; what it turns away counts.
-    let fell = (0..200).position(|at| server.come(ms(at * 10), job(at as u64, 40)) == Came::Fell);
+    let fell = (0..200).position(|at| server.admit(ms(at * 10), job(at as u64, 40)) == Admission::Collapsed);
     assert!((60..100).contains(&fell.unwrap()), "{fell:?}");
-    assert_eq!((server.life(), server.start(ms(60_000))), (Life::Fallen, false));
-    assert_eq!(server.come(ms(60_000), job(1, 1)), Came::Nobody, "though nothing is sent any more");
+    assert_eq!((server.state(), server.start(ms(60_000))), (ServerState::Collapsed, false));
+    assert_eq!(server.admit(ms(60_000), job(1, 1)), Admission::Down, "though nothing is sent any more");
 }
 
-fn ways() -> Ways {
-    Ways {
+fn timing() -> ReplicationTiming {
+    ReplicationTiming {
         ship: Span::millis(8),
         apply: Span::millis(5),
         detect: Span::millis(2_000),
@@ -82,13 +82,13 @@
 
 #[test]
 fn replicas_apply_late_and_one_after_the_other() {
-    let mut group = Group::new(ways(), 3, ms(0));
+    let mut group = Group::new(timing(), 3, ms(0));
     for at in 100..110 {
         group.commit(ms(at));
     }
     assert_eq!(group.position(0, ms(110)), ms(110));
     assert_eq!(group.position(1, ms(118)), ms(101), "two are through by then: at 113 and 118");
-    group.slow(2, 100.0);
+    group.set_apply_factor(2, 100.0);
     group.commit(ms(200));
     assert_eq!(group.position(1, ms(220)), ms(212), "it has nothing to apply any more");
     assert!(group.position(2, ms(300)) < ms(200));
@@ -96,17 +96,17 @@
 
 #[test]
 fn positions_stand_still_without_a_primary_and_who_has_most_takes_over() {
-    let mut group = Group::new(ways(), 3, ms(0));
-    group.slow(1, 1_000.0);
+    let mut group = Group::new(timing(), 3, ms(0));
+    group.set_apply_factor(1, 1_000.0);
     group.commit(ms(100));
     assert!(group.leave(0, ms(103)));
     assert_eq!(group.primary(), None);
     assert_eq!(group.position(2, ms(5_000)), ms(100));
     // Both have received the commit, and the first of them needs 5 s to apply it.
-    let (heir, at) = group.heir(ms(200), |_| true).unwrap();
-    assert_eq!((heir, at), (1, ms(5_108)));
-    let (heir, _) = group.heir(ms(200), |at| at != 1).unwrap();
-    group.promote(heir, ms(300));
+    let (successor, at) = group.successor(ms(200), |_| true).unwrap();
+    assert_eq!((successor, at), (1, ms(5_108)));
+    let (successor, _) = group.successor(ms(200), |at| at != 1).unwrap();
+    group.promote(successor, ms(300));
     assert_eq!((group.primary(), group.position(2, ms(400))), (Some(2), ms(400)));
     group.commit(ms(500));
     group.join(0, ms(600));
@@ -130,16 +130,16 @@
 "#;
 
 fn records(scenario: &Scenario) -> (Vec<Record>, u64) {
-    let mut log = Log::keeping();
+    let mut log = Log::with_records();
     sim::run(scenario, &mut log);
     let digest = log.digest();
     (log.into_records(), digest)
 }
 
-fn audit(scenario: &Scenario, records: &[Record]) -> Verdict {
+fn audit(scenario: &Scenario, records: &[Record]) -> AuditReport {
     let mut auditor = Auditor::new(sim::rules(scenario));
-    records.iter().for_each(|record| auditor.take(*record));
-    auditor.verdict(faults::end(records))
+    records.iter().for_each(|record| auditor.record(*record));
+    auditor.finish(faults::audit_end(records))
 }
 
 #[test]
@@ -160,12 +160,13 @@
     let scenario = scenario(TROUBLED);
     let (records, _) = records(&scenario);
     let clean = audit(&scenario, &records);
-    assert!(clean.broken.is_empty() && clean.asked > 500, "{clean:?}");
+    assert!(clean.violations.is_empty() && clean.requests > 500, "{clean:?}");
     for fault in Fault::ALL {
-        let seeded =
-            fault.put(&records, &sim::rules(&scenario)).unwrap_or_else(|| panic!("{fault:?} finds no place"));
+        let seeded = fault
+            .inject(&records, &sim::rules(&scenario))
+            .unwrap_or_else(|| panic!("{fault:?} finds no place"));
         let verdict = audit(&scenario, &seeded);
-        assert!(verdict.broken.contains_key(&fault.rule()), "{fault:?}: {:?}", verdict.broken);
+        assert!(verdict.violations.contains_key(&fault.rule()), "{fault:?}: {:?}", verdict.violations);
     }
 }
 
@@ -191,14 +192,14 @@
     /// Whatever comes: what a box holds is bounded, each job is through once or told as lost, and a position never goes back.
     #[test]
     fn a_box_loses_nothing(steps in prop::collection::vec((0..4_u8, 1..200_i64), 1..80)) {
-        let (mut server, mut now, mut next) = (Server::new(KIND), 0, 0_u64);
+        let (mut server, mut now, mut next) = (Server::new(CONFIG), 0, 0_u64);
         let mut ends: Vec<(Time, u64)> = Vec::new();
         let (mut taken, mut through) = (0, 0);
         for (what, after) in steps {
             now += after;
             while let Some(at) = ends.iter().position(|(at, _)| *at <= ms(now)) {
                 let (at, id) = ends.swap_remove(at);
-                if let Some(more) = server.done(at.max(ms(now)), id) {
+                if let Some(more) = server.complete(at.max(ms(now)), id) {
                     through += 1;
                     ends.extend(more.map(|(id, at)| (at, id)));
                 }
@@ -213,24 +214,24 @@
                 }
                 _ => {
                     next += 1;
-                    match server.come(ms(now), job(next, after)) {
-                        Came::Runs(at) => {
+                    match server.admit(ms(now), job(next, after)) {
+                        Admission::Started(at) => {
                             ends.push((at, next));
                             taken += 1;
                         }
-                        Came::Waits => taken += 1,
+                        Admission::Queued => taken += 1,
                         _ => {}
                     }
                 }
             }
-            prop_assert!(server.holds() <= KIND.cores + KIND.room);
+            prop_assert!(server.jobs() <= CONFIG.cores + CONFIG.queue_limit);
         }
         prop_assert_eq!(taken, through + server.die().len());
     }
 
     #[test]
     fn positions_never_go_back(steps in prop::collection::vec((0..6_u8, 0..3_usize, 0..300_i64), 1..80)) {
-        let mut group = Group::new(ways(), 3, ms(0));
+        let mut group = Group::new(timing(), 3, ms(0));
         let (mut now, mut seen) = (0, [ms(-1_000); 3]);
         for (what, who, after) in steps {
             now += after;
@@ -240,12 +241,12 @@
                 2 => group.join(who, ms(now)),
                 3 => drop(group.hand_over(ms(now))),
                 4 if group.primary().is_none() => {
-                    if let Some((heir, at)) = group.heir(ms(now), |_| true) {
+                    if let Some((successor, at)) = group.successor(ms(now), |_| true) {
                         now = now.max((at.0 - ms(0).0) / 1_000 + 1);
-                        group.promote(heir, ms(now));
+                        group.promote(successor, ms(now));
                     }
                 }
-                _ => group.slow(who, 1.0 + after as f64 / 30.0),
+                _ => group.set_apply_factor(who, 1.0 + after as f64 / 30.0),
             }
             for (at, seen) in seen.iter_mut().enumerate() {
                 let position = group.position(at, ms(now));
