--- a/crates/lab/src/emulator.rs
+++ b/crates/lab/src/emulator.rs
@@ -1,11 +1,11 @@
 //! The fleet in virtual time, from the command line: a scenario, the library of them, and how large it gets.
 
 use crate::plot::Marks;
-use linnetdeal_fleet::audit::{Auditor, Verdict};
+use linnetdeal_fleet::audit::{AuditReport, Auditor};
 use linnetdeal_fleet::faults::{self, Fault};
 use linnetdeal_fleet::record::{Log, Record, Sink};
 use linnetdeal_fleet::scenario::Scenario;
-use linnetdeal_fleet::sim::{self, Outcome};
+use linnetdeal_fleet::sim::{self, RunOutcome};
 use linnetdeal_fleet::traffic;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -15,10 +15,10 @@
 struct All<'s>(&'s mut Log, &'s mut Auditor, &'s mut Marks);
 
 impl Sink for All<'_> {
-    fn take(&mut self, record: Record) {
-        self.0.take(record);
-        self.1.take(record);
-        self.2.take(record);
+    fn record(&mut self, record: Record) {
+        self.0.record(record);
+        self.1.record(record);
+        self.2.record(record);
     }
 }
 
@@ -28,9 +28,9 @@
     /// Its name.
     pub name: String,
     /// What came out.
-    pub outcome: Outcome,
+    pub outcome: RunOutcome,
     /// What the auditor says.
-    pub verdict: Verdict,
+    pub verdict: AuditReport,
     /// The digest of its records, and their number.
     pub digest: (u64, u64),
     /// What it took.
@@ -47,19 +47,19 @@
     /// In a line.
     #[must_use]
     pub fn line(&self) -> String {
-        let Outcome { events, asked, latency, sent, probes, fallen, .. } = &self.outcome;
+        let RunOutcome { events, requests, latency, attempts, probes, collapsed, .. } = &self.outcome;
         let p99 = |class: usize| latency[class].value_at_quantile(0.99) as f64 / 1_000.0;
         let broken: Vec<String> =
-            self.verdict.broken.iter().map(|(rule, count)| format!("{rule:?} {count}")).collect();
+            self.verdict.violations.iter().map(|(rule, count)| format!("{rule:?} {count}")).collect();
         format!(
-            "{:<20} asked {:>7}  served {:.4}  writes {:.4}  p99 {:>5.0} ms, of writes {:>5.0}  sent {sent:>8}  probes {probes:>7}  fell {fallen}  cold peak {:.2}  {:>5.2} M events/s  {}{}",
+            "{:<20} asked {:>7}  served {:.4}  writes {:.4}  p99 {:>5.0} ms, of writes {:>5.0}  sent {attempts:>8}  probes {probes:>7}  fell {collapsed}  cold peak {:.2}  {:>5.2} M events/s  {}{}",
             self.name,
-            asked.iter().sum::<u64>(),
-            self.outcome.share(),
-            self.outcome.share_of(self.outcome.writes()),
+            requests.iter().sum::<u64>(),
+            self.outcome.served_share(),
+            self.outcome.class_served_share(self.outcome.write_class()),
             p99(0),
-            p99(self.outcome.writes()),
-            self.verdict.peak,
+            p99(self.outcome.write_class()),
+            self.verdict.cold_peak,
             *events as f64 / self.took.as_secs_f64() / 1e6,
             if broken.is_empty() {
                 "no rule broken".to_owned()
@@ -73,21 +73,21 @@
     /// What clients got in worth, by class and tenant, in the whole run and in the worst 10 s, and how often it was asked for.
     #[must_use]
     pub fn service(&self) -> String {
-        let Outcome { service, asked, tries, calls, probes, sent, .. } = &self.outcome;
-        let first = asked.iter().sum::<u64>().max(1) as f64;
-        let (from, worst) = service.worst();
+        let RunOutcome { service, requests, tries, calls, probes, attempts, .. } = &self.outcome;
+        let first = requests.iter().sum::<u64>().max(1) as f64;
+        let (from, worst) = service.worst_window();
         let mut words = format!(
             "    service {:.3}, worst 10 s {worst:.3} from {from} s; tries a request {:.2}, attempts {:.2}, probes {:.2}",
-            service.whole(),
+            service.overall(),
             *tries as f64 / first,
-            *sent as f64 / first,
+            *attempts as f64 / first,
             *probes as f64 / first,
         );
         if calls.0 > 0 {
             words += &format!("; {} calls for the list, {} failed", calls.0, calls.1);
         }
-        let classes = self.classes.iter().enumerate().map(|(at, name)| (name, service.of_class(at)));
-        let tenants = self.tenants.iter().enumerate().map(|(at, name)| (name, service.of_tenant(at)));
+        let classes = self.classes.iter().enumerate().map(|(at, name)| (name, service.class_shares(at)));
+        let tenants = self.tenants.iter().enumerate().map(|(at, name)| (name, service.tenant_shares(at)));
         for (name, [whole, worst]) in classes.chain(tenants) {
             words += &format!("\n        {name:<16} {whole:.3}, worst 10 s {worst:.3}");
         }
@@ -141,20 +141,20 @@
     let began = Instant::now();
     let outcome = sim::run(scenario, &mut All(&mut log, &mut auditor, marks));
     let took = began.elapsed();
-    let verdict = auditor.verdict(outcome.end).counted(&sim::rules(scenario), outcome.first_tries());
+    let verdict = auditor.finish(outcome.end).check_first_tries(&sim::rules(scenario), outcome.first_tries());
     let mut missed = Vec::new();
     for (what, share, wanted) in [
-        ("served", outcome.share(), scenario.checks.served),
-        ("writes", outcome.share_of(outcome.writes()), scenario.checks.writes),
-        ("service", outcome.service.whole(), scenario.checks.service),
-        ("worst 10 s", outcome.service.worst().1, scenario.checks.worst),
+        ("served", outcome.served_share(), scenario.checks.served),
+        ("writes", outcome.class_served_share(outcome.write_class()), scenario.checks.writes),
+        ("service", outcome.service.overall(), scenario.checks.service),
+        ("worst 10 s", outcome.service.worst_window().1, scenario.checks.worst),
     ] {
         if share < wanted {
             missed.push(format!("{what} {share:.3} of {wanted}"));
         }
     }
     let digest = (log.digest(), log.len());
-    let classes = traffic::plans(scenario).into_iter().map(|of| of.class.name).collect();
+    let classes = traffic::class_plans(scenario).into_iter().map(|of| of.class.name).collect();
     let tenants = scenario.tenants.iter().map(|of| of.name.clone()).collect();
     Played { name: scenario.name.clone(), outcome, verdict, digest, took, missed, classes, tenants }
 }
@@ -163,7 +163,7 @@
 struct Of(u64, Vec<Record>);
 
 impl Sink for Of {
-    fn take(&mut self, record: Record) {
+    fn record(&mut self, record: Record) {
         if record.request == self.0 {
             self.1.push(record);
         }
@@ -181,17 +181,17 @@
 /// Puts each fault into a run's records; gives how many were found, of how many that found a place.
 #[must_use]
 pub fn seeded(scenario: &Scenario) -> (usize, usize) {
-    let mut log = Log::keeping();
+    let mut log = Log::with_records();
     let first_tries = sim::run(scenario, &mut log).first_tries();
     let (records, rules) = (log.into_records(), sim::rules(scenario));
     let (mut found, mut put) = (0, 0);
-    for fault in Fault::ALL.into_iter().chain(Fault::FULL) {
-        let Some(changed) = fault.put(&records, &rules) else { continue };
+    for fault in Fault::ALL.into_iter().chain(Fault::FULL_AUDIT) {
+        let Some(changed) = fault.inject(&records, &rules) else { continue };
         put += 1;
         let mut auditor = Auditor::new(rules.clone());
-        changed.iter().for_each(|record| auditor.take(*record));
-        let verdict = auditor.verdict(faults::end(&changed)).counted(&rules, first_tries);
-        found += usize::from(verdict.broken.contains_key(&fault.rule()));
+        changed.iter().for_each(|record| auditor.record(*record));
+        let verdict = auditor.finish(faults::audit_end(&changed)).check_first_tries(&rules, first_tries);
+        found += usize::from(verdict.violations.contains_key(&fault.rule()));
     }
     (found, put)
 }
--- a/crates/lab/src/even.rs
+++ b/crates/lab/src/even.rs
@@ -2,7 +2,7 @@
 
 use crate::{at_once, plot};
 use linnetdeal_core::Span;
-use linnetdeal_fleet::even::{Figures, Plan, Scheme, Sources, run, run_then, troubles};
+use linnetdeal_fleet::even::{Figures, Plan, Scheme, Sources, run, run_with_chooser, trouble_times};
 use std::fmt::Display;
 use std::io;
 use std::path::Path;
@@ -18,22 +18,22 @@
 
 /// What does not go by what is told is the same at every age.
 fn ages_of(scheme: Scheme, ages: &[i64]) -> &[i64] {
-    if scheme.told() { ages } else { &ages[..ages.len().min(1)] }
+    if scheme.uses_published_loads() { ages } else { &ages[..ages.len().min(1)] }
 }
 
 fn row(name: &str, figures: &Figures) -> String {
     format!(
         "| {name} | {:.2} | {:.0} | {:.0} | {:.4} | {:.4} | {} | {:.1} | {} | {} | {:.2} |",
-        figures.peak(),
+        figures.peak_to_mean(),
         figures.mean_ms(),
         figures.p99_ms(),
-        figures.bad(),
-        figures.bad_beside_idle(),
+        figures.failed_share(),
+        figures.failed_share_beside_idle(),
         figures.idle_seconds,
-        figures.swing,
-        figures.herds,
+        figures.max_interval_load,
+        figures.herd_events,
         figures.connections,
-        figures.messages_a_request(),
+        figures.messages_per_request(),
     )
 }
 
@@ -53,7 +53,7 @@
     say: &dyn Fn(&dyn Display),
 ) -> io::Result<()> {
     for count in poolers {
-        let plan = Plan { seed, ..Plan::of(*count) };
+        let plan = Plan { seed, ..Plan::for_poolers(*count) };
         let plays: Vec<(Scheme, i64)> = Scheme::ALL
             .iter()
             .flat_map(|scheme| ages_of(*scheme, ages).iter().map(|age| (*scheme, *age)))
@@ -65,10 +65,10 @@
         ));
         say(&format!("| scheme, age in ms {HEAD}\n| --- {RULE}"));
         let played = at_once(&plays, SIDE_BY_SIDE, |(scheme, age)| {
-            run(&Plan { age: Span::millis(*age), ..plan }, *scheme)
+            run(&Plan { publish_interval: Span::millis(*age), ..plan }, *scheme)
         });
         for ((scheme, age), figures) in plays.iter().zip(&played) {
-            let age = if scheme.told() { format!(", {age}") } else { String::new() };
+            let age = if scheme.uses_published_loads() { format!(", {age}") } else { String::new() };
             say(&row(&format!("{}{age}", scheme.name()), figures));
         }
     }
@@ -93,7 +93,7 @@
         ("no heavy poolers", Sources { heavy: false, ..all }),
     ];
     let schemes = [Scheme::Random, Scheme::Windows, Scheme::LeastOfStep, Scheme::Central];
-    let plan = Plan { seed, seconds: 14, troubles: false, ..Plan::of(PLOTTED) };
+    let plan = Plan { seed, seconds: 14, troubles: false, ..Plan::for_poolers(PLOTTED) };
     let plays: Vec<(Sources, Scheme)> =
         without.iter().flat_map(|(_, sources)| schemes.map(|scheme| (*sources, scheme))).collect();
     let played =
@@ -108,7 +108,7 @@
     ));
     for ((name, _), row) in without.iter().zip(played.chunks(schemes.len())) {
         let cells: Vec<String> =
-            row.iter().map(|of| format!("{:.2}, {:.0}", of.peak(), of.p99_ms())).collect();
+            row.iter().map(|of| format!("{:.2}, {:.0}", of.peak_to_mean(), of.p99_ms())).collect();
         say(&format!("| {name} | {} |", cells.join(" | ")));
     }
 }
@@ -116,10 +116,11 @@
 /// What a decision takes in the model, the pool of members included that a choice is made from.
 fn cost(seed: u64, say: &dyn Fn(&dyn Display)) {
     say(&"\nTime of a decision, ns, one group\n\n| | 120 servers | 2,000 servers |\n| --- | --- | --- |");
-    for scheme in [Scheme::Windows, Scheme::LeastOfStep, Scheme::Interpreted, Scheme::Central] {
+    for scheme in [Scheme::Windows, Scheme::LeastOfStep, Scheme::StaleInterpreted, Scheme::Central] {
         let cells = [120, 2_000].map(|members| {
-            let plan = Plan { seed, groups: 1, members, seconds: 1, troubles: false, ..Plan::of(50) };
-            let (_, mut again) = run_then(&plan, scheme);
+            let plan =
+                Plan { seed, groups: 1, members, seconds: 1, troubles: false, ..Plan::for_poolers(50) };
+            let (_, mut again) = run_with_chooser(&plan, scheme);
             let began = Instant::now();
             let made = (0..TIMED).filter(|at| again(*at).is_some()).count();
             began.elapsed().as_nanos() / made.max(1) as u128
@@ -129,11 +130,11 @@
 }
 
 fn draw(folder: &Path, seed: u64) -> io::Result<()> {
-    let plan = Plan { seed, ..Plan::of(PLOTTED) };
+    let plan = Plan { seed, ..Plan::for_poolers(PLOTTED) };
     let schemes = [
-        Scheme::LeastTold,
-        Scheme::ForwardTold,
-        Scheme::Interpreted,
+        Scheme::LeastPublished,
+        Scheme::ForwardPublished,
+        Scheme::StaleInterpreted,
         Scheme::Windows,
         Scheme::LeastOfStep,
         Scheme::Central,
@@ -141,14 +142,14 @@
     let plays: Vec<(Scheme, i64)> =
         schemes.iter().flat_map(|scheme| AGES.map(|age| (*scheme, age))).collect();
     let played = at_once(&plays, SIDE_BY_SIDE, |(scheme, age)| {
-        run(&Plan { age: Span::millis(*age), ..plan }, *scheme)
+        run(&Plan { publish_interval: Span::millis(*age), ..plan }, *scheme)
     });
     let (mut by_age, mut by_second) = (Vec::new(), Vec::new());
     for (scheme, figures) in schemes.iter().zip(played.chunks(AGES.len())) {
         let points = AGES.iter().zip(figures).map(|(age, of)| (*age as f64 / 1_000.0, of.p99_ms()));
         by_age.push((scheme.name(), points.collect()));
         let fresh = &figures[2].peaks;
-        let first = linnetdeal_fleet::even::SETTLED as f64;
+        let first = linnetdeal_fleet::even::WARM_UP_SECONDS as f64;
         let points = fresh.iter().enumerate().map(|(at, peak)| (at as f64 + first, *peak));
         by_second.push((scheme.name(), points.collect()));
     }
@@ -158,6 +159,6 @@
     let title = format!(
         "greatest load of a server against its group's mean, by second, {PLOTTED} poolers, told each 100 ms"
     );
-    let second = plot::chart(&title, &by_second, 1.0, &troubles()).map_err(io::Error::other)?;
+    let second = plot::chart(&title, &by_second, 1.0, &trouble_times()).map_err(io::Error::other)?;
     plot::write_whole(&folder.join("even-load-second.svg"), &second)
 }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -134,13 +134,13 @@
 fn figures(played: &Played) -> Figures {
     let p99 = |class: usize| played.outcome.latency[class].value_at_quantile(0.99) as f64 / 1_000.0;
     [
-        played.outcome.share(),
-        played.outcome.share_of(played.outcome.writes()),
+        played.outcome.served_share(),
+        played.outcome.class_served_share(played.outcome.write_class()),
         p99(0),
-        p99(played.outcome.writes()),
-        played.outcome.probes as f64 / played.outcome.asked.iter().sum::<u64>().max(1) as f64,
-        played.verdict.peak,
-        played.verdict.broken.values().sum::<u64>() as f64,
+        p99(played.outcome.write_class()),
+        played.outcome.probes as f64 / played.outcome.requests.iter().sum::<u64>().max(1) as f64,
+        played.verdict.cold_peak,
+        played.verdict.violations.values().sum::<u64>() as f64,
     ]
 }
 
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -2,7 +2,7 @@
 
 use clap::{Parser, Subcommand};
 use linnetdeal_fleet::scenario::Scenario;
-use linnetdeal_fleet::sim::WRITES;
+use linnetdeal_fleet::sim::WRITE_CLASS;
 use linnetdeal_fleet::traffic;
 use linnetdeal_lab::at_once;
 use linnetdeal_lab::clients::CLASSES;
@@ -375,9 +375,8 @@
         return Ok(true);
     }
     let mut marks = match report {
-        Some(_) => {
-            plot::Marks::drawing(linnetdeal_fleet::sim::BEGIN).writes(traffic::plans(&scenario).len() - 1)
-        }
+        Some(_) => plot::Marks::drawing(linnetdeal_fleet::sim::BEGIN)
+            .writes(traffic::class_plans(&scenario).len() - 1),
         None => plot::Marks::default(),
     };
     let played = emulator::play_with(&scenario, &mut marks);
@@ -386,7 +385,7 @@
     if let Some(report) = report {
         plot::write_whole(report, &plot::report(&played, &marks)?)?;
     }
-    if let Some((rule, record)) = &played.verdict.first {
+    if let Some((rule, record)) = &played.verdict.first_violation {
         say!("    first: {rule:?} by {record:?}");
     }
     for (second, (asked, served)) in
@@ -394,7 +393,7 @@
     {
         say!("    {second:>3} s  asked {asked:>6}  served {:.3}", *served as f64 / *asked as f64);
     }
-    Ok(played.verdict.broken.is_empty() && played.missed.is_empty())
+    Ok(played.verdict.violations.is_empty() && played.missed.is_empty())
 }
 
 /// A scenario in virtual time and on sockets: its lines, the gap of the served shares, and the ratio of the 99th
@@ -404,27 +403,27 @@
     let real = rehearsal::play(scenario, &program())?;
     let p99 = |of: &hdrhistogram::Histogram<u64>| of.value_at_quantile(0.99).max(1) as f64 / 1_000.0;
     let broken: Vec<String> =
-        real.verdict.broken.iter().map(|(rule, count)| format!("{rule:?} {count}")).collect();
+        real.verdict.violations.iter().map(|(rule, count)| format!("{rule:?} {count}")).collect();
     say!("{}", virtual_one.line());
     say!(
         "{:<20} asked {:>7}  served {:.4}  writes {:.4}  p99 {:>5.0} ms, of writes {:>5.0}  never sent {}  fell {}  cold peak {:.2}  {}",
         "  on sockets",
         real.asked.iter().sum::<u64>(),
         real.share(),
-        real.share_of(WRITES),
+        real.share_of(WRITE_CLASS),
         p99(&real.latency[0]),
-        p99(&real.latency[WRITES]),
+        p99(&real.latency[WRITE_CLASS]),
         real.never_sent,
         real.fallen,
-        real.verdict.peak,
+        real.verdict.cold_peak,
         if broken.is_empty() { "no rule broken".to_owned() } else { format!("BROKEN {}", broken.join(", ")) }
     );
-    if let Some((rule, record)) = &real.verdict.first {
+    if let Some((rule, record)) = &real.verdict.first_violation {
         say!("    first: {rule:?} by {record:?}");
     }
-    let gap = (real.share() - virtual_one.outcome.share()).abs();
+    let gap = (real.share() - virtual_one.outcome.served_share()).abs();
     let ratio = p99(&real.latency[0]) / p99(&virtual_one.outcome.latency[0]);
-    Ok((gap, ratio, broken.is_empty() && virtual_one.verdict.broken.is_empty()))
+    Ok((gap, ratio, broken.is_empty() && virtual_one.verdict.violations.is_empty()))
 }
 
 fn rehearse(path: &Path, seed: Option<u64>) -> Result<bool, Failure> {
@@ -539,10 +538,10 @@
         if !played.tenants.is_empty() {
             say!("{}", played.service());
         }
-        if let Some((rule, record)) = &played.verdict.first {
+        if let Some((rule, record)) = &played.verdict.first_violation {
             say!("    first: {rule:?} by {record:?}");
         }
-        broken += played.verdict.broken.values().sum::<u64>();
+        broken += played.verdict.violations.values().sum::<u64>();
         missed += played.missed.len();
     }
     let (mut found, mut put) = (0, 0);
@@ -558,7 +557,7 @@
         let scenario = Scenario::decode("largest", LARGEST.as_bytes())?;
         let played = emulator::play(&scenario);
         say!("{}", played.line());
-        broken += played.verdict.broken.values().sum::<u64>();
+        broken += played.verdict.violations.values().sum::<u64>();
         largest = json!({"boxes": scenario.fleet.groups * scenario.fleet.members, "poolers": scenario.fleet.poolers,
             "requests_per_s": scenario.traffic.rate, "events": played.outcome.events, "took_s": played.took.as_secs()});
     }
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -3,8 +3,8 @@
 
 use crate::emulator::Played;
 use linnetdeal_core::Time;
-use linnetdeal_fleet::record::{Record, Sink, What};
-use linnetdeal_fleet::sim::{BEGIN, WRITES};
+use linnetdeal_fleet::record::{Record, RecordKind, Sink};
+use linnetdeal_fleet::sim::{BEGIN, WRITE_CLASS};
 use plotters::prelude::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt::Write as _;
@@ -39,14 +39,14 @@
     /// For charts of a run that begins then.
     #[must_use]
     pub fn drawing(begin: Time) -> Self {
-        Self { troubles: Vec::new(), begin, drawn: Some(Drawn { writes: WRITES, ..Drawn::default() }) }
+        Self { troubles: Vec::new(), begin, drawn: Some(Drawn { writes: WRITE_CLASS, ..Drawn::default() }) }
     }
 
     /// The same where the class of writes has another number.
     #[must_use]
     pub fn writes(mut self, class: usize) -> Self {
         if let Some(drawn) = &mut self.drawn {
-            drawn.writes = class.min(WRITES);
+            drawn.writes = class.min(WRITE_CLASS);
         }
         self
     }
@@ -95,13 +95,13 @@
         let writes = self.writes;
         let write = |of: &Open| of.class == writes;
         match record.what {
-            What::Asked => {
+            RecordKind::Asked => {
                 let class = ((record.b % 256) as usize).min(writes);
                 let open = Open { asked: record.at, class, out: false };
                 self.open.insert(record.request, open);
                 self.hold(now, held + usize::from(write(&open)));
             }
-            What::Sent => {
+            RecordKind::Sent => {
                 *place(&mut self.sent, now).entry(record.b).or_default() += 1;
                 if let Some(open) = self.open.get_mut(&record.request).filter(|open| !open.out) {
                     open.out = true;
@@ -109,19 +109,19 @@
                     self.hold(now, held);
                 }
             }
-            What::Over => {
+            RecordKind::Over => {
                 if let Some(open) = self.open.get_mut(&record.request).filter(|open| open.out) {
                     open.out = false;
                     let held = held + usize::from(write(open));
                     self.hold(now, held);
                 }
             }
-            What::Served | What::Refused | What::Failed => {
+            RecordKind::Served | RecordKind::Refused | RecordKind::Failed => {
                 let Some(open) = self.open.remove(&record.request) else { return };
                 if !open.out {
                     self.hold(now, held - usize::from(write(&open)).min(held));
                 }
-                if record.what == What::Served && self.times < MOST_DRAWN {
+                if record.what == RecordKind::Served && self.times < MOST_DRAWN {
                     self.times += 1;
                     let took = (record.at - open.asked).0 as f32 / 1_000.0;
                     place(&mut self.took, second(open.asked))[open.class].push(took);
@@ -160,8 +160,9 @@
 }
 
 impl Sink for Marks {
-    fn take(&mut self, record: Record) {
-        if matches!(record.what, What::Trouble | What::Killed) && self.troubles.len() < MOST_MARKS {
+    fn record(&mut self, record: Record) {
+        if matches!(record.what, RecordKind::Trouble | RecordKind::Killed) && self.troubles.len() < MOST_MARKS
+        {
             self.troubles.push((record.at - self.begin).0 as f64 / 1e6);
         }
         if let Some(drawn) = &mut self.drawn {
@@ -236,7 +237,7 @@
     let load: Vec<(f64, f64)> = seconds().map(|(at, (asked, _))| (at as f64, *asked as f64)).collect();
     let mut html = String::new();
     let broken: Vec<String> =
-        played.verdict.broken.iter().map(|(rule, count)| format!("{rule:?} {count}")).collect();
+        played.verdict.violations.iter().map(|(rule, count)| format!("{rule:?} {count}")).collect();
     let rules = if broken.is_empty() { "none".to_owned() } else { broken.join(", ") };
     let _ = write!(
         html,
@@ -245,14 +246,14 @@
     );
     let p99 = |class: usize| played.outcome.latency[class].value_at_quantile(0.99) as f64 / 1_000.0;
     for (what, figure) in [
-        ("first tries", played.outcome.asked.iter().sum::<u64>().to_string()),
-        ("served", format!("{:.4}", played.outcome.share())),
-        ("writes served", format!("{:.4}", played.outcome.share_of(played.outcome.writes()))),
-        ("writes, p99 in ms", format!("{:.0}", p99(played.outcome.writes()))),
-        ("attempts sent", played.outcome.sent.to_string()),
+        ("first tries", played.outcome.requests.iter().sum::<u64>().to_string()),
+        ("served", format!("{:.4}", played.outcome.served_share())),
+        ("writes served", format!("{:.4}", played.outcome.class_served_share(played.outcome.write_class()))),
+        ("writes, p99 in ms", format!("{:.0}", p99(played.outcome.write_class()))),
+        ("attempts sent", played.outcome.attempts.to_string()),
         ("probes", played.outcome.probes.to_string()),
-        ("boxes that fell", played.outcome.fallen.to_string()),
-        ("most of a cold box's budget", format!("{:.2}", played.verdict.peak)),
+        ("boxes that fell", played.outcome.collapsed.to_string()),
+        ("most of a cold box's budget", format!("{:.2}", played.verdict.cold_peak)),
         ("rules broken", rules),
         ("records, digest", format!("{}, {:016x}", played.digest.1, played.digest.0)),
     ] {
--- a/crates/lab/src/rehearsal.rs
+++ b/crates/lab/src/rehearsal.rs
@@ -8,14 +8,14 @@
 use crate::say;
 use hdrhistogram::Histogram;
 use linnetdeal_core::{Effect, ListState, Need, Note, Role, Span, Time, Verdict};
-use linnetdeal_fleet::agenda::Agenda;
-use linnetdeal_fleet::audit::{self, Auditor, Fresh};
-use linnetdeal_fleet::fleet::{Arrival, Change, Consequence, Finished, Fleet, Happens};
-use linnetdeal_fleet::record::{Record, Sink, What};
-use linnetdeal_fleet::scenario::{Ill, Scenario};
-use linnetdeal_fleet::server::{Job, Life};
+use linnetdeal_fleet::audit::{self, Auditor, Freshness};
+use linnetdeal_fleet::event_queue::EventQueue;
+use linnetdeal_fleet::fleet::{Delivery, Fleet, FleetAction, FleetEvent, JobResult, ListChange};
+use linnetdeal_fleet::record::{Record, RecordKind, Sink};
+use linnetdeal_fleet::scenario::{Scenario, TroubleKind};
+use linnetdeal_fleet::server::{Job, ServerState};
 use linnetdeal_fleet::sim;
-use linnetdeal_fleet::traffic::{BACK_MS, Drawn, Traffic};
+use linnetdeal_fleet::traffic::{ClientRequest, RETRY_WAIT_MS, Traffic};
 use linnetdeal_net::pg::{self, write};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -89,7 +89,7 @@
 }
 
 enum Event {
-    Fleet(Happens),
+    Fleet(FleetEvent),
     Come { conn: u64, what: Asked },
     Write { conn: u64, bytes: Vec<u8>, over: Option<u64> },
     Shipped { conn: u64, life: u32, id: String, request: u64, commit: Time },
@@ -134,7 +134,7 @@
     /// Boxes that fell.
     pub fallen: u64,
     /// What the auditor says.
-    pub verdict: audit::Verdict,
+    pub verdict: audit::AuditReport,
 }
 
 impl Rehearsed {
@@ -157,11 +157,11 @@
 ///
 /// When it is larger than one machine can show.
 pub fn check(plan: &Scenario) -> io::Result<()> {
-    if let Some(what) = plan.beyond_sockets() {
+    if let Some(what) = plan.unsupported_on_sockets() {
         let words = format!("{}: {what} can't be on sockets; play it in virtual time", plan.name);
         return Err(io::Error::other(words));
     }
-    let surges = plan.troubles.iter().filter(|of| of.what == Ill::Surge).map(|of| of.factor);
+    let surges = plan.troubles.iter().filter(|of| of.what == TroubleKind::Surge).map(|of| of.factor);
     let rate = Traffic::new(plan).rate * surges.fold(1.0, f64::max);
     let boxes = plan.fleet.groups * plan.fleet.members;
     for (what, is, most) in [
@@ -190,7 +190,7 @@
             "KeyScope": "all", "Stream": false})
     });
     all["Lanes"] = lanes.collect();
-    all["FleetSize"] = traffic.sharing().into();
+    all["FleetSize"] = traffic.poolers_per_group().into();
     all
 }
 
@@ -238,7 +238,7 @@
         let _ = self.inputs.send(input);
     }
 
-    fn record(&self, what: What, (a, b): (u32, u32), request: u64, x: i64, y: i64) {
+    fn record(&self, what: RecordKind, (a, b): (u32, u32), request: u64, x: i64, y: i64) {
         self.tell(Input::Record(Record { at: self.clock.now(), what, a, b, request, x, y }));
     }
 }
@@ -282,7 +282,7 @@
     });
     let mut stage = Stage::new(plan, program, &shared, fleet, traffic.clone(), rng)?;
     let mut effects = Vec::new();
-    stage.fleet.begin(&mut effects);
+    stage.fleet.schedule_troubles(&mut effects);
     stage.follow(effects);
     let clients = {
         let (shared, plan, traffic) = (shared.clone(), plan.clone(), traffic);
@@ -296,7 +296,7 @@
     while let Ok(input) = told.try_recv() {
         stage.take(input);
     }
-    let fallen = stage.fleet.fallen;
+    let fallen = stage.fleet.collapsed;
     let verdict = audit(plan, std::mem::take(&mut stage.records), end);
     let counts = std::mem::replace(
         &mut *crate::lock(&shared.counts),
@@ -307,12 +307,12 @@
 }
 
 /// Threads tell of what happened a little late and out of order: it is put in order first.
-fn audit(plan: &Scenario, mut records: Vec<Record>, end: Time) -> audit::Verdict {
+fn audit(plan: &Scenario, mut records: Vec<Record>, end: Time) -> audit::AuditReport {
     let mut rules = sim::rules(plan);
-    rules.slack = Span(rules.slack.0 + LATE.0);
-    rules.grace = Span(rules.grace.0 + LATE.0);
-    for law in &mut rules.laws {
-        if let Fresh::Bounded(bound) = &mut law.fresh {
+    rules.answer_slack = Span(rules.answer_slack.0 + LATE.0);
+    rules.drain_grace = Span(rules.drain_grace.0 + LATE.0);
+    for law in &mut rules.classes {
+        if let Freshness::Bounded(bound) = &mut law.freshness {
             *bound = Span(bound.0 + LATE.0);
         }
     }
@@ -320,8 +320,8 @@
     let mut sent = HashMap::new();
     for record in &mut records {
         match record.what {
-            What::Sent => drop(sent.insert((record.request, record.b), record.at)),
-            What::Over => {
+            RecordKind::Sent => drop(sent.insert((record.request, record.b), record.at)),
+            RecordKind::Over => {
                 let began = sent.get(&(record.request, record.b)).copied().unwrap_or(Time(0));
                 record.at = (record.at + Span(-SEEN.0)).max(began + Span(1));
             }
@@ -330,8 +330,8 @@
     }
     records.sort_by_key(|of| of.at);
     let mut auditor = Auditor::new(rules);
-    records.into_iter().for_each(|record| auditor.take(record));
-    auditor.verdict(end)
+    records.into_iter().for_each(|record| auditor.record(record));
+    auditor.finish(end)
 }
 
 /// What has the model.
@@ -342,7 +342,7 @@
     fleet: Fleet,
     traffic: Traffic,
     rng: ChaCha8Rng,
-    queue: Agenda<Event>,
+    queue: EventQueue<Event>,
     conns: HashMap<u64, Conn>,
     jobs: HashMap<u64, JobOf>,
     next_job: u64,
@@ -379,7 +379,7 @@
             fleet,
             traffic,
             rng,
-            queue: Agenda::default(),
+            queue: EventQueue::default(),
             conns: HashMap::new(),
             jobs: HashMap::new(),
             next_job: 1,
@@ -400,8 +400,8 @@
     /// What starts a pooler: it knows the list as it was at the beginning, and hears the rest from discovery.
     fn daemon(&self, router: u32) -> impl FnOnce() -> io::Result<Pooler> + Send + 'static {
         let instances = (0..self.fleet.hosts.len() as u32)
-            .filter(|server| self.traffic.reaches(router, self.fleet.hosts[*server as usize].group));
-        let first = |server: u32| Change {
+            .filter(|server| self.traffic.serves(router, self.fleet.hosts[*server as usize].group));
+        let first = |server: u32| ListChange {
             server,
             state: ListState::Healthy,
             started: None,
@@ -411,7 +411,7 @@
         let instances: Vec<Value> = instances.map(|server| self.entry(router, first(server))).collect();
         let known = json!({"generation": 1, "reset": true, "instances": instances});
         let setup = Setup {
-            fleet: self.traffic.sharing(),
+            fleet: self.traffic.poolers_per_group(),
             sockets: 2_048,
             listen: None,
             discovery: Some(self.discoveries[router as usize]),
@@ -428,7 +428,7 @@
         Ok(())
     }
 
-    fn entry(&self, router: u32, change: Change) -> Value {
+    fn entry(&self, router: u32, change: ListChange) -> Value {
         let host = &self.fleet.hosts[change.server as usize];
         let lifecycle = match change.state {
             ListState::Healthy => "up",
@@ -443,7 +443,7 @@
     }
 
     fn at(&mut self, at: Time, event: Event) {
-        self.queue.enter(at, event);
+        self.queue.schedule(at, event);
     }
 
     /// Something reaches the other side a way later.
@@ -454,7 +454,7 @@
         self.at(self.shared.clock.now() + way, event);
     }
 
-    fn record(&mut self, what: What, (a, b): (u32, u32), request: u64, x: i64, y: i64) {
+    fn record(&mut self, what: RecordKind, (a, b): (u32, u32), request: u64, x: i64, y: i64) {
         self.records.push(Record { at: self.shared.clock.now(), what, a, b, request, x, y });
     }
 
@@ -464,8 +464,8 @@
             if now >= end {
                 return;
             }
-            if self.queue.next_at().is_some_and(|at| at <= now) {
-                if let Some((_, event)) = self.queue.take() {
+            if self.queue.next_time().is_some_and(|at| at <= now) {
+                if let Some((_, event)) = self.queue.pop() {
                     self.happens(event);
                 }
                 // What came meanwhile is not kept waiting by a row of events.
@@ -474,7 +474,7 @@
                 }
                 continue;
             }
-            let next = self.queue.next_at().map_or(end, |at| at.min(end));
+            let next = self.queue.next_time().map_or(end, |at| at.min(end));
             match told.recv_timeout(self.shared.clock.until(next)) {
                 Ok(input) => self.take(input),
                 Err(RecvTimeoutError::Timeout) => {}
@@ -486,7 +486,7 @@
     fn take(&mut self, input: Input) {
         match input {
             Input::Opened { conn, server, router, stream } => {
-                let life = self.fleet.hosts[server as usize].life;
+                let life = self.fleet.hosts[server as usize].incarnation;
                 let held = Vec::new();
                 self.conns.insert(conn, Conn { server, router, life, stream, out: None, held });
             }
@@ -497,7 +497,15 @@
                     let request = *request;
                     of.out = Some(request);
                     let (a, b) = (router, server);
-                    self.records.push(Record { at: first, what: What::Sent, a, b, request, x: 0, y: 0 });
+                    self.records.push(Record {
+                        at: first,
+                        what: RecordKind::Sent,
+                        a,
+                        b,
+                        request,
+                        x: 0,
+                        y: 0,
+                    });
                 }
                 self.later(router, server, Event::Come { conn, what });
             }
@@ -505,7 +513,7 @@
                 let Some(of) = self.conns.remove(&conn) else { return };
                 if let Some(request) = of.out {
                     let (a, b) = (of.router, of.server);
-                    self.records.push(Record { at, what: What::Over, a, b, request, x: 0, y: 0 });
+                    self.records.push(Record { at, what: RecordKind::Over, a, b, request, x: 0, y: 0 });
                 }
             }
             Input::Watch { router, since, lines } => {
@@ -533,7 +541,7 @@
     fn tells(&mut self, router: u32, change: usize) {
         let change = self.fleet.changes[change];
         let up = i64::from(change.state == ListState::Healthy);
-        self.record(What::Told, (router, change.server), 0, up, change.started.unwrap_or(Time(0)).0);
+        self.record(RecordKind::Told, (router, change.server), 0, up, change.started.unwrap_or(Time(0)).0);
     }
 
     fn happens(&mut self, event: Event) {
@@ -541,7 +549,7 @@
             Event::Fleet(what) => {
                 let mut effects = Vec::new();
                 let now = self.shared.clock.now();
-                self.fleet.happens(now, what, &mut self.rng, &mut effects);
+                self.fleet.handle(now, what, &mut self.rng, &mut effects);
                 self.follow(effects);
             }
             Event::Come { conn, what } => self.come(conn, what),
@@ -552,7 +560,7 @@
                     of.out = None;
                 }
                 if let Some(request) = over {
-                    self.record(What::Over, (router, server), request, 0, 0);
+                    self.record(RecordKind::Over, (router, server), request, 0, 0);
                 }
                 // Who has left takes no answer.
                 if let Some(of) = self.conns.get_mut(&conn) {
@@ -564,10 +572,10 @@
             Event::Shipped { conn, life, id, request, commit } => {
                 let Some(of) = self.conns.get(&conn) else { return };
                 let (server, router) = (of.server, of.router);
-                if self.fleet.hosts[server as usize].life != life {
+                if self.fleet.hosts[server as usize].incarnation != life {
                     return;
                 }
-                self.record(What::Kept, (router, server), request, commit.0, 0);
+                self.record(RecordKind::Kept, (router, server), request, commit.0, 0);
                 let position = commit.0.div_euclid(1_000) + 1;
                 let mut bytes = Vec::new();
                 say::row(&mut bytes, format!("{id} {}", commit.0).as_bytes(), true, position);
@@ -592,7 +600,7 @@
                 if let Some(pooler) = self.poolers[router as usize].take() {
                     self.watches[router as usize].clear();
                     drop(pooler);
-                    self.record(What::Killed, (router, 0), 0, 0, 0);
+                    self.record(RecordKind::Killed, (router, 0), 0, 0, 0);
                     if let Some(away) = self.fleet.away(trouble) {
                         self.at(self.shared.clock.now() + away, Event::Start { router });
                     }
@@ -606,41 +614,41 @@
     }
 
     /// Sees to what follows from what happened to the boxes.
-    fn follow(&mut self, effects: Vec<Consequence>) {
+    fn follow(&mut self, effects: Vec<FleetAction>) {
         for effect in effects {
             match effect {
-                Consequence::At(at, what) => self.at(at, Event::Fleet(what)),
-                Consequence::Record(what, server, request, x) => {
+                FleetAction::Schedule(at, what) => self.at(at, Event::Fleet(what)),
+                FleetAction::Record(what, server, request, x) => {
                     self.record(what, (0, server), request, x, 0)
                 }
                 // Its connection ends with the box.
-                Consequence::Lost(job) => drop(self.jobs.remove(&job)),
-                Consequence::Through(server, job) => self.through(server, job),
-                Consequence::Listed(change, noticed) => {
+                FleetAction::JobLost(job) => drop(self.jobs.remove(&job)),
+                FleetAction::JobDone(server, job) => self.through(server, job),
+                FleetAction::ListChanged(change, noticed) => {
                     let server = self.fleet.changes[change].server;
                     let group = self.fleet.hosts[server as usize].group;
                     for router in 0..self.poolers.len() as u32 {
-                        if self.traffic.reaches(router, group) {
+                        if self.traffic.serves(router, group) {
                             self.at(
-                                noticed + self.traffic.hears_after(router),
+                                noticed + self.traffic.list_delay(router),
                                 Event::Told { router, change },
                             );
                         }
                     }
                 }
-                Consequence::Lives(server) => self.lives(server),
-                Consequence::Kill(at, trouble, router) => self.at(at, Event::Kill { trouble, router }),
+                FleetAction::StateChanged(server) => self.lives(server),
+                FleetAction::KillPooler(at, trouble, router) => self.at(at, Event::Kill { trouble, router }),
                 // No such list is on sockets: `check` refuses it.
-                Consequence::Overbooked(_) => {}
-                Consequence::Surge(factor) => *crate::lock(&self.shared.surge) = factor,
+                FleetAction::ListOverbooked(_) => {}
+                FleetAction::SetSurge(factor) => *crate::lock(&self.shared.surge) = factor,
             }
         }
     }
 
     /// A box has died, stands still, goes on or has started.
     fn lives(&mut self, server: u32) {
-        let life = self.fleet.hosts[server as usize].server.life();
-        let gone = matches!(life, Life::Dead | Life::Fallen);
+        let life = self.fleet.hosts[server as usize].server.state();
+        let gone = matches!(life, ServerState::Dead | ServerState::Collapsed);
         if self.shared.gone[server as usize].swap(gone, Ordering::SeqCst) != gone && gone {
             for of in self.conns.values().filter(|of| of.server == server) {
                 let _ = of.stream.shutdown(Shutdown::Both);
@@ -650,7 +658,7 @@
                 drop(TcpStream::connect(port));
             }
         }
-        if life == Life::Up {
+        if life == ServerState::Up {
             let held = self.conns.iter_mut().filter(|(_, of)| of.server == server);
             let held: Vec<(u64, Vec<Asked>)> =
                 held.map(|(conn, of)| (*conn, std::mem::take(&mut of.held))).collect();
@@ -665,12 +673,14 @@
         let Some(of) = self.conns.get_mut(&conn) else { return };
         let (server, router, life) = (of.server, of.router, of.life);
         let host = &self.fleet.hosts[server as usize];
-        if host.life != life || matches!(host.server.life(), Life::Dead | Life::Fallen) {
+        if host.incarnation != life
+            || matches!(host.server.state(), ServerState::Dead | ServerState::Collapsed)
+        {
             let _ = of.stream.shutdown(Shutdown::Both);
             return;
         }
         // A connection is answered in order, and by who stands still not at all.
-        let busy = of.out.is_some() || matches!(host.server.life(), Life::Paused(_));
+        let busy = of.out.is_some() || matches!(host.server.state(), ServerState::Paused(_));
         if busy && !matches!(what, Asked::Request { .. }) {
             of.held.push(what);
             return;
@@ -690,22 +700,22 @@
                 answer(&mut bytes, format!("x0={position:.3},x1={primary}").as_bytes(), note);
             }
             Asked::Request { id, request, class, work } => {
-                self.record(What::Came, (router, server), request, work.0, 0);
+                self.record(RecordKind::Came, (router, server), request, work.0, 0);
                 let job = self.next_job;
                 self.next_job += 1;
                 self.jobs.insert(job, JobOf { conn, id, request, router, class });
                 let write = self.traffic.plans[class].class.need == Need::Write;
                 let (mut effects, job_of) = (Vec::new(), Job { id: job, work });
-                let came = self.fleet.come(now, server, job_of, write, &mut self.rng, &mut effects);
+                let came = self.fleet.deliver(now, server, job_of, write, &mut self.rng, &mut effects);
                 match came {
-                    Arrival::Taken => {}
-                    Arrival::Broken => {
+                    Delivery::Accepted => {}
+                    Delivery::ConnectionLost => {
                         self.jobs.remove(&job);
                         if let Some(of) = self.conns.get(&conn) {
                             let _ = of.stream.shutdown(Shutdown::Both);
                         }
                     }
-                    Arrival::Answered(verdict, note) => {
+                    Delivery::Answered(verdict, note) => {
                         self.jobs.remove(&job);
                         refusal(&mut bytes, verdict, note);
                         self.later(router, server, Event::Write { conn, bytes, over: Some(request) });
@@ -721,15 +731,15 @@
     fn through(&mut self, server: u32, job: u64) {
         let Some(JobOf { conn, id, request, router, class }) = self.jobs.remove(&job) else { return };
         let write = self.traffic.plans[class].class.need == Need::Write;
-        let (now, life) = (self.shared.clock.now(), self.fleet.hosts[server as usize].life);
+        let (now, life) = (self.shared.clock.now(), self.fleet.hosts[server as usize].incarnation);
         let mut bytes = Vec::new();
         match self.fleet.finish(now, server, write) {
-            Finished::Read(note, position) => {
+            JobResult::Read(note, position) => {
                 answer(&mut bytes, format!("{id} {}", position.0).as_bytes(), note);
             }
-            Finished::Lost(note) => refusal(&mut bytes, Verdict::Error, note),
-            Finished::Committed(commit) => {
-                self.record(What::Ran, (router, server), request, commit.0, 0);
+            JobResult::RoleLost(note) => refusal(&mut bytes, Verdict::Error, note),
+            JobResult::Committed(commit) => {
+                self.record(RecordKind::Ran, (router, server), request, commit.0, 0);
                 let event = Event::Shipped { conn, life, id, request, commit };
                 return self.at(now + self.fleet.ship(), event);
             }
@@ -937,8 +947,8 @@
 }
 
 /// A client with all its tries.
-fn client(shared: &Shared, traffic: &Traffic, drawn: Drawn, asked: Time, retries: u32, seed: u64) {
-    let Drawn { class, session, group, router, work, .. } = drawn;
+fn client(shared: &Shared, traffic: &Traffic, drawn: ClientRequest, asked: Time, retries: u32, seed: u64) {
+    let ClientRequest { class, session, group, router, work, .. } = drawn;
     let plan = &traffic.plans[class];
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let deadline = asked + plan.deadline;
@@ -956,7 +966,7 @@
         let id = format!("{request}w{}", work.0);
         let b = class as u32 + 256 * group;
         let session_of = i64::try_from(session).unwrap_or(i64::MAX);
-        shared.record(What::Asked, (router, b), request, deadline.0, session_of);
+        shared.record(RecordKind::Asked, (router, b), request, deadline.0, session_of);
         let text = statement_for(class, &format!("acc{session}"), &id, wait, group);
         let answer = wire.exchange(&text, Instant::now() + wait);
         let Ok((how, value)) = answer else {
@@ -970,7 +980,7 @@
                 let own = value.split_once(' ').filter(|(of, _)| *of == id);
                 // Another's answer is no answer: it never comes, for the auditor.
                 let Some(position) = own.and_then(|(_, position)| position.parse().ok()) else { return };
-                shared.record(What::Served, (router, b), request, position, 0);
+                shared.record(RecordKind::Served, (router, b), request, position, 0);
                 let now = shared.clock.now();
                 let mut counts = crate::lock(&shared.counts);
                 counts.served[class] += 1;
@@ -981,9 +991,9 @@
                 }
                 return;
             }
-            "refused" => shared.record(What::Refused, (router, b), request, 0, 0),
+            "refused" => shared.record(RecordKind::Refused, (router, b), request, 0, 0),
             _ => {
-                shared.record(What::Failed, (router, b), request, 0, 0);
+                shared.record(RecordKind::Failed, (router, b), request, 0, 0);
                 if plan.class.effect != Effect::Safe {
                     return;
                 }
@@ -992,7 +1002,7 @@
         if left == 0 {
             return;
         }
-        let least = Duration::from_millis(rng.random_range(BACK_MS).unsigned_abs());
+        let least = Duration::from_millis(rng.random_range(RETRY_WAIT_MS).unsigned_abs());
         std::thread::sleep(least.max(told.unwrap_or_default()));
     }
 }
