--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -10,7 +10,7 @@
 use linnetdeal_core::{Expected, Span};
 use linnetdeal_net::Pooler;
 use linnetdeal_net::config::{Config, IneffectiveSettings};
-use linnetdeal_operator::{Operator, PrimaryChangeSettings};
+use linnetdeal_operator::{OperatorSettings, PrimaryChangeSettings};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -128,8 +128,8 @@
     let signals =
         linnetdeal_net::signals::install().map_err(|error| ExitError::other(format!("signals: {error}")))?;
     let operator = match &files.operator {
-        None => Operator::default(),
-        Some(path) => Operator::load(path).map_err(ExitError::config)?,
+        None => OperatorSettings::default(),
+        Some(path) => OperatorSettings::load(path).map_err(ExitError::config)?,
     };
     let mut config = Config::load(&path).map_err(ExitError::config)?;
     config.settings.changes =
@@ -171,7 +171,7 @@
     // Collects all errors instead of stopping at the first one.
     let mut errors = Vec::new();
     if let Some(path) = &file {
-        match Operator::load(path) {
+        match OperatorSettings::load(path) {
             Err(operator_errors) => errors.push(operator_errors.to_string()),
             Ok(operator) => {
                 let registry = operator.registry.and_then(|settings| registry::check(&settings).err());
--- a/crates/daemon/src/members.rs
+++ b/crates/daemon/src/members.rs
@@ -3,7 +3,7 @@
 use crate::{ExitError, registry};
 use linnetdeal_core::membership::{Membership, SourceId, SourceUpdate, UpdateOutcome};
 use linnetdeal_core::{ListState, Span, Time};
-use linnetdeal_operator::Operator;
+use linnetdeal_operator::OperatorSettings;
 use linnetdeal_registry::follow::{Counters, Follower, Sink};
 use serde_json::json;
 use std::cell::RefCell;
@@ -33,7 +33,7 @@
 
 /// Queries the registry of an operator's file and prints its members.
 pub fn show(operator: &Path, as_json: bool) -> Result<(), ExitError> {
-    let operator = Operator::load(operator).map_err(ExitError::config)?;
+    let operator = OperatorSettings::load(operator).map_err(ExitError::config)?;
     let settings = operator.registry.ok_or_else(|| ExitError::config("no registry stands in this file"))?;
     let registry = registry::registry(&settings, None).map_err(ExitError::config)?;
     let servers = registry.servers.len();
--- a/crates/daemon/src/registry.rs
+++ b/crates/daemon/src/registry.rs
@@ -84,7 +84,7 @@
             primary_value: settings.primary_value.clone(),
             started_key: settings.metadata.started.clone(),
             secure_port: settings.secure_port,
-            drain_end: if settings.lifts_overrides {
+            drain_end: if settings.override_removal_ends_drain {
                 DrainEnd::OverrideRemoval
             } else {
                 DrainEnd::NewerRegistration
--- a/crates/daemon/src/work.rs
+++ b/crates/daemon/src/work.rs
@@ -9,7 +9,7 @@
 use linnetdeal_net::config::{Config, span_of};
 use linnetdeal_net::leases::LeaseOptions;
 use linnetdeal_net::work::{PlanRequest, ServerCandidate, TASK, WorkOptions, zone_hash};
-use linnetdeal_operator::{Operator, OutLimits, WorkSettings};
+use linnetdeal_operator::{OperatorSettings, OutLimits, WorkSettings};
 use std::path::Path;
 
 /// The lease task whose holder executes maintenance plans.
@@ -64,7 +64,7 @@
 /// Prints the order in which a plan's machines would go out, assuming that nothing fails and all work takes
 /// equally long.
 pub fn dry_run(plan: &Path, operator: &Path, config: &Path) -> Result<(), ExitError> {
-    let operator = Operator::load(operator).map_err(ExitError::config)?;
+    let operator = OperatorSettings::load(operator).map_err(ExitError::config)?;
     let Some(settings) = &operator.work else {
         return Err(ExitError::config("the operator's file has no 'work'"));
     };
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -8,9 +8,9 @@
 
 pub use eval::{Diagnostic, Location, Tree};
 pub use typed::{
-    Credentials, HolderCall, LeaseSettings, LogFormat, LogSettings, Metadata, Network, Operator, OutLimits,
-    PrimaryChangeSettings, PrimarySettings, ReadMode, Registration, RegistrySettings, Server, Task,
-    WorkSettings,
+    Credentials, HolderCall, LeaseSettings, LogFormat, LogSettings, Metadata, Network, OperatorSettings,
+    OutLimits, PrimaryChangeSettings, PrimarySettings, ReadMode, Registration, RegistrySettings, Server,
+    Task, WorkSettings,
 };
 
 /// The schema, for people to read and for `linnetdeal check --schema`.
@@ -44,7 +44,7 @@
     }
 }
 
-impl Operator {
+impl OperatorSettings {
     /// Reads the file at `path`.
     ///
     /// # Errors
--- a/crates/operator/src/typed.rs
+++ b/crates/operator/src/typed.rs
@@ -17,7 +17,7 @@
 
 /// What an operator wants.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Operator {
+pub struct OperatorSettings {
     /// The registry that is followed, if one is.
     pub registry: Option<RegistrySettings>,
     /// Tasks of the whole fleet, where there are any.
@@ -89,7 +89,7 @@
     /// For how long a list has to tell the same until it is believed; `None` for ever.
     pub believe_after: Option<Duration>,
     /// Whether an override that is taken back lifts a drain.
-    pub lifts_overrides: bool,
+    pub override_removal_ends_drain: bool,
     /// The metadata keys.
     pub metadata: Metadata,
     /// The role of a primary.
@@ -292,7 +292,7 @@
 const MOST_SERVERS: usize = 16;
 const MOST_NETWORKS: usize = 10_000;
 
-pub(crate) fn decode(tree: &Tree) -> Result<Operator, Vec<Diagnostic>> {
+pub(crate) fn decode(tree: &Tree) -> Result<OperatorSettings, Vec<Diagnostic>> {
     let raw: RawFile = serde_json::from_value(tree.value.clone())
         .map_err(|error| vec![Diagnostic { location: Location::default(), message: error.to_string() }])?;
     let mut check = Checker { tree, faults: Vec::new() };
@@ -305,7 +305,7 @@
     };
     check.faults.sort();
     if check.faults.is_empty() {
-        Ok(Operator { registry, leases, work, primary, log: raw.log })
+        Ok(OperatorSettings { registry, leases, work, primary, log: raw.log })
     } else {
         Err(check.faults)
     }
@@ -401,7 +401,7 @@
         max_body_bytes,
         lost_share: raw.lost_share,
         believe_after,
-        lifts_overrides: raw.lifts == "override",
+        override_removal_ends_drain: raw.lifts == "override",
         metadata: raw.metadata,
         primary_value: raw.primary,
         default_group: raw.group,
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -1,6 +1,6 @@
 //! Files that are good, and files that are not: each fault with its place.
 
-use linnetdeal_operator::{Operator, ReadMode};
+use linnetdeal_operator::{OperatorSettings, ReadMode};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::time::Duration;
@@ -23,8 +23,8 @@
 primary: unplanned: {least: "2800ms", usual: "5s"}
 "#;
 
-fn decode(text: &str) -> Result<Operator, String> {
-    Operator::decode("operator.cue", text.as_bytes()).map_err(|faults| faults.to_string())
+fn decode(text: &str) -> Result<OperatorSettings, String> {
+    OperatorSettings::decode("operator.cue", text.as_bytes()).map_err(|faults| faults.to_string())
 }
 
 fn good() -> String {
@@ -56,7 +56,7 @@
     );
     let shorter = good().replace("\"2800ms\"", "\"6s\"");
     assert!(decode(&shorter).unwrap_err().contains("'primary.unplanned.usual': it is shorter than 'least'"));
-    assert_eq!(decode("").unwrap(), Operator::default(), "nothing in it, nothing wanted");
+    assert_eq!(decode("").unwrap(), OperatorSettings::default(), "nothing in it, nothing wanted");
 }
 
 #[test]
@@ -106,7 +106,7 @@
         .replace("0.25", "2")
         .replace("\"warn\"", "3")
         .replace("\"2800ms\"", "4");
-    let faults = Operator::decode("f", text.as_bytes()).unwrap_err().diagnostics;
+    let faults = OperatorSettings::decode("f", text.as_bytes()).unwrap_err().diagnostics;
     assert_eq!(faults.iter().map(|fault| fault.location.line).collect::<Vec<_>>(), [11, 12, 15, 17, 17]);
 }
 
