--- a/crates/registry/src/eureka/body.rs
+++ b/crates/registry/src/eureka/body.rs
@@ -1,50 +1,50 @@
-//! Takes the instances out of a body as its bytes come in: a registry of 20,000 boxes writes some 25 MB, and no more
-//! than one instance of it is held at a time. No I/O.
+//! Extracts the instances from a response body while its bytes arrive. A registry of 20,000 servers sends about 25 MB,
+//! of which no more than one instance is held in memory at a time. No I/O.
 
 use super::model::MAX_INSTANCE_BYTES;
 
-/// Nesting that no registry writes.
+/// The maximum nesting depth; no registry nests this deeply.
 const MAX_DEPTH: usize = 48;
-/// Keys, tag names and the few plain values that are read are no longer than this.
+/// The maximum length of a key, number or literal. Of string values and text, only this many bytes are kept.
 const MAX_TOKEN_BYTES: usize = 256;
-/// A tag with its attributes is no longer than this.
+/// The maximum length of a tag with its attributes.
 const MAX_TAG_BYTES: usize = 4 * 1024;
 
-/// Why a body can't be read.
+/// Why a body can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// Something stands where it can't.
+    /// The body is not well-formed, or exceeds a limit of the parser.
     #[error("byte {offset}: {what}")]
     Syntax {
-        /// How many bytes of the body came before.
+        /// The offset in the body, in bytes.
         offset: u64,
         /// What is wrong.
         what: &'static str,
     },
-    /// It ends before its end.
-    #[error("it ends after {0} bytes, in the middle")]
+    /// The body is incomplete.
+    #[error("truncated after {0} bytes")]
     Truncated(u64),
-    /// It is larger than is read.
+    /// The body is larger than the configured maximum.
     #[error("it is larger than {0} bytes")]
     TooLarge(u64),
-    /// What was found in it can't be used.
+    /// The handler rejected an item of the body.
     #[error("{0}")]
     InvalidItem(String),
 }
 
-/// Something found in a body.
+/// An item found in a body.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Item<'a> {
-    /// An instance, as it is written.
+    /// The text of one instance.
     Instance(&'a [u8]),
-    /// The registry's own hash code of all that it holds (`apps__hashcode`).
+    /// The registry's hash code over all its instances (`apps__hashcode`).
     HashCode(&'a str),
 }
 
-/// What takes the pieces.
+/// Receives the items of a body; an error ends the parsing.
 pub type ItemHandler<'t> = dyn FnMut(Item<'_>) -> Result<(), BodyError> + 't;
 
-/// How a body is written.
+/// The format of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
     /// JSON.
@@ -53,7 +53,7 @@
     Xml,
 }
 
-/// Reads one body.
+/// An incremental parser for one body.
 #[derive(Debug)]
 pub struct BodyScanner {
     scanner: FormatScanner,
@@ -68,7 +68,7 @@
 }
 
 impl BodyScanner {
-    /// A reader of a body of at most `most` bytes.
+    /// Creates a parser for a body of at most `max_bytes` bytes.
     #[must_use]
     pub fn new(format: Format, max_bytes: u64) -> Self {
         let scanner = match format {
@@ -78,11 +78,11 @@
         Self { scanner, bytes_read: 0, max_bytes }
     }
 
-    /// Reads on; what is whole by then goes to `take`.
+    /// Parses the next bytes and passes each item that they complete to `on_item`.
     ///
     /// # Errors
     ///
-    /// When the bytes are no such body. Nothing more of it can be read then.
+    /// When the body is malformed or too large, or when `on_item` fails. The parser can't be used any further then.
     pub fn push(&mut self, bytes: &[u8], on_item: &mut ItemHandler<'_>) -> Result<(), BodyError> {
         let start = self.bytes_read;
         self.bytes_read += bytes.len() as u64;
@@ -99,17 +99,17 @@
         })
     }
 
-    /// How many bytes were read.
+    /// The number of bytes parsed so far.
     #[must_use]
     pub fn bytes_read(&self) -> u64 {
         self.bytes_read
     }
 
-    /// The body's end.
+    /// Checks at the end of the body that it is complete.
     ///
     /// # Errors
     ///
-    /// When it is not whole.
+    /// When the body is truncated.
     pub fn finish(&self) -> Result<(), BodyError> {
         let complete = match &self.scanner {
             FormatScanner::Json(json) => json.state == State::Done,
@@ -120,49 +120,51 @@
 }
 
 enum ScanError {
-    /// At this byte of what was pushed.
+    /// The offset in the bytes of this call, and what is wrong there.
     Syntax(usize, &'static str),
     InvalidItem(BodyError),
 }
 
-/// An instance that is being read.
+/// An instance that is being copied out of the body.
 #[derive(Debug, Default)]
 struct Capture {
     bytes: Vec<u8>,
+    /// In JSON the brackets that are open within the instance, in XML the elements that are open around it.
     depth: usize,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum State {
-    /// A value must come.
+    /// A value is required.
     #[default]
     ExpectValue,
-    /// A value or the end of the array.
+    /// A value, or the end of the array.
     ExpectValueOrEnd,
     /// A key, or the end of the object.
     ExpectKeyOrEnd,
-    /// A key must come.
+    /// A key is required.
     ExpectKey,
-    /// The colon behind a key.
+    /// The colon after a key.
     ExpectColon,
-    /// A comma or the end of what holds the value.
+    /// A comma, or the end of the enclosing array or object.
     ExpectCommaOrEnd,
-    /// In a string.
+    /// Within a string.
     InString { is_key: bool, escaped: bool },
-    /// In a number or a word.
+    /// Within a number or one of `true`, `false` and `null`.
     InLiteral,
-    /// All is read.
+    /// The outermost value is complete.
     Done,
 }
 
 #[derive(Debug)]
 struct Frame {
     is_array: bool,
-    /// The key that it stands under is `instance`.
+    /// Whether its key is `instance`, so that the objects directly in it are instances.
     holds_instances: bool,
 }
 
-/// JSON, read just so far as to find the objects under a key `instance`. What is in them is for another to read.
+/// Scans JSON only far enough to find the objects under a key `instance`; their content is parsed by
+/// [`super::model::Instance::from_json`].
 #[derive(Debug, Default)]
 struct JsonScanner {
     state: State,
@@ -170,6 +172,7 @@
     value: Vec<u8>,
     key: Vec<u8>,
     capture: Option<Capture>,
+    /// The position within the captured instance: inside a string, and there behind a backslash.
     in_string: bool,
     escaped: bool,
 }
@@ -191,7 +194,7 @@
         Ok(())
     }
 
-    /// Reads on in an instance; gives where what follows it begins.
+    /// Continues to copy an instance. Returns the offset at which scanning continues.
     fn continue_capture(
         &mut self,
         bytes: &[u8],
@@ -286,13 +289,13 @@
             (State::ExpectCommaOrEnd, b']') => self.close_container(true),
             (State::ExpectCommaOrEnd, b'}') => self.close_container(false),
             (State::Done, _) => Err(ByteError::Syntax("something behind the end")),
-            _ => Err(ByteError::Syntax("no JSON")),
+            _ => Err(ByteError::Syntax("invalid JSON")),
         }
     }
 
     fn push_literal_byte(&mut self, byte: u8) -> Result<(), ByteError> {
         if self.value.len() >= MAX_TOKEN_BYTES {
-            return Err(ByteError::Syntax("a number or a word that is too long"));
+            return Err(ByteError::Syntax("a number or literal that is too long"));
         }
         self.value.push(byte);
         Ok(())
@@ -313,7 +316,7 @@
             return self.finish_value(on_item);
         }
         if byte < 0x20 {
-            return Err(ByteError::Syntax("a control character in text"));
+            return Err(ByteError::Syntax("a control character in a string"));
         }
         let token = if is_key { &mut self.key } else { &mut self.value };
         if token.len() < MAX_TOKEN_BYTES {
@@ -325,20 +328,20 @@
         Ok(())
     }
 
-    /// A plain value is whole.
+    /// Handles the end of a string, number or literal.
     fn finish_value(&mut self, on_item: &mut ItemHandler<'_>) -> Result<(), ByteError> {
         self.state = if self.frames.is_empty() { State::Done } else { State::ExpectCommaOrEnd };
         let is_array = self.frames.last().is_none_or(|frame| frame.is_array);
         if !is_array && self.key == b"apps__hashcode" {
             let text = std::str::from_utf8(&self.value)
-                .map_err(|_| ByteError::Syntax("a hash code that is no text"))?;
+                .map_err(|_| ByteError::Syntax("a hash code that is not valid UTF-8"))?;
             on_item(Item::HashCode(text)).map_err(ByteError::InvalidItem)?;
         }
         Ok(())
     }
 
     fn open_container(&mut self, is_array: bool) -> Result<(), ByteError> {
-        // What an array holds stands under the array's key.
+        // The elements of an array count as values of the array's own key.
         let holds_instances = match self.frames.last() {
             Some(frame) if frame.is_array => frame.holds_instances,
             Some(_) => self.key == b"instance",
@@ -377,13 +380,13 @@
 enum XmlState {
     #[default]
     Content,
-    /// Between `<` and `>`; the quote that is open, if one is.
+    /// Between `<` and `>`, with the opening quote while inside a quoted attribute value.
     Tag(Option<u8>),
     Comment,
     CData,
 }
 
-/// XML, read just so far as to find the elements `instance`.
+/// Scans XML only far enough to find the `instance` elements.
 #[derive(Debug, Default)]
 struct XmlScanner {
     state: XmlState,
@@ -427,7 +430,7 @@
                     return Err(ByteError::Syntax(if self.root_closed {
                         "something behind the end"
                     } else {
-                        "no XML"
+                        "invalid XML"
                     }));
                 }
                 if self.text.len() < MAX_TOKEN_BYTES {
@@ -447,7 +450,7 @@
                         self.state = XmlState::Content;
                         return self.finish_tag(on_item);
                     }
-                    (None, b'<') => return Err(ByteError::Syntax("a tag in a tag")),
+                    (None, b'<') => return Err(ByteError::Syntax("a tag within a tag")),
                     _ => {}
                 }
                 self.tag.push(byte);
@@ -493,7 +496,7 @@
             }
             if open.as_ref() == b"apps__hashcode" && self.capture.is_none() {
                 let text = std::str::from_utf8(&text)
-                    .map_err(|_| ByteError::Syntax("a hash code that is no text"))?;
+                    .map_err(|_| ByteError::Syntax("a hash code that is not valid UTF-8"))?;
                 on_item(Item::HashCode(text.trim())).map_err(ByteError::InvalidItem)?;
             }
             return self.element_closed(on_item);
@@ -522,7 +525,7 @@
         Ok(())
     }
 
-    /// An element has ended.
+    /// Handles the end of an element.
     fn element_closed(&mut self, on_item: &mut ItemHandler<'_>) -> Result<(), ByteError> {
         self.root_closed = self.open_elements.is_empty();
         if let Some(capture) = self.capture.take_if(|capture| capture.depth == self.open_elements.len()) {
--- a/crates/registry/src/eureka/lease.rs
+++ b/crates/registry/src/eureka/lease.rs
@@ -1,49 +1,54 @@
-//! The pooler's own registration: what to tell the registry of this pooler, and when. A registry that is away delays
-//! nothing: what is due is tried, and tried again later. No I/O, no clock.
+//! The lease of the pooler's own registration: which call to make to the registry, and when. An unavailable registry
+//! blocks nothing: a call that failed is repeated after a delay. No I/O, and no clock of its own.
 
 use super::model::Status;
 use linnetdeal_core::{Span, Time};
 
-/// A step that failed is tried again after this.
+/// The delay before a failed call is repeated; it doubles with each further failure.
 const RETRY_DELAY: Span = Span::millis(1_000);
+/// The longest delay before a failed call is repeated.
 const MAX_RETRY_DELAY: Span = Span::millis(30_000);
 
-/// What to tell.
+/// A call to make to the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// All of this pooler, with its status (`POST apps/{app}`).
+    /// Registers the pooler with this status (`POST apps/{app}`).
     Register(Status),
-    /// That it is still there (`PUT apps/{app}/{id}`).
+    /// Renews the lease (`PUT apps/{app}/{id}`).
     Renew(Status),
-    /// That it has ended (`DELETE apps/{app}/{id}`).
+    /// Removes the registration (`DELETE apps/{app}/{id}`).
     Cancel,
 }
 
-/// What came of it.
+/// The result of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseResult {
-    /// It was taken.
+    /// The registry accepted it.
     Accepted,
-    /// The registry does not know this pooler.
+    /// The registry does not know the registration.
     NotFound,
-    /// It was not taken, or nobody knows.
+    /// It was rejected, or its result is unknown.
     Failed,
 }
 
-/// The registration as it stands.
+/// The state of the registration.
 #[derive(Clone, Debug)]
 pub struct Lease {
     renew_interval: Span,
+    /// The status to register; `None` to end the registration.
     desired: Option<Status>,
+    /// The status that the registry accepted last; `None` if it holds no registration.
     registered: Option<Status>,
-    /// When this pooler last changed itself, in ms; later with each change.
+    /// Eureka's `lastDirtyTimestamp`: when the pooler last changed its registration, in ms since 1970. It increases
+    /// with each change even if the clock stands still.
     dirty_ms: i64,
     next_attempt: Time,
     failures: u32,
 }
 
 impl Lease {
-    /// One that is to be renewed this often, starting at `now` with [`Status::Starting`].
+    /// Creates a lease that is renewed at this interval. The pooler is to be registered at once with
+    /// [`Status::Starting`].
     #[must_use]
     pub fn new(renew_interval: Span, now: Time) -> Self {
         Self {
@@ -56,7 +61,8 @@
         }
     }
 
-    /// Wants another status told; `None` for the end. It is due at once, whatever failed before.
+    /// Sets the status to register, or `None` to end the registration. A change is due at once, even while earlier
+    /// failures are waited out.
     pub fn set_status(&mut self, now: Time, status: Option<Status>) {
         if self.desired != status {
             self.desired = status;
@@ -65,19 +71,19 @@
         }
     }
 
-    /// The stamp that goes with what is told.
+    /// The `lastDirtyTimestamp` to send, in ms since 1970.
     #[must_use]
     pub fn dirty_ms(&self) -> i64 {
         self.dirty_ms
     }
 
-    /// When something is due; `None` once the registry knows that this pooler has ended.
+    /// When the next call is due; `None` once the registration has ended.
     #[must_use]
     pub fn due(&self) -> Option<Time> {
         (self.desired.is_some() || self.registered.is_some()).then_some(self.next_attempt)
     }
 
-    /// What to tell, if it is due.
+    /// The call to make, if one is due.
     #[must_use]
     pub fn next_action(&self, now: Time) -> Option<LeaseAction> {
         if self.due().is_none_or(|due| due > now) {
@@ -91,7 +97,7 @@
         }
     }
 
-    /// What came of it.
+    /// Records the result of a call.
     pub fn record_result(&mut self, now: Time, action: LeaseAction, result: LeaseResult) {
         match (action, result) {
             (LeaseAction::Register(status) | LeaseAction::Renew(status), LeaseResult::Accepted) => {
@@ -99,7 +105,7 @@
                 (self.next_attempt, self.failures) = (now + self.renew_interval, 0);
             }
             (LeaseAction::Cancel, LeaseResult::Accepted | LeaseResult::NotFound) => self.registered = None,
-            // It has forgotten this pooler: register at once, as something new.
+            // The registry has lost the registration: register again at once, with a later timestamp.
             (LeaseAction::Renew(_), LeaseResult::NotFound) => {
                 self.registered = None;
                 self.dirty_ms = (now.0 / 1_000).max(self.dirty_ms + 1);
--- a/crates/registry/src/eureka/list_reader.rs
+++ b/crates/registry/src/eureka/list_reader.rs
@@ -1,4 +1,4 @@
-//! One body, from its bytes to news for the membership. Nothing of it counts before its end has been read. No I/O.
+//! Converts a response body to an update for the membership. Nothing takes effect before the end of the body. No I/O.
 
 use super::body::{BodyError, BodyScanner, Format, Item};
 use super::mapping::{Mapping, MappingError};
@@ -9,31 +9,31 @@
 use linnetdeal_core::membership::{Claim, ClaimVersion, SourceUpdate};
 use std::sync::Arc;
 
-/// No more instances than this are taken from one body, so that the smallest ones a body can hold don't fill the memory.
+/// The maximum number of instances in a body. It bounds the memory that a body of very small instances can use.
 const MAX_INSTANCES: usize = 50_000;
-/// Of those that could not be taken, so many are named.
+/// The maximum number of problems that are described in words.
 const MAX_PROBLEMS: usize = 8;
 
-/// What came of a body.
+/// The content of a complete body.
 #[derive(Debug)]
 pub struct ListUpdate {
-    /// What it says of members.
+    /// The update for the membership.
     pub source_update: SourceUpdate,
-    /// The registry's own hash code, where it gives one.
+    /// The registry's hash code, if it sent one.
     pub hash_code: Option<String>,
-    /// Instances in all, of all applications.
+    /// The number of instances of all applications.
     pub instances: usize,
-    /// Instances that can't be read.
+    /// The number of instances with invalid fields.
     pub unreadable: usize,
-    /// Instances of ours that can't be members; of these, those outside of the networks.
+    /// The number of instances of our applications that can't be members.
     pub refused: usize,
-    /// Those that lie outside of the networks.
+    /// The number of those that are outside of the allowed networks.
     pub outside: usize,
-    /// The first few of the unreadable and refused, in words.
+    /// Descriptions of the first few unreadable and refused instances.
     pub problems: Vec<String>,
 }
 
-/// A body that is being read.
+/// Reads one response body.
 pub struct ListReader<'m> {
     scanner: BodyScanner,
     collector: Collector<'m>,
@@ -44,10 +44,11 @@
     server: usize,
     format: Format,
     is_full: bool,
-    /// Of a whole list, what it holds; what a delta changes is noted until its end.
+    /// The content of a full list. The changes of a delta are collected in `status_changes` until its end.
     mirror: Mirror,
     status_changes: Vec<StatusChange>,
     claims: Vec<Claim>,
+    /// The highest stamp in the body, which shows how recent it is.
     view: i64,
     summary: ListSummary,
 }
@@ -63,8 +64,8 @@
 }
 
 impl<'m> ListReader<'m> {
-    /// The reading of an answer to `ask` by the server of this number, of at most `most` bytes. `mirror` is an empty one
-    /// of the kind that it will be brought into.
+    /// Creates a reader for a response of at most `max_bytes` bytes from the server with this index. `mirror` is empty
+    /// and has the same hasher as the one that [`Self::finish`] will update.
     #[must_use]
     pub fn new(
         mapping: &'m Mapping,
@@ -88,21 +89,21 @@
         Self { scanner: BodyScanner::new(format, max_bytes), collector }
     }
 
-    /// Reads on.
+    /// Reads the next bytes.
     ///
     /// # Errors
     ///
-    /// When this is no such body.
+    /// When the body is malformed or exceeds a limit.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), BodyError> {
         let Self { scanner, collector } = self;
         scanner.push(bytes, &mut |item| collector.add_item(&item))
     }
 
-    /// The end of the body: only now does it count. `mirror` is brought up to date with it.
+    /// Ends the body, updates `mirror` and returns the content.
     ///
     /// # Errors
     ///
-    /// When the body is not whole.
+    /// When the body is truncated; `mirror` is unchanged then.
     pub fn finish(self, mirror: &mut Mirror) -> Result<ListUpdate, BodyError> {
         self.scanner.finish()?;
         let Collector { is_full, mirror: new_mirror, status_changes, claims, view, summary, .. } =
@@ -112,7 +113,7 @@
         } else {
             status_changes.into_iter().for_each(|status_change| mirror.apply(status_change));
         }
-        // Who stands in it and could not be read must not count as missing.
+        // An instance that is listed but unreadable must not count as missing from the list.
         let view = if summary.unreadable > 0 { i64::MIN } else { view };
         let source_update =
             if is_full { SourceUpdate::Full { claims, view } } else { SourceUpdate::Changes(claims) };
@@ -140,7 +141,7 @@
         };
         match parsed {
             Ok(instance) => self.add_instance(&instance),
-            // What is no JSON or XML spoils the body; a field that makes no sense spoils one instance.
+            // Malformed JSON or XML makes the whole body invalid, an invalid field only its instance.
             Err(error @ InstanceError::Malformed(_)) => {
                 return Err(BodyError::InvalidItem(error.to_string()));
             }
@@ -153,12 +154,12 @@
     }
 
     fn add_instance(&mut self, instance: &Instance) {
-        // How new the registry's knowledge is shows in all that it holds, whosever that is.
+        // Instances of all applications show how recent the registry's data is.
         self.view = self.view.max(instance.dirty_ms.saturating_mul(2).saturating_add(1));
         match self.mapping.claim(instance, self.server) {
             Ok(claim) => self.claims.push(claim),
             Err(MappingError::OtherApplication) => {}
-            // It is there, and must get nothing: not where it says that it is, and not where it was before.
+            // The instance exists but must not receive requests, neither at the reported address nor at an earlier one.
             Err(rejection) => {
                 self.summary.refused += 1;
                 self.summary.outside += usize::from(matches!(rejection, MappingError::OutsideNetworks(_)));
@@ -177,7 +178,7 @@
                 });
             }
         }
-        // The mirror is of all applications, and of a delta no more than a body's worth is kept.
+        // The mirror covers all applications; the collected changes of a delta are bounded by the size of its body.
         let status_change = self.mirror.status_change(instance);
         if self.is_full {
             self.mirror.apply(status_change);
--- a/crates/registry/src/eureka/mapping.rs
+++ b/crates/registry/src/eureka/mapping.rs
@@ -1,5 +1,5 @@
-//! From an instance to a claim on a member, as the operator's file says: which applications are meant, where boxes may
-//! lie, which metadata hold group, zone, role and start. No I/O.
+//! Maps an instance to a claim about a member, as configured in the operator's file: which applications count, in which
+//! networks servers may be, and which metadata hold the group, zone, role and start time. No I/O.
 
 use super::model::{ActionType, Instance, Status};
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
@@ -10,7 +10,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 
-/// The networks in which boxes may lie, each with the zone of what lies in it where that is known.
+/// The networks in which servers may be, each with the zone of its servers if that is known.
 #[derive(Clone, Debug, Default)]
 pub struct Networks {
     v4: PrefixMap<Ipv4Net, Option<Arc<str>>>,
@@ -18,7 +18,7 @@
 }
 
 impl Networks {
-    /// Adds a network; false if it is there already, and then stays as it was.
+    /// Adds a network. Returns false, and changes nothing, if the network was added before.
     pub fn add(&mut self, network: IpNet, zone: Option<Arc<str>>) -> bool {
         match network.trunc() {
             IpNet::V4(net) => !self.v4.contains_key(&net) && self.v4.insert(net, zone).is_none(),
@@ -26,7 +26,8 @@
         }
     }
 
-    /// The smallest network that an address lies in, by its zone; `None` outside of all.
+    /// Looks up the smallest network that contains an address and returns its zone, which may be unknown; the outer
+    /// `None` means that no network contains the address.
     #[must_use]
     pub fn zone(&self, address: IpAddr) -> Option<Option<Arc<str>>> {
         match address.to_canonical() {
@@ -36,65 +37,67 @@
     }
 }
 
-/// What is done once somebody takes back a status that was set over an instance's own. Such a change leaves the
-/// instance's own stamp as it was.
+/// What returns a drained instance to service. Relevant for operators who remove a status override: that changes the
+/// status but leaves the instance's `lastDirtyTimestamp` as it was.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DrainEnd {
-    /// Nothing: who was told to drain is back only with a later stamp of its own.
+    /// Only a new registration with a later `lastDirtyTimestamp`.
     #[default]
     NewerRegistration,
-    /// It counts if the same server of the registry says so of the same lease, and later.
+    /// Also the removal of an override, if the same registry server reports it for the same lease with a later
+    /// update time.
     OverrideRemoval,
 }
 
-/// How instances become members.
+/// The configuration by which instances are mapped to members.
 #[derive(Clone, Debug, Default)]
 pub struct Mapping {
-    /// The applications whose instances are boxes, in upper case.
+    /// The applications whose instances are servers, in upper case.
     pub apps: BTreeSet<String>,
-    /// Where boxes may lie.
+    /// The networks in which servers may be.
     pub networks: Networks,
-    /// The metadata key of the group; the group is a whole number.
+    /// The metadata key of the group; its value is an integer.
     pub group_key: String,
-    /// The group of who names none; `None` refuses it.
+    /// The group of instances that name none; `None` rejects such instances.
     pub default_group: Option<i64>,
     /// The metadata key of the zone.
     pub zone_key: String,
     /// The metadata key of the role.
     pub role_key: String,
-    /// What stands there for a primary.
+    /// The value of the role that denotes a primary.
     pub primary_value: String,
-    /// The metadata key of the last start, in ms since 1970.
+    /// The metadata key of the last start time, in ms since 1970.
     pub started_key: String,
-    /// Whether members are reached on the secure port.
+    /// Whether members are connected to on their secure port.
     pub secure_port: bool,
-    /// What lifts a drain.
+    /// What ends a drain.
     pub drain_end: DrainEnd,
 }
 
-/// Why an instance is no member.
+/// Why an instance can't be mapped to a member.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MappingError {
     /// It belongs to another application.
     #[error("of another application")]
     OtherApplication,
-    /// Its address is no IP address with a port.
-    #[error("no address: '{0}'")]
+    /// It has no IP address with an enabled port.
+    #[error("invalid address: '{0}'")]
     InvalidAddress(String),
-    /// It lies outside of all networks that are allowed.
+    /// Its address is outside of all allowed networks.
     #[error("{0} lies outside of the networks in which boxes may lie")]
     OutsideNetworks(IpAddr),
-    /// It names no group, or one that is no number.
-    #[error("no group: '{0}'")]
+    /// It names no group, or one that is not a number.
+    #[error("missing or invalid group: '{0}'")]
     InvalidGroup(String),
 }
 
 impl Mapping {
-    /// The claim that an instance makes, as told by the registry's server of this number.
+    /// Returns the claim about a member that an instance stands for. `server` is the index of the registry server that
+    /// reported it.
     ///
     /// # Errors
     ///
-    /// When it can't be a member. One that has left is named whatever else it says.
+    /// When it can't be a member. An instance of ours that drains or is gone never fails, whatever else it reports.
     pub fn claim(&self, instance: &Instance, server: usize) -> Result<Claim, MappingError> {
         if !self.apps.contains(&instance.app.to_ascii_uppercase()) {
             return Err(MappingError::OtherApplication);
@@ -114,7 +117,7 @@
                 .map_err(|_| MappingError::InvalidGroup(text.chars().take(64).collect())),
             None => self.default_group.map(Some).ok_or_else(|| MappingError::InvalidGroup(String::new())),
         };
-        // Who drains or is gone is taken at its word, though the rest of what it says can't be used.
+        // An instance that drains or is gone is accepted even if its address or group is invalid.
         let (address_and_zone, group) = match state {
             ListState::Healthy => (Some(address_and_zone?), group?),
             _ => (address_and_zone.ok(), group.ok().flatten()),
@@ -125,7 +128,7 @@
         let started =
             metadata_value(&self.started_key).and_then(|text| text.parse::<i64>().ok()).filter(|ms| *ms > 0);
         let started = started.map(|ms| Time(ms.saturating_mul(1_000)));
-        // A registration that is not ready yet comes before the same registration in service.
+        // A registration that is not ready yet is ordered before the same registration in service.
         let ready =
             !matches!(instance.status, Status::Starting | Status::Unknown) || state == ListState::Gone;
         let stamp = instance.dirty_ms.saturating_mul(2).saturating_add(i64::from(ready));
--- a/crates/registry/src/eureka/mod.rs
+++ b/crates/registry/src/eureka/mod.rs
@@ -1,5 +1,5 @@
-//! Eureka's REST API, the client's side, without I/O: bodies, instances, what they mean for membership, and when to
-//! ask for what.
+//! The client side of Eureka's REST API, without I/O: parsing of bodies and instances, their mapping to members, and
+//! the schedules of polling and of the pooler's own lease.
 
 pub mod body;
 pub mod lease;
--- a/crates/registry/src/eureka/model.rs
+++ b/crates/registry/src/eureka/model.rs
@@ -1,5 +1,6 @@
-//! An instance as Eureka's servers write it: JSON by Jackson or XML by XStream. Both put numbers into text, ports into
-//! objects and lists of one into plain objects, so all values are read leniently; what must be there is checked here.
+//! An instance as Eureka servers write it: JSON by Jackson or XML by XStream. Both write numbers as strings, ports as
+//! objects and lists of one element as plain objects, so all values are parsed leniently. Required fields are checked
+//! here.
 //!
 //! Source: the wiki page "Eureka REST operations" and the schema given there.
 
@@ -8,33 +9,33 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A larger instance is not read.
+/// The maximum size of the text of an instance, in bytes.
 pub const MAX_INSTANCE_BYTES: usize = 256 * 1024;
 
-/// Why an instance can't be read.
+/// Why an instance can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InstanceError {
-    /// It is no JSON or no XML of this kind.
-    #[error("an instance that can't be read: {0}")]
+    /// It is not the JSON or XML of an instance.
+    #[error("malformed instance: {0}")]
     Malformed(String),
-    /// It lacks a field, or has an unreadable one.
+    /// A required field is missing, or a field is invalid.
     #[error("instance '{id}': {field} is '{value}'")]
     InvalidField {
-        /// The instance, as far as it was told.
+        /// The id of the instance, cut to 64 characters.
         id: String,
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// What it holds, cut to 64 characters.
+        /// Its value, cut to 64 characters.
         value: String,
     },
 }
 
-/// What a registry says of an instance's state.
+/// The status of an instance in a registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Status {
     /// Down.
     Down,
-    /// Taken out of service on purpose.
+    /// Deliberately out of service.
     OutOfService,
     /// Not ready yet.
     Starting,
@@ -45,10 +46,10 @@
 }
 
 impl Status {
-    /// All, in the order in which a hash code names them.
+    /// All statuses, in the order in which they appear in a hash code.
     pub const ALL: [Self; 5] = [Self::Down, Self::OutOfService, Self::Starting, Self::Unknown, Self::Up];
 
-    /// As it is written.
+    /// The name of the status in bodies and URLs.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -60,14 +61,14 @@
         }
     }
 
-    /// The one that is written so; any other word counts as unknown, as in Eureka's own clients.
+    /// Returns the status with this name, in any case. Other names count as unknown, as in Eureka's own clients.
     #[must_use]
     pub fn from_name(name: &str) -> Self {
         Self::ALL.into_iter().find(|status| status.name().eq_ignore_ascii_case(name)).unwrap_or(Self::Unknown)
     }
 }
 
-/// What a delta says became of an instance.
+/// How an instance changed, according to a delta.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ActionType {
     /// It registered.
@@ -75,14 +76,14 @@
     Added,
     /// It changed.
     Modified,
-    /// It is gone.
+    /// It was removed.
     Deleted,
 }
 
-/// An instance.
+/// An instance that is registered with Eureka.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// Its id; the host name where a registry gives none, as in Eureka's own clients.
+    /// Its id; the host name if the registry reports none, as in Eureka's own clients.
     pub id: String,
     /// Its application.
     pub app: String,
@@ -90,29 +91,29 @@
     pub ip: String,
     /// Its host name.
     pub host: String,
-    /// Its port, unless it is switched off.
+    /// Its port; `None` if it is missing or disabled.
     pub port: Option<u16>,
-    /// Its port for TLS, unless it is switched off.
+    /// Its TLS port; `None` if it is missing or disabled.
     pub secure_port: Option<u16>,
-    /// Its virtual addresses, by commas.
+    /// Its virtual addresses, separated by commas.
     pub vip: String,
-    /// The status that counts: the registry has put the overridden one in its place already.
+    /// The effective status: the registry has already replaced the instance's own status by an override.
     pub status: Status,
-    /// The status that somebody set over its own; [`Status::Unknown`] for none.
+    /// The status override; [`Status::Unknown`] if there is none.
     pub overridden: Status,
-    /// When it last changed itself, in ms by its own clock.
+    /// When the instance last changed its registration, in ms on its own clock (`lastDirtyTimestamp`).
     pub dirty_ms: i64,
-    /// When the registry last changed it, in ms by the registry's clock.
+    /// When the registry last changed the entry, in ms on the registry's clock (`lastUpdatedTimestamp`).
     pub updated_ms: i64,
-    /// When its lease began, in ms by the clock of the registry's server that tells it.
+    /// When its lease started, in ms on the clock of the registry server that reports it (`registrationTimestamp`).
     pub registered_ms: i64,
-    /// What a delta says became of it.
+    /// How it changed, according to a delta.
     pub action: ActionType,
-    /// What its operators say of it.
+    /// Its metadata.
     pub metadata: BTreeMap<String, String>,
 }
 
-/// A value as text, wherever it stands: plain, or in an object beside attributes.
+/// A value as text. It may be written plainly, or within an object beside attributes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Scalar {
     text: String,
@@ -170,7 +171,7 @@
     registration_timestamp: Scalar,
 }
 
-/// The fields that are read; all others are passed over.
+/// The fields that are parsed; all others are ignored.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct RawInstance {
@@ -205,22 +206,22 @@
 }
 
 impl Instance {
-    /// Reads one from JSON.
+    /// Parses an instance from a JSON object.
     ///
     /// # Errors
     ///
-    /// When it is no such object, or a field that is needed is missing or unreadable.
+    /// When it is malformed, or a required field is missing or invalid.
     pub fn from_json(bytes: &[u8]) -> Result<Self, InstanceError> {
         let raw: RawInstance =
             serde_json::from_slice(bytes).map_err(|error| InstanceError::Malformed(error.to_string()))?;
         raw.validate()
     }
 
-    /// Reads one from an XML element.
+    /// Parses an instance from an XML element.
     ///
     /// # Errors
     ///
-    /// As [`Instance::from_json`].
+    /// See [`Instance::from_json`].
     pub fn from_xml(bytes: &[u8]) -> Result<Self, InstanceError> {
         let text = std::str::from_utf8(bytes).map_err(|error| InstanceError::Malformed(error.to_string()))?;
         let raw: RawInstance =
--- a/crates/registry/src/eureka/poller.rs
+++ b/crates/registry/src/eureka/poller.rs
@@ -1,69 +1,69 @@
-//! When to ask which server of a registry for what: deltas while these add up, a whole list where they don't, another
-//! server when one fails, and less and less often while all do. No I/O, no clock.
+//! Schedules the polling of a registry: deltas while their hash codes match, a full list after a mismatch, the next
+//! server after a failure, and increasing pauses while all servers fail. No I/O, and no clock of its own.
 
 use linnetdeal_core::{Span, Time};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 
-/// Between two servers of one round of failures.
+/// The pause before the next server is tried within a round in which all have failed so far.
 const NEXT_SERVER_DELAY: Span = Span::millis(20);
-/// After a first round in which all failed; it doubles from there.
+/// The pause after the first round in which all servers failed; it doubles with each further round.
 const INITIAL_PAUSE: Span = Span::millis(500);
-/// A registry that asks to be left alone is left alone for no longer than this.
+/// The longest `Retry-After` that is honoured.
 const MAX_RETRY_AFTER: Span = Span::millis(300_000);
-/// Whole lists that don't make deltas add up are asked for after this many intervals at the latest.
+/// Limits how often the wait for a full list is doubled while the deltas' hash codes keep mismatching.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// What to ask for.
+/// What to fetch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FetchKind {
-    /// The whole list.
+    /// The full list.
     Full,
-    /// What has changed of late.
+    /// The recent changes.
     Delta,
 }
 
-/// Why nothing came of it.
+/// Why a fetch failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No answer, or one that can't be read.
+    /// There was no response, or it was invalid.
     Unusable,
-    /// An answer that says no, with the time to come back if it names one.
+    /// The response had this error status, with its `Retry-After` if present.
     Status(u16, Option<Span>),
 }
 
-/// How asking goes.
+/// The options of polling.
 #[derive(Clone, Copy, Debug)]
 pub struct PollOptions {
-    /// Between two answers that were good.
+    /// The interval after a successful fetch.
     pub interval: Span,
-    /// The longest pause while all servers fail.
+    /// The maximum pause while all servers fail.
     pub max_pause: Span,
-    /// Whether deltas are asked for at all.
+    /// Whether deltas are fetched at all.
     pub use_deltas: bool,
 }
 
-/// What is to be asked next.
+/// Decides which server to poll next, when, and for what.
 #[derive(Debug)]
 pub struct Poller {
     options: PollOptions,
     rng: ChaCha8Rng,
-    /// When each server may be asked again.
+    /// When each server may be polled again, by its index.
     retry_at: Vec<Time>,
+    /// The index of the server to poll next.
     current: usize,
-    /// Failures in a row.
     consecutive_failures: u32,
     next_at: Time,
-    /// When the whole list is wanted.
+    /// When a full list is due; `None` if deltas suffice.
     full_due: Option<Time>,
-    /// Deltas in a row that did not add up.
+    /// Consecutive deltas whose hash codes did not match.
     mismatches: u32,
-    /// The server has no deltas.
+    /// Only full lists are fetched: deltas are disabled, or the current server does not support them.
     full_only: bool,
 }
 
 impl Poller {
-    /// One that asks `servers` servers, the first at once.
+    /// Creates a poller for this number of servers. The first fetch is due at once.
     #[must_use]
     pub fn new(servers: usize, options: PollOptions, seed: u64, now: Time) -> Self {
         Self {
@@ -79,10 +79,10 @@
         }
     }
 
-    /// When to ask.
+    /// When the next fetch is due.
     #[must_use]
     pub fn due(&self) -> Time {
-        // After failures the pause counts, whatever is wanted.
+        // After a failure the pause applies even if a full list is due.
         if self.consecutive_failures > 0 {
             self.next_at
         } else {
@@ -90,20 +90,20 @@
         }
     }
 
-    /// Whom to ask for what, once it is due.
+    /// The index of the server to poll and what to fetch from it, once a fetch is due.
     #[must_use]
     pub fn next_fetch(&self, now: Time) -> (usize, FetchKind) {
         let full = self.full_only || self.full_due.is_some_and(|time| time <= now);
         (self.current, if full { FetchKind::Full } else { FetchKind::Delta })
     }
 
-    /// How many failed in a row.
+    /// The number of consecutive failures.
     #[must_use]
     pub fn consecutive_failures(&self) -> u32 {
         self.consecutive_failures
     }
 
-    /// An answer was taken; `adds_up` if the registry's hash code agrees with what is held now.
+    /// Records a successful fetch. `hash_matches` tells whether the registry's hash code matches the local copy.
     pub fn record_answer(&mut self, now: Time, kind: FetchKind, hash_matches: bool) {
         self.consecutive_failures = 0;
         let interval = self.options.interval;
@@ -111,7 +111,8 @@
         match kind {
             FetchKind::Full => self.full_due = None,
             FetchKind::Delta if hash_matches => self.mismatches = 0,
-            // The first time at once; a registry whose hash code is always wrong is not asked for all each time.
+            // The first mismatch is followed by a full list at once; the waits before the next ones double, so that a
+            // registry whose hash code is always wrong is not polled for the full list each time.
             FetchKind::Delta => {
                 let wait = match self.mismatches {
                     0 => Span(0),
@@ -123,10 +124,10 @@
         }
     }
 
-    /// Nothing came of it.
+    /// Records a failed fetch.
     pub fn record_failure(&mut self, now: Time, kind: FetchKind, failure: Failure) {
         if kind == FetchKind::Delta && matches!(failure, Failure::Status(403 | 404 | 501, _)) {
-            // It knows no deltas; nothing else is wrong with it.
+            // The server does not support deltas but works otherwise.
             self.full_only = true;
             self.full_due = Some(now);
             return;
@@ -136,7 +137,7 @@
             self.retry_at[self.current] = now + Span(retry_after.0.clamp(0, MAX_RETRY_AFTER.0));
         }
         let servers = self.retry_at.len();
-        // Another server may know other changes: it is asked for all.
+        // Another server may have seen other changes, so a full list is fetched from it.
         let order = (1..=servers).map(|step| (self.current + step) % servers);
         let available = order.clone().find(|server| self.retry_at[*server] <= now);
         let next_server =
@@ -156,7 +157,7 @@
         self.next_at = (now + self.with_jitter(pause, 0.25)).max(self.retry_at[self.current]);
     }
 
-    /// The span, by up to this part more or less, so that many poolers don't ask in step.
+    /// Varies a span randomly by up to this fraction in either direction, so that poolers don't poll in lockstep.
     fn with_jitter(&mut self, span: Span, fraction: f64) -> Span {
         let random = f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
         span.times(1.0 + fraction * (2.0 * random - 1.0))
--- a/crates/registry/tests/bodies.rs
+++ b/crates/registry/tests/bodies.rs
@@ -125,7 +125,7 @@
         Err(BodyError::Syntax { offset, what }) => (offset, what),
         other => panic!("{text:?}: {other:?}"),
     };
-    assert_eq!(form(Format::Json, "<html>"), (0, "no JSON"));
+    assert_eq!(form(Format::Json, "<html>"), (0, "invalid JSON"));
     assert_eq!(form(Format::Json, "{\"a\":1}}"), (7, "something behind the end"));
     assert_eq!(form(Format::Json, "{\"a\":1]"), (6, "a bracket that closes nothing"));
     assert_eq!(form(Format::Json, &"[".repeat(10_000)), (48, "nested too deeply"));
@@ -133,7 +133,7 @@
         form(Format::Json, &format!("{{\"instance\":{{\"a\":{}", "[".repeat(10_000))).1,
         "nested too deeply"
     );
-    assert_eq!(form(Format::Xml, "{}"), (0, "no XML"));
+    assert_eq!(form(Format::Xml, "{}"), (0, "invalid XML"));
     assert_eq!(form(Format::Xml, "<a></b>"), (6, "a tag that closes another"));
     assert_eq!(form(Format::Xml, "<!DOCTYPE a [<!ENTITY b \"c\">]>").1, "a document type, which is not read");
     assert_eq!(form(Format::Xml, &"<a>".repeat(10_000)).1, "nested too deeply");
