--- a/crates/lab/shim/src/lib.rs
+++ b/crates/lab/shim/src/lib.rs
@@ -13,7 +13,8 @@
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 
 /// The faults, in the order of their counts.
-const NAMES: [&str; 6] = ["interrupted", "short-read", "short-write", "would-block", "accept", "wall-step"];
+const FAULT_NAMES: [&str; 6] =
+    ["interrupted", "short-read", "short-write", "would-block", "accept", "wall-step"];
 const INTERRUPTED: usize = 0;
 const SHORT_READ: usize = 1;
 const SHORT_WRITE: usize = 2;
@@ -25,34 +26,34 @@
 const ACCEPT_ERRORS: [c_int; 5] =
     [libc::ECONNABORTED, libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENETUNREACH];
 /// The wall clock is stepped so long after the first look at it.
-const STEP_AFTER_NS: i64 = 500_000_000;
+const WALL_STEP_AFTER_NS: i64 = 500_000_000;
 /// A short read or write passes so many bytes at most.
-const SHORT: u64 = 7;
+const MAX_SHORT_BYTES: u64 = 7;
 
 static COUNTS: [AtomicU64; 6] = [const { AtomicU64::new(0) }; 6];
 static STATE: AtomicU64 = AtomicU64::new(0);
-static FIRST_LOOK: AtomicI64 = AtomicI64::new(0);
+static FIRST_READ_NS: AtomicI64 = AtomicI64::new(0);
 
-struct Plan {
+struct Config {
     per_mille: u64,
     wall_step_ns: i64,
-    counts: c_int,
+    counts_fd: c_int,
 }
 
-fn plan() -> &'static Plan {
-    static PLAN: OnceLock<Plan> = OnceLock::new();
-    PLAN.get_or_init(|| {
-        let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<i64>().ok());
-        let seed = number("SHIM_SEED").unwrap_or(1).unsigned_abs();
+fn config() -> &'static Config {
+    static CONFIG: OnceLock<Config> = OnceLock::new();
+    CONFIG.get_or_init(|| {
+        let integer = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<i64>().ok());
+        let seed = integer("SHIM_SEED").unwrap_or(1).unsigned_abs();
         STATE.store(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1, Ordering::Relaxed);
         let path = std::env::var("SHIM_COUNTS").ok().and_then(|path| std::ffi::CString::new(path).ok());
         let flags = libc::O_WRONLY | libc::O_CREAT | libc::O_CLOEXEC;
         // SAFETY: the path is a C string that lives through the call.
-        let counts = path.map_or(-1, |path| unsafe { libc::open(path.as_ptr(), flags, 0o600) });
-        Plan {
-            per_mille: number("SHIM_PER_MILLE").unwrap_or(0).unsigned_abs(),
-            wall_step_ns: number("SHIM_WALL_STEP_MS").unwrap_or(0).saturating_mul(1_000_000),
-            counts,
+        let counts_fd = path.map_or(-1, |path| unsafe { libc::open(path.as_ptr(), flags, 0o600) });
+        Config {
+            per_mille: integer("SHIM_PER_MILLE").unwrap_or(0).unsigned_abs(),
+            wall_step_ns: integer("SHIM_WALL_STEP_MS").unwrap_or(0).saturating_mul(1_000_000),
+            counts_fd,
         }
     })
 }
@@ -63,23 +64,24 @@
         let state = state ^ (state >> 7);
         state ^ (state << 17)
     };
-    let before = STATE.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |state| Some(next(state)));
-    next(before.unwrap_or(1)) >> 11
+    let previous = STATE.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |state| Some(next(state)));
+    next(previous.unwrap_or(1)) >> 11
 }
 
 /// Whether this call is to fail.
-fn hit() -> bool {
-    let per_mille = plan().per_mille;
+fn should_fail() -> bool {
+    let per_mille = config().per_mille;
     per_mille > 0 && random() % 1_000 < per_mille
 }
 
 fn count(fault: usize) {
     COUNTS[fault].fetch_add(1, Ordering::Relaxed);
-    let of = |(name, count): (&&str, &AtomicU64)| format!("{name}={:<10} ", count.load(Ordering::Relaxed));
-    let text: String = NAMES.iter().zip(&COUNTS).map(of).collect();
-    if plan().counts >= 0 {
+    let format_count =
+        |(name, count): (&&str, &AtomicU64)| format!("{name}={:<10} ", count.load(Ordering::Relaxed));
+    let text: String = FAULT_NAMES.iter().zip(&COUNTS).map(format_count).collect();
+    if config().counts_fd >= 0 {
         // SAFETY: the text lives through the call.
-        unsafe { libc::pwrite(plan().counts, text.as_ptr().cast(), text.len(), 0) };
+        unsafe { libc::pwrite(config().counts_fd, text.as_ptr().cast(), text.len(), 0) };
     }
 }
 
@@ -98,13 +100,13 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, size: size_t, flags: c_int) -> ssize_t {
     let mut size = size;
-    if flags & libc::MSG_PEEK == 0 && size > 0 && hit() {
+    if flags & libc::MSG_PEEK == 0 && size > 0 && should_fail() {
         match random() % 3 {
             0 => return fail(INTERRUPTED, libc::EINTR),
             1 => return fail(WOULD_BLOCK, libc::EAGAIN),
             _ => {
                 count(SHORT_READ);
-                size = size.min((1 + random() % SHORT) as size_t);
+                size = size.min((1 + random() % MAX_SHORT_BYTES) as size_t);
             }
         }
     }
@@ -119,8 +121,8 @@
 ///
 /// As `writev(2)`.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn writev(fd: c_int, vectors: *const iovec, count_of: c_int) -> ssize_t {
-    if count_of > 0 && hit() {
+pub unsafe extern "C" fn writev(fd: c_int, vectors: *const iovec, vector_count: c_int) -> ssize_t {
+    if vector_count > 0 && should_fail() {
         match random() % 3 {
             0 => return fail(INTERRUPTED, libc::EINTR),
             1 => return fail(WOULD_BLOCK, libc::EAGAIN),
@@ -129,7 +131,7 @@
                 let mut first = unsafe { *vectors };
                 if first.iov_len > 0 {
                     count(SHORT_WRITE);
-                    first.iov_len = first.iov_len.min((1 + random() % SHORT) as size_t);
+                    first.iov_len = first.iov_len.min((1 + random() % MAX_SHORT_BYTES) as size_t);
                     let one: *const iovec = &raw const first;
                     // SAFETY: a part of the caller's first buffer.
                     return unsafe { libc::syscall(libc::SYS_writev, c_long::from(fd), one, 1) as ssize_t };
@@ -138,7 +140,7 @@
         }
     }
     // SAFETY: the caller's promise.
-    unsafe { libc::syscall(libc::SYS_writev, c_long::from(fd), vectors, count_of) as ssize_t }
+    unsafe { libc::syscall(libc::SYS_writev, c_long::from(fd), vectors, vector_count) as ssize_t }
 }
 
 /// Accepts a connection, or fails.
@@ -154,7 +156,7 @@
     flags: c_int,
 ) -> c_int {
     // Seldom otherwise: there is one for many reads.
-    if hit() || hit() || hit() {
+    if should_fail() || should_fail() || should_fail() {
         let error = ACCEPT_ERRORS[random() as usize % ACCEPT_ERRORS.len()];
         return fail(ACCEPT, error) as c_int;
     }
@@ -170,22 +172,22 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
     // SAFETY: the caller's promise.
-    let done = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, time) as c_int };
-    let step = plan().wall_step_ns;
-    if done != 0 || clock != libc::CLOCK_REALTIME || step == 0 {
-        return done;
+    let result = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, time) as c_int };
+    let step = config().wall_step_ns;
+    if result != 0 || clock != libc::CLOCK_REALTIME || step == 0 {
+        return result;
     }
     // SAFETY: the call has filled it in.
     let now = unsafe { &mut *time };
     let since_epoch = now.tv_sec * 1_000_000_000 + now.tv_nsec;
-    let first = match FIRST_LOOK.compare_exchange(0, since_epoch, Ordering::Relaxed, Ordering::Relaxed) {
+    let first = match FIRST_READ_NS.compare_exchange(0, since_epoch, Ordering::Relaxed, Ordering::Relaxed) {
         Ok(_) => since_epoch,
         Err(first) => first,
     };
-    if since_epoch - first > STEP_AFTER_NS {
+    if since_epoch - first > WALL_STEP_AFTER_NS {
         count(WALL_STEP);
         let stepped = since_epoch + step;
         (now.tv_sec, now.tv_nsec) = (stepped.div_euclid(1_000_000_000), stepped.rem_euclid(1_000_000_000));
     }
-    done
+    result
 }
--- a/crates/lab/src/processes/fleet.rs
+++ b/crates/lab/src/processes/fleet.rs
@@ -176,7 +176,7 @@
             .map(|to| {
                 let direct =
                     if duplicate { self.slots[to].duplicate_listen } else { self.slots[to].peer_listen };
-                self.relay.address(pooler, to).unwrap_or(direct).to_string()
+                self.relay.address_for(pooler, to).unwrap_or(direct).to_string()
             })
             .collect();
         let slot = &mut self.slots[pooler];
@@ -336,11 +336,11 @@
 
     /// Reads what the logs have new, and puts the tasks gained into the history. Fails where a process has ended by itself.
     pub fn poll_logs(&mut self) -> Vec<usize> {
-        let mut ended = Vec::new();
+        let mut exited = Vec::new();
         for (pooler, slot) in self.slots.iter_mut().enumerate() {
             let Some(process) = &mut slot.process else { continue };
             if matches!(process.exit_status(), Ok(Some(_)) | Err(_)) {
-                ended.push(pooler);
+                exited.push(pooler);
             }
             let lines = process.timed_log();
             for (when, line) in &lines[slot.lines_read.min(lines.len())..] {
@@ -350,7 +350,7 @@
             }
             slot.lines_read = lines.len();
         }
-        ended
+        exited
     }
 
     /// The log of a pooler's present process.
--- a/crates/lab/src/processes/records.rs
+++ b/crates/lab/src/processes/records.rs
@@ -30,7 +30,7 @@
 ) -> Result<Vec<T>, Failure> {
     let mut files: Vec<_> =
         std::fs::read_dir(folder)?.map(|entry| entry.map(|entry| entry.path())).collect::<Result<_, _>>()?;
-    files.retain(|path| path.extension().is_some_and(|extension| extension == "cue"));
+    files.retain(|path| path.extension().is_some_and(|suffix| suffix == "cue"));
     files.sort();
     files.iter().map(|path| decode(&path.display().to_string(), &std::fs::read(path)?)).collect()
 }
--- a/crates/lab/src/processes/relay.rs
+++ b/crates/lab/src/processes/relay.rs
@@ -146,7 +146,7 @@
 
     /// Where `from` finds `to`; `None` where the two have no relay between them.
     #[must_use]
-    pub fn address(&self, from: usize, to: usize) -> Option<SocketAddr> {
+    pub fn address_for(&self, from: usize, to: usize) -> Option<SocketAddr> {
         self.addresses.get(&(from, to)).copied()
     }
 
@@ -205,7 +205,7 @@
     delayed: Rc<AtomicUsize>,
 ) {
     let executor = LocalExecutor::new();
-    let receive = async {
+    let receive_loop = async {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((size, sender)) = link.socket.recv_from(&mut buffer).await else {
@@ -271,5 +271,5 @@
             }
         }
     };
-    or(executor.run(std::future::pending::<()>()), receive).await;
+    or(executor.run(std::future::pending::<()>()), receive_loop).await;
 }
--- a/crates/lab/src/processes/tcp_links.rs
+++ b/crates/lab/src/processes/tcp_links.rs
@@ -44,12 +44,12 @@
             for (listener, server, cut) in listeners {
                 let Ok(listener) = Async::new(listener) else { return };
                 let connections = executor.clone();
-                let accept = async move {
+                let accept_loop = async move {
                     while let Ok((stream, _)) = listener.accept().await {
                         connections.spawn(forward(stream, server, cut.clone())).detach();
                     }
                 };
-                executor.spawn(accept).detach();
+                executor.spawn(accept_loop).detach();
             }
             block_on(executor.run(async {
                 while !stop_flag.load(Ordering::SeqCst) {
@@ -62,7 +62,7 @@
 
     /// Where a pooler finds a server.
     #[must_use]
-    pub fn address(&self, pooler: usize, server: usize) -> Option<SocketAddr> {
+    pub fn address_for(&self, pooler: usize, server: usize) -> Option<SocketAddr> {
         self.links.get(&(pooler, server)).map(|(address, _)| *address)
     }
 
--- a/crates/lab/src/soak/configuration.rs
+++ b/crates/lab/src/soak/configuration.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 /// The bound on the age of `bundle-menu`.
-pub const BOUND_MS: i64 = 1_500;
+pub const STALENESS_BOUND_MS: i64 = 1_500;
 /// The longest that any client waits.
-pub const LONGEST_DEADLINE: Duration = Duration::from_millis(2_000);
+pub const MAX_DEADLINE: Duration = Duration::from_millis(2_000);
 /// So many descriptors a process.
-const SOCKETS: u32 = 256;
+const MAX_DESCRIPTORS: u32 = 256;
 
 /// The classes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
 
 impl Class {
     /// The class that is called so.
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         let all = [Self::BundleMenu, Self::MyRecent, Self::UsageHistory, Self::BalanceCheck, Self::TopUp];
         all.into_iter().find(|class| class.name() == name)
     }
@@ -46,8 +46,8 @@
     }
 
     /// The class that a number below 100 draws.
-    pub const fn drawn(dice: u64) -> Self {
-        match dice {
+    pub const fn from_draw(draw: u64) -> Self {
+        match draw {
             0..30 => Self::BundleMenu,
             30..50 => Self::MyRecent,
             50..65 => Self::UsageHistory,
@@ -70,7 +70,7 @@
 
 /// The addresses of one pooler.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct PoolerAddresses {
     /// Its number.
     pub number: usize,
     /// Where clients connect.
@@ -80,20 +80,26 @@
 }
 
 /// The configuration of a pooler at its `start`-th start.
-pub fn configuration(place: &Place, fleet: usize, seed: u64, known: &Value, variation: Variation) -> Value {
+pub fn pooler_config(
+    addresses: &PoolerAddresses,
+    fleet: usize,
+    seed: u64,
+    known: &Value,
+    variation: Variation,
+) -> Value {
     let mut settings = settings();
     settings["FleetSize"] = fleet.into();
-    settings["Rank"] = place.number.into();
+    settings["Rank"] = addresses.number.into();
     settings["Lanes"][4]["Deadline"] =
-        if variation.short_writes { 1_000.0 } else { LONGEST_DEADLINE.as_millis() as f64 }.into();
+        if variation.short_writes { 1_000.0 } else { MAX_DEADLINE.as_millis() as f64 }.into();
     if variation.fields_swapped {
         settings["Report"]["Fields"] = json!(["x1", "x0"]);
     }
     if let Some(keepalive) = variation.keepalive {
         settings["Limits"]["Keepalive"] = (keepalive.as_millis() as f64).into();
     }
-    json!({"name": format!("n{}", place.number), "listen": place.listen.to_string(),
-        "discovery": place.discovery.to_string(), "seed": format!("{seed:016x}"),
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
+    json!({"name": format!("n{}", addresses.number), "listen": addresses.listen.to_string(),
+        "discovery": addresses.discovery.to_string(), "seed": format!("{seed:016x}"),
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": MAX_DESCRIPTORS},
         "peers": [], "known": known, "settings": settings})
 }
--- a/crates/lab/src/soak/world.rs
+++ b/crates/lab/src/soak/context.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 /// The shared parts.
-pub struct World {
+pub struct Context {
     /// Carries all tasks.
     pub executor: LocalExecutor<'static>,
     /// The judge.
@@ -17,13 +17,13 @@
     /// The troubles that hold at present, and how often each was injected.
     pub faults: RefCell<Faults>,
     /// Nothing new is asked any more.
-    pub over: Cell<bool>,
+    pub finished: Cell<bool>,
     /// For the schedule of troubles, which one seed fixes; and for what tasks draw in whatever order they run.
-    schedule: RefCell<ChaCha8Rng>,
+    schedule_rng: RefCell<ChaCha8Rng>,
     rng: RefCell<ChaCha8Rng>,
 }
 
-impl World {
+impl Context {
     /// One in which chance comes from this seed.
     #[must_use]
     pub fn new(seed: u64) -> Rc<Self> {
@@ -31,24 +31,24 @@
             executor: LocalExecutor::new(),
             audit: RefCell::default(),
             faults: RefCell::default(),
-            over: Cell::new(false),
-            schedule: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
+            finished: Cell::new(false),
+            schedule_rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(!seed)),
         })
     }
 
     /// A number below `most`, by chance.
-    pub fn below(&self, most: u64) -> u64 {
-        self.rng.borrow_mut().next_u64() % most.max(1)
+    pub fn random_below(&self, limit: u64) -> u64 {
+        self.rng.borrow_mut().next_u64() % limit.max(1)
     }
 
     /// The next number of the schedule, below `most`.
-    pub fn scheduled(&self, most: u64) -> u64 {
-        self.schedule.borrow_mut().next_u64() % most.max(1)
+    pub fn scheduled_below(&self, limit: u64) -> u64 {
+        self.schedule_rng.borrow_mut().next_u64() % limit.max(1)
     }
 
     /// True in so many of a thousand cases.
     pub fn chance(&self, per_mille: u64) -> bool {
-        self.below(1_000) < per_mille
+        self.random_below(1_000) < per_mille
     }
 }
--- a/crates/lab/src/soak/faults.rs
+++ b/crates/lab/src/soak/faults.rs
@@ -103,26 +103,26 @@
 /// What holds, and what was injected.
 #[derive(Debug, Default)]
 pub struct Faults {
-    until: BTreeMap<FaultKind, Instant>,
+    active_until: BTreeMap<FaultKind, Instant>,
     injected: BTreeMap<FaultKind, u64>,
 }
 
 impl Faults {
     /// A kind holds for so long from now.
-    pub fn begin(&mut self, kind: FaultKind, length: Duration) {
-        let end = Instant::now() + length;
-        let until = self.until.entry(kind).or_insert(end);
+    pub fn activate(&mut self, kind: FaultKind, duration: Duration) {
+        let end = Instant::now() + duration;
+        let until = self.active_until.entry(kind).or_insert(end);
         *until = end.max(*until);
     }
 
     /// Whether it holds.
     #[must_use]
-    pub fn holds(&self, kind: FaultKind) -> bool {
-        self.until.get(&kind).is_some_and(|until| Instant::now() < *until)
+    pub fn is_active(&self, kind: FaultKind) -> bool {
+        self.active_until.get(&kind).is_some_and(|until| Instant::now() < *until)
     }
 
     /// It took effect once.
-    pub fn injected(&mut self, kind: FaultKind) {
+    pub fn count_injection(&mut self, kind: FaultKind) {
         *self.injected.entry(kind).or_default() += 1;
     }
 
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -8,6 +8,7 @@
 pub mod audit;
 mod clients;
 mod configuration;
+mod context;
 mod discovery;
 mod faults;
 mod poolers;
@@ -16,7 +17,6 @@
 mod report;
 mod run;
 mod servers;
-mod world;
 
 pub use faults::{FaultKind, SCHEDULED_FAULTS};
 pub use report::Report;
--- a/crates/lab/src/soak/poolers.rs
+++ b/crates/lab/src/soak/poolers.rs
@@ -2,10 +2,10 @@
 //! nothing with their names and addresses.
 
 use super::audit::Rule;
-use super::configuration::{LONGEST_DEADLINE, Place, Variation, configuration};
+use super::configuration::{MAX_DEADLINE, PoolerAddresses, Variation, pooler_config};
+use super::context::Context;
 use super::discovery::{Agent, Discovery};
 use super::run::Spec;
-use super::world::World;
 use crate::processes::process::Process;
 use async_io::{Async, Timer};
 use futures_lite::future::or;
@@ -20,15 +20,15 @@
 use std::time::{Duration, Instant};
 
 /// New connections keep arriving for so long after a process was told to end.
-const ARRIVALS: Duration = Duration::from_millis(300);
+const ARRIVALS_AFTER_TERM: Duration = Duration::from_millis(300);
 /// SIGKILL comes so long after the longest deadline.
 const KILL_GRACE: Duration = Duration::from_millis(700);
 /// A busy machine may end a process so much later.
-const LATE_END: Duration = Duration::from_millis(500);
+const EXIT_SLACK: Duration = Duration::from_millis(500);
 /// A process that is not ready by then never will be.
-const LATEST_START: Duration = Duration::from_secs(10);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// How often something is looked at.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// How far a pooler has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,44 +40,44 @@
     /// It serves.
     Ready,
     /// It was told to end then.
-    Leaving(Instant),
+    Terminating(Instant),
 }
 
 /// One pooler.
 pub struct Pooler {
     /// Its number and addresses; that of discovery is the agent's.
-    place: Place,
+    addresses: PoolerAddresses,
     /// What tells it the list.
     pub agent: Rc<Agent>,
     process: RefCell<Option<Process>>,
     state: Cell<State>,
     /// How often it was started.
     starts: Cell<u64>,
-    killed: Cell<Option<Instant>>,
+    killed_at: Cell<Option<Instant>>,
     variation: Cell<Variation>,
-    shim_counts: RefCell<Vec<PathBuf>>,
+    shim_count_files: RefCell<Vec<PathBuf>>,
 }
 
 impl Pooler {
     /// A place with no process yet.
     #[must_use]
-    pub fn new(place: Place, agent: Rc<Agent>) -> Rc<Self> {
+    pub fn new(addresses: PoolerAddresses, agent: Rc<Agent>) -> Rc<Self> {
         Rc::new(Self {
-            place,
+            addresses,
             agent,
             process: RefCell::default(),
             state: Cell::new(State::Down),
             starts: Cell::new(0),
-            killed: Cell::new(None),
+            killed_at: Cell::new(None),
             variation: Cell::default(),
-            shim_counts: RefCell::default(),
+            shim_count_files: RefCell::default(),
         })
     }
 
     /// Its number.
     #[must_use]
     pub fn number(&self) -> usize {
-        self.place.number
+        self.addresses.number
     }
 
     /// How far it has come.
@@ -97,7 +97,7 @@
     pub fn takes_clients(&self) -> bool {
         match self.state.get() {
             State::Ready => true,
-            State::Leaving(since) => since.elapsed() < ARRIVALS,
+            State::Terminating(since) => since.elapsed() < ARRIVALS_AFTER_TERM,
             State::Down | State::Starting => false,
         }
     }
@@ -105,7 +105,7 @@
     /// Whether its process was killed since then.
     #[must_use]
     pub fn killed_since(&self, since: Instant) -> bool {
-        self.killed.get().is_some_and(|at| at >= since)
+        self.killed_at.get().is_some_and(|killed_at| killed_at >= since)
     }
 
     /// A connection to it.
@@ -114,55 +114,56 @@
     ///
     /// When nobody listens.
     pub async fn connect(&self) -> std::io::Result<Async<TcpStream>> {
-        let stream = Async::<TcpStream>::connect(self.place.listen).await?;
+        let stream = Async::<TcpStream>::connect(self.addresses.listen).await?;
         stream.get_ref().set_nodelay(true)?;
         Ok(stream)
     }
 
     /// Starts a process and waits until it serves.
-    pub async fn start(&self, world: &World, spec: &Spec, list: &Discovery) {
+    pub async fn start(&self, context: &Context, spec: &Spec, discovery: &Discovery) {
         self.starts.set(self.starts.get() + 1);
-        world.audit.borrow_mut().note(self.number(), "start");
+        context.audit.borrow_mut().note(self.number(), "start");
         self.state.set(State::Starting);
-        if let Err(error) = self.begin(world, spec, list) {
-            return self.crashed(world, &format!("start: {error}"));
+        if let Err(error) = self.spawn(context, spec, discovery) {
+            return self.record_crash(context, &format!("start: {error}"));
         }
-        world.audit.borrow_mut().started(self.number(), Instant::now());
-        let end = Instant::now() + LATEST_START;
-        while !self.answers().await {
-            if self.has_ended() || Instant::now() > end {
-                return self.crashed(world, "it is not ready");
+        context.audit.borrow_mut().pooler_started(self.number(), Instant::now());
+        let end = Instant::now() + START_TIMEOUT;
+        while !self.is_serving().await {
+            if self.has_exited() || Instant::now() > end {
+                return self.record_crash(context, "it is not ready");
             }
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
         }
         if self.state.get() == State::Starting {
             self.state.set(State::Ready);
         }
     }
 
-    fn begin(&self, world: &World, spec: &Spec, list: &Discovery) -> std::io::Result<()> {
-        let place = Place { discovery: self.agent.address(), ..self.place.clone() };
-        let seed = world.below(u64::MAX);
-        let known = list.known(&self.agent);
-        let config = configuration(&place, spec.poolers, seed, &known, self.variation.get());
+    fn spawn(&self, context: &Context, spec: &Spec, discovery: &Discovery) -> std::io::Result<()> {
+        let addresses = PoolerAddresses { discovery: self.agent.address(), ..self.addresses.clone() };
+        let seed = context.random_below(u64::MAX);
+        let known = discovery.known_servers(&self.agent);
+        let config = pooler_config(&addresses, spec.poolers, seed, &known, self.variation.get());
         let mut variables = Vec::new();
         if let Some(mutant) = &spec.mutant {
             variables.push(("LINNETDEAL_MUTANT", mutant.clone()));
         }
         // Two in three run with calls that fail, one in three with a wall clock that is stepped.
-        if let Some(shim) = spec.shim.as_ref().filter(|_| spec.failing_calls.is_some() || world.chance(667)) {
+        if let Some(shim) = spec.shim.as_ref().filter(|_| spec.failing_calls.is_some() || context.chance(667))
+        {
             let name = format!("shim-{}-{}-{seed:x}.txt", self.number(), self.starts.get());
             let counts = spec.folder.join(name);
             variables.push(("LD_PRELOAD", shim.display().to_string()));
-            variables.push(("SHIM_SEED", world.below(1 << 40).to_string()));
-            let failing = spec.failing_calls.unwrap_or_else(|| 1 + world.below(20));
+            variables.push(("SHIM_SEED", context.random_below(1 << 40).to_string()));
+            let failing = spec.failing_calls.unwrap_or_else(|| 1 + context.random_below(20));
             variables.push(("SHIM_PER_MILLE", failing.to_string()));
             variables.push(("SHIM_COUNTS", counts.display().to_string()));
-            if world.chance(333) {
+            if context.chance(333) {
                 let steps = [3_600_000, -3_600_000, 7_000, -7_000];
-                variables.push(("SHIM_WALL_STEP_MS", steps[world.below(4) as usize].to_string()));
+                variables.push(("SHIM_WALL_STEP_MS", steps[context.random_below(4) as usize].to_string()));
             }
-            self.shim_counts.borrow_mut().push(counts);
+            self.shim_count_files.borrow_mut().push(counts);
         }
         let process = Process::start(&spec.program, &config, None, &variables)?;
         *self.process.borrow_mut() = Some(process);
@@ -170,8 +171,8 @@
     }
 
     /// Whether it answers an empty query.
-    async fn answers(&self) -> bool {
-        let asks = async {
+    async fn is_serving(&self) -> bool {
+        let query = async {
             let Ok(stream) = self.connect().await else { return false };
             let mut out = Vec::new();
             write::startup(&mut out, "backend", "store");
@@ -180,23 +181,23 @@
             if stream.write_all(&out).await.is_err() {
                 return false;
             }
-            let (mut read, mut bytes) = (Vec::new(), [0; 1_024]);
+            let (mut received, mut bytes) = (Vec::new(), [0; 1_024]);
             while let Ok(count @ 1..) = stream.read(&mut bytes).await {
-                read.extend_from_slice(&bytes[..count]);
-                if read.windows(5).any(|five| five == b"I\0\0\0\x04") {
+                received.extend_from_slice(&bytes[..count]);
+                if received.windows(5).any(|five| five == b"I\0\0\0\x04") {
                     return true;
                 }
             }
             false
         };
-        or(asks, async {
+        or(query, async {
             Timer::after(Duration::from_secs(1)).await;
             false
         })
         .await
     }
 
-    fn has_ended(&self) -> bool {
+    fn has_exited(&self) -> bool {
         self.process
             .borrow_mut()
             .as_mut()
@@ -204,33 +205,36 @@
     }
 
     /// Something is wrong if a process that was not told to end has ended.
-    pub fn look(&self, world: &World) {
-        if matches!(self.state.get(), State::Ready | State::Starting) && self.has_ended() {
-            self.crashed(world, "it has ended by itself");
+    pub fn check_alive(&self, context: &Context) {
+        if matches!(self.state.get(), State::Ready | State::Starting) && self.has_exited() {
+            self.record_crash(context, "it has ended by itself");
         }
     }
 
-    fn crashed(&self, world: &World, why: &str) {
+    fn record_crash(&self, context: &Context, why: &str) {
         let log = self.process.borrow().as_ref().map(Process::log).unwrap_or_default();
-        let last = log.iter().rev().take(3).rev().cloned().collect::<Vec<_>>().join(" | ");
-        let detail = format!("pooler {}: {why}: {last}", self.number());
-        world.audit.borrow_mut().violated(Rule::Crash, &detail);
-        self.killed.set(Some(Instant::now()));
-        self.bury(world);
+        let last_lines = log.iter().rev().take(3).rev().cloned().collect::<Vec<_>>().join(" | ");
+        let detail = format!("pooler {}: {why}: {last_lines}", self.number());
+        context.audit.borrow_mut().record_violation(Rule::Crash, &detail);
+        self.killed_at.set(Some(Instant::now()));
+        self.reap(context);
     }
 
     /// Takes down what its own check has counted, and lets go of the process.
-    fn bury(&self, world: &World) {
+    fn reap(&self, context: &Context) {
         self.state.set(State::Down);
         let Some(mut process) = self.process.borrow_mut().take() else { return };
         process.kill();
         for line in process.log() {
             if let Some((_, what)) = line.split_once("violated: ") {
                 let detail = format!("pooler {}: {what}", self.number());
-                world.audit.borrow_mut().violated(Rule::Invariant, &detail);
+                context.audit.borrow_mut().record_violation(Rule::Invariant, &detail);
             }
             if line.contains("panicked") {
-                world.audit.borrow_mut().violated(Rule::Crash, &format!("pooler {}: {line}", self.number()));
+                context
+                    .audit
+                    .borrow_mut()
+                    .record_violation(Rule::Crash, &format!("pooler {}: {line}", self.number()));
             }
         }
     }
@@ -241,55 +245,56 @@
     }
 
     /// Tells the process to end and waits for that.
-    pub async fn stop(&self, world: &World) {
+    pub async fn stop(&self, context: &Context) {
         if self.signal("TERM").is_err() {
             return;
         }
-        let told = Instant::now();
-        world.audit.borrow_mut().note(self.number(), "SIGTERM");
-        self.state.set(State::Leaving(told));
-        while !self.has_ended() {
-            if told.elapsed() > LONGEST_DEADLINE + KILL_GRACE + LATE_END {
-                return self.crashed(world, "it does not end when told to");
+        let signalled_at = Instant::now();
+        context.audit.borrow_mut().note(self.number(), "SIGTERM");
+        self.state.set(State::Terminating(signalled_at));
+        while !self.has_exited() {
+            if signalled_at.elapsed() > MAX_DEADLINE + KILL_GRACE + EXIT_SLACK {
+                return self.record_crash(context, "it does not end when signalled_at to");
             }
-            Timer::after(LOOK).await;
+            Timer::after(POLL_INTERVAL).await;
         }
         let status = self.process.borrow_mut().as_mut().map(Process::exit_status);
         if !matches!(&status, Some(Ok(Some(status))) if status.success()) {
-            return self.crashed(world, &format!("it ended with {status:?}"));
+            return self.record_crash(context, &format!("it ended with {status:?}"));
         }
-        self.bury(world);
+        self.reap(context);
     }
 
     /// Kills the process.
-    pub fn kill(&self, world: &World) {
-        self.killed.set(Some(Instant::now()));
-        self.bury(world);
+    pub fn kill(&self, context: &Context) {
+        self.killed_at.set(Some(Instant::now()));
+        self.reap(context);
     }
 
     /// Stops it for so long.
-    pub async fn pause(&self, length: Duration) {
+    pub async fn pause(&self, duration: Duration) {
         if self.signal("STOP").is_ok() {
-            Timer::after(length).await;
+            Timer::after(duration).await;
             let _ = self.signal("CONT");
         }
     }
 
     /// Gives it a configuration, after one that can't be used if `broken`.
-    pub async fn reload(&self, world: &World, spec: &Spec, list: &Discovery, broken: bool) {
+    pub async fn reload(&self, context: &Context, spec: &Spec, discovery: &Discovery, broken: bool) {
         let variation = Variation {
-            fields_swapped: world.chance(500),
-            keepalive: world.chance(500).then(|| Duration::from_millis(100)),
-            short_writes: world.chance(500),
+            fields_swapped: context.chance(500),
+            keepalive: context.chance(500).then(|| Duration::from_millis(100)),
+            short_writes: context.chance(500),
         };
-        world.audit.borrow_mut().note(self.number(), "SIGHUP");
+        context.audit.borrow_mut().note(self.number(), "SIGHUP");
         if broken && self.configure("{\"settings\": 7").is_ok() {
             let _ = self.signal("HUP");
-            Timer::after(Duration::from_millis(world.below(20))).await;
+            Timer::after(Duration::from_millis(context.random_below(20))).await;
         }
         self.variation.set(variation);
-        let place = Place { discovery: self.agent.address(), ..self.place.clone() };
-        let config = configuration(&place, spec.poolers, 1, &list.known(&self.agent), variation);
+        let addresses = PoolerAddresses { discovery: self.agent.address(), ..self.addresses.clone() };
+        let config =
+            pooler_config(&addresses, spec.poolers, 1, &discovery.known_servers(&self.agent), variation);
         if self.configure(&config.to_string()).is_ok() {
             let _ = self.signal("HUP");
         }
@@ -303,16 +308,16 @@
     /// How often each call of the system was made to fail.
     #[must_use]
     pub fn shim_counts(&self) -> BTreeMap<String, u64> {
-        let mut all = BTreeMap::new();
-        for path in self.shim_counts.borrow().iter() {
+        let mut totals = BTreeMap::new();
+        for path in self.shim_count_files.borrow().iter() {
             for pair in std::fs::read_to_string(path).unwrap_or_default().split_whitespace() {
                 if let Some((name, Ok(count))) =
-                    pair.split_once('=').map(|(name, of)| (name, of.parse::<u64>()))
+                    pair.split_once('=').map(|(name, count)| (name, count.parse::<u64>()))
                 {
-                    *all.entry(name.to_owned()).or_default() += count;
+                    *totals.entry(name.to_owned()).or_default() += count;
                 }
             }
         }
-        all
+        totals
     }
 }
--- a/crates/lab/src/soak/proof.rs
+++ b/crates/lab/src/soak/proof.rs
@@ -61,7 +61,7 @@
     let mut injected = 0;
     for seed in &proof.seeds {
         let report = run_soak(&Spec { seed: *seed, ..proof.spec.clone() })?;
-        show(&report, &say);
+        print_report(&report, &say);
         violated += report.violation_count();
         injected += report.injected.values().sum::<u64>();
     }
@@ -69,7 +69,7 @@
     let mut missed = Vec::new();
     let mut failed = false;
     for variant in VARIANTS.iter().filter(|_| proof.mutant_seeds > 0) {
-        match find(proof, variant, &say)? {
+        match find_violation(proof, variant, &say)? {
             Some(rules) => found.push(format!("{}: {rules}", variant.name)),
             None => {
                 missed.push(variant.name);
@@ -86,7 +86,7 @@
 
 /// Plays a broken variant until it breaks a rule, and then the program itself in the same way: only what it does not break counts
 /// as found. Gives which rules were broken.
-fn find(
+fn find_violation(
     proof: &ProofSpec,
     variant: &Variant,
     say: &impl Fn(&dyn Display),
@@ -96,13 +96,13 @@
         let (only, failing_calls) = (variant.faults.to_vec(), variant.failing_calls);
         let control = Spec { seed, only, failing_calls, ..proof.spec.clone() };
         let report = run_soak(&Spec { mutant: Some(variant.name.to_owned()), ..control.clone() })?;
-        show(&report, say);
+        print_report(&report, say);
         if report.violation_count() == 0 {
             continue;
         }
-        let beside = run_soak(&control)?;
-        show(&beside, say);
-        if beside.violation_count() == 0 {
+        let control_report = run_soak(&control)?;
+        print_report(&control_report, say);
+        if control_report.violation_count() == 0 {
             let rules: Vec<String> =
                 report.violations.iter().map(|(rule, count)| format!("{rule:?} {count}")).collect();
             return Ok(Some(rules.join(", ")));
@@ -111,7 +111,7 @@
     Ok(None)
 }
 
-fn show(report: &Report, say: &impl Fn(&dyn Display)) {
+fn print_report(report: &Report, say: &impl Fn(&dyn Display)) {
     say(&report.json());
     report.details.iter().for_each(|detail| say(&format!("  {detail}")));
 }
--- a/crates/lab/src/soak/report.rs
+++ b/crates/lab/src/soak/report.rs
@@ -54,16 +54,16 @@
     /// As one JSON object.
     #[must_use]
     pub fn json(&self) -> Value {
-        let named = |of: &BTreeMap<FaultKind, u64>| -> BTreeMap<String, u64> {
-            of.iter().map(|(kind, count)| (format!("{kind:?}"), *count)).collect()
+        let by_name = |counts: &BTreeMap<FaultKind, u64>| -> BTreeMap<String, u64> {
+            counts.iter().map(|(kind, count)| (format!("{kind:?}"), *count)).collect()
         };
         let violations: BTreeMap<String, u64> =
             self.violations.iter().map(|(rule, count)| (format!("{rule:?}"), *count)).collect();
-        let Counts { asked, served, refused, failed, excused, left, attempts, .. } = self.counts;
+        let Counts { requests, served, refused, failed, excused, departed, attempts, .. } = self.counts;
         json!({"seed": self.seed, "mutant": self.mutant, "violated": self.violation_count(), "violations": violations,
-            "asked": asked, "served": served, "refused": refused, "failed": failed, "excused": excused, "left": left,
+            "asked": requests, "served": served, "refused": refused, "failed": failed, "excused": excused, "left": departed,
             "attempts": attempts, "starts": self.starts, "worst_drain_ms": self.counts.worst_drain_ms,
             "worst_departure_ms": self.counts.worst_departure_ms, "worst_overstated_ms": self.counts.worst_overstated_ms,
-            "injected": named(&self.injected), "pairs": self.overlapping_pairs.len(), "calls": self.failed_calls})
+            "injected": by_name(&self.injected), "pairs": self.overlapping_pairs.len(), "calls": self.failed_calls})
     }
 }
--- a/crates/lab/src/soak/run.rs
+++ b/crates/lab/src/soak/run.rs
@@ -1,14 +1,14 @@
 //! A play of the soak from its start to its report.
 
 use super::clients;
-use super::configuration::Place;
+use super::configuration::PoolerAddresses;
+use super::context::Context;
 use super::discovery::Discovery;
 use super::faults::{FaultKind, SCHEDULED_FAULTS};
 use super::poolers::{Pooler, State};
 use super::proxy;
 use super::report::Report;
 use super::servers::{Mode, Server};
-use super::world::World;
 use crate::processes::fleet::unique_loopback;
 use async_io::Timer;
 use std::cell::RefCell;
@@ -46,25 +46,25 @@
 /// Members of the one group.
 const SERVERS: usize = 6;
 /// No more poolers than one in so many are down at a time.
-const DOWN_PART: usize = 4;
+const POOLERS_PER_OUTAGE: usize = 4;
 /// A trouble lasts for this and up to so much more, in milliseconds.
-const LASTS_MS: (u64, u64) = (300, 1_700);
+const FAULT_DURATION_MS: (u64, u64) = (300, 1_700);
 /// The next one begins up to so many milliseconds later.
-const NEXT_MS: u64 = 350;
+const MAX_FAULT_PAUSE_MS: u64 = 350;
 /// After the last trouble, clients ask on for so long.
-const CALM: Duration = Duration::from_secs(1);
+const CALM_PERIOD: Duration = Duration::from_secs(1);
 /// How long the last answers are waited for.
-const LAST_ANSWERS: Duration = Duration::from_secs(3);
+const FINAL_ANSWERS_WAIT: Duration = Duration::from_secs(3);
 /// How often the judge looks how late it is, and how often it forgets that.
-const HEARTBEAT: Duration = Duration::from_millis(10);
-const LAG_LASTS: Duration = Duration::from_secs(1);
+const LAG_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+const LAG_RETENTION: Duration = Duration::from_secs(1);
 
 /// A site: what all troubles act on.
-struct Site {
-    world: Rc<World>,
+struct Soak {
+    context: Rc<Context>,
     spec: Spec,
     servers: Vec<Rc<Server>>,
-    list: Rc<Discovery>,
+    discovery: Rc<Discovery>,
     poolers: Vec<Rc<Pooler>>,
     pairs: RefCell<BTreeSet<(FaultKind, FaultKind)>>,
 }
@@ -76,57 +76,60 @@
 /// When addresses can't be had.
 pub fn run_soak(spec: &Spec) -> std::io::Result<Report> {
     std::fs::create_dir_all(&spec.folder)?;
-    let world = World::new(spec.seed);
-    let site = Rc::new(Site::lay(&world, spec)?);
-    let report = async_io::block_on(world.executor.run(site.clone().run()));
+    let context = Context::new(spec.seed);
+    let soak = Rc::new(Soak::set_up(&context, spec)?);
+    let report = async_io::block_on(context.executor.run(soak.clone().run()));
     Ok(report)
 }
 
-impl Site {
-    fn lay(world: &Rc<World>, spec: &Spec) -> std::io::Result<Self> {
+impl Soak {
+    fn set_up(context: &Rc<Context>, spec: &Spec) -> std::io::Result<Self> {
         let servers: Vec<Rc<Server>> = (0..SERVERS)
-            .map(|at| Server::start(world, &format!("s-{at}"), 0, at == 0))
+            .map(|index| Server::start(context, &format!("s-{index}"), 0, index == 0))
             .collect::<Result<_, _>>()?;
-        let list = Discovery::new(servers.clone());
+        let discovery = Discovery::new(servers.clone());
         // Nobody else on this machine uses that address, so that its ports need not be held once all are had.
         let (ip, mut poolers) = (unique_loopback(), Vec::new());
         let listeners: Vec<TcpListener> =
             (0..spec.poolers).map(|_| TcpListener::bind((ip, 0))).collect::<Result<_, _>>()?;
         for (number, listener) in listeners.iter().enumerate() {
-            let views =
-                servers.iter().map(|server| proxy::open(world, number, server)).collect::<Result<_, _>>()?;
-            let agent = list.agent(world, views)?;
-            let place = Place { number, listen: listener.local_addr()?, discovery: agent.address() };
-            poolers.push(Pooler::new(place, agent));
+            let server_addresses = servers
+                .iter()
+                .map(|server| proxy::open(context, number, server))
+                .collect::<Result<_, _>>()?;
+            let agent = discovery.agent(context, server_addresses)?;
+            let addresses =
+                PoolerAddresses { number, listen: listener.local_addr()?, discovery: agent.address() };
+            poolers.push(Pooler::new(addresses, agent));
         }
         let pairs = RefCell::default();
-        Ok(Self { world: world.clone(), spec: spec.clone(), servers, list, poolers, pairs })
+        Ok(Self { context: context.clone(), spec: spec.clone(), servers, discovery, poolers, pairs })
     }
 
     async fn run(self: Rc<Self>) -> Report {
-        let world = &self.world;
-        world.executor.spawn(self.clone().heartbeat()).detach();
-        let starts: Vec<_> = self.poolers.iter().map(|pooler| self.begin(pooler)).collect();
+        let context = &self.context;
+        context.executor.spawn(self.clone().monitor()).detach();
+        let starts: Vec<_> = self.poolers.iter().map(|pooler| self.start_pooler(pooler)).collect();
         for start in starts {
             start.await;
         }
         for pooler in &self.poolers {
             for number in 0..self.spec.clients {
-                world.executor.spawn(clients::run(world.clone(), pooler.clone(), number)).detach();
+                context.executor.spawn(clients::run(context.clone(), pooler.clone(), number)).detach();
             }
         }
         let began = Instant::now();
         while began.elapsed() < self.spec.duration {
-            self.trouble().await;
-            Timer::after(Duration::from_millis(world.scheduled(NEXT_MS))).await;
+            self.inject_fault().await;
+            Timer::after(Duration::from_millis(context.scheduled_below(MAX_FAULT_PAUSE_MS))).await;
         }
-        Timer::after(CALM).await;
-        world.over.set(true);
-        Timer::after(LAST_ANSWERS).await;
+        Timer::after(CALM_PERIOD).await;
+        context.finished.set(true);
+        Timer::after(FINAL_ANSWERS_WAIT).await;
         for pooler in &self.poolers {
-            pooler.look(world);
+            pooler.check_alive(context);
         }
-        let stops: Vec<_> = self.poolers.iter().map(|pooler| self.end(pooler)).collect();
+        let stops: Vec<_> = self.poolers.iter().map(|pooler| self.stop_pooler(pooler)).collect();
         for stop in stops {
             stop.await;
         }
@@ -134,7 +137,7 @@
     }
 
     fn report(&self) -> Report {
-        let (audit, faults) = (self.world.audit.borrow(), self.world.faults.borrow());
+        let (audit, faults) = (self.context.audit.borrow(), self.context.faults.borrow());
         let mut report = Report::new(self.spec.seed, self.spec.mutant.clone(), &audit, &faults);
         report.overlapping_pairs = self.pairs.borrow().clone();
         for pooler in &self.poolers {
@@ -146,64 +149,72 @@
         report
     }
 
-    fn begin(self: &Rc<Self>, pooler: &Rc<Pooler>) -> async_executor::Task<()> {
-        let (site, pooler) = (self.clone(), pooler.clone());
-        self.world.executor.spawn(async move { pooler.start(&site.world, &site.spec, &site.list).await })
+    fn start_pooler(self: &Rc<Self>, pooler: &Rc<Pooler>) -> async_executor::Task<()> {
+        let (soak, pooler) = (self.clone(), pooler.clone());
+        self.context
+            .executor
+            .spawn(async move { pooler.start(&soak.context, &soak.spec, &soak.discovery).await })
     }
 
-    fn end(self: &Rc<Self>, pooler: &Rc<Pooler>) -> async_executor::Task<()> {
-        let (site, pooler) = (self.clone(), pooler.clone());
-        self.world.executor.spawn(async move { pooler.stop(&site.world).await })
+    fn stop_pooler(self: &Rc<Self>, pooler: &Rc<Pooler>) -> async_executor::Task<()> {
+        let (soak, pooler) = (self.clone(), pooler.clone());
+        self.context.executor.spawn(async move { pooler.stop(&soak.context).await })
     }
 
     /// Tells the judge how late it sees things, and looks whether all processes live.
-    async fn heartbeat(self: Rc<Self>) {
+    async fn monitor(self: Rc<Self>) {
         let (mut worst, mut since) = (Duration::ZERO, Instant::now());
         loop {
             let before = Instant::now();
-            Timer::after(HEARTBEAT).await;
-            let lag = before.elapsed().saturating_sub(HEARTBEAT);
-            if lag > worst || since.elapsed() > LAG_LASTS {
+            Timer::after(LAG_CHECK_INTERVAL).await;
+            let lag = before.elapsed().saturating_sub(LAG_CHECK_INTERVAL);
+            if lag > worst || since.elapsed() > LAG_RETENTION {
                 (worst, since) = (lag, Instant::now());
-                self.world.audit.borrow_mut().set_lag(lag);
+                self.context.audit.borrow_mut().set_lag(lag);
             }
-            self.poolers.iter().for_each(|pooler| pooler.look(&self.world));
+            self.poolers.iter().for_each(|pooler| pooler.check_alive(&self.context));
         }
     }
 
     /// A pooler that serves, by chance, if enough others do.
-    fn victim(&self) -> Option<Rc<Pooler>> {
+    fn pick_pooler(&self) -> Option<Rc<Pooler>> {
         let ready: Vec<_> = self.poolers.iter().filter(|pooler| pooler.state() == State::Ready).collect();
-        let down = self.poolers.len() - ready.len();
-        let enough = down < self.poolers.len().div_ceil(DOWN_PART) && !ready.is_empty();
-        enough.then(|| ready[self.world.below(ready.len() as u64) as usize].clone())
+        let unavailable = self.poolers.len() - ready.len();
+        let enough_ready = unavailable < self.poolers.len().div_ceil(POOLERS_PER_OUTAGE) && !ready.is_empty();
+        enough_ready.then(|| ready[self.context.random_below(ready.len() as u64) as usize].clone())
     }
 
     /// A replica that is up by the list, if enough others are.
-    fn replica(&self) -> Option<usize> {
-        let up: Vec<usize> = (1..SERVERS).filter(|at| self.list.is_up(*at)).collect();
-        (up.len() > 2).then(|| up[self.world.below(up.len() as u64) as usize])
+    fn pick_replica(&self) -> Option<usize> {
+        let up: Vec<usize> = (1..SERVERS).filter(|index| self.discovery.is_up(*index)).collect();
+        (up.len() > 2).then(|| up[self.context.random_below(up.len() as u64) as usize])
     }
 
     /// Begins one trouble.
-    async fn trouble(self: &Rc<Self>) {
+    async fn inject_fault(self: &Rc<Self>) {
         let kinds = if self.spec.only.is_empty() { SCHEDULED_FAULTS.as_slice() } else { &self.spec.only };
-        let kind = kinds[self.world.scheduled(kinds.len() as u64) as usize];
-        let length = Duration::from_millis(LASTS_MS.0 + self.world.scheduled(LASTS_MS.1));
-        self.world.faults.borrow_mut().begin(kind, length);
-        let holding: Vec<FaultKind> =
-            SCHEDULED_FAULTS.into_iter().filter(|other| self.world.faults.borrow().holds(*other)).collect();
+        let kind = kinds[self.context.scheduled_below(kinds.len() as u64) as usize];
+        let duration =
+            Duration::from_millis(FAULT_DURATION_MS.0 + self.context.scheduled_below(FAULT_DURATION_MS.1));
+        self.context.faults.borrow_mut().activate(kind, duration);
+        let active: Vec<FaultKind> = SCHEDULED_FAULTS
+            .into_iter()
+            .filter(|other| self.context.faults.borrow().is_active(*other))
+            .collect();
         let pairs =
-            holding.iter().filter(|other| **other != kind).map(|other| (kind.min(*other), kind.max(*other)));
+            active.iter().filter(|other| **other != kind).map(|other| (kind.min(*other), kind.max(*other)));
         self.pairs.borrow_mut().extend(pairs);
-        if self.of_poolers(kind) || self.of_servers(kind, length) || self.of_discovery(kind, length) {
-            self.world.faults.borrow_mut().injected(kind);
+        if self.inject_pooler_fault(kind)
+            || self.inject_server_fault(kind, duration)
+            || self.inject_discovery_fault(kind, duration)
+        {
+            self.context.faults.borrow_mut().count_injection(kind);
         }
     }
 
     /// Faults of poolers; whether this is one that could be begun.
-    fn of_poolers(self: &Rc<Self>, kind: FaultKind) -> bool {
-        let signals = [
+    fn inject_pooler_fault(self: &Rc<Self>, kind: FaultKind) -> bool {
+        let pooler_faults = [
             FaultKind::Stop,
             FaultKind::Kill,
             FaultKind::Pause,
@@ -211,107 +222,110 @@
             FaultKind::ReloadTwice,
             FaultKind::MoveDiscovery,
         ];
-        if !signals.contains(&kind) {
+        if !pooler_faults.contains(&kind) {
             return false;
         }
         if kind == FaultKind::Pause {
-            return self.pause_some();
+            return self.pause_poolers();
         }
-        let Some(pooler) = self.victim() else { return false };
-        let site = self.clone();
-        let act = async move {
-            let (world, spec, list) = (&site.world, &site.spec, &site.list);
+        let Some(pooler) = self.pick_pooler() else { return false };
+        let soak = self.clone();
+        let task = async move {
+            let (context, spec, discovery) = (&soak.context, &soak.spec, &soak.discovery);
             match kind {
                 FaultKind::Stop => {
-                    pooler.stop(world).await;
-                    pooler.start(world, spec, list).await;
+                    pooler.stop(context).await;
+                    pooler.start(context, spec, discovery).await;
                 }
                 FaultKind::Kill => {
-                    pooler.kill(world);
-                    Timer::after(Duration::from_millis(world.below(500))).await;
-                    pooler.start(world, spec, list).await;
+                    pooler.kill(context);
+                    Timer::after(Duration::from_millis(context.random_below(500))).await;
+                    pooler.start(context, spec, discovery).await;
                 }
                 FaultKind::MoveDiscovery => {
-                    pooler.agent.move_away();
-                    pooler.reload(world, spec, list, false).await;
+                    pooler.agent.switch_address();
+                    pooler.reload(context, spec, discovery, false).await;
                 }
-                _ => pooler.reload(world, spec, list, kind == FaultKind::ReloadTwice).await,
+                _ => pooler.reload(context, spec, discovery, kind == FaultKind::ReloadTwice).await,
             }
         };
-        self.world.executor.spawn(act).detach();
+        self.context.executor.spawn(task).detach();
         true
     }
 
     /// A quarter of the poolers stand still at once, as where their machine is busy.
-    fn pause_some(self: &Rc<Self>) -> bool {
+    fn pause_poolers(self: &Rc<Self>) -> bool {
         let ready = self.poolers.iter().filter(|pooler| pooler.state() == State::Ready);
-        let some: Vec<_> = ready.filter(|_| self.world.chance(250)).cloned().collect();
-        for pooler in &some {
-            let (pooler, length) = (pooler.clone(), Duration::from_millis(50 + self.world.below(100)));
-            self.world.executor.spawn(async move { pooler.pause(length).await }).detach();
+        let selected: Vec<_> = ready.filter(|_| self.context.chance(250)).cloned().collect();
+        for pooler in &selected {
+            let (pooler, duration) =
+                (pooler.clone(), Duration::from_millis(50 + self.context.random_below(100)));
+            self.context.executor.spawn(async move { pooler.pause(duration).await }).detach();
         }
-        !some.is_empty()
+        !selected.is_empty()
     }
 
     /// Faults of servers.
-    fn of_servers(self: &Rc<Self>, kind: FaultKind, length: Duration) -> bool {
+    fn inject_server_fault(self: &Rc<Self>, kind: FaultKind, duration: Duration) -> bool {
         let mode = match kind {
-            FaultKind::Drain | FaultKind::Remove => return self.withdraw(kind, length),
-            FaultKind::ReplicaLag => return self.fall_behind(length),
+            FaultKind::Drain | FaultKind::Remove => return self.withdraw(kind, duration),
+            FaultKind::ReplicaLag => return self.delay_replica(duration),
             FaultKind::ServerDown => Mode::Down,
-            FaultKind::ServerHang => Mode::Hangs,
-            FaultKind::ServerSlow => Mode::Slow(Duration::from_millis(50 + self.world.below(400))),
-            FaultKind::ServerErrors => Mode::Says("XX000"),
-            FaultKind::ServerFull => Mode::Says("53300"),
-            FaultKind::ServerOddCode => Mode::RunsAndSays("57P03"),
+            FaultKind::ServerHang => Mode::Hanging,
+            FaultKind::ServerSlow => Mode::Slow(Duration::from_millis(50 + self.context.random_below(400))),
+            FaultKind::ServerErrors => Mode::Error("XX000"),
+            FaultKind::ServerFull => Mode::Error("53300"),
+            FaultKind::ServerOddCode => Mode::RunThenError("57P03"),
             _ => return false,
         };
         // The primary as well.
-        self.servers[self.world.below(SERVERS as u64) as usize].behave(mode, length);
+        self.servers[self.context.random_below(SERVERS as u64) as usize].set_mode(mode, duration);
         true
     }
 
-    fn withdraw(self: &Rc<Self>, kind: FaultKind, length: Duration) -> bool {
-        let Some(at) = self.replica() else { return false };
+    fn withdraw(self: &Rc<Self>, kind: FaultKind, duration: Duration) -> bool {
+        let Some(index) = self.pick_replica() else { return false };
         let lifecycle = if kind == FaultKind::Drain { "draining" } else { "removed" };
-        self.list.say(&self.world, at, lifecycle, false);
-        let site = self.clone();
-        let back = async move {
-            Timer::after(length).await;
-            site.servers[at].restart();
-            site.list.say(&site.world, at, "up", true);
+        self.discovery.set_lifecycle(&self.context, index, lifecycle, false);
+        let soak = self.clone();
+        let restore = async move {
+            Timer::after(duration).await;
+            soak.servers[index].restart();
+            soak.discovery.set_lifecycle(&soak.context, index, "up", true);
         };
-        self.world.executor.spawn(back).detach();
+        self.context.executor.spawn(restore).detach();
         true
     }
 
-    fn fall_behind(self: &Rc<Self>, length: Duration) -> bool {
-        let server = self.servers[1 + self.world.below(SERVERS as u64 - 1) as usize].clone();
-        server.set_lag(500 + self.world.below(4_000) as i64);
-        let back = async move {
-            Timer::after(length).await;
+    fn delay_replica(self: &Rc<Self>, duration: Duration) -> bool {
+        let server = self.servers[1 + self.context.random_below(SERVERS as u64 - 1) as usize].clone();
+        server.set_lag(500 + self.context.random_below(4_000) as i64);
+        let restore = async move {
+            Timer::after(duration).await;
             server.set_lag(10);
         };
-        self.world.executor.spawn(back).detach();
+        self.context.executor.spawn(restore).detach();
         true
     }
 
     /// Faults of discovery. Refusals are counted where they are met.
-    fn of_discovery(self: &Rc<Self>, kind: FaultKind, length: Duration) -> bool {
-        let some = |of: &Rc<Pooler>| of.number() % 2 == self.world.below(2) as usize;
-        let hit: Vec<_> = self.poolers.iter().filter(|of| some(of)).cloned().collect();
+    fn inject_discovery_fault(self: &Rc<Self>, kind: FaultKind, duration: Duration) -> bool {
+        let is_selected = |pooler: &Rc<Pooler>| pooler.number() % 2 == self.context.random_below(2) as usize;
+        let selected: Vec<_> = self.poolers.iter().filter(|pooler| is_selected(pooler)).cloned().collect();
         match kind {
-            FaultKind::WatchSilent => hit.iter().for_each(|pooler| pooler.agent.fall_silent()),
-            FaultKind::WatchReset => hit.iter().for_each(|pooler| pooler.agent.reset()),
-            FaultKind::WatchRefused => hit.iter().for_each(|pooler| pooler.agent.refuse(length)),
+            FaultKind::WatchSilent => selected.iter().for_each(|pooler| pooler.agent.silence_watches()),
+            FaultKind::WatchReset => selected.iter().for_each(|pooler| pooler.agent.reset_watches()),
+            FaultKind::WatchRefused => {
+                selected.iter().for_each(|pooler| pooler.agent.refuse_watches(duration))
+            }
             FaultKind::DiscoveryDown => {
-                hit.iter().for_each(|pooler| pooler.agent.set_down(&self.world, true));
-                let world = self.world.clone();
-                let back = async move {
-                    Timer::after(length).await;
-                    hit.iter().for_each(|pooler| pooler.agent.set_down(&world, false));
+                selected.iter().for_each(|pooler| pooler.agent.set_down(&self.context, true));
+                let context = self.context.clone();
+                let restore = async move {
+                    Timer::after(duration).await;
+                    selected.iter().for_each(|pooler| pooler.agent.set_down(&context, false));
                 };
-                self.world.executor.spawn(back).detach();
+                self.context.executor.spawn(restore).detach();
             }
             _ => return false,
         }
--- a/crates/lab/src/work/play.rs
+++ b/crates/lab/src/work/play.rs
@@ -181,7 +181,7 @@
     let ways = if script.ways { Some(TcpLinks::start(script.poolers, &addresses)?) } else { None };
     let views: Vec<Vec<SocketAddr>> = (0..script.poolers)
         .map(|pooler| {
-            let of = |at: usize| ways.as_ref().and_then(|ways| ways.address(pooler, at));
+            let of = |at: usize| ways.as_ref().and_then(|ways| ways.address_for(pooler, at));
             (0..addresses.len()).map(|at| of(at).unwrap_or(addresses[at])).collect()
         })
         .collect();
