--- a/crates/lab/src/processes/fleet.rs
+++ b/crates/lab/src/processes/fleet.rs
@@ -12,57 +12,57 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// How a fleet is set up.
+/// The set-up of a fleet.
 pub struct Spec {
     /// The program.
     pub program: PathBuf,
-    /// How many poolers.
+    /// Number of poolers.
     pub count: usize,
-    /// For their seeds and the relay's.
+    /// Seed for the poolers' seeds and the relay's.
     pub seed: u64,
-    /// The list of servers as last held, by pooler: addresses may differ.
+    /// The last known list of servers, by pooler: the addresses may differ between poolers.
     pub known_servers: Box<dyn Fn(usize) -> Value + Send>,
-    /// Where discovery answers a pooler; nowhere for none.
+    /// The address of discovery for each pooler; none for poolers beyond the end.
     pub discovery: Vec<SocketAddr>,
-    /// The zones that poolers lie in, in turn; the settings' own for none.
+    /// The zones, assigned to the poolers in turn; if empty, the zone of the settings.
     pub zones: Vec<String>,
-    /// Between whom a relay stands.
+    /// Whether the datagrams between two poolers pass through the relay.
     pub relayed: Box<dyn Fn(usize, usize) -> bool + Send>,
 }
 
-/// One pooler's place: its name and addresses stay over restarts.
+/// What stays the same over the restarts of one pooler: its name, its addresses and its shared folder.
 struct PoolerSlot {
     peer_listen: SocketAddr,
     operator: SocketAddr,
     process: Option<Process>,
-    /// The clients' socket, which all processes of this place inherit, and the folder that they share.
+    /// The clients' listening socket, which all processes of this pooler inherit, and the folder that they share.
     listener: TcpListener,
     folder: PathBuf,
-    /// Where another process of the same name listens, and that process.
+    /// A duplicate process with the same name, and the address where it receives datagrams.
     duplicate_listen: SocketAddr,
     duplicate: Option<Process>,
-    /// Starts so far: each has a seed of its own.
+    /// Number of starts so far; each start has its own seed.
     starts: u64,
-    /// Lines of the log that were looked at.
+    /// Number of log lines that have been processed.
     lines_read: usize,
     stopped: bool,
 }
 
-/// The fleet.
+/// A running fleet.
 pub struct Fleet {
     spec: Spec,
     slots: Vec<PoolerSlot>,
-    /// What lies between the poolers.
+    /// The relay between the poolers.
     pub relay: Relay,
-    /// What has happened.
+    /// The history of faults and gained tasks.
     pub history: History,
-    /// The settings of all who start from now on; the fleet's size, numbers and talk are put in.
+    /// The settings of all processes started from now on; fleet size, ranks and gossip settings are filled in.
     pub settings: Value,
-    /// Logs of processes that have ended, and of all at the end.
+    /// Logs of processes that have ended.
     logs: Vec<(usize, Vec<String>)>,
 }
 
-/// An address of the loopback net that no other fleet of this machine uses, so that ports need not be held.
+/// A loopback address that no other fleet on this machine uses, so that its ports need not be kept bound.
 pub(crate) fn unique_loopback() -> Ipv4Addr {
     static NUMBER: AtomicU32 = AtomicU32::new(0);
     let (process, number) = (std::process::id(), NUMBER.fetch_add(1, Ordering::Relaxed));
@@ -71,15 +71,15 @@
 }
 
 impl Fleet {
-    /// Lays a fleet out; nobody is started yet.
+    /// Prepares a fleet without starting any process.
     ///
     /// # Errors
     ///
-    /// When addresses can't be had.
+    /// When a socket can't be bound or a folder can't be created.
     pub fn new(spec: Spec) -> std::io::Result<Self> {
         let address = unique_loopback();
         let mut slots = Vec::new();
-        // All are held until all are had, so that no two are the same.
+        // All sockets stay bound until all addresses are known, so that no two are the same.
         let spawn_guard = crate::lock(&super::process::SPAWN_LOCK);
         let mut held = Vec::new();
         for _ in 0..spec.count {
@@ -114,29 +114,30 @@
         Ok(Self { spec, slots, relay, history: History::default(), settings: settings(), logs: Vec::new() })
     }
 
-    /// How many poolers there are.
+    /// Number of poolers.
     #[must_use]
     pub fn count(&self) -> usize {
         self.slots.len()
     }
 
-    /// Who runs, stopped ones among them.
+    /// The poolers with a running process, including stopped (SIGSTOP) ones.
     #[must_use]
     pub fn running(&self) -> BTreeSet<usize> {
         (0..self.count()).filter(|pooler| self.slots[*pooler].process.is_some()).collect()
     }
 
-    /// Who runs and is stopped.
+    /// The poolers whose process is stopped (SIGSTOP).
     #[must_use]
     pub fn stopped(&self) -> BTreeSet<usize> {
         (0..self.count()).filter(|pooler| self.slots[*pooler].stopped).collect()
     }
 
-    /// Starts a pooler from nothing, with this operator's file and these variables, and does not wait for it.
+    /// Starts a pooler's process with this operator's file and these environment variables, without waiting until
+    /// it listens.
     ///
     /// # Errors
     ///
-    /// When it can't be started.
+    /// When the process can't be started.
     pub fn start(
         &mut self,
         pooler: usize,
@@ -151,11 +152,11 @@
         Ok(())
     }
 
-    /// Starts a second process of a pooler's name and number beside the first, as a mistake would.
+    /// Starts a duplicate process with a pooler's name and number, as a configuration mistake would.
     ///
     /// # Errors
     ///
-    /// When it can't be started.
+    /// When the process can't be started or does not listen.
     pub fn start_duplicate(&mut self, pooler: usize, operator: &str) -> std::io::Result<()> {
         let mut process = self.spawn(pooler, true, operator, &[])?;
         process.wait_until_listening()?;
@@ -188,7 +189,7 @@
         settings["Costs"]["Peer"] = 0.016.into();
         let seed = self.spec.seed.wrapping_mul(1_000_003).wrapping_add(pooler as u64 * 1_009 + slot.starts);
         let listen = if duplicate { slot.duplicate_listen } else { slot.peer_listen };
-        // Nobody calls the second process.
+        // No calls are made to the duplicate's operator API.
         let operator_address = if duplicate { "127.0.0.1:0".to_owned() } else { slot.operator.to_string() };
         let known = (self.spec.known_servers)(pooler);
         if !self.spec.zones.is_empty() {
@@ -210,18 +211,19 @@
         Process::start_on(&self.spec.program, &config, Some(operator), &variables, Some(listener.into()))
     }
 
-    /// Starts a newer process of a pooler's place, waits until it serves, and tells the older one to end.
+    /// Starts a newer process for a pooler, waits until it is ready, and terminates the older one (a hot
+    /// restart).
     ///
     /// # Errors
     ///
-    /// When the newer one does not serve, or the older one does not end.
+    /// When the newer process does not become ready, or the older one does not exit with success.
     pub fn replace(&mut self, pooler: usize, operator: &str) -> std::io::Result<()> {
         let spawn_guard = crate::lock(&super::process::SPAWN_LOCK);
         let held = TcpListener::bind((self.slots[pooler].operator.ip(), 0))?;
         let operator_address = held.local_addr()?;
         drop(held);
         drop(spawn_guard);
-        // Its second address is new; all else stays.
+        // The newer process has another address for the operator API; all else stays.
         let old_operator = std::mem::replace(&mut self.slots[pooler].operator, operator_address);
         let mut newer = self.spawn(pooler, false, operator, &[])?;
         newer.wait_until_listening()?;
@@ -229,14 +231,14 @@
         while self.call(pooler, "GET", "/-/ready").map_or(0, |(status, _)| status) != 200 {
             if Instant::now() > end {
                 self.slots[pooler].operator = old_operator;
-                return Err(Error::other("the newer process is never ready"));
+                return Err(Error::other("the newer process did not become ready in time"));
             }
             std::thread::sleep(Duration::from_millis(5));
         }
         self.record_fault(&format!("a newer process takes the place of {pooler}"));
         let slot = &mut self.slots[pooler];
         let Some(mut older) = slot.process.replace(newer) else {
-            return Err(Error::other(format!("pooler {pooler} does not run")));
+            return Err(Error::other(format!("pooler {pooler} is not running")));
         };
         (slot.lines_read, slot.stopped) = (0, false);
         older.signal("TERM")?;
@@ -245,24 +247,24 @@
         if status.success() {
             Ok(())
         } else {
-            Err(Error::other(format!("the older process ended with {status}")))
+            Err(Error::other(format!("the older process exited with {status}")))
         }
     }
 
-    /// Waits until a pooler listens.
+    /// Waits until a pooler listens, and returns the address.
     ///
     /// # Errors
     ///
-    /// When it does not.
+    /// When it does not run or does not listen in time.
     pub fn wait_until_listening(&mut self, pooler: usize) -> std::io::Result<SocketAddr> {
         self.running_process(pooler)?.wait_until_listening()
     }
 
-    /// Sends a pooler a signal.
+    /// Sends a signal to a pooler's process.
     ///
     /// # Errors
     ///
-    /// When it does not run.
+    /// When it does not run, or the signal can't be sent.
     pub fn signal(&mut self, pooler: usize, name: &str) -> std::io::Result<()> {
         self.running_process(pooler)?.signal(name)?;
         match name {
@@ -274,7 +276,7 @@
         Ok(())
     }
 
-    /// Kills a pooler outright.
+    /// Kills a pooler's process with SIGKILL.
     pub fn kill(&mut self, pooler: usize) {
         self.record_fault(&format!("kill {pooler}"));
         if let Some(process) = &mut self.slots[pooler].process {
@@ -284,11 +286,11 @@
         self.remove_process(pooler);
     }
 
-    /// Tells a pooler to end, and waits for that.
+    /// Sends SIGTERM to a pooler's process and waits until it exits.
     ///
     /// # Errors
     ///
-    /// When it does not end, or not with success.
+    /// When it does not exit in time, or not with success.
     pub fn terminate(&mut self, pooler: usize) -> std::io::Result<()> {
         self.signal(pooler, "TERM")?;
         let status = self.running_process(pooler)?.wait_for_exit()?;
@@ -297,24 +299,24 @@
         if status.success() {
             Ok(())
         } else {
-            Err(Error::other(format!("pooler {pooler} ended with {status}")))
+            Err(Error::other(format!("pooler {pooler} exited with {status}")))
         }
     }
 
-    /// A call to a pooler's second address; its status and body.
+    /// Calls a pooler's operator API; returns the status code and the body.
     ///
     /// # Errors
     ///
-    /// When it does not answer.
+    /// When the pooler does not answer.
     pub fn call(&self, pooler: usize, method: &str, path: &str) -> std::io::Result<(u16, String)> {
         self.call_with_body(pooler, method, path, "")
     }
 
-    /// The same with a body.
+    /// Like [`Self::call`], with a request body.
     ///
     /// # Errors
     ///
-    /// When it does not answer.
+    /// When the pooler does not answer.
     pub fn call_with_body(
         &self,
         pooler: usize,
@@ -331,16 +333,17 @@
         stream.read_to_string(&mut answer)?;
         let status = answer.split(' ').nth(1).and_then(|code| code.parse().ok());
         let body = answer.split_once("\r\n\r\n").map_or("", |(_, body)| body);
-        Ok((status.ok_or_else(|| Error::other("no status"))?, body.to_owned()))
+        Ok((status.ok_or_else(|| Error::other("no status code in the answer"))?, body.to_owned()))
     }
 
-    /// Reads what the logs have new, and puts the tasks gained into the history. Fails where a process has ended by itself.
+    /// Reads the new lines of all logs and adds the gained tasks to the history. Returns the poolers whose
+    /// process has ended by itself.
     pub fn poll_logs(&mut self) -> Vec<usize> {
-        let mut exited = Vec::new();
+        let mut exited_poolers = Vec::new();
         for (pooler, slot) in self.slots.iter_mut().enumerate() {
             let Some(process) = &mut slot.process else { continue };
             if matches!(process.exit_status(), Ok(Some(_)) | Err(_)) {
-                exited.push(pooler);
+                exited_poolers.push(pooler);
             }
             let lines = process.timed_log();
             for (when, line) in &lines[slot.lines_read.min(lines.len())..] {
@@ -350,10 +353,10 @@
             }
             slot.lines_read = lines.len();
         }
-        exited
+        exited_poolers
     }
 
-    /// The log of a pooler's present process.
+    /// The log of a pooler's current process.
     #[must_use]
     pub fn log(&self, pooler: usize) -> Vec<String> {
         self.slots[pooler].process.as_ref().map(Process::log).unwrap_or_default()
@@ -366,7 +369,7 @@
         self.logs.iter().cloned().chain(running).collect()
     }
 
-    /// Writes down what was done.
+    /// Records an injected fault in the history.
     pub fn record_fault(&self, words: &str) {
         self.history.add(Event::Fault { words: words.to_owned() });
     }
@@ -384,11 +387,11 @@
 
     fn running_process(&mut self, pooler: usize) -> std::io::Result<&mut Process> {
         let process = self.slots.get_mut(pooler).and_then(|slot| slot.process.as_mut());
-        process.ok_or_else(|| Error::other(format!("pooler {pooler} does not run")))
+        process.ok_or_else(|| Error::other(format!("pooler {pooler} is not running")))
     }
 }
 
-/// The task and the token in a line that tells of one gained.
+/// The task and the token of a log line that reports a gained task.
 fn parse_gained(line: &str) -> Option<(String, u64)> {
     let (_, rest) = line.split_once("leases: ")?;
     let (task, rest) = rest.split_once(" gained, token ")?;
--- a/crates/lab/src/processes/history.rs
+++ b/crates/lab/src/processes/history.rs
@@ -1,4 +1,4 @@
-//! Who did what when, by one steady clock of the machine.
+//! A history of what happened when, on the monotonic clock of the machine.
 
 use crate::lock;
 use serde::Serialize;
@@ -9,46 +9,46 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "what")]
 pub enum Event {
-    /// A fault was caused, or taken away.
+    /// A fault was injected or removed.
     Fault {
-        /// In words.
+        /// Description of the fault.
         words: String,
     },
-    /// A call came to the gate and was let through, or not.
+    /// A call by a lease holder reached the gate, which let it through or rejected it.
     Act {
         /// The task.
         task: String,
-        /// The token.
+        /// The fencing token.
         token: u64,
-        /// Who called: number and life.
+        /// The calling pooler instance: its number and its incarnation.
         by: String,
         /// `begin` or `end`.
         step: String,
-        /// It was let through.
+        /// Whether it was let through.
         through: bool,
     },
-    /// A process says that it has a task now.
+    /// A process reports that it holds a task from now on.
     Gained {
         /// The task.
         task: String,
-        /// The token.
+        /// The fencing token.
         token: u64,
         /// The pooler's number.
         by: usize,
     },
 }
 
-/// When it happened, in microseconds since the history's begin, and what.
+/// An event and its time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Record {
-    /// The time.
+    /// The time, in microseconds since the history began.
     pub at: u64,
     /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// A history that many threads write.
+/// A history that many threads append to.
 #[derive(Clone, Debug)]
 pub struct History {
     began: Instant,
@@ -62,24 +62,24 @@
 }
 
 impl History {
-    /// The time now, in microseconds since its begin.
+    /// The present time, in microseconds since the history began.
     #[must_use]
     pub fn now(&self) -> u64 {
         u64::try_from(self.began.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 
-    /// Adds what happens now.
+    /// Appends an event that happens now.
     pub fn add(&self, event: Event) {
         self.add_at(Instant::now(), event);
     }
 
-    /// Adds what happened then.
+    /// Appends an event that happened at the given time.
     pub fn add_at(&self, at: Instant, event: Event) {
         let at = u64::try_from(at.saturating_duration_since(self.began).as_micros()).unwrap_or(u64::MAX);
         lock(&self.records).push(Record { at, event });
     }
 
-    /// All so far, by time.
+    /// All records so far, sorted by time.
     #[must_use]
     pub fn records(&self) -> Vec<Record> {
         let mut records = lock(&self.records).clone();
@@ -87,19 +87,19 @@
         records
     }
 
-    /// How much has been written so far: where to go on looking.
+    /// The number of records so far; pass it to [`Self::since`] later.
     #[must_use]
     pub fn len(&self) -> usize {
         lock(&self.records).len()
     }
 
-    /// Whether nothing has.
+    /// Whether there are no records yet.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// What was written since the length was this, as written.
+    /// The records appended since the history had this length, in the order in which they were appended.
     #[must_use]
     pub fn since(&self, length: usize) -> Vec<Record> {
         lock(&self.records).get(length..).unwrap_or_default().to_vec()
--- a/crates/lab/src/processes/mod.rs
+++ b/crates/lab/src/processes/mod.rs
@@ -1,5 +1,5 @@
-//! Many processes of the program, and what is broken between them: processes started as the platform does, a relay for each
-//! pair that talks, and a history by one steady clock.
+//! Runs many processes of the program and injects faults between them: processes started as the platform starts
+//! them, a UDP relay between pairs of poolers, TCP links to servers, and a history on a single monotonic clock.
 
 pub mod fleet;
 pub mod history;
--- a/crates/lab/src/processes/process.rs
+++ b/crates/lab/src/processes/process.rs
@@ -1,4 +1,5 @@
-//! The program as a process, on files of a folder of its own; ended, whatever fails, when dropped.
+//! A process of the program with its files in a folder of its own. It is killed when dropped, so that no failure
+//! leaves it behind.
 
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
@@ -11,19 +12,19 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How long anything may take that is waited for; it only keeps a broken run from hanging.
+/// Timeout of every wait for a process; it only keeps a failed run from hanging.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Lines of a log that are kept, the latest.
+/// The latest lines of a log, of which at most this many are kept.
 const MAX_LOG_LINES: usize = 20_000;
 
-/// Held while a process is started, and while sockets are open whose addresses others are to have: a child that has not come to its own
-/// program yet holds all that is open here.
+/// Held while a process is spawned, and while sockets are open whose addresses are about to be given to others:
+/// until it executes its program, a child process holds all descriptors that are open in this process.
 pub(super) static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
 static STARTED: AtomicUsize = AtomicUsize::new(0);
 static ENDED: AtomicUsize = AtomicUsize::new(0);
 
-/// How many processes were started, and how many of them have ended and been waited for.
+/// How many processes were started, and how many of them have ended and been reaped.
 #[must_use]
 pub fn counts() -> (usize, usize) {
     (STARTED.load(Ordering::SeqCst), ENDED.load(Ordering::SeqCst))
@@ -42,11 +43,12 @@
 }
 
 impl Process {
-    /// Starts `program` with this configuration, an operator's file of this text and these variables.
+    /// Starts `program` with this configuration, an operator's file with this text, and these environment
+    /// variables.
     ///
     /// # Errors
     ///
-    /// When it can't be started.
+    /// When the process can't be started.
     pub fn start(
         program: &Path,
         config: &Value,
@@ -56,11 +58,11 @@
         Self::start_on(program, config, operator, variables, None)
     }
 
-    /// Starts it with a listening socket that the platform holds, as its standard input.
+    /// Like [`Self::start`], with a listening socket of the platform passed as standard input.
     ///
     /// # Errors
     ///
-    /// When it can't be started.
+    /// When the process can't be started.
     pub fn start_on(
         program: &Path,
         config: &Value,
@@ -107,22 +109,22 @@
         Ok(Self { child, log, folder, reader: Some(reader), reaped: false })
     }
 
-    /// Waits until it listens, and says where.
+    /// Waits until the process listens, and returns the address that it logged.
     ///
     /// # Errors
     ///
-    /// When it does not.
+    /// When it exits or does not listen in time, or the address can't be parsed.
     pub fn wait_until_listening(&mut self) -> std::io::Result<SocketAddr> {
         let line = self.wait_for_log(" listening on ")?;
         let address = line.rsplit(' ').next().and_then(|text| text.parse().ok());
-        address.ok_or_else(|| std::io::Error::other(format!("no address in '{line}'")))
+        address.ok_or_else(|| std::io::Error::other(format!("no socket address in the log line '{line}'")))
     }
 
-    /// Waits for a log line with this in it.
+    /// Waits for a log line that contains `text`, and returns the line.
     ///
     /// # Errors
     ///
-    /// When none comes.
+    /// When the process exits first, or no such line appears in time.
     pub fn wait_for_log(&mut self, text: &str) -> std::io::Result<String> {
         let end = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < end {
@@ -131,45 +133,45 @@
             }
             if let Some(status) = self.exit_status()? {
                 let log = self.log().join("\n");
-                return Err(std::io::Error::other(format!("the pooler ended with {status}:\n{log}")));
+                return Err(std::io::Error::other(format!("the pooler exited with {status}:\n{log}")));
             }
             std::thread::sleep(Duration::from_millis(2));
         }
-        Err(std::io::Error::other(format!("no line with '{text}':\n{}", self.log().join("\n"))))
+        Err(std::io::Error::other(format!("no log line containing '{text}':\n{}", self.log().join("\n"))))
     }
 
-    /// All lines so far.
+    /// All log lines so far.
     #[must_use]
     pub fn log(&self) -> Vec<String> {
         crate::lock(&self.log).iter().map(|(_, line)| line.clone()).collect()
     }
 
-    /// All lines so far, each with the time when it was read.
+    /// All log lines so far, each with the time when it was read.
     #[must_use]
     pub fn timed_log(&self) -> Vec<LogLine> {
         crate::lock(&self.log).clone()
     }
 
-    /// Puts this text in the place of its configuration.
+    /// Overwrites the process's configuration file.
     ///
     /// # Errors
     ///
-    /// When it can't be written.
+    /// When the file can't be written.
     pub fn write_config(&self, text: &str) -> std::io::Result<()> {
         std::fs::write(self.folder.join("config.json"), text)
     }
 
-    /// Its process id.
+    /// The process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal by name, as `TERM`.
+    /// Sends a signal by name, for example `TERM`.
     ///
     /// # Errors
     ///
-    /// When that can't be done.
+    /// When the name is unknown, the process has ended, or the signal can't be sent.
     pub fn signal(&self, name: &str) -> std::io::Result<()> {
         let signal = match name {
             "TERM" => Signal::TERM,
@@ -179,20 +181,20 @@
             "KILL" => Signal::KILL,
             "STOP" => Signal::STOP,
             "CONT" => Signal::CONT,
-            _ => return Err(std::io::Error::other(format!("no signal is called {name} here"))),
+            _ => return Err(std::io::Error::other(format!("unsupported signal: {name}"))),
         };
-        // Who was waited for has no id any more; it may be another's by now.
+        // A process that has been reaped has no id any more; the id may be that of another process by now.
         if self.reaped {
-            return Err(std::io::Error::other("it has ended"));
+            return Err(std::io::Error::other("the process has already ended"));
         }
         Ok(kill_process(Pid::from_child(&self.child), signal)?)
     }
 
-    /// Its exit status, once it has ended. Its log is whole then.
+    /// The exit status, if the process has ended; its log is complete then.
     ///
     /// # Errors
     ///
-    /// When that can't be asked.
+    /// When the status can't be read.
     pub fn exit_status(&mut self) -> std::io::Result<Option<std::process::ExitStatus>> {
         let status = self.child.try_wait()?;
         if status.is_some() {
@@ -201,11 +203,11 @@
         Ok(status)
     }
 
-    /// Waits for its end.
+    /// Waits until the process ends.
     ///
     /// # Errors
     ///
-    /// When it does not end.
+    /// When it does not end in time.
     pub fn wait_for_exit(&mut self) -> std::io::Result<std::process::ExitStatus> {
         let end = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < end {
@@ -214,10 +216,10 @@
             }
             std::thread::sleep(Duration::from_millis(2));
         }
-        Err(std::io::Error::other("the pooler does not end"))
+        Err(std::io::Error::other("the pooler did not exit in time"))
     }
 
-    /// Kills it outright, and waits for that.
+    /// Kills the process with SIGKILL and reaps it.
     pub fn kill(&mut self) {
         if !self.reaped {
             let _ = self.child.kill();
@@ -226,7 +228,7 @@
         }
     }
 
-    /// It has been waited for.
+    /// Marks the process as reaped and waits for the end of its log.
     fn mark_reaped(&mut self) {
         if !std::mem::replace(&mut self.reaped, true) {
             ENDED.fetch_add(1, Ordering::SeqCst);
--- a/crates/lab/src/processes/records.rs
+++ b/crates/lab/src/processes/records.rs
@@ -1,17 +1,18 @@
-//! What scripts of fleets have in common: their folders, their durations, and the figures of their plays.
+//! What the scripts of fleets have in common: reading folders, parsing durations, and computing statistics of
+//! runs.
 
 use serde::{Deserialize, Deserializer};
 use std::path::Path;
 use std::time::Duration;
 
-/// Why scripts can't be read or played.
+/// Why a script can't be read or run.
 pub type Failure = Box<dyn std::error::Error + Send + Sync>;
 
-/// A duration as scripts have it, in `ms` or `s`.
+/// Deserializes a duration, written in `ms` or `s`.
 ///
 /// # Errors
 ///
-/// When it is none.
+/// When the text is not a duration.
 pub fn duration<'de, D: Deserializer<'de>>(from: D) -> Result<Duration, D::Error> {
     let text = String::deserialize(from)?;
     let unit = text.find(|letter: char| !letter.is_ascii_digit()).unwrap_or(text.len());
@@ -19,11 +20,11 @@
     Ok(Duration::from_millis(if &text[unit..] == "s" { number * 1_000 } else { number }))
 }
 
-/// All scripts of a folder, in the order of their files' names.
+/// Reads all scripts of a folder, in the order of their file names.
 ///
 /// # Errors
 ///
-/// When one can't be read, or `decode` finds something wrong in it.
+/// When a file can't be read, or `decode` rejects it.
 pub fn folder<T>(
     folder: &Path,
     decode: impl Fn(&str, &[u8]) -> Result<T, Failure>,
@@ -35,13 +36,13 @@
     files.iter().map(|path| decode(&path.display().to_string(), &std::fs::read(path)?)).collect()
 }
 
-/// Each play of all scripts, so often: the script's place and the seed.
+/// All scripts `times` times, each as the script's index and a seed.
 #[must_use]
 pub fn plays(scripts: usize, times: u64) -> Vec<(usize, u64)> {
     (1..=times).flat_map(|seed| (0..scripts).map(move |script| (script, seed))).collect()
 }
 
-/// The value below which this share of them lies.
+/// The quantile of the values at `share` (0 to 1); sorts them. 0 if there are none.
 pub fn quantile(values: &mut [f64], share: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     let rank = (values.len() as f64 * share).ceil() as usize;
--- a/crates/lab/src/processes/relay.rs
+++ b/crates/lab/src/processes/relay.rs
@@ -1,4 +1,5 @@
-//! What lies between poolers: a socket for each one's view of each other one, and rules for what becomes of a datagram.
+//! A UDP relay between poolers: one socket for each ordered pair, and rules that drop, duplicate, corrupt or
+//! delay datagrams.
 
 use crate::lock;
 use async_executor::LocalExecutor;
@@ -14,49 +15,51 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// No datagram of the poolers is longer; one that is comes to nothing here either.
+/// The poolers send no longer datagrams; longer ones are truncated here.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
-/// A datagram that is let come again does so up to so much later.
+/// A duplicated datagram arrives again after up to this time.
 const MAX_DUPLICATE_DELAY_MS: u32 = 1_500;
-/// Datagrams that are on their way at once; more are lost.
+/// The maximum number of delayed datagrams; further ones are lost.
 const MAX_DELAYED: usize = 10_000;
 
-/// What becomes of datagrams, in parts of a thousand and milliseconds.
+/// The faults of datagrams; probabilities are in parts per thousand.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Noise {
     /// Lost.
     pub lost: u32,
-    /// Come once more, up to 1.5 s later.
+    /// Delivered once more, up to 1.5 s later.
     pub doubled: u32,
-    /// A bit is flipped in them.
+    /// Delivered with one bit flipped.
     pub flipped: u32,
-    /// Come late by up to so many milliseconds, and so out of order.
+    /// Delayed by up to this many milliseconds, and so reordered.
     pub late: u32,
 }
 
-/// What holds now.
+/// The rules in force.
 #[derive(Debug, Default)]
 struct Rules {
     noise: Noise,
-    /// From whom to whom nothing comes.
+    /// Ordered pairs of sender and receiver between which nothing is delivered.
     cut: std::collections::BTreeSet<(usize, usize)>,
-    /// Nothing more comes from or to this one once it has sent so many more letters of this kind, as if it had died there.
+    /// A pooler, and how many more datagrams about maintenance work it sends until it is isolated, as if its
+    /// process had ended at that point.
     isolate_after: Option<(usize, usize)>,
     isolated: bool,
 }
 
-/// Where the form of a letter between poolers stands, the magic byte of letters, and the first form of those of work.
+/// Offset of the message kind in a datagram, behind the magic byte and the header, and the first kind that
+/// concerns maintenance work.
 const MESSAGE_KIND_OFFSET: usize = 28;
 const FIRST_WORK_KIND: u8 = 16;
 
-/// What passed.
+/// Statistics of the relayed datagrams.
 #[derive(Debug, Default)]
 pub struct RelayStats {
-    /// Datagrams that poolers sent.
+    /// Number of datagrams that poolers sent.
     pub sent: AtomicUsize,
-    /// The longest of them, in bytes.
+    /// Size of the longest of them, in bytes.
     pub max_bytes: AtomicUsize,
-    /// By sender.
+    /// Number of datagrams by sender.
     sent_by_pooler: Mutex<BTreeMap<usize, usize>>,
 }
 
@@ -73,9 +76,9 @@
     rules: Arc<Mutex<Rules>>,
     stopped: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
-    /// What passed.
+    /// Statistics of the relayed datagrams.
     pub stats: Arc<RelayStats>,
-    /// By viewer and viewed.
+    /// The address at which a pooler reaches another one, by sender and receiver.
     addresses: BTreeMap<(usize, usize), SocketAddr>,
 }
 
@@ -83,19 +86,20 @@
     from: usize,
     to: usize,
     socket: Rc<Async<UdpSocket>>,
-    /// The socket that the receiver knows the sender by.
+    /// The socket from which the receiver expects the sender's datagrams.
     back: Rc<Async<UdpSocket>>,
     sender: [SocketAddr; 2],
     receiver: [SocketAddr; 2],
 }
 
 impl Relay {
-    /// A relay between poolers that listen at these addresses, for the pairs that `between` names. Each has a second address,
-    /// for another process of the same name: what comes for one comes for both, and both are taken for one.
+    /// Starts a relay between poolers that listen at these addresses, for the pairs that `between` selects. Each
+    /// pooler has a second address for a duplicate process of the same name: a datagram for one of them is
+    /// delivered to both, and datagrams from both are relayed as from one pooler.
     ///
     /// # Errors
     ///
-    /// When a socket can't be had.
+    /// When a socket can't be bound.
     pub fn start(
         listen: &[[SocketAddr; 2]],
         seed: u64,
@@ -144,18 +148,18 @@
         Ok(Self { rules, stopped, thread: Some(thread), stats, addresses })
     }
 
-    /// Where `from` finds `to`; `None` where the two have no relay between them.
+    /// The address at which `from` reaches `to`; `None` if there is no relay between them.
     #[must_use]
     pub fn address_for(&self, from: usize, to: usize) -> Option<SocketAddr> {
         self.addresses.get(&(from, to)).copied()
     }
 
-    /// Has this become of all datagrams from now on.
+    /// Sets the faults of all datagrams from now on.
     pub fn set_noise(&self, noise: Noise) {
         lock(&self.rules).noise = noise;
     }
 
-    /// Cuts or mends the way from one to another.
+    /// Cuts or restores delivery from one pooler to another.
     pub fn set_cut(&self, from: usize, to: usize, cut: bool) {
         let mut rules = lock(&self.rules);
         if cut {
@@ -165,24 +169,24 @@
         }
     }
 
-    /// Nothing more comes from or to a pooler once it has sent so many more letters about work.
+    /// Isolates a pooler in both directions once it has sent this many more datagrams about maintenance work.
     pub fn isolate_after(&self, pooler: usize, datagrams: usize) {
         let mut rules = lock(&self.rules);
         (rules.isolate_after, rules.isolated) = (Some((pooler, datagrams)), false);
     }
 
-    /// Whether that has come to pass.
+    /// Whether that pooler has been isolated.
     #[must_use]
     pub fn is_isolated(&self) -> bool {
         lock(&self.rules).isolated
     }
 
-    /// That is over.
+    /// Ends the isolation, or cancels it before it begins.
     pub fn clear_isolation(&self) {
         lock(&self.rules).isolate_after = None;
     }
 
-    /// Mends all that was cut.
+    /// Restores all deliveries that were cut.
     pub fn heal(&self) {
         lock(&self.rules).cut.clear();
     }
--- a/crates/lab/src/processes/tcp_links.rs
+++ b/crates/lab/src/processes/tcp_links.rs
@@ -1,4 +1,5 @@
-//! What lies between poolers and servers: a forwarder for each pair. A way that is cut takes connections and carries nothing.
+//! TCP links between poolers and servers: a forwarder for each pair. A link that is cut accepts connections and
+//! forwards nothing.
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -11,10 +12,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// How long it takes until something looks whether it is over.
+/// How often the stop flag and the state of a link are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The ways; their thread ends when this is dropped.
+/// The links; their thread ends when this is dropped.
 pub struct TcpLinks {
     links: BTreeMap<(usize, usize), (SocketAddr, Arc<AtomicBool>)>,
     stopped: Arc<AtomicBool>,
@@ -22,11 +23,11 @@
 }
 
 impl TcpLinks {
-    /// TcpLinks from so many poolers to servers at these addresses.
+    /// Starts links from this many poolers to the servers at these addresses.
     ///
     /// # Errors
     ///
-    /// When a socket can't be had.
+    /// When a socket can't be bound.
     pub fn start(poolers: usize, servers: &[SocketAddr]) -> std::io::Result<Self> {
         let (mut links, mut listeners) = (BTreeMap::new(), Vec::new());
         for pooler in 0..poolers {
@@ -60,20 +61,20 @@
         Ok(Self { links, stopped, thread: Some(thread) })
     }
 
-    /// Where a pooler finds a server.
+    /// The address at which a pooler reaches a server.
     #[must_use]
     pub fn address_for(&self, pooler: usize, server: usize) -> Option<SocketAddr> {
         self.links.get(&(pooler, server)).map(|(address, _)| *address)
     }
 
-    /// Cuts a way, or mends it.
+    /// Cuts or restores a link.
     pub fn set_cut(&self, pooler: usize, server: usize, cut: bool) {
         if let Some((_, flag)) = self.links.get(&(pooler, server)) {
             flag.store(cut, Ordering::SeqCst);
         }
     }
 
-    /// Mends all.
+    /// Restores all links.
     pub fn heal(&self) {
         self.links.values().for_each(|(_, flag)| flag.store(false, Ordering::SeqCst));
     }
@@ -91,7 +92,7 @@
 async fn forward(pooler: Async<TcpStream>, server: SocketAddr, cut: Arc<AtomicBool>) {
     while cut.load(Ordering::SeqCst) {
         Timer::after(POLL_INTERVAL).await;
-        // Whoever has given it up meanwhile is not carried on.
+        // A connection that the pooler has closed in the meantime is not forwarded.
         if pooler.get_ref().peek(&mut [0]).is_ok_and(|size| size == 0) {
             return;
         }
@@ -102,7 +103,7 @@
     or(copy(a.clone(), b.clone(), &cut), copy(b, a, &cut)).await;
 }
 
-/// Carries bytes until either side ends; what comes while it is cut waits.
+/// Copies bytes until either side closes; while the link is cut, received bytes are held back.
 async fn copy(from: Rc<Async<TcpStream>>, to: Rc<Async<TcpStream>>, cut: &AtomicBool) {
     let mut bytes = vec![0; 16 * 1024];
     let (mut from, mut to) = (&*from, &*to);
--- a/crates/lab/src/soak/poolers.rs
+++ b/crates/lab/src/soak/poolers.rs
@@ -254,7 +254,7 @@
         self.state.set(State::Terminating(signalled_at));
         while !self.has_exited() {
             if signalled_at.elapsed() > MAX_DEADLINE + KILL_GRACE + EXIT_SLACK {
-                return self.record_crash(context, "it does not end when signalled_at to");
+                return self.record_crash(context, "it does not end when told to");
             }
             Timer::after(POLL_INTERVAL).await;
         }
--- a/crates/lab/src/soak/run.rs
+++ b/crates/lab/src/soak/run.rs
@@ -273,9 +273,9 @@
             FaultKind::ServerDown => Mode::Down,
             FaultKind::ServerHang => Mode::Hanging,
             FaultKind::ServerSlow => Mode::Slow(Duration::from_millis(50 + self.context.random_below(400))),
-            FaultKind::ServerErrors => Mode::Error("XX000"),
-            FaultKind::ServerFull => Mode::Error("53300"),
-            FaultKind::ServerOddCode => Mode::RunThenError("57P03"),
+            FaultKind::ServerErrors => Mode::Failing("XX000"),
+            FaultKind::ServerFull => Mode::Failing("53300"),
+            FaultKind::ServerOddCode => Mode::RunThenFail("57P03"),
             _ => return false,
         };
         // The primary as well.
--- a/crates/lab/src/soak/servers.rs
+++ b/crates/lab/src/soak/servers.rs
@@ -26,9 +26,9 @@
     /// Answers after this.
     Slow(Duration),
     /// Answers with this error, and runs nothing.
-    Error(&'static str),
+    Failing(&'static str),
     /// Runs a write and answers with this error.
-    RunThenError(&'static str),
+    RunThenFail(&'static str),
     /// Listens to nobody.
     Down,
 }
@@ -115,8 +115,8 @@
 
     /// A primary stands at the present; a replica's position never goes back.
     fn position(&self) -> i64 {
-        let position = if self.primary { now_ms() } else { now_ms() - self.lag_ms.get() };
-        self.max_position.set(position.max(self.max_position.get()));
+        let current = if self.primary { now_ms() } else { now_ms() - self.lag_ms.get() };
+        self.max_position.set(current.max(self.max_position.get()));
         self.max_position.get()
     }
 
@@ -182,7 +182,7 @@
             return self.error(out, "25006");
         }
         let position = self.position();
-        let duration = match mode {
+        let service_time = match mode {
             Mode::Slow(delay) => {
                 context.faults.borrow_mut().count_injection(FaultKind::ServerSlow);
                 delay
@@ -190,12 +190,12 @@
             _ => Duration::from_millis(2 + context.random_below(8)),
         };
         match mode {
-            Mode::Error(code) => {
+            Mode::Failing(code) => {
                 let kind = if code == "53300" { FaultKind::ServerFull } else { FaultKind::ServerErrors };
                 context.faults.borrow_mut().count_injection(kind);
                 return self.error(out, code);
             }
-            Mode::RunThenError(code) => {
+            Mode::RunThenFail(code) => {
                 context.faults.borrow_mut().count_injection(FaultKind::ServerOddCode);
                 context.audit.borrow_mut().statement_ran(id);
                 return self.error(out, code);
@@ -205,7 +205,7 @@
         if let Some(shortfall) = class.and_then(|class| class.shortfall_ms(position, now_ms(), id)) {
             context.audit.borrow_mut().stale_read(id, &self.id, shortfall);
         }
-        Timer::after(duration).await;
+        Timer::after(service_time).await;
         if self.mode() == Mode::Hanging {
             context.faults.borrow_mut().count_injection(FaultKind::ServerHang);
             return std::future::pending().await;
