--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -355,8 +355,7 @@
 
 /// The request ids of the statements that the server was sent.
 pub fn ids_at(server: &Server) -> Vec<String> {
-    let id =
-        |statement: &String| statement.split_once("id=").unwrap().1.split_once(',').unwrap().0.to_owned();
+    let id = |sent: &String| sent.split_once("id=").unwrap().1.split_once(',').unwrap().0.to_owned();
     server.received().iter().map(id).collect()
 }
 
--- a/crates/daemon/tests/copies.rs
+++ b/crates/daemon/tests/copies.rs
@@ -1,4 +1,5 @@
-//! Second copies, where the settings allow them: two attempts of one request out at once, forced by servers that hold answers.
+//! Hedging, where the settings allow second copies: two concurrent attempts of one request, forced by servers that hold back
+//! their answers.
 
 mod common;
 use common::*;
@@ -6,54 +7,55 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-/// A third to a half of it passes before a second copy goes out, and none does after it. With 2 s a machine that stood still for 0.6 s
-/// had copies out in the warm-up, which no server was told to answer: two of six stories failed once.
-const AIM: Duration = Duration::from_millis(6_000);
+/// The latency objective. A second copy is sent after a third to a half of it, and none after all of it. With a shorter one (2 s)
+/// a stall of 0.6 s of the machine causes second copies in the warm-up, which no server is directed to answer.
+const LATENCY_OBJECTIVE: Duration = Duration::from_millis(6_000);
 
-/// A pooler that may send them, with these servers known.
-fn allowed(discovery: &Discovery, servers: &[(&ControlledServer, &str)]) -> Pooler {
-    let known = servers.iter().map(|(of, part)| of.server.entry("up", part)).collect();
+/// A pooler that may send second copies, with these servers known.
+fn hedging_pooler(discovery: &Discovery, servers: &[(&ControlledServer, &str)]) -> Pooler {
+    let known = servers.iter().map(|(slow, part)| slow.server.entry("up", part)).collect();
     let text = config(discovery, known, 1_024).replace("8000.0", "6000.0");
     Pooler::with_config(&text.replace("\"MayDuplicate\":false", "\"MayDuplicate\":true"))
 }
 
-fn has(of: &ControlledServer, id: &str) -> bool {
-    ids_at(&of.server).iter().any(|own| own == id)
+/// Whether the server has been sent the request.
+fn was_sent(slow: &ControlledServer, id: &str) -> bool {
+    ids_at(&slow.server).iter().any(|received| received == id)
 }
 
-/// Has these servers answer at once for a while: it has to be known how long answers take, or the first guess of it holds a second
-/// copy back for longer than a watch may be silent.
+/// Has these servers answer 60 requests immediately: until the pooler knows their usual latency, its initial estimate delays a
+/// second copy for longer than a watch of discovery may be silent.
 fn warm_up(client: &mut Client, servers: &[&ControlledServer], statement: fn(&str) -> String) {
-    for turn in 0..60 {
-        let id = format!("w{turn}");
+    for number in 0..60 {
+        let id = format!("w{number}");
         client.send(&statement(&id));
         answer(servers, &id);
         assert_eq!(client.answer().value.as_deref(), Some(&b"done"[..]));
     }
 }
 
-/// Has whoever gets it answer.
+/// Waits until one of the servers has been sent the request and has it answer.
 fn answer(servers: &[&ControlledServer], id: &str) {
-    wait_until(|| servers.iter().any(|of| has(of, id)));
-    servers.iter().find(|of| has(of, id)).unwrap().answer("row");
+    wait_until(|| servers.iter().any(|slow| was_sent(slow, id)));
+    servers.iter().find(|slow| was_sent(slow, id)).unwrap().answer("row");
 }
 
-/// Has a read of this client out at both servers; gives its id and who had it first. A process that stands still sends no
-/// second copy, which may happen on a busy machine: then another read is tried.
-fn out_at_both<'a>(
+/// Sends reads until one is pending at both servers; returns its id and the servers in the order in which they were sent it.
+/// A process that stalls, as on a busy machine, sends no second copy: then another read is tried.
+fn hedged_read<'a>(
     client: &mut Client,
     servers: [&'a ControlledServer; 2],
 ) -> (String, [&'a ControlledServer; 2]) {
     warm_up(client, &servers, menu);
-    for turn in 0.. {
-        assert!(turn < 10, "never a second copy");
-        let id = format!("r{turn}");
+    for number in 0.. {
+        assert!(number < 10, "no second copy was sent");
+        let id = format!("r{number}");
         client.send(&menu(&id));
-        wait_until(|| servers.iter().any(|of| has(of, &id)));
-        let order = if has(servers[0], &id) { servers } else { [servers[1], servers[0]] };
+        wait_until(|| servers.iter().any(|slow| was_sent(slow, &id)));
+        let order = if was_sent(servers[0], &id) { servers } else { [servers[1], servers[0]] };
         let began = Instant::now();
-        while began.elapsed() < AIM {
-            if has(order[1], &id) {
+        while began.elapsed() < LATENCY_OBJECTIVE {
+            if was_sent(order[1], &id) {
                 return (id, order);
             }
             std::thread::yield_now();
@@ -65,12 +67,12 @@
 }
 
 #[test]
-fn the_first_answer_is_passed_on_and_the_other_attempts_connection_closed() {
+fn the_first_answer_is_forwarded_and_the_connection_of_the_other_attempt_closed() {
     let (one, two) = (ControlledServer::new("s-1"), ControlledServer::new("s-2"));
     let discovery = Discovery::new();
-    let pooler = allowed(&discovery, &[(&one, "replica"), (&two, "replica")]);
+    let pooler = hedging_pooler(&discovery, &[(&one, "replica"), (&two, "replica")]);
     let mut client = Client::connect(&pooler);
-    let (id, [first, second]) = out_at_both(&mut client, [&one, &two]);
+    let (id, [first, second]) = hedged_read(&mut client, [&one, &two]);
     second.answer("row");
     assert_eq!(client.answer().value.as_deref(), Some(&b"done"[..]));
     first.answer("closed");
@@ -79,47 +81,47 @@
         counters.contains(" outcome.cancelled=1 ") && counters.contains(" outcome.timeout=0 "),
         "{counters}"
     );
-    // Nothing but the wait was rewritten, each time anew.
-    let waits = [first, second].map(|of| {
-        let got = of.server.received();
-        let own = got.iter().find(|got| got.contains(&format!("id={id},"))).unwrap();
-        let (before, rest) = own.split_once(",d=").unwrap();
-        let (wait, after) = rest.split_once(',').unwrap();
+    // Each attempt is sent with its own remaining time and is otherwise unchanged.
+    let timeouts = [first, second].map(|slow| {
+        let statements = slow.server.received();
+        let attempt = statements.iter().find(|sql| sql.contains(&format!("id={id},"))).unwrap();
+        let (before, rest) = attempt.split_once(",d=").unwrap();
+        let (timeout_ms, after) = rest.split_once(',').unwrap();
         assert_eq!(format!("{before},d=8000,{after}"), menu(&id));
-        wait.parse::<u64>().unwrap()
+        timeout_ms.parse::<u64>().unwrap()
     });
-    assert!(waits[1] < waits[0] && waits[0] <= 8_000, "{waits:?}");
-    // One answer each, in their order.
+    assert!(timeouts[1] < timeouts[0] && timeouts[0] <= 8_000, "{timeouts:?}");
+    // The next request gets its own answer, and only one.
     client.send(&menu("next"));
     answer(&[&one, &two], "next");
     assert_eq!(client.answer().tags, "TDCZ");
 }
 
 #[test]
-fn an_attempt_that_fails_leaves_the_answer_to_the_other_and_two_make_one_final_answer() {
+fn one_failed_attempt_of_two_is_not_the_answer_and_two_failures_are_one_answer() {
     let (one, two) = (ControlledServer::new("s-1"), ControlledServer::new("s-2"));
     let discovery = Discovery::new();
-    let pooler = allowed(&discovery, &[(&one, "replica"), (&two, "replica")]);
+    let pooler = hedging_pooler(&discovery, &[(&one, "replica"), (&two, "replica")]);
     let mut client = Client::connect(&pooler);
-    let (_, [first, second]) = out_at_both(&mut client, [&one, &two]);
+    let (_, [first, second]) = hedged_read(&mut client, [&one, &two]);
     first.answer("XX000");
     pooler.wait_counter(" outcome.error=1 ");
     let counters = pooler.counters();
     assert!(counters.contains(" refused=0 ") && counters.contains(" failed=0 "), "{counters}");
     second.answer("XX000");
     let answer = client.answer();
-    assert_eq!((answer.tags.as_str(), answer.code.as_deref()), ("EZ", Some("53300")), "safe to ask again");
+    assert_eq!((answer.tags.as_str(), answer.code.as_deref()), ("EZ", Some("53300")), "a retry is safe");
     let counters = pooler.counters();
     assert!(counters.contains(" outcome.error=2 ") && counters.contains(" refused=1 "), "{counters}");
 }
 
 #[test]
-fn a_client_that_leaves_with_two_out_ends_both() {
+fn a_disconnect_of_the_client_cancels_both_attempts() {
     let (one, two) = (ControlledServer::new("s-1"), ControlledServer::new("s-2"));
     let discovery = Discovery::new();
-    let pooler = allowed(&discovery, &[(&one, "replica"), (&two, "replica")]);
+    let pooler = hedging_pooler(&discovery, &[(&one, "replica"), (&two, "replica")]);
     let mut client = Client::connect(&pooler);
-    let (_, [first, second]) = out_at_both(&mut client, [&one, &two]);
+    let (_, [first, second]) = hedged_read(&mut client, [&one, &two]);
     drop(client);
     first.answer("closed");
     second.answer("closed");
@@ -128,56 +130,56 @@
 }
 
 #[test]
-fn a_second_copy_to_who_drains_before_its_first_byte_is_not_sent() {
+fn a_second_copy_is_not_sent_to_a_server_that_is_drained_before_its_first_byte() {
     while !drained_before_a_second_copy() {}
 }
 
-/// False if the process stood still, so that there was no second copy.
+/// False if the process stalled, so that there was no second copy.
 fn drained_before_a_second_copy() -> bool {
-    let (tell, dialled) = channel();
-    let (open, opened) = channel::<()>();
-    let (tell, opened) = (Mutex::new(tell), Mutex::new(opened));
-    let leaves = Server::with_accept_hook(
+    let (dial_sender, dialled) = channel();
+    let (accept, accepted) = channel::<()>();
+    let (dial_sender, accepted) = (Mutex::new(dial_sender), Mutex::new(accepted));
+    let draining = Server::with_accept_hook(
         "s-2",
         move || {
-            let _ = tell.lock().unwrap().send(());
-            assert!(opened.lock().unwrap().recv().is_err());
+            let _ = dial_sender.lock().unwrap().send(());
+            assert!(accepted.lock().unwrap().recv().is_err());
         },
         |_, _| false,
     );
     let first = ControlledServer::new("s-1");
     let discovery = Discovery::new();
-    let pooler = allowed(&discovery, &[(&first, "replica")]);
+    let pooler = hedging_pooler(&discovery, &[(&first, "replica")]);
     let (_, watch) = discovery.next_watch();
     let mut client = Client::connect(&pooler);
     warm_up(&mut client, &[&first], menu);
     client.send(&menu("1"));
-    wait_until(|| has(&first, "1"));
-    // Only now is there another member, so that it gets the second copy.
-    watch.send(Some(server_list(42, false, vec![leaves.entry("up", "replica")]))).unwrap();
-    if dialled.recv_timeout(AIM).is_err() {
+    wait_until(|| was_sent(&first, "1"));
+    // The other server is added only now, so that it gets the second copy.
+    watch.send(Some(server_list(42, false, vec![draining.entry("up", "replica")]))).unwrap();
+    if dialled.recv_timeout(LATENCY_OBJECTIVE).is_err() {
         return false;
     }
-    watch.send(Some(server_list(43, false, vec![leaves.entry("draining", "")]))).unwrap();
+    watch.send(Some(server_list(43, false, vec![draining.entry("draining", "")]))).unwrap();
     watch.send(None).unwrap();
-    assert!(discovery.next_watch().0.contains("since=43"), "the word was taken");
-    drop(open);
+    assert!(discovery.next_watch().0.contains("since=43"), "the list was applied");
+    drop(accept);
     pooler.wait_counter(" outcome.moot=1 ");
     first.answer("row");
     assert_eq!(client.answer().value.as_deref(), Some(&b"done"[..]));
-    assert!(leaves.received().is_empty());
+    assert!(draining.received().is_empty());
     true
 }
 
 #[test]
-fn where_they_are_not_allowed_the_first_attempt_is_closed_before_the_second() {
+fn without_second_copies_the_first_attempt_is_closed_before_the_second_is_sent() {
     let (one, two) = (ControlledServer::new("s-1"), ControlledServer::new("s-2"));
     let discovery = Discovery::new();
-    let known = [&one, &two].map(|of| of.server.entry("up", "replica")).to_vec();
+    let known = [&one, &two].map(|slow| slow.server.entry("up", "replica")).to_vec();
     let pooler = Pooler::with_config(&config(&discovery, known, 1_024).replace("8000.0", "6000.0"));
     let mut client = Client::connect(&pooler);
-    let (_, [first, second]) = out_at_both(&mut client, [&one, &two]);
-    // Nothing has ended but the time of the first; the second is held.
+    let (_, [first, second]) = hedged_read(&mut client, [&one, &two]);
+    // The first attempt has timed out; the second is still pending.
     first.answer("closed");
     assert!(pooler.counters().contains(" outcome.timeout=1 "));
     second.answer("row");
@@ -186,22 +188,22 @@
 }
 
 #[test]
-fn a_write_is_out_once_for_as_long_as_reads_beside_it_get_a_second_copy() {
+fn a_write_gets_no_second_copy_while_reads_do() {
     let (primary, one, two) = (
         ControlledServer::with_part("s-1", "master"),
         ControlledServer::new("s-2"),
         ControlledServer::new("s-3"),
     );
     let discovery = Discovery::new();
-    let pooler = allowed(&discovery, &[(&primary, "master"), (&one, "replica"), (&two, "replica")]);
+    let pooler = hedging_pooler(&discovery, &[(&primary, "master"), (&one, "replica"), (&two, "replica")]);
     let mut writer = Client::connect(&pooler);
     warm_up(&mut writer, &[&primary], top_up);
     writer.send(&top_up("write"));
-    wait_until(|| has(&primary, "write"));
+    wait_until(|| was_sent(&primary, "write"));
     let mut reader = Client::connect(&pooler);
-    let (_, [first, _second]) = out_at_both(&mut reader, [&one, &two]);
+    let (_, [first, _second]) = hedged_read(&mut reader, [&one, &two]);
     first.answer("row");
     assert!(reader.answer().value.is_some());
-    let everywhere = [&primary, &one, &two].map(|of| ids_at(&of.server)).concat();
-    assert_eq!(everywhere.iter().filter(|id| *id == "write").count(), 1, "{everywhere:?}");
+    let all_ids = [&primary, &one, &two].map(|slow| ids_at(&slow.server)).concat();
+    assert_eq!(all_ids.iter().filter(|id| *id == "write").count(), 1, "{all_ids:?}");
 }
--- a/crates/daemon/tests/crossings.rs
+++ b/crates/daemon/tests/crossings.rs
@@ -393,9 +393,9 @@
     }
 }
 
-/// With this limit on file descriptors ...
+/// A limit on file descriptors that leaves room for [`SERVER_SLOTS`] connections to servers.
 const FEW_SOCKETS: usize = 24;
-/// ... there can be this many connections to servers.
+/// Connections to servers that [`FEW_SOCKETS`] leaves room for.
 const SERVER_SLOTS: usize = 6;
 
 /// One client more than there are slots for connections to servers, each with an open request.
@@ -432,8 +432,8 @@
 
 #[test]
 fn the_timeout_of_a_pipelined_request_starts_when_it_was_sent() {
-    // Timed from the end of the request before, the answers would come after 0.6, 0.9 and 1.8 s: too late for the clients of the
-    // last two.
+    // Timed from the end of the request before, the answers would come after 0.6, 0.9 and 1.8 s: too late for
+    // the last two.
     let (release, server) = blocked_server("s-1");
     let discovery = Discovery::new();
     let pooler = Pooler::new(&discovery, vec![server.entry("up", "replica")]);
@@ -479,14 +479,14 @@
             break;
         }
     }
-    let [_stays, mut draining] = clients;
-    draining.send(&menu("1"));
+    let [_connected, mut leaving] = clients;
+    leaving.send(&menu("1"));
     wait_until(|| [&one, &two].iter().any(|controlled| ids_at(&controlled.server).contains(&"1".to_owned())));
     let (first, second) =
         if ids_at(&one.server).contains(&"1".to_owned()) { (&one, &two) } else { (&two, &one) };
     pooler.suspend();
     first.answer("53300");
-    draining.0.close_and_wait();
+    leaving.0.close_and_wait();
     pooler.resume();
     pooler.wait_counter(" gone=1 ");
     if !pooler.counters().contains(" outcome.timeout=0 ") {
@@ -724,7 +724,7 @@
     let (unblock, unblocked) = channel::<()>();
     let unblocked = Mutex::new(unblocked);
     let (release, blocked) = blocked_server("s-2");
-    let undialled = Server::with_accept_hook(
+    let unready = Server::with_accept_hook(
         "s-4",
         move || {
             dial_sender.lock().unwrap().send(()).unwrap();
@@ -732,7 +732,7 @@
         },
         |_, _| true,
     );
-    let (discovery, mut entry) = (Discovery::new(), undialled.entry("up", "replica"));
+    let (discovery, mut entry) = (Discovery::new(), unready.entry("up", "replica"));
     entry["cell"] = 4.into();
     let mut pooler = Pooler::new(&discovery, vec![blocked.entry("up", "master"), entry]);
     let statements = [
@@ -752,7 +752,7 @@
     // What was written completely may have run; what is held or has no connection yet has not.
     assert_eq!(codes, ["08007", "08007", "53300", "53300"]);
     assert!(pooler.child.wait().unwrap().success());
-    assert!(undialled.received().is_empty());
+    assert!(unready.received().is_empty());
     drop((unblock, release));
 }
 
