--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -1,24 +1,25 @@
-//! A short soak on real sockets: the program breaks no rule in overlapping troubles, and broken variants of it are found. The
-//! long one is `make -s soak`.
+//! A short soak test on real sockets: the program breaks no rule during overlapping faults, and seeded faults in variants of it
+//! are detected. The long soak is `make -s soak`.
 
 use linnetdeal_lab::soak::{Report, Spec, run_soak};
 use std::path::{Path, PathBuf};
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// Plays judge times: one at a time.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Held for each run: runs check times, so that they must not run concurrently.
+static EXCLUSIVE: Mutex<()> = Mutex::new(());
 
-/// Where cargo lays the library with failing calls: beside the tests.
+/// The path of the library that makes system calls fail: cargo builds it into the folder of the tests.
 fn shim() -> PathBuf {
-    let own = std::env::current_exe().unwrap();
-    let path = own.parent().unwrap().join("liblinnetdeal_lab_shim.so");
+    let test_binary = std::env::current_exe().unwrap();
+    let path = test_binary.parent().unwrap().join("liblinnetdeal_lab_shim.so");
     assert!(path.exists(), "{} is not built", path.display());
     path
 }
 
+/// Runs the program, or the variant of it with a seeded fault, for 6 s.
 fn soak(seed: u64, mutant: Option<&str>) -> Report {
-    let _alone = ALONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let _guard = EXCLUSIVE.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
     let folder = std::env::temp_dir().join(format!("linnetdeal-soak-{}-{seed}", std::process::id()));
     let spec = Spec {
         program: Path::new(env!("CARGO_BIN_EXE_linnetdeal")).to_owned(),
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn no_rule_is_broken_in_overlapping_troubles() {
+fn no_rule_is_broken_during_overlapping_faults() {
     for seed in [1, 2] {
         let report = soak(seed, None);
         assert_eq!(report.violation_count(), 0, "{:#?}", report.details);
@@ -47,16 +48,16 @@
             report.counts.served > 0 && report.injected.len() > 5 && report.overlapping_pairs.len() > 20,
             "{report:?}"
         );
-        assert!(report.failed_calls.values().sum::<u64>() > 0, "no call of the system was made to fail");
+        assert!(report.failed_calls.values().sum::<u64>() > 0, "no system call was made to fail");
     }
 }
 
 #[test]
-fn a_variant_that_forgets_answers_is_found() {
+fn a_variant_that_forgets_answers_is_detected() {
     assert!(soak(3, Some("forgotten-answer")).violation_count() > 0);
 }
 
 #[test]
-fn a_variant_that_takes_no_drain_is_found() {
+fn a_variant_that_ignores_drains_is_detected() {
     assert!(soak(4, Some("ignored-drains")).violation_count() > 0);
 }
--- a/crates/daemon/tests/work.rs
+++ b/crates/daemon/tests/work.rs
@@ -1,4 +1,5 @@
-//! Machines out for work with processes of the program: a fixed part of `make proof-work`, the same each time, a test for each script.
+//! Maintenance plans carried out by processes of the program: a fixed part of `make proof-work` with fixed seeds, one test for
+//! each script.
 
 use linnetdeal_lab::lock;
 use linnetdeal_lab::processes::process;
@@ -7,141 +8,142 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Condvar, Mutex};
 
-/// Played at the same time: each has five to ten processes, most of which wait.
-const AT_ONCE: usize = 4;
+/// Maximum number of scripts that run concurrently: each starts five to ten processes, most of which are idle.
+const MAX_CONCURRENT: usize = 4;
 
-/// How many are played now.
-static PLAYED: Mutex<usize> = Mutex::new(0);
+/// Number of scripts that are running.
+static RUNNING: Mutex<usize> = Mutex::new(0);
+/// Notified when a script has ended.
 static ENDED: Condvar = Condvar::new();
 
-/// A place among those that are played at the same time, until it is dropped.
-struct Place;
+/// A permit to run one script, returned when dropped.
+struct Permit;
 
-impl Place {
-    fn take() -> Self {
-        let played = lock(&PLAYED);
-        let mut played = ENDED.wait_while(played, |played| *played >= AT_ONCE).unwrap();
-        *played += 1;
+impl Permit {
+    fn acquire() -> Self {
+        let running = lock(&RUNNING);
+        let mut running = ENDED.wait_while(running, |running| *running >= MAX_CONCURRENT).unwrap();
+        *running += 1;
         Self
     }
 }
 
-impl Drop for Place {
+impl Drop for Permit {
     fn drop(&mut self) {
-        let mut played = lock(&PLAYED);
-        *played -= 1;
+        let mut running = lock(&RUNNING);
+        *running -= 1;
         ENDED.notify_one();
-        // Whoever is the last of all is among those who look.
-        if *played == 0 && !std::thread::panicking() {
+        // The last script of all is among those that check this.
+        if *running == 0 && !std::thread::panicking() {
             let (started, ended) = process::counts();
             assert_eq!(started, ended, "every process that was started has ended");
         }
     }
 }
 
-/// Plays a script in which so many machines are worked on at least.
-fn plays(name: &str, worked: usize) {
+/// Runs a script, which has to end well with at least `min_worked` machines worked on.
+fn run_script(name: &str, min_worked: usize) {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../../scenarios/work/{name}.cue"));
     let script = Script::decode(name, &std::fs::read(&file).unwrap()).unwrap();
-    let place = Place::take();
+    let permit = Permit::acquire();
     let outcome = play(&script, script.seed, &PathBuf::from(env!("CARGO_BIN_EXE_linnetdeal"))).unwrap();
     println!("{name} with seed {}: {outcome:?}", script.seed);
     assert!(outcome.is_well(&script), "{name}: {outcome:#?}");
-    assert!(outcome.worked >= worked, "{name}: {} machines were worked on", outcome.worked);
-    drop(place);
+    assert!(outcome.worked >= min_worked, "{name}: {} machines were worked on", outcome.worked);
+    drop(permit);
 }
 
 #[test]
 fn script_leader_killed() {
-    plays("leader-killed", 6);
+    run_script("leader-killed", 6);
 }
 
 #[test]
 fn script_leader_cut_off() {
-    plays("leader-cut-off", 6);
+    run_script("leader-cut-off", 6);
 }
 
 #[test]
 fn script_leader_stopped() {
-    plays("leader-stopped", 6);
+    run_script("leader-stopped", 6);
 }
 
 #[test]
 fn script_dies_after_03() {
-    plays("dies-after-03", 1);
+    run_script("dies-after-03", 1);
 }
 
 #[test]
 fn script_dies_after_09() {
-    plays("dies-after-09", 1);
+    run_script("dies-after-09", 1);
 }
 
 #[test]
 fn script_dies_after_18() {
-    plays("dies-after-18", 1);
+    run_script("dies-after-18", 1);
 }
 
 #[test]
 fn script_dies_after_28() {
-    plays("dies-after-28", 1);
+    run_script("dies-after-28", 1);
 }
 
 #[test]
 fn script_unheard() {
-    plays("unheard", 1);
+    run_script("unheard", 1);
 }
 
 #[test]
 fn script_forced() {
-    plays("forced", 1);
+    run_script("forced", 1);
 }
 
 #[test]
 fn script_voters_forget() {
-    plays("voters-forget", 6);
+    run_script("voters-forget", 6);
 }
 
 #[test]
 fn script_two_staff() {
-    plays("two-staff", 2);
+    run_script("two-staff", 2);
 }
 
 #[test]
 fn script_refused() {
-    plays("refused", 1);
+    run_script("refused", 1);
 }
 
 #[test]
 fn script_never() {
-    plays("never", 0);
+    run_script("never", 0);
 }
 
 #[test]
 fn script_cancelled() {
-    plays("cancelled", 2);
+    run_script("cancelled", 2);
 }
 
 #[test]
 fn script_by_hand() {
-    plays("by-hand", 2);
+    run_script("by-hand", 2);
 }
 
 #[test]
 fn script_server_dies() {
-    plays("server-dies", 9);
+    run_script("server-dies", 9);
 }
 
 #[test]
 fn script_replaced() {
-    plays("replaced", 6);
+    run_script("replaced", 6);
 }
 
 #[test]
 fn script_poolers() {
-    plays("poolers", 5);
+    run_script("poolers", 5);
 }
 
 #[test]
 fn script_noise() {
-    plays("noise", 6);
+    run_script("noise", 6);
 }
