--- a/crates/daemon/tests/invariants.rs
+++ b/crates/daemon/tests/invariants.rs
@@ -56,7 +56,7 @@
     common::wait_until(|| {
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
         let lines = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
-        let of_port = lines.filter(|fields| fields.get(2).is_some_and(|address| address.ends_with(&remote)));
+        let of_port = lines.filter(|fields| fields.get(2).is_some_and(|socket| socket.ends_with(&remote)));
         let unread = |fields: Vec<&str>| u64::from_str_radix(fields[4].split(':').nth(1)?, 16).ok();
         of_port.filter_map(unread).sum::<u64>() >= bytes
     });
@@ -84,7 +84,7 @@
     client.0.wait_acknowledged();
     let drain =
         common::server_list(42, false, vec![draining.entry("draining", ""), remaining.entry("up", "")]);
-    resume_after_list(&pooler, &discovery, &watch, drain);
+    resume_after_list(&pooler, &discovery, &watch, drain_list);
     assert_eq!(client.answer().value.as_deref(), Some(&b"s-2"[..]));
     assert_eq!(draining.received().len(), 1, "the drain had arrived when the process was resumed");
 }
@@ -120,9 +120,9 @@
     let write = common::top_up("1");
     assert_eq!(client.execute(&write).value.as_deref(), Some(&b"done"[..]), "a report showed the primary");
     assert_eq!(
-        (other.received().len(), heir.received().len()),
+        (other.received().len(), successor.received().len()),
         (1, 2),
-        "a walk round the group, then straight there"
+        "each rejected it once, then the successor ran it"
     );
 }
 
@@ -217,10 +217,10 @@
     let pooler = Pooler::new(&discovery, vec![server.entry("up", "replica")]);
     let mut client = Client::connect(&pooler);
     let mut gaps = Vec::new();
-    for round in 0..21 {
+    for number in 0..21 {
         let mut out = Vec::new();
-        write::query(&mut out, &common::menu(&format!("{round}a")));
-        write::query(&mut out, &common::menu(&format!("{round}b")));
+        write::query(&mut out, &common::menu(&format!("{number}a")));
+        write::query(&mut out, &common::menu(&format!("{number}b")));
         client.0.send_bytes(&out);
         assert!(client.answer().value.is_some());
         let first = Instant::now();
@@ -318,7 +318,7 @@
     wait_for_unread(draining.address.port(), 1);
     let drain =
         common::server_list(42, false, vec![draining.entry("draining", ""), remaining.entry("up", "")]);
-    resume_after_list(&pooler, &discovery, &watch, drain);
+    resume_after_list(&pooler, &discovery, &watch, drain_list);
     assert_eq!(client.answer().value.as_deref(), Some(&b"s-2"[..]));
     assert!(draining.received().is_empty(), "the drain had arrived when the process was resumed");
 }
