--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -15,7 +15,7 @@
 pub const REPORTED_POSITION: &str = "1767225600123";
 
 /// Upper bound on every wait of a test: it only keeps a failed test from hanging.
-pub const STEP_TIMEOUT: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// One end of a connection that exchanges PostgreSQL protocol messages.
 pub struct PgConnection {
@@ -27,8 +27,8 @@
 
 impl PgConnection {
     pub fn new(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
-        stream.set_write_timeout(Some(STEP_TIMEOUT)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+        stream.set_write_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Self { stream, read: Vec::new(), reset: false }
     }
 
@@ -138,7 +138,7 @@
         let own = port(self.stream.local_addr().unwrap());
         // The other side may have reset the connection by now.
         let Ok(other) = self.stream.peer_addr().map(port) else { return };
-        let deadline = std::time::Instant::now() + STEP_TIMEOUT;
+        let deadline = std::time::Instant::now() + WAIT_TIMEOUT;
         loop {
             let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
             let line = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
@@ -340,15 +340,15 @@
     /// the connection has to be closed by the pooler with nothing more sent on it.
     pub fn answer(&self, how: &'static str) {
         self.commands.send(how).unwrap();
-        self.finished.recv_timeout(STEP_TIMEOUT).unwrap();
+        self.finished.recv_timeout(WAIT_TIMEOUT).unwrap();
     }
 }
 
-/// Waits until the condition holds; panics after [`STEP_TIMEOUT`].
+/// Waits until the condition holds; panics after [`WAIT_TIMEOUT`].
 pub fn wait_until(mut holds: impl FnMut() -> bool) {
-    let deadline = Instant::now() + STEP_TIMEOUT;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < deadline, "condition not met within {STEP_TIMEOUT:?}");
+        assert!(Instant::now() < deadline, "condition not met within {WAIT_TIMEOUT:?}");
         std::thread::yield_now();
     }
 }
@@ -394,7 +394,7 @@
 
     /// Waits for the next watch that the pooler opens.
     pub fn next_watch(&self) -> (String, Sender<Option<Value>>) {
-        self.watches.recv_timeout(STEP_TIMEOUT).unwrap()
+        self.watches.recv_timeout(WAIT_TIMEOUT).unwrap()
     }
 }
 
@@ -500,7 +500,7 @@
 
     /// Waits until the process has logged the address that it listens on.
     pub fn wait_listening(&mut self) {
-        self.address = self.wait_log("listening on ").rsplit(' ').next().unwrap().parse().unwrap();
+        self.address = self.wait_for_log("listening on ").rsplit(' ').next().unwrap().parse().unwrap();
     }
 
     /// Sends the process a signal, named without `SIG`.
@@ -525,8 +525,8 @@
     }
 
     /// Waits until the line of counters contains `expected`.
-    pub fn wait_counter(&self, expected: &str) {
-        let deadline = std::time::Instant::now() + STEP_TIMEOUT;
+    pub fn wait_for_counter(&self, expected: &str) {
+        let deadline = std::time::Instant::now() + WAIT_TIMEOUT;
         while !self.counters().contains(expected) {
             assert!(std::time::Instant::now() < deadline, "counters never contained{expected}");
         }
@@ -535,7 +535,7 @@
     /// The line of counters that the process logs on SIGUSR1.
     pub fn counters(&self) -> String {
         self.signal("USR1");
-        self.wait_log("counters")
+        self.wait_for_log("counters")
     }
 
     /// Overwrites the configuration file.
@@ -544,9 +544,9 @@
     }
 
     /// Waits for the next log line that contains `fragment`.
-    pub fn wait_log(&self, fragment: &str) -> String {
+    pub fn wait_for_log(&self, fragment: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(STEP_TIMEOUT).unwrap();
+            let line = self.log.recv_timeout(WAIT_TIMEOUT).unwrap();
             if line.contains(fragment) {
                 return line;
             }
--- a/crates/daemon/tests/copies.rs
+++ b/crates/daemon/tests/copies.rs
@@ -105,7 +105,7 @@
     let mut client = Client::connect(&pooler);
     let (_, [first, second]) = hedged_read(&mut client, [&one, &two]);
     first.answer("XX000");
-    pooler.wait_counter(" outcome.error=1 ");
+    pooler.wait_for_counter(" outcome.error=1 ");
     let counters = pooler.counters();
     assert!(counters.contains(" refused=0 ") && counters.contains(" failed=0 "), "{counters}");
     second.answer("XX000");
@@ -125,7 +125,7 @@
     drop(client);
     first.answer("closed");
     second.answer("closed");
-    pooler.wait_counter(" gone=1 ");
+    pooler.wait_for_counter(" gone=1 ");
     assert!(pooler.counters().contains(" outcome.cancelled=2 "));
 }
 
@@ -164,7 +164,7 @@
     watch.send(None).unwrap();
     assert!(discovery.next_watch().0.contains("since=43"), "the list was applied");
     drop(accept);
-    pooler.wait_counter(" outcome.moot=1 ");
+    pooler.wait_for_counter(" outcome.moot=1 ");
     first.answer("row");
     assert_eq!(client.answer().value.as_deref(), Some(&b"done"[..]));
     assert!(draining.received().is_empty());
--- a/crates/daemon/tests/crossings.rs
+++ b/crates/daemon/tests/crossings.rs
@@ -18,7 +18,7 @@
 
 /// Sends reads until one is answered by this server.
 fn wait_served_by(client: &mut Client, id: &str) {
-    let deadline = Instant::now() + STEP_TIMEOUT;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while client.execute(&menu("wait")).value.as_deref() != Some(id.as_bytes()) {
         assert!(Instant::now() < deadline, "never served by {id}");
     }
@@ -275,7 +275,7 @@
     });
     let pooler = Pooler::new(&old, vec![returning.entry("up", "replica")]);
     // After the third refusal it pauses for at least 0.2 s.
-    (0..3).for_each(|_| refused.recv_timeout(STEP_TIMEOUT).unwrap());
+    (0..3).for_each(|_| refused.recv_timeout(WAIT_TIMEOUT).unwrap());
     pooler.write_config(&config(&new, Vec::new(), 1_024));
     pooler.signal("HUP");
     let (_, watch) = new.next_watch();
@@ -384,12 +384,12 @@
     }
 
     fn wait_for_ping(&self) {
-        self.pings.recv_timeout(STEP_TIMEOUT).unwrap();
+        self.pings.recv_timeout(WAIT_TIMEOUT).unwrap();
     }
 
     fn answer(&self) {
         self.answer_permits.send(()).unwrap();
-        self.answers_sent.recv_timeout(STEP_TIMEOUT).unwrap();
+        self.answers_sent.recv_timeout(WAIT_TIMEOUT).unwrap();
     }
 }
 
@@ -407,7 +407,7 @@
     };
     let clients = (0..=SERVER_SLOTS).map(client_with_request).collect();
     wait_until(|| server.received().len() == SERVER_SLOTS);
-    pooler.wait_counter(&format!(" sent={} ", SERVER_SLOTS + 1));
+    pooler.wait_for_counter(&format!(" sent={} ", SERVER_SLOTS + 1));
     clients
 }
 
@@ -425,7 +425,7 @@
     slow.answer("row");
     client.0.close_and_wait();
     pooler.resume();
-    pooler.wait_counter(" gone=1 ");
+    pooler.wait_for_counter(" gone=1 ");
     assert_eq!(ids_at(&slow.server), ["1"]);
     assert!(pooler.counters().contains(" served=1 "));
 }
@@ -488,7 +488,7 @@
     first.answer("53300");
     leaving.0.close_and_wait();
     pooler.resume();
-    pooler.wait_counter(" gone=1 ");
+    pooler.wait_for_counter(" gone=1 ");
     if !pooler.counters().contains(" outcome.timeout=0 ") {
         return false;
     }
@@ -553,14 +553,14 @@
     let pooler = Pooler::new(&discovery, vec![entry]);
     let mut client = Client::connect(&pooler);
     client.send(&menu("1"));
-    dialled.recv_timeout(STEP_TIMEOUT).unwrap();
+    dialled.recv_timeout(WAIT_TIMEOUT).unwrap();
     // The session's start and the client's disconnect are found in the same poll.
     pooler.suspend();
     permit.send(()).unwrap();
-    ready.recv_timeout(STEP_TIMEOUT).unwrap();
+    ready.recv_timeout(WAIT_TIMEOUT).unwrap();
     client.0.close_and_wait();
     pooler.resume();
-    pooler.wait_counter(" gone=1 ");
+    pooler.wait_for_counter(" gone=1 ");
     assert!(!received_any.join().unwrap(), "something was sent on the new connection");
 }
 
@@ -585,7 +585,7 @@
     wait_until(|| ids_at(&replica).iter().any(|id| id == "1") && ids_at(&replica).iter().any(|id| id == "2"));
     drop(pipelining);
     drop(single);
-    pooler.wait_counter(" gone=2 ");
+    pooler.wait_for_counter(" gone=2 ");
     let primary = id_server("s-2", "master");
     watch.send(Some(server_list(42, false, vec![primary.entry("up", "master")]))).unwrap();
     watch.send(None).unwrap();
@@ -610,7 +610,7 @@
     for client in &mut clients {
         assert_eq!(client.answer().value.as_deref(), Some(&b"s-1"[..]));
     }
-    pooler.wait_counter(" gone=1 ");
+    pooler.wait_for_counter(" gone=1 ");
     assert_eq!(server.received().len(), SERVER_SLOTS);
     assert_eq!(clients[0].execute(&menu("next")).value.as_deref(), Some(&b"s-1"[..]), "its slot is free");
 }
@@ -626,14 +626,14 @@
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&menu(&number.to_string()));
     }
-    pooler.wait_counter(" taken=12 ");
+    pooler.wait_for_counter(" taken=12 ");
     pooler.suspend();
     let mut half_closed = clients.pop().unwrap();
     let close = |client: &Client| client.0.stream.shutdown(std::net::Shutdown::Write).unwrap();
     clients.iter().chain([&half_closed]).for_each(close);
     clients.into_iter().for_each(|client| client.0.close_and_wait());
     pooler.resume();
-    pooler.wait_counter(" gone=12 ");
+    pooler.wait_for_counter(" gone=12 ");
     assert!(half_closed.0.next_message().is_none(), "a half-closed client counts as disconnected");
     let before = server.received().len();
     drop(release);
@@ -653,7 +653,7 @@
     // At the end of the process one request is at a server that hangs and the others are pipelined behind it.
     let short_request = |id: &str| menu(id).replace("d=8000", "d=900");
     pooler.signal("TERM");
-    pooler.wait_log("draining");
+    pooler.wait_for_log("draining");
     (1..=4).for_each(|number| client.send(&short_request(&number.to_string())));
     let answers: Vec<String> = (1..=4).map(|_| client.answer().code.unwrap()).collect();
     // The first has 0.9 s by its deadline, and the second may be cut off; the others were not started, so a retry is safe.
@@ -671,7 +671,7 @@
     let mut pooler = Pooler::with_config(&config.replace("9000.0", "200.0"));
     let mut clients: Vec<Client> = (0..60).map(|_| Client::connect(&pooler)).collect();
     pooler.signal("TERM");
-    pooler.wait_log("draining");
+    pooler.wait_for_log("draining");
     // One after another, their deadlines add up to 2 s; the kill follows after 0.9 s.
     for (index, client) in clients.iter_mut().enumerate() {
         (0..10).for_each(|number| client.send(&menu(&format!("{index}-{number}"))));
@@ -707,10 +707,10 @@
         drop(writer);
         starting.wait_listening();
         if signal == "HUP" {
-            starting.wait_log("configuration read again");
+            starting.wait_for_log("configuration read again");
             assert_eq!(Client::connect(&starting).execute(&menu("1")).value.as_deref(), Some(&b"s-1"[..]));
         } else {
-            starting.wait_log("draining");
+            starting.wait_for_log("draining");
             assert!(starting.child.wait().unwrap().success());
         }
         let _ = std::fs::remove_file(&pipe);
@@ -743,9 +743,9 @@
     ];
     let mut clients: Vec<Client> = (0..4).map(|_| Client::connect(&pooler)).collect();
     clients.iter_mut().zip(&statements).for_each(|(client, sql)| client.send(sql));
-    dialled.recv_timeout(STEP_TIMEOUT).unwrap();
+    dialled.recv_timeout(WAIT_TIMEOUT).unwrap();
     wait_until(|| blocked.received().len() == 2);
-    pooler.wait_counter(" taken=4 ");
+    pooler.wait_for_counter(" taken=4 ");
     // SIGTERM twice, with a reload in between.
     ["TERM", "HUP", "TERM"].iter().for_each(|signal| pooler.signal(signal));
     let codes: Vec<String> = clients.iter_mut().map(|client| client.answer().code.unwrap()).collect();
@@ -796,7 +796,7 @@
         assert!(text.contains(from), "{from}");
         pooler.write_config(&text.replace(from, to));
         pooler.signal("HUP");
-        let line = pooler.wait_log("configuration kept as it was");
+        let line = pooler.wait_for_log("configuration kept as it was");
         assert!(line.contains(reason), "{line}");
         assert_eq!(client.execute(&read("2")).value.as_deref(), Some(&b"s-1"[..]), "nothing changed");
     }
@@ -804,7 +804,7 @@
     let large = text.replace("9000.0", "1e300").replace("8000.0", "1e300").replace("20000.0", "1e300");
     pooler.write_config(&large.replace("\"SendCap\":10", "\"SendCap\":1e18"));
     pooler.signal("HUP");
-    pooler.wait_log("configuration read again");
+    pooler.wait_for_log("configuration read again");
     assert_eq!(client.execute(&menu("3")).value.as_deref(), Some(&b"s-1"[..]));
     assert_eq!(client.execute(&top_up("4")).value.as_deref(), Some(&b"s-1"[..]));
 }
--- a/crates/daemon/tests/invariants.rs
+++ b/crates/daemon/tests/invariants.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{Client, Discovery, PgConnection, Pooler, STEP_TIMEOUT, Server, id_server};
+use common::{Client, Discovery, PgConnection, Pooler, Server, WAIT_TIMEOUT, id_server};
 use linnetdeal_net::pg::write;
 use serde_json::Value;
 use std::sync::Mutex;
@@ -13,7 +13,7 @@
 /// How much more time than the client has left a server may be told.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
 
-/// Minimum time for which a suspended process remaining suspended in these tests.
+/// Minimum time for which a suspended process stays suspended in these tests.
 const STALL: Duration = Duration::from_millis(100);
 
 /// The timeout of a statement in milliseconds.
@@ -42,7 +42,7 @@
     let mut client = Client::connect(&pooler);
     let sent_at = Instant::now();
     assert_eq!(client.execute(&common::top_up("1")).value.as_deref(), Some(&b"s-1"[..]));
-    let (received_at, timeout) = statements.recv_timeout(STEP_TIMEOUT).unwrap();
+    let (received_at, timeout) = statements.recv_timeout(WAIT_TIMEOUT).unwrap();
     let remaining = Duration::from_millis(8_000).saturating_sub(received_at - sent_at);
     assert!(
         Duration::from_millis(timeout) <= remaining + DEADLINE_SLACK,
@@ -63,9 +63,9 @@
 }
 
 /// Sends a list to a suspended process, waits until it is there unread and for [`STALL`] longer, and resumes the process.
-fn resume_after_list(pooler: &Pooler, discovery: &Discovery, watch: &Sender<Option<Value>>, list: Value) {
-    let size = list.to_string().len() as u64;
-    watch.send(Some(list)).unwrap();
+fn resume_after_list(pooler: &Pooler, discovery: &Discovery, watch: &Sender<Option<Value>>, update: Value) {
+    let size = update.to_string().len() as u64;
+    watch.send(Some(update)).unwrap();
     wait_for_unread(discovery.address.port(), size);
     std::thread::sleep(STALL);
     pooler.resume();
@@ -82,7 +82,7 @@
     pooler.suspend();
     client.send(&common::menu("2"));
     client.0.wait_acknowledged();
-    let drain =
+    let drain_list =
         common::server_list(42, false, vec![draining.entry("draining", ""), remaining.entry("up", "")]);
     resume_after_list(&pooler, &discovery, &watch, drain_list);
     assert_eq!(client.answer().value.as_deref(), Some(&b"s-2"[..]));
@@ -115,7 +115,7 @@
     let text = common::config(&discovery, Vec::new(), 1_024);
     pooler.write_config(&text.replace("[\"x0\",\"x1\"]", "[\"x1\",\"x0\"]"));
     pooler.signal("HUP");
-    pooler.wait_log("configuration read again");
+    pooler.wait_for_log("configuration read again");
     let mut client = Client::connect(&pooler);
     let write = common::top_up("1");
     assert_eq!(client.execute(&write).value.as_deref(), Some(&b"done"[..]), "a report showed the primary");
@@ -145,7 +145,7 @@
     let text = common::config(&discovery, Vec::new(), 1_024);
     pooler.write_config(&text.replace("\"Keepalive\":60000.0", "\"Keepalive\":30.0"));
     pooler.signal("HUP");
-    pooler.wait_log("configuration read again");
+    pooler.wait_for_log("configuration read again");
     std::thread::sleep(Duration::from_millis(30));
     client.execute(&common::menu("2"));
     let ports: Vec<u16> = ports.try_iter().collect();
@@ -251,7 +251,7 @@
         client
     };
     let mut clients: Vec<Client> = (0..CLIENT_SLOTS).map(client_with_request).collect();
-    pooler.wait_counter(&format!(" taken={CLIENT_SLOTS} "));
+    pooler.wait_for_counter(&format!(" taken={CLIENT_SLOTS} "));
     // All slots are taken by clients with open requests, and the pooler waits for a free one. Then all clients disconnect.
     watch.send(Some(common::server_list(42, false, vec![other.entry("up", "")]))).unwrap();
     drop(release);
@@ -278,7 +278,7 @@
     let (_, mut watch) = discovery.next_watch();
     pooler.write_config(&text);
     pooler.signal("HUP");
-    pooler.wait_log("configuration read again");
+    pooler.wait_for_log("configuration read again");
     let began = Instant::now();
     // With the drain grace that the process was started with, each pause would be up to 100 s.
     for generation in 42..46 {
@@ -311,12 +311,12 @@
     let (_, watch) = discovery.next_watch();
     let mut client = Client::connect(&pooler);
     client.send(&common::menu("1"));
-    dialled.recv_timeout(STEP_TIMEOUT).unwrap();
+    dialled.recv_timeout(WAIT_TIMEOUT).unwrap();
     pooler.suspend();
     // The connection is established first and the list arrives after it, some time later.
     permit.send(()).unwrap();
     wait_for_unread(draining.address.port(), 1);
-    let drain =
+    let drain_list =
         common::server_list(42, false, vec![draining.entry("draining", ""), remaining.entry("up", "")]);
     resume_after_list(&pooler, &discovery, &watch, drain_list);
     assert_eq!(client.answer().value.as_deref(), Some(&b"s-2"[..]));
--- a/crates/daemon/tests/sockets.rs
+++ b/crates/daemon/tests/sockets.rs
@@ -83,7 +83,7 @@
     assert_eq!((replica.received().len(), primary.received().len()), (1, 2), "not sent again");
     // Whoever has to look it up finds it by the client's id.
     pooler.signal("USR1");
-    let doubts = pooler.wait_log("in doubt: ");
+    let doubts = pooler.wait_for_log("in doubt: ");
     assert!(doubts.contains("in doubt: 1 since the start; top-up id=2 at s-2, "), "{doubts}");
 }
 
@@ -471,12 +471,12 @@
     for unusable in ["", "{\"discovery\": 7}"] {
         pooler.write_config(unusable);
         pooler.signal("HUP");
-        pooler.wait_log("configuration kept as it was: ");
+        pooler.wait_for_log("configuration kept as it was: ");
     }
     // The old address would stay silent for seconds yet; what is held is told to the new one.
     pooler.write_config(&config(&new, Vec::new(), 1_024));
     pooler.signal("HUP");
-    pooler.wait_log("configuration read again");
+    pooler.wait_for_log("configuration read again");
     let (asked, watch) = new.next_watch();
     assert!(asked.contains("since=41"), "{asked}");
     drop(open);
@@ -534,14 +534,14 @@
     for (text, place) in &broken {
         pooler.write_config(text);
         pooler.signal("HUP");
-        let line = pooler.wait_log("configuration kept as it was: ");
+        let line = pooler.wait_for_log("configuration kept as it was: ");
         assert!(line.contains(place), "{line}");
     }
     let note = menu("2").replace("bundle-menu", "note");
     assert_eq!(client.execute(&note).tags, "EZ", "nothing has changed");
     pooler.write_config(&whole);
     pooler.signal("HUP");
-    pooler.wait_log("configuration read again");
+    pooler.wait_for_log("configuration read again");
     assert_eq!(client.execute(&menu("3")).tags, "EZ", "dropped");
     drop(open);
     assert_eq!(busy.answer().value.as_deref(), Some(&b"s-1"[..]), "the open request went on");
@@ -602,7 +602,7 @@
     assert_eq!(late.execute(&menu("2")).value.as_deref(), Some(&b"s-1"[..]), "there is room for who asks");
     assert_eq!(usual.execute(&menu("3")).value.as_deref(), Some(&b"s-1"[..]), "who was there stays");
     for silent in &mut crowd {
-        silent.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
+        silent.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         assert!(!matches!(silent.read(&mut [0]), Ok(1)), "closed without a word");
     }
     for client in &mut half {
@@ -668,7 +668,7 @@
         assert!(client.0.next_message().is_none(), "closed as well");
     }
     assert!(pooler.child.wait().unwrap().success());
-    let counters = pooler.wait_log("counters");
+    let counters = pooler.wait_for_log("counters");
     let kept = [format!(" taken={asked} "), format!(" served={asked} ")];
     assert!(kept.iter().all(|count| counters.contains(count)), "{asked} {counters}");
     assert!(TcpStream::connect(pooler.address).is_err());
@@ -805,7 +805,7 @@
 /// One call of the second address, and the status that it gets.
 fn call(address: std::net::SocketAddr, what: &str) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream.write_all(format!("{what} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").as_bytes()).unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
@@ -926,16 +926,16 @@
     // What either is told by hand, both keep.
     let (newer, next) = place.serve();
     assert_eq!(call(next, "POST /-/servers/s-2/enable"), "200");
-    older.wait_log("server s-2 back by hand, as the other process was told");
+    older.wait_for_log("server s-2 back by hand, as the other process was told");
     assert_eq!(call(desk, "POST /-/servers/s-1/disable"), "200");
-    let out = newer.wait_log("as the other process was told");
-    let out = if out.contains("s-1 out") { out } else { newer.wait_log("s-1 out by hand, as") };
+    let out = newer.wait_for_log("as the other process was told");
+    let out = if out.contains("s-1 out") { out } else { newer.wait_for_log("s-1 out by hand, as") };
     assert!(out.contains("server s-1 out"), "{out}");
     served(&mut usual, &["s-2"]);
 
     // From SIGTERM on only the newer one accepts; who has its answer from the older one is parted from with it.
     older.signal("TERM");
-    older.wait_log("for a newer process");
+    older.wait_for_log("for a newer process");
     let before = older.counters();
     let mut late = Client::connect(&newer);
     for _ in 0..5 {
@@ -950,7 +950,7 @@
     // Closed while idle only at the end, and then without a request to serve the older process has nothing to stay for.
     assert!(idle.0.next_message().is_none() && !idle.0.reset);
     assert!(older.child.wait().unwrap().success());
-    let after = older.wait_log("counters");
+    let after = older.wait_for_log("counters");
     assert!(
         before.contains(" taken=2 ") && after.contains(" taken=3 ") && after.contains(" served=3 "),
         "{after}"
@@ -969,7 +969,7 @@
     let client = Client::connect(&older);
     let (newer, _) = place.serve();
     older.signal("TERM");
-    older.wait_log("for a newer process");
+    older.wait_for_log("for a newer process");
     (older, newer, client)
 }
 
@@ -980,7 +980,7 @@
     let (mut older, mut newer, mut kept) = overlap(&place);
     newer.signal("KILL");
     newer.child.wait().unwrap();
-    older.wait_log("clients are taken again");
+    older.wait_for_log("clients are taken again");
     for round in 0..3 {
         // None of them is parted from any more.
         let mut late = Client::connect(&older);
@@ -990,7 +990,7 @@
         assert_eq!(kept.execute(&menu("k")).value.as_deref(), Some(&b"s-1"[..]));
     }
     assert!(older.child.wait().unwrap().success(), "it ends all the same");
-    assert!(older.wait_log("counters").contains(" taken=9 "));
+    assert!(older.wait_for_log("counters").contains(" taken=9 "));
 }
 
 #[test]
@@ -1003,7 +1003,7 @@
     assert_eq!(kept.execute(&menu("1")).value.as_deref(), Some(&b"s-1"[..]));
     assert!(kept.0.next_message().is_none() && !kept.0.reset, "an end behind the answer");
     assert!(older.child.wait().unwrap().success());
-    assert!(older.wait_log("counters").contains(" taken=1 "));
+    assert!(older.wait_for_log("counters").contains(" taken=1 "));
     newer.signal("CONT");
     assert_eq!(Client::connect(&newer).execute(&menu("2")).value.as_deref(), Some(&b"s-1"[..]));
     newer.signal("TERM");
@@ -1027,7 +1027,7 @@
     }
     // And when it is told to end it finds nobody in its place.
     older.signal("TERM");
-    older.wait_log("draining with 1 clients");
+    older.wait_for_log("draining with 1 clients");
     let mut late = Client::connect(&older);
     served(&mut late);
     assert!(older.child.wait().unwrap().success());
@@ -1045,14 +1045,14 @@
     served(&mut kept);
     let (mut second, _) = place.serve();
     first.signal("TERM");
-    first.wait_log("for a newer process");
+    first.wait_for_log("for a newer process");
     // Both read their configurations again, while they overlap.
     first.signal("HUP");
     second.signal("HUP");
-    second.wait_log("configuration read again");
+    second.wait_for_log("configuration read again");
     let (mut third, last) = place.serve();
     second.signal("TERM");
-    second.wait_log("for a newer process");
+    second.wait_for_log("for a newer process");
     served(&mut kept);
     let mut late = Client::connect(&third);
     served(&mut late);
@@ -1075,7 +1075,7 @@
     let (mut older, _) = place.serve();
     let (mut newer, desk) = place.serve();
     older.signal("TERM");
-    older.wait_log("for a newer process");
+    older.wait_for_log("for a newer process");
     older.signal("STOP");
     let mut client = Client::connect(&newer);
     for round in 0..20 {
@@ -1118,7 +1118,7 @@
         };
         (0..20).for_each(|_| ask("large"));
         ask("small & sons");
-        pooler.wait_counter(&format!(" taken={taken} "));
+        pooler.wait_for_counter(&format!(" taken={taken} "));
         let mut entry = server.entry("up", "replica");
         entry["cell"] = cluster.into();
         watch.send(Some(server_list(40 + cluster, false, vec![entry]))).unwrap();
@@ -1129,7 +1129,7 @@
         assert_eq!(small, 1, "the last to come is among the first to be sent: {:?}", server.received());
         pooler.write_config(&site(json!([share("new"), share("small & sons"), share("large")])));
         pooler.signal("HUP");
-        pooler.wait_log("configuration read again");
+        pooler.wait_for_log("configuration read again");
     }
     drop((open, open_too));
 }
