--- a/crates/operator/src/eval.rs
+++ b/crates/operator/src/eval.rs
@@ -1,36 +1,37 @@
-//! Unification: the schema and the file are put together field by field, defaults are filled in, and what does not fit
-//! is told with the place where the file says it.
+//! Unification of the schema with a file, field by field. Defaults are filled in, and each conflict is reported with its
+//! location in the file.
 
-use crate::syntax::{Expression, Field, Kind, Operator, Presence};
+use crate::syntax::{BoundOperator, Expression, ExpressionKind, Field, Presence};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Definitions that refer to one another go no deeper than this.
-const DEEPEST: usize = 64;
-/// Alternatives that can be left open at once.
-const MOST_OPTIONS: usize = 64;
+/// Maximum depth of nested values, including those inserted by references. It also ends reference cycles.
+const MAX_DEPTH: usize = 64;
+/// Maximum number of alternatives that a value may have after unification.
+const MAX_ALTERNATIVES: usize = 64;
 
-/// A place in a file; line 0 is the file as a whole.
+/// A location in a file. The default, with line 0, stands for the file as a whole.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Location {
-    /// From 1.
+    /// Line, from 1.
     pub line: usize,
-    /// From 1, in characters.
+    /// Column in characters, from 1.
     pub column: usize,
 }
 
 impl Location {
+    /// This location, or `other` if this one is the file as a whole.
     fn or(self, other: Self) -> Self {
         if self == Self::default() { other } else { self }
     }
 }
 
-/// Something that is wrong.
+/// An error in a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Diagnostic {
-    /// Where.
+    /// The location of the error.
     pub location: Location,
-    /// What.
+    /// What is wrong.
     pub message: String,
 }
 
@@ -52,13 +53,13 @@
         }
     }
 
-    fn is(&self, kind: &str) -> bool {
+    fn has_type(&self, name: &str) -> bool {
         match self {
-            Self::Int(_) => matches!(kind, "int" | "number"),
-            Self::Float(_) => matches!(kind, "float" | "number"),
-            Self::Text(_) => kind == "string",
-            Self::Bool(_) => kind == "bool",
-            Self::Null => kind == "null",
+            Self::Int(_) => matches!(name, "int" | "number"),
+            Self::Float(_) => matches!(name, "float" | "number"),
+            Self::Text(_) => name == "string",
+            Self::Bool(_) => name == "bool",
+            Self::Null => name == "null",
         }
     }
 }
@@ -75,385 +76,424 @@
     }
 }
 
-/// What a plain value must keep.
+/// A constraint on a scalar.
 #[derive(Clone, Debug, PartialEq)]
-enum Check {
+enum Constraint {
     Type(String),
-    Bound(Operator, Scalar),
+    Bound(BoundOperator, Scalar),
 }
 
-impl Check {
-    fn holds(&self, value: &Scalar) -> bool {
+impl Constraint {
+    fn accepts(&self, value: &Scalar) -> bool {
         match self {
-            Self::Type(kind) => value.is(kind),
-            Self::Bound(Operator::Not, than) => value != than,
-            Self::Bound(Operator::Matches, Scalar::Text(pattern)) => {
+            Self::Type(name) => value.has_type(name),
+            Self::Bound(BoundOperator::Not, limit) => value != limit,
+            Self::Bound(BoundOperator::Matches, Scalar::Text(pattern)) => {
                 match (value, regex_lite::Regex::new(pattern)) {
                     (Scalar::Text(text), Ok(pattern)) => pattern.is_match(text),
                     _ => false,
                 }
             }
-            Self::Bound(operator, than) => {
-                let order = match (value, than) {
-                    (Scalar::Text(text), Scalar::Text(than)) => Some(text.cmp(than)),
-                    _ => value.number().zip(than.number()).and_then(|(value, than)| value.partial_cmp(&than)),
+            Self::Bound(operator, limit) => {
+                let ordering = match (value, limit) {
+                    (Scalar::Text(text), Scalar::Text(limit)) => Some(text.cmp(limit)),
+                    _ => value
+                        .number()
+                        .zip(limit.number())
+                        .and_then(|(value, limit)| value.partial_cmp(&limit)),
                 };
-                order.is_some_and(|order| match operator {
-                    Operator::AtLeast => order.is_ge(),
-                    Operator::AtMost => order.is_le(),
-                    Operator::Above => order.is_gt(),
-                    _ => order.is_lt(),
+                ordering.is_some_and(|ordering| match operator {
+                    BoundOperator::AtLeast => ordering.is_ge(),
+                    BoundOperator::AtMost => ordering.is_le(),
+                    BoundOperator::Above => ordering.is_gt(),
+                    _ => ordering.is_lt(),
                 })
             }
         }
     }
 }
 
-impl fmt::Display for Check {
+impl fmt::Display for Constraint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Type(kind) => write!(f, "{kind}"),
-            Self::Bound(operator, than) => {
-                let sign = match operator {
-                    Operator::AtLeast => ">=",
-                    Operator::AtMost => "<=",
-                    Operator::Above => ">",
-                    Operator::Below => "<",
-                    Operator::Not => "!=",
-                    Operator::Matches => "=~",
+            Self::Type(name) => write!(f, "{name}"),
+            Self::Bound(operator, limit) => {
+                let symbol = match operator {
+                    BoundOperator::AtLeast => ">=",
+                    BoundOperator::AtMost => "<=",
+                    BoundOperator::Above => ">",
+                    BoundOperator::Below => "<",
+                    BoundOperator::Not => "!=",
+                    BoundOperator::Matches => "=~",
                 };
-                write!(f, "{sign}{than}")
+                write!(f, "{symbol}{limit}")
             }
         }
     }
 }
 
+/// A field of a record, with its value so far.
 #[derive(Clone, Debug)]
-struct Slot {
+struct RecordField {
     presence: Presence,
     value: Value,
-    place: Location,
+    location: Location,
 }
 
+/// What is known of a value.
 #[derive(Clone, Debug)]
 enum Shape {
-    /// Anything.
+    /// Any value, written `_`.
     Top,
-    /// A plain value of which only this is known.
-    Open(Vec<Check>),
-    Plain(Scalar),
+    /// A scalar that is not known yet, with its constraints.
+    Constrained(Vec<Constraint>),
+    Scalar(Scalar),
     Record {
-        fields: BTreeMap<String, Slot>,
+        fields: BTreeMap<String, RecordField>,
         closed: bool,
     },
     List(Vec<Value>),
-    ListOf(Box<Value>),
-    /// One of these, with those that are the default.
-    Either(Vec<(bool, Value)>),
+    /// A list of any length whose elements all match this value.
+    OpenList(Box<Value>),
+    /// One of these alternatives; those with the flag set are defaults.
+    Disjunction(Vec<(bool, Value)>),
 }
 
+/// A value during unification.
 #[derive(Clone, Debug)]
 struct Value {
     shape: Shape,
-    place: Location,
+    location: Location,
 }
 
 impl fmt::Display for Value {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.shape {
             Shape::Top => write!(f, "anything"),
-            Shape::Open(checks) => {
-                let checks: Vec<String> = checks.iter().map(ToString::to_string).collect();
-                write!(f, "{}", checks.join(" & "))
+            Shape::Constrained(constraints) => {
+                let constraints: Vec<String> = constraints.iter().map(ToString::to_string).collect();
+                write!(f, "{}", constraints.join(" & "))
             }
-            Shape::Plain(scalar) => write!(f, "{scalar}"),
+            Shape::Scalar(scalar) => write!(f, "{scalar}"),
             Shape::Record { .. } => write!(f, "a record"),
-            Shape::List(_) | Shape::ListOf(_) => write!(f, "a list"),
-            Shape::Either(options) => {
-                let options: Vec<String> = options.iter().map(|(_, option)| option.to_string()).collect();
-                write!(f, "{}", options.join(" or "))
+            Shape::List(_) | Shape::OpenList(_) => write!(f, "a list"),
+            Shape::Disjunction(alternatives) => {
+                let alternatives: Vec<String> =
+                    alternatives.iter().map(|(_, alternative)| alternative.to_string()).collect();
+                write!(f, "{}", alternatives.join(" or "))
             }
         }
     }
 }
 
-/// A value that is whole, with the places of all its parts.
+/// A complete value, with the locations of all its parts.
 #[derive(Clone, Debug)]
 pub struct Tree {
     pub(crate) value: serde_json::Value,
-    /// By path, such as `registry.servers[0].url`.
-    pub(crate) places: BTreeMap<String, Location>,
+    /// The locations by path, such as `registry.servers[0].url`.
+    pub(crate) locations: BTreeMap<String, Location>,
 }
 
-type Faulty<T> = Result<T, Vec<Diagnostic>>;
+/// A result with all errors found.
+type EvalResult<T> = Result<T, Vec<Diagnostic>>;
 
 impl Tree {
-    /// The value as a type of one's own. Its own faults name no place: what can be said with one belongs into the schema, or
-    /// is told by [`Tree::diagnostic`].
+    /// Deserializes the value as `T`. Errors of this step have no location, so constraints belong in the schema, or are
+    /// checked afterwards and reported with [`Tree::diagnostic`].
     ///
     /// # Errors
     ///
-    /// When the type can't hold it.
+    /// When the value can't be deserialized as `T`.
     pub fn decode<T: serde::de::DeserializeOwned>(&self) -> Result<T, Diagnostic> {
         let value = self.value.clone();
         serde_json::from_value(value)
             .map_err(|error| Diagnostic { location: Location::default(), message: error.to_string() })
     }
 
-    /// What is wrong at a path, with its place.
+    /// An error at a path, with its location.
     #[must_use]
-    pub fn diagnostic(&self, path: &str, what: impl fmt::Display) -> Diagnostic {
-        // A default stands nowhere in the file; the record that it is in does.
-        let mut at = path;
-        let place = loop {
-            match self.places.get(at) {
-                Some(place) if *place != Location::default() => break *place,
-                _ if at.is_empty() => break Location::default(),
-                _ => at = at.rfind(['.', '[']).map_or("", |end| &at[..end]),
+    pub fn diagnostic(&self, path: &str, message: impl fmt::Display) -> Diagnostic {
+        // A default has no location in the file, but the record that contains it may have one.
+        let mut ancestor = path;
+        let location = loop {
+            match self.locations.get(ancestor) {
+                Some(location) if *location != Location::default() => break *location,
+                _ if ancestor.is_empty() => break Location::default(),
+                _ => ancestor = ancestor.rfind(['.', '[']).map_or("", |end| &ancestor[..end]),
             }
         };
-        Diagnostic { location: place, message: format!("'{path}': {what}") }
+        Diagnostic { location, message: format!("'{path}': {message}") }
     }
 }
 
-/// Puts the file together with the schema, both by their fields.
-pub(crate) fn evaluate(schema: &[Field], file: &[Field]) -> Faulty<Tree> {
+/// Unifies the fields of a file with those of the schema.
+pub(crate) fn evaluate(schema: &[Field], file: &[Field]) -> EvalResult<Tree> {
     let mut definitions: BTreeMap<&str, &Field> = BTreeMap::new();
-    let mut faults = Vec::new();
-    for (field, own) in
+    let mut diagnostics = Vec::new();
+    for (field, from_file) in
         schema.iter().map(|field| (field, false)).chain(file.iter().map(|field| (field, true)))
     {
-        if shared(&field.name) && definitions.insert(&field.name, field).is_some() && own {
-            faults.push(Diagnostic {
-                location: field.place,
+        if is_definition_or_hidden(&field.name)
+            && definitions.insert(&field.name, field).is_some()
+            && from_file
+        {
+            diagnostics.push(Diagnostic {
+                location: field.location,
                 message: format!("'{}' is defined already", field.name),
             });
         }
     }
-    if !faults.is_empty() {
-        return Err(faults);
+    if !diagnostics.is_empty() {
+        return Err(diagnostics);
     }
-    // Only what the file says has places; the schema's would mean nothing to who reads the faults.
-    let root = |fields: &[Field], own| {
-        let fields: Vec<&Field> = fields.iter().filter(|field| !shared(&field.name)).collect();
-        Scope { definitions: &definitions, own }.record(&fields, 0, !own)
+    // Only values from the file have locations: a location in the schema would mean nothing to the reader of an error.
+    let root = |fields: &[Field], from_file| {
+        let fields: Vec<&Field> =
+            fields.iter().filter(|field| !is_definition_or_hidden(&field.name)).collect();
+        Evaluator { definitions: &definitions, from_file }.evaluate_record(&fields, 0, !from_file)
     };
-    let (wanted, given) = (root(schema, false)?, root(file, true)?);
-    let whole = unify(&wanted, &given)?;
-    let mut tree = Tree { value: serde_json::Value::Null, places: BTreeMap::new() };
-    tree.value =
-        whole.export(String::new(), Location::default(), &mut tree.places).map_err(|mut faults| {
-            faults.sort();
-            faults
-        })?;
+    let (expected, given) = (root(schema, false)?, root(file, true)?);
+    let unified = unify(&expected, &given)?;
+    let mut tree = Tree { value: serde_json::Value::Null, locations: BTreeMap::new() };
+    tree.value = unified.export(String::new(), Location::default(), &mut tree.locations).map_err(
+        |mut diagnostics| {
+            diagnostics.sort();
+            diagnostics
+        },
+    )?;
     Ok(tree)
 }
 
-/// Whether a field is there to be referred to, and no part of what the file says.
-fn shared(name: &str) -> bool {
+/// Whether a field can only be referred to, and is no part of the file's value.
+fn is_definition_or_hidden(name: &str) -> bool {
     name.starts_with(['#', '_'])
 }
 
-struct Scope<'a> {
+/// Turns expressions into values.
+struct Evaluator<'a> {
     definitions: &'a BTreeMap<&'a str, &'a Field>,
-    own: bool,
+    /// Whether the expressions come from the file. Values from the schema get no location.
+    from_file: bool,
 }
 
-impl Scope<'_> {
-    fn record(&self, fields: &[&Field], depth: usize, closed: bool) -> Faulty<Value> {
-        let mut slots: BTreeMap<String, Slot> = BTreeMap::new();
-        let mut faults = Vec::new();
+impl Evaluator<'_> {
+    fn evaluate_record(&self, fields: &[&Field], depth: usize, closed: bool) -> EvalResult<Value> {
+        let mut record_fields: BTreeMap<String, RecordField> = BTreeMap::new();
+        let mut diagnostics = Vec::new();
         for field in fields {
-            let place = if self.own { field.place } else { Location::default() };
-            if shared(&field.name) {
-                faults.push(Diagnostic {
-                    location: place,
-                    message: "definitions and hidden fields stand at the top of the file".into(),
+            let location = if self.from_file { field.location } else { Location::default() };
+            if is_definition_or_hidden(&field.name) {
+                diagnostics.push(Diagnostic {
+                    location,
+                    message: "definitions and hidden fields are only allowed at the top level of the file"
+                        .into(),
                 });
                 continue;
             }
-            match self.value(&field.value, depth + 1, closed) {
+            match self.evaluate(&field.value, depth + 1, closed) {
                 Ok(value) => {
-                    let slot = Slot { presence: field.presence, value, place };
-                    // In CUE a field that stands twice means both; whoever writes that here has made a mistake.
-                    if slots.insert(field.name.clone(), slot).is_some() {
-                        faults.push(Diagnostic {
-                            location: place,
+                    let record_field = RecordField { presence: field.presence, value, location };
+                    // CUE unifies a repeated field with the first one. Here it is an error, as it is most likely a mistake.
+                    if record_fields.insert(field.name.clone(), record_field).is_some() {
+                        diagnostics.push(Diagnostic {
+                            location,
                             message: format!("'{}' stands here twice", field.name),
                         });
                     }
                 }
-                Err(more) => faults.extend(more),
+                Err(more) => diagnostics.extend(more),
             }
         }
-        let place = fields.first().map_or(Location::default(), |field| field.place);
-        let place = if self.own { place } else { Location::default() };
-        if faults.is_empty() {
-            Ok(Value { shape: Shape::Record { fields: slots, closed }, place })
+        let location = fields.first().map_or(Location::default(), |field| field.location);
+        let location = if self.from_file { location } else { Location::default() };
+        if diagnostics.is_empty() {
+            Ok(Value { shape: Shape::Record { fields: record_fields, closed }, location })
         } else {
-            Err(faults)
+            Err(diagnostics)
         }
     }
 
-    fn value(&self, of: &Expression, depth: usize, closed: bool) -> Faulty<Value> {
-        let place = if self.own { of.place } else { Location::default() };
-        let fault = |what: String| vec![Diagnostic { location: place, message: what }];
-        if depth > DEEPEST {
-            return Err(fault("it refers to itself, or is nested too deeply".into()));
+    fn evaluate(&self, expression: &Expression, depth: usize, closed: bool) -> EvalResult<Value> {
+        let location = if self.from_file { expression.location } else { Location::default() };
+        let error = |message: String| vec![Diagnostic { location, message }];
+        if depth > MAX_DEPTH {
+            return Err(error("it refers to itself, or is nested too deeply".into()));
         }
-        let plain = |scalar| Ok(Value { shape: Shape::Plain(scalar), place });
-        let inner = |one: &Expression| self.value(one, depth + 1, closed);
-        match &of.kind {
-            Kind::Int(number) => plain(Scalar::Int(*number)),
-            Kind::Float(number) => plain(Scalar::Float(*number)),
-            Kind::Text(text) => plain(Scalar::Text(text.clone())),
-            Kind::Bool(flag) => plain(Scalar::Bool(*flag)),
-            Kind::Null => plain(Scalar::Null),
-            Kind::Type(kind) if kind == "_" => Ok(Value { shape: Shape::Top, place }),
-            Kind::Type(kind) => Ok(Value { shape: Shape::Open(vec![Check::Type(kind.clone())]), place }),
-            Kind::Bound(operator, than) => match inner(than)?.shape {
-                Shape::Plain(Scalar::Text(pattern)) if *operator == Operator::Matches => {
-                    if let Err(error) = regex_lite::Regex::new(&pattern) {
-                        return Err(fault(format!("the pattern {pattern:?}: {error}")));
+        let scalar_value = |scalar| Ok(Value { shape: Shape::Scalar(scalar), location });
+        let evaluate_part = |part: &Expression| self.evaluate(part, depth + 1, closed);
+        match &expression.kind {
+            ExpressionKind::Int(number) => scalar_value(Scalar::Int(*number)),
+            ExpressionKind::Float(number) => scalar_value(Scalar::Float(*number)),
+            ExpressionKind::Text(text) => scalar_value(Scalar::Text(text.clone())),
+            ExpressionKind::Bool(flag) => scalar_value(Scalar::Bool(*flag)),
+            ExpressionKind::Null => scalar_value(Scalar::Null),
+            ExpressionKind::Type(name) if name == "_" => Ok(Value { shape: Shape::Top, location }),
+            ExpressionKind::Type(name) => {
+                Ok(Value { shape: Shape::Constrained(vec![Constraint::Type(name.clone())]), location })
+            }
+            ExpressionKind::Bound(operator, limit) => match evaluate_part(limit)?.shape {
+                Shape::Scalar(Scalar::Text(pattern)) if *operator == BoundOperator::Matches => {
+                    if let Err(reason) = regex_lite::Regex::new(&pattern) {
+                        return Err(error(format!("invalid pattern {pattern:?}: {reason}")));
                     }
-                    let check = Check::Bound(*operator, Scalar::Text(pattern));
-                    Ok(Value { shape: Shape::Open(vec![check]), place })
-                }
-                Shape::Plain(than) if *operator != Operator::Matches => {
-                    Ok(Value { shape: Shape::Open(vec![Check::Bound(*operator, than)]), place })
+                    let constraint = Constraint::Bound(*operator, Scalar::Text(pattern));
+                    Ok(Value { shape: Shape::Constrained(vec![constraint]), location })
                 }
-                _ => Err(fault("a bound needs a plain value".into())),
+                Shape::Scalar(limit) if *operator != BoundOperator::Matches => Ok(Value {
+                    shape: Shape::Constrained(vec![Constraint::Bound(*operator, limit)]),
+                    location,
+                }),
+                _ => Err(error("a bound needs a scalar value".into())),
             },
-            Kind::Record(fields) => {
+            ExpressionKind::Record(fields) => {
                 let fields: Vec<&Field> = fields.iter().collect();
-                let mut record = self.record(&fields, depth, closed)?;
-                record.place = place;
+                let mut record = self.evaluate_record(&fields, depth, closed)?;
+                record.location = location;
                 Ok(record)
             }
-            Kind::List(items) => {
-                let items = items.iter().map(inner).collect::<Faulty<Vec<_>>>()?;
-                Ok(Value { shape: Shape::List(items), place })
+            ExpressionKind::List(elements) => {
+                let elements = elements.iter().map(evaluate_part).collect::<EvalResult<Vec<_>>>()?;
+                Ok(Value { shape: Shape::List(elements), location })
+            }
+            ExpressionKind::OpenList(element) => {
+                Ok(Value { shape: Shape::OpenList(Box::new(evaluate_part(element)?)), location })
             }
-            Kind::ListOf(of) => Ok(Value { shape: Shape::ListOf(Box::new(inner(of)?)), place }),
-            Kind::All(parts) => {
-                let mut whole = Value { shape: Shape::Top, place };
+            ExpressionKind::Conjunction(parts) => {
+                let mut unified = Value { shape: Shape::Top, location };
                 for part in parts {
-                    whole = unify(&whole, &inner(part)?)?;
+                    unified = unify(&unified, &evaluate_part(part)?)?;
                 }
-                Ok(whole)
+                Ok(unified)
             }
-            Kind::Any(options) => {
-                let options = options.iter().map(|(star, option)| Ok((*star, inner(option)?)));
-                Ok(Value { shape: Shape::Either(options.collect::<Faulty<_>>()?), place })
+            ExpressionKind::Disjunction(alternatives) => {
+                let alternatives = alternatives
+                    .iter()
+                    .map(|(is_default, alternative)| Ok((*is_default, evaluate_part(alternative)?)));
+                Ok(Value { shape: Shape::Disjunction(alternatives.collect::<EvalResult<_>>()?), location })
             }
-            Kind::Reference(name) => {
+            ExpressionKind::Reference(name) => {
                 let Some(field) = self.definitions.get(name.as_str()) else {
                     let known: Vec<&str> = self.definitions.keys().copied().collect();
-                    return Err(fault(format!("'{name}' is not defined{}", nearest(name, &known))));
+                    return Err(error(format!("'{name}' is not defined{}", suggest_name(name, &known))));
                 };
-                // What a definition holds is closed, wherever it is used; a hidden field is only a name.
-                let mut value = self.value(&field.value, depth + 1, name.starts_with('#'))?;
-                value.place = place;
+                // The value of a definition is closed wherever it is used. A hidden field does not close its value.
+                let mut value = self.evaluate(&field.value, depth + 1, name.starts_with('#'))?;
+                value.location = location;
                 Ok(value)
             }
         }
     }
 }
 
-/// Both at once.
-fn unify(one: &Value, other: &Value) -> Faulty<Value> {
-    let place = other.place.or(one.place);
-    let at = |shape| Ok(Value { shape, place });
-    let clash = || {
-        // Who wants something comes first, what was given second.
-        let (wanted, given) = if one.place == Location::default() { (one, other) } else { (other, one) };
-        Err(vec![Diagnostic { location: place, message: format!("{given} does not fit {wanted}") }])
+/// Combines two values into the one that satisfies both.
+fn unify(one: &Value, other: &Value) -> EvalResult<Value> {
+    let location = other.location.or(one.location);
+    let unified = |shape| Ok(Value { shape, location });
+    let conflict = || {
+        // The value of the schema, which has no location, is named as the expected one.
+        let (expected, given) = if one.location == Location::default() { (one, other) } else { (other, one) };
+        Err(vec![Diagnostic { location, message: format!("{given} does not fit {expected}") }])
     };
     match (&one.shape, &other.shape) {
-        (Shape::Top, shape) | (shape, Shape::Top) => at(shape.clone()),
-        (Shape::Either(options), _) => either(options, other, place, clash),
-        (_, Shape::Either(options)) => either(options, one, place, clash),
-        (Shape::Open(checks), Shape::Open(more)) => {
-            let mut checks = checks.clone();
-            checks.extend(more.iter().filter(|check| !checks.contains(check)).cloned().collect::<Vec<_>>());
-            at(Shape::Open(checks))
+        (Shape::Top, shape) | (shape, Shape::Top) => unified(shape.clone()),
+        (Shape::Disjunction(alternatives), _) => unify_disjunction(alternatives, other, location, conflict),
+        (_, Shape::Disjunction(alternatives)) => unify_disjunction(alternatives, one, location, conflict),
+        (Shape::Constrained(constraints), Shape::Constrained(more)) => {
+            let mut constraints = constraints.clone();
+            constraints.extend(
+                more.iter()
+                    .filter(|constraint| !constraints.contains(constraint))
+                    .cloned()
+                    .collect::<Vec<_>>(),
+            );
+            unified(Shape::Constrained(constraints))
         }
-        (Shape::Open(checks), Shape::Plain(value)) | (Shape::Plain(value), Shape::Open(checks)) => {
-            if checks.iter().all(|check| check.holds(value)) {
-                at(Shape::Plain(value.clone()))
+        (Shape::Constrained(constraints), Shape::Scalar(value))
+        | (Shape::Scalar(value), Shape::Constrained(constraints)) => {
+            if constraints.iter().all(|constraint| constraint.accepts(value)) {
+                unified(Shape::Scalar(value.clone()))
             } else {
-                clash()
+                conflict()
             }
         }
-        (Shape::Plain(value), Shape::Plain(same)) if value == same => at(Shape::Plain(value.clone())),
-        (Shape::ListOf(of), Shape::ListOf(more)) => at(Shape::ListOf(Box::new(unify(of, more)?))),
-        (Shape::ListOf(of), Shape::List(items)) | (Shape::List(items), Shape::ListOf(of)) => {
-            at(Shape::List(all(items.iter().map(|item| unify(of, item)))?))
+        (Shape::Scalar(value), Shape::Scalar(same)) if value == same => unified(Shape::Scalar(value.clone())),
+        (Shape::OpenList(element), Shape::OpenList(more)) => {
+            unified(Shape::OpenList(Box::new(unify(element, more)?)))
         }
-        (Shape::List(items), Shape::List(same)) if items.len() == same.len() => {
-            at(Shape::List(all(items.iter().zip(same).map(|(item, same)| unify(item, same)))?))
+        (Shape::OpenList(element), Shape::List(items)) | (Shape::List(items), Shape::OpenList(element)) => {
+            unified(Shape::List(collect_values(items.iter().map(|item| unify(element, item)))?))
         }
-        (Shape::Record { fields, closed }, Shape::Record { fields: more, closed: too }) => {
-            records((fields, *closed), (more, *too), place)
+        (Shape::List(items), Shape::List(same)) if items.len() == same.len() => unified(Shape::List(
+            collect_values(items.iter().zip(same).map(|(item, same)| unify(item, same)))?,
+        )),
+        (Shape::Record { fields, closed }, Shape::Record { fields: more, closed: other_closed }) => {
+            unify_records((fields, *closed), (more, *other_closed), location)
         }
-        _ => clash(),
+        _ => conflict(),
     }
 }
 
-fn all(values: impl Iterator<Item = Faulty<Value>>) -> Faulty<Vec<Value>> {
-    let (mut whole, mut faults) = (Vec::new(), Vec::new());
+/// Collects the values, or the errors of all that have some.
+fn collect_values(values: impl Iterator<Item = EvalResult<Value>>) -> EvalResult<Vec<Value>> {
+    let (mut collected, mut diagnostics) = (Vec::new(), Vec::new());
     for value in values {
         match value {
-            Ok(value) => whole.push(value),
-            Err(more) => faults.extend(more),
+            Ok(value) => collected.push(value),
+            Err(more) => diagnostics.extend(more),
         }
     }
-    if faults.is_empty() { Ok(whole) } else { Err(faults) }
+    if diagnostics.is_empty() { Ok(collected) } else { Err(diagnostics) }
 }
 
-fn either(
-    options: &[(bool, Value)],
-    with: &Value,
-    place: Location,
-    clash: impl Fn() -> Faulty<Value>,
-) -> Faulty<Value> {
-    let mut left: Vec<(bool, Value)> = Vec::new();
-    let mut why = None;
-    for (star, option) in options {
-        match unify(option, with) {
-            Ok(value) => {
-                // Alternatives on both sides multiply; a default must be one on both.
-                match value.shape {
-                    Shape::Either(inner) => {
-                        left.extend(inner.into_iter().map(|(too, value)| (*star || too, value)))
+/// Unifies each alternative with a value, and keeps those that fit.
+fn unify_disjunction(
+    alternatives: &[(bool, Value)],
+    value: &Value,
+    location: Location,
+    conflict: impl Fn() -> EvalResult<Value>,
+) -> EvalResult<Value> {
+    let mut remaining: Vec<(bool, Value)> = Vec::new();
+    let mut last_error = None;
+    for (is_default, alternative) in alternatives {
+        match unify(alternative, value) {
+            Ok(unified) => {
+                // Alternatives on both sides multiply. A result is a default if it is one on either side.
+                match unified.shape {
+                    Shape::Disjunction(nested) => {
+                        remaining.extend(nested.into_iter().map(|(nested_default, nested_value)| {
+                            (*is_default || nested_default, nested_value)
+                        }))
                     }
-                    shape => left.push((*star, Value { shape, place })),
+                    shape => remaining.push((*is_default, Value { shape, location })),
                 }
             }
-            Err(faults) => why = Some(faults),
+            Err(diagnostics) => last_error = Some(diagnostics),
         }
     }
-    if left.len() > MOST_OPTIONS {
+    if remaining.len() > MAX_ALTERNATIVES {
         return Err(vec![Diagnostic {
-            location: place,
-            message: format!("more than {MOST_OPTIONS} alternatives"),
+            location,
+            message: format!("more than {MAX_ALTERNATIVES} alternatives"),
         }]);
     }
-    match (left.len(), why) {
-        (0, Some(why)) if matches!(with.shape, Shape::Record { .. } | Shape::List(_)) => Err(why),
-        (0, _) => clash(),
-        (1, _) => Ok(left.remove(0).1),
-        _ => Ok(Value { shape: Shape::Either(left), place }),
+    match (remaining.len(), last_error) {
+        (0, Some(last_error)) if matches!(value.shape, Shape::Record { .. } | Shape::List(_)) => {
+            Err(last_error)
+        }
+        (0, _) => conflict(),
+        (1, _) => Ok(remaining.remove(0).1),
+        _ => Ok(Value { shape: Shape::Disjunction(remaining), location }),
     }
 }
 
-fn records(
-    (one, closed): (&BTreeMap<String, Slot>, bool),
-    (other, too): (&BTreeMap<String, Slot>, bool),
-    place: Location,
-) -> Faulty<Value> {
+/// Unifies two records field by field. A closed record accepts no other fields than its own.
+fn unify_records(
+    (one, closed): (&BTreeMap<String, RecordField>, bool),
+    (other, other_closed): (&BTreeMap<String, RecordField>, bool),
+    location: Location,
+) -> EvalResult<Value> {
     let mut fields = BTreeMap::new();
-    let mut faults = Vec::new();
+    let mut diagnostics = Vec::new();
     let names: std::collections::BTreeSet<&String> = one.keys().chain(other.keys()).collect();
     for name in names {
         match (one.get(name), other.get(name)) {
@@ -464,122 +504,134 @@
                         (Presence::Required, _) | (_, Presence::Required) => Presence::Required,
                         _ => Presence::Optional,
                     };
-                    fields.insert(name.clone(), Slot { presence, value, place: b.place.or(a.place) });
+                    fields.insert(
+                        name.clone(),
+                        RecordField { presence, value, location: b.location.or(a.location) },
+                    );
                 }
                 Err(more) => {
-                    let place = b.place.or(a.place);
-                    faults.extend(more.into_iter().map(|fault| {
-                        let what = if fault.location == Location::default()
-                            || fault.location >= place && !fault.message.contains('\'')
+                    let location = b.location.or(a.location);
+                    diagnostics.extend(more.into_iter().map(|diagnostic| {
+                        let message = if diagnostic.location == Location::default()
+                            || diagnostic.location >= location && !diagnostic.message.contains('\'')
                         {
-                            format!("'{name}': {}", fault.message)
+                            format!("'{name}': {}", diagnostic.message)
                         } else {
-                            fault.message
+                            diagnostic.message
                         };
-                        Diagnostic { location: fault.location.or(place), message: what }
+                        Diagnostic { location: diagnostic.location.or(location), message }
                     }));
                 }
             },
-            (Some(slot), None) if !too => drop(fields.insert(name.clone(), slot.clone())),
-            (None, Some(slot)) if !closed => drop(fields.insert(name.clone(), slot.clone())),
-            // What may be left out has been.
-            (Some(slot), None) | (None, Some(slot)) if slot.presence == Presence::Optional => {}
-            (Some(slot), None) | (None, Some(slot)) => {
+            (Some(field), None) if !other_closed => drop(fields.insert(name.clone(), field.clone())),
+            (None, Some(field)) if !closed => drop(fields.insert(name.clone(), field.clone())),
+            // An optional field that the other, closed record does not have is left out.
+            (Some(field), None) | (None, Some(field)) if field.presence == Presence::Optional => {}
+            (Some(field), None) | (None, Some(field)) => {
                 let known: Vec<&str> = if closed { one } else { other }.keys().map(String::as_str).collect();
-                let what = format!("there is no field '{name}' here{}", nearest(name, &known));
-                faults.push(Diagnostic { location: slot.place, message: what });
+                let message = format!("there is no field '{name}' here{}", suggest_name(name, &known));
+                diagnostics.push(Diagnostic { location: field.location, message });
             }
             (None, None) => {}
         }
     }
-    if faults.is_empty() {
-        Ok(Value { shape: Shape::Record { fields, closed: closed || too }, place })
+    if diagnostics.is_empty() {
+        Ok(Value { shape: Shape::Record { fields, closed: closed || other_closed }, location })
     } else {
-        Err(faults)
+        Err(diagnostics)
     }
 }
 
-/// The known name that is nearest, if one is near.
-fn nearest(name: &str, known: &[&str]) -> String {
-    let near = known.iter().map(|known| (distance(name, known), known)).min();
-    near.filter(|(distance, known)| *distance <= 2.max(known.len() / 4))
+/// A suggestion for the known name that is most similar, or nothing if none is similar enough.
+fn suggest_name(name: &str, known: &[&str]) -> String {
+    let candidate = known.iter().map(|known| (edit_distance(name, known), known)).min();
+    candidate
+        .filter(|(distance, known)| *distance <= 2.max(known.len() / 4))
         .map_or(String::new(), |(_, known)| format!("; is '{known}' meant?"))
 }
 
-fn distance(one: &str, other: &str) -> usize {
+/// Levenshtein distance, over the first 64 characters of `one`.
+fn edit_distance(one: &str, other: &str) -> usize {
     let other: Vec<char> = other.chars().collect();
     let mut row: Vec<usize> = (0..=other.len()).collect();
     for (i, a) in one.chars().take(64).enumerate() {
-        let mut before = std::mem::replace(&mut row[0], i + 1);
+        let mut diagonal = std::mem::replace(&mut row[0], i + 1);
         for (j, b) in other.iter().enumerate() {
-            let change = before + usize::from(a != *b);
-            before = row[j + 1];
-            row[j + 1] = change.min(row[j] + 1).min(before + 1);
+            let substitution = diagonal + usize::from(a != *b);
+            diagonal = row[j + 1];
+            row[j + 1] = substitution.min(row[j] + 1).min(diagonal + 1);
         }
     }
     row[other.len()]
 }
 
 impl Value {
-    /// The value, once all that is open has its default.
+    /// Converts the value to JSON with its defaults filled in, and records the location of each part.
     fn export(
         &self,
         path: String,
         parent: Location,
-        places: &mut BTreeMap<String, Location>,
-    ) -> Faulty<serde_json::Value> {
+        locations: &mut BTreeMap<String, Location>,
+    ) -> EvalResult<serde_json::Value> {
         use serde_json::Value as Json;
-        let place = self.place.or(parent);
-        let fault = |what: String| vec![Diagnostic { location: place, message: what }];
+        let location = self.location.or(parent);
+        let error = |message: String| vec![Diagnostic { location, message }];
         let value = match &self.shape {
-            Shape::Plain(Scalar::Int(number)) => Json::from(*number),
-            Shape::Plain(Scalar::Float(number)) => Json::from(*number),
-            Shape::Plain(Scalar::Text(text)) => Json::from(text.as_str()),
-            Shape::Plain(Scalar::Bool(flag)) => Json::from(*flag),
-            Shape::Plain(Scalar::Null) => Json::Null,
-            Shape::Top | Shape::Open(_) => return Err(fault(format!("'{path}' needs a value: {self}"))),
-            Shape::Either(options) => {
-                let defaults: Vec<&Value> =
-                    options.iter().filter(|(star, _)| *star).map(|(_, v)| v).collect();
+            Shape::Scalar(Scalar::Int(number)) => Json::from(*number),
+            Shape::Scalar(Scalar::Float(number)) => Json::from(*number),
+            Shape::Scalar(Scalar::Text(text)) => Json::from(text.as_str()),
+            Shape::Scalar(Scalar::Bool(flag)) => Json::from(*flag),
+            Shape::Scalar(Scalar::Null) => Json::Null,
+            Shape::Top | Shape::Constrained(_) => {
+                return Err(error(format!("'{path}' needs a value: {self}")));
+            }
+            Shape::Disjunction(alternatives) => {
+                let defaults: Vec<&Value> = alternatives
+                    .iter()
+                    .filter(|(is_default, _)| *is_default)
+                    .map(|(_, value)| value)
+                    .collect();
                 match defaults.as_slice() {
-                    [only] => return only.export(path, place, places),
-                    _ => return Err(fault(format!("'{path}' needs a value: {self}"))),
+                    [default] => return default.export(path, location, locations),
+                    _ => return Err(error(format!("'{path}' needs a value: {self}"))),
                 }
             }
-            Shape::ListOf(_) => Json::Array(Vec::new()),
+            Shape::OpenList(_) => Json::Array(Vec::new()),
             Shape::List(items) => {
-                let (mut out, mut faults) = (Vec::new(), Vec::new());
-                for (at, item) in items.iter().enumerate() {
-                    match item.export(format!("{path}[{at}]"), place, places) {
-                        Ok(value) => out.push(value),
-                        Err(more) => faults.extend(more),
+                let (mut exported, mut diagnostics) = (Vec::new(), Vec::new());
+                for (index, item) in items.iter().enumerate() {
+                    match item.export(format!("{path}[{index}]"), location, locations) {
+                        Ok(value) => exported.push(value),
+                        Err(more) => diagnostics.extend(more),
                     }
                 }
-                if !faults.is_empty() {
-                    return Err(faults);
+                if !diagnostics.is_empty() {
+                    return Err(diagnostics);
                 }
-                Json::Array(out)
+                Json::Array(exported)
             }
             Shape::Record { fields, .. } => {
-                let (mut out, mut faults) = (serde_json::Map::new(), Vec::new());
-                for (name, slot) in fields {
-                    let below = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
-                    match slot.presence {
+                let (mut exported, mut diagnostics) = (serde_json::Map::new(), Vec::new());
+                for (name, field) in fields {
+                    let field_path = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
+                    match field.presence {
                         Presence::Optional => {}
-                        Presence::Required => faults.extend(fault(format!("'{below}' is missing"))),
-                        Presence::Regular => match slot.value.export(below, slot.place.or(place), places) {
-                            Ok(value) => drop(out.insert(name.clone(), value)),
-                            Err(more) => faults.extend(more),
-                        },
+                        Presence::Required => diagnostics.extend(error(format!("'{field_path}' is missing"))),
+                        Presence::Regular => {
+                            match field.value.export(field_path, field.location.or(location), locations) {
+                                Ok(value) => drop(exported.insert(name.clone(), value)),
+                                Err(more) => diagnostics.extend(more),
+                            }
+                        }
                     }
                 }
-                if !faults.is_empty() {
-                    return Err(faults);
+                if !diagnostics.is_empty() {
+                    return Err(diagnostics);
                 }
-                Json::Object(out)
+                Json::Object(exported)
             }
         };
-        places.insert(path, place);
+        locations.insert(path, location);
         Ok(value)
     }
 }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,6 +1,6 @@
-//! The operator's file: what this installation wants beside what the platform configures. It is written in a strict
-//! subset of CUE and unified with a schema that is part of the program; each fault is told with its place, and a file
-//! with a fault changes nothing.
+//! The operator's file: settings of this installation in addition to the platform's configuration. It is written in a
+//! strict subset of CUE and unified with a schema that is part of the program. Each error is reported with its location,
+//! and a file with an error has no effect at all.
 
 mod eval;
 mod syntax;
@@ -13,18 +13,18 @@
     Task, WorkSettings,
 };
 
-/// The schema, for people to read and for `linnetdeal check --schema`.
+/// The schema of the operator's file, as printed by `linnetdeal check --schema`.
 pub const SCHEMA: &str = include_str!("schema.cue");
 
-/// A file longer than this is not read.
+/// Maximum size of a file in bytes; a larger file is rejected.
 pub const MAX_FILE_BYTES: usize = 256 * 1024;
 
-/// Why a file can't be used: all that is wrong with it.
+/// Why a file can't be used: all errors in it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostics {
-    /// Its name.
+    /// The file's name.
     pub file: String,
-    /// What is wrong, in the order of the places.
+    /// The errors, in the order of their locations.
     pub diagnostics: Vec<Diagnostic>,
 }
 
@@ -32,12 +32,12 @@
 
 impl std::fmt::Display for Diagnostics {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        for (at, fault) in self.diagnostics.iter().enumerate() {
-            let end = if at + 1 < self.diagnostics.len() { "\n" } else { "" };
+        for (index, diagnostic) in self.diagnostics.iter().enumerate() {
+            let end = if index + 1 < self.diagnostics.len() { "\n" } else { "" };
             write!(
                 f,
                 "{}:{}:{}: {}{end}",
-                self.file, fault.location.line, fault.location.column, fault.message
+                self.file, diagnostic.location.line, diagnostic.location.column, diagnostic.message
             )?;
         }
         Ok(())
@@ -49,45 +49,46 @@
     ///
     /// # Errors
     ///
-    /// When it can't be read, or something in it is wrong.
+    /// When the file can't be read, or has errors.
     pub fn load(path: &std::path::Path) -> Result<Self, Diagnostics> {
         let name = path.display().to_string();
         match std::fs::read(path) {
             Ok(bytes) => Self::decode(&name, &bytes),
             Err(error) => {
-                let fault = Diagnostic { location: Location::default(), message: error.to_string() };
-                Err(Diagnostics { file: name, diagnostics: vec![fault] })
+                let diagnostic = Diagnostic { location: Location::default(), message: error.to_string() };
+                Err(Diagnostics { file: name, diagnostics: vec![diagnostic] })
             }
         }
     }
 
-    /// Decodes a file's text; `name` is the file's, for its faults.
+    /// Decodes a file's text. `name` is the file's name, used in error messages.
     ///
     /// # Errors
     ///
-    /// When something in it is wrong.
+    /// When the text has errors.
     pub fn decode(name: &str, bytes: &[u8]) -> Result<Self, Diagnostics> {
         let tree = unify(SCHEMA, name, bytes)?;
-        typed::decode(&tree).map_err(|faults| Diagnostics { file: name.to_owned(), diagnostics: faults })
+        typed::decode(&tree).map_err(|diagnostics| Diagnostics { file: name.to_owned(), diagnostics })
     }
 }
 
-/// Puts a file's text together with a schema of one's own; `name` is the file's, for its faults.
+/// Unifies a file's text with any schema. `name` is the file's name, used in error messages.
 ///
 /// # Errors
 ///
-/// When something in it is wrong.
+/// When the text has errors, or does not conform to the schema.
 pub fn unify(schema: &str, name: &str, bytes: &[u8]) -> Result<Tree, Diagnostics> {
-    let faults = |mut faults: Vec<Diagnostic>| {
-        faults.sort();
-        Diagnostics { file: name.to_owned(), diagnostics: faults }
+    let failure = |mut diagnostics: Vec<Diagnostic>| {
+        diagnostics.sort();
+        Diagnostics { file: name.to_owned(), diagnostics }
     };
-    let single = |what: String| faults(vec![Diagnostic { location: Location::default(), message: what }]);
+    let file_error = |message: String| failure(vec![Diagnostic { location: Location::default(), message }]);
     if bytes.len() > MAX_FILE_BYTES {
-        return Err(single(format!("longer than {MAX_FILE_BYTES} bytes")));
+        return Err(file_error(format!("longer than {MAX_FILE_BYTES} bytes")));
     }
-    let text = std::str::from_utf8(bytes).map_err(|error| single(format!("no UTF-8: {error}")))?;
-    let schema = syntax::parse(schema).map_err(|fault| single(format!("the schema: {}", fault.message)))?;
-    let file = syntax::parse(text).map_err(|fault| faults(vec![fault]))?;
-    eval::evaluate(&schema, &file).map_err(&faults)
+    let text = std::str::from_utf8(bytes).map_err(|error| file_error(format!("not valid UTF-8: {error}")))?;
+    let schema = syntax::parse(schema)
+        .map_err(|diagnostic| file_error(format!("the schema: {}", diagnostic.message)))?;
+    let file = syntax::parse(text).map_err(|diagnostic| failure(vec![diagnostic]))?;
+    eval::evaluate(&schema, &file).map_err(&failure)
 }
--- a/crates/operator/src/syntax.rs
+++ b/crates/operator/src/syntax.rs
@@ -1,4 +1,4 @@
-//! From text to the parts of a file, each with its place.
+//! The parser: turns a text into fields and expressions, each with its location.
 
 use crate::eval::{Diagnostic, Location};
 use pest::Parser;
@@ -8,25 +8,26 @@
 #[grammar = "cue.pest"]
 struct Grammar;
 
-/// Records, lists and brackets in one another no deeper than this.
-const DEEPEST: usize = 32;
+/// Maximum nesting depth of records, lists and parentheses.
+const MAX_NESTING: usize = 32;
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Expression {
-    pub(crate) kind: Kind,
-    pub(crate) place: Location,
+    pub(crate) kind: ExpressionKind,
+    pub(crate) location: Location,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Kind {
-    /// One of these; those with the flag are the default.
-    Any(Vec<(bool, Expression)>),
+pub(crate) enum ExpressionKind {
+    /// One of these alternatives; those with the flag set are defaults.
+    Disjunction(Vec<(bool, Expression)>),
     /// All of these at once.
-    All(Vec<Expression>),
+    Conjunction(Vec<Expression>),
     Record(Vec<Field>),
     List(Vec<Expression>),
-    ListOf(Box<Expression>),
-    Bound(Operator, Box<Expression>),
+    /// A list of any length whose elements all match this expression.
+    OpenList(Box<Expression>),
+    Bound(BoundOperator, Box<Expression>),
     Int(i64),
     Float(f64),
     Text(String),
@@ -37,20 +38,26 @@
     Reference(String),
 }
 
+/// The comparison of a bound, such as `>=` in `>=0`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Operator {
+pub(crate) enum BoundOperator {
     AtLeast,
     AtMost,
     Above,
     Below,
     Not,
+    /// `=~`, a match with a regular expression.
     Matches,
 }
 
+/// How a field is declared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Presence {
+    /// `name: value`
     Regular,
+    /// `name?: value`
     Optional,
+    /// `name!: value`
     Required,
 }
 
@@ -59,113 +66,116 @@
     pub(crate) name: String,
     pub(crate) presence: Presence,
     pub(crate) value: Expression,
-    pub(crate) place: Location,
+    pub(crate) location: Location,
 }
 
-/// The fields of a file, definitions with their `#`.
+/// Parses a text into its top-level fields. The names of definitions keep their `#`.
 pub(crate) fn parse(text: &str) -> Result<Vec<Field>, Diagnostic> {
-    if let Some(place) = too_deep(text) {
-        return Err(Diagnostic { location: place, message: format!("nested more than {DEEPEST} deep") });
+    if let Some(location) = find_excess_nesting(text) {
+        return Err(Diagnostic { location, message: format!("nested more than {MAX_NESTING} levels deep") });
     }
     let mut parsed = Grammar::parse(Rule::file, text).map_err(|error| {
         let (line, column) = match error.line_col {
-            pest::error::LineColLocation::Pos(at) | pest::error::LineColLocation::Span(at, _) => at,
+            pest::error::LineColLocation::Pos(start) | pest::error::LineColLocation::Span(start, _) => start,
         };
-        let what = match &error.variant {
+        let message = match &error.variant {
             pest::error::ErrorVariant::ParsingError { positives, .. } => {
-                let mut names: Vec<&str> = positives.iter().map(spoken).collect();
-                names.sort_unstable();
-                names.dedup();
-                format!("expected {}", names.join(" or "))
+                let mut expected: Vec<&str> = positives.iter().map(describe_rule).collect();
+                expected.sort_unstable();
+                expected.dedup();
+                format!("expected {}", expected.join(" or "))
             }
             pest::error::ErrorVariant::CustomError { message } => message.clone(),
         };
-        Diagnostic { location: Location { line, column }, message: what }
+        Diagnostic { location: Location { line, column }, message }
     })?;
     let file = parsed.next().map(Pair::into_inner);
     file.into_iter().flatten().filter(|pair| pair.as_rule() == Rule::field).map(field).collect()
 }
 
-/// The parser goes down with each bracket, so that these are counted first.
-fn too_deep(text: &str) -> Option<Location> {
-    let (mut depth, mut quoted, mut escaped, mut comment) = (0_usize, false, false, false);
+/// Finds where brackets are nested too deeply. This is checked before parsing, because the parser recurses with each
+/// bracket and would overflow the stack.
+fn find_excess_nesting(text: &str) -> Option<Location> {
+    let (mut depth, mut in_string, mut escaped, mut in_comment) = (0_usize, false, false, false);
     let (mut line, mut column) = (1, 0);
-    for letter in text.chars() {
+    for character in text.chars() {
         column += 1;
-        match letter {
+        match character {
             '\n' => {
-                (quoted, comment, escaped) = (false, false, false);
+                (in_string, in_comment, escaped) = (false, false, false);
                 line += 1;
                 column = 0;
             }
-            _ if comment => {}
+            _ if in_comment => {}
             _ if escaped => escaped = false,
-            '\\' if quoted => escaped = true,
-            '"' => quoted = !quoted,
-            _ if quoted => {}
+            '\\' if in_string => escaped = true,
+            '"' => in_string = !in_string,
+            _ if in_string => {}
             '/' => {
-                comment = text.lines().nth(line - 1).is_some_and(|text| text.chars().nth(column) == Some('/'))
+                in_comment =
+                    text.lines().nth(line - 1).is_some_and(|text| text.chars().nth(column) == Some('/'))
             }
             '{' | '[' | '(' => depth += 1,
             '}' | ']' | ')' => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > DEEPEST {
+        if depth > MAX_NESTING {
             return Some(Location { line, column });
         }
     }
     None
 }
 
-fn spoken(rule: &Rule) -> &'static str {
+fn describe_rule(rule: &Rule) -> &'static str {
     match rule {
         Rule::field | Rule::label => "a field",
         Rule::expression | Rule::alternative | Rule::conjunct | Rule::elements => "a value",
         Rule::record => "a record",
         Rule::list => "a list",
         Rule::number => "a number",
-        Rule::string | Rule::inner => "text in quotes",
+        Rule::string | Rule::string_content => "a quoted string",
         Rule::identifier | Rule::definition | Rule::reference => "a name",
-        Rule::mark => "':', '?:' or '!:'",
+        Rule::presence_mark => "':', '?:' or '!:'",
         Rule::EOI => "the end of the file",
-        Rule::operator | Rule::bound => "a bound",
-        Rule::escape => "an escape that is known",
+        Rule::bound_operator | Rule::bound => "a bound",
+        Rule::escape => "a known escape sequence",
         _ => "something else",
     }
 }
 
-fn place(pair: &Pair<'_, Rule>) -> Location {
+fn location(pair: &Pair<'_, Rule>) -> Location {
     let (line, column) = pair.line_col();
     Location { line, column }
 }
 
 fn field(pair: Pair<'_, Rule>) -> Result<Field, Diagnostic> {
-    let place = place(&pair);
+    let location = location(&pair);
     let (mut name, mut presence, mut value) = (String::new(), Presence::Regular, None);
     for part in pair.into_inner() {
         match part.as_rule() {
             Rule::label => {
                 let inner = part.clone().into_inner().next();
                 name = match inner {
-                    Some(inner) if inner.as_rule() == Rule::string => text(&inner),
+                    Some(inner) if inner.as_rule() == Rule::string => unescape(&inner),
                     _ => part.as_str().trim().to_owned(),
                 };
             }
-            Rule::mark if part.as_str() == "?" => presence = Presence::Optional,
-            Rule::mark => presence = Presence::Required,
+            Rule::presence_mark if part.as_str() == "?" => presence = Presence::Optional,
+            Rule::presence_mark => presence = Presence::Required,
             _ => value = Some(expression(part)?),
         }
     }
-    let value = value.ok_or(Diagnostic { location: place, message: "a field without a value".into() })?;
-    Ok(Field { name, presence, value, place })
+    let value = value.ok_or(Diagnostic { location, message: "field without a value".into() })?;
+    Ok(Field { name, presence, value, location })
 }
 
-fn text(pair: &Pair<'_, Rule>) -> String {
+/// The content of a string, with its escape sequences replaced.
+fn unescape(pair: &Pair<'_, Rule>) -> String {
     let inner = pair.clone().into_inner().next().map_or("", |inner| inner.as_str());
-    let (mut out, mut letters) = (String::with_capacity(inner.len()), inner.chars());
-    while let Some(letter) = letters.next() {
-        out.push(match letter {
-            '\\' => match letters.next() {
+    let (mut out, mut characters) = (String::with_capacity(inner.len()), inner.chars());
+    while let Some(character) = characters.next() {
+        out.push(match character {
+            '\\' => match characters.next() {
                 Some('n') => '\n',
                 Some('t') => '\t',
                 Some('r') => '\r',
@@ -178,78 +188,83 @@
 }
 
 fn expression(pair: Pair<'_, Rule>) -> Result<Expression, Diagnostic> {
-    let place = place(&pair);
+    let location = location(&pair);
     let rule = pair.as_rule();
-    let written = pair.as_str();
+    let source = pair.as_str();
     let kind = match rule {
         Rule::expression => {
-            let mut options = Vec::new();
-            for one in pair.into_inner() {
-                let star = one.clone().into_inner().next().is_some_and(|part| part.as_rule() == Rule::star);
-                options.push((star, expression(one)?));
+            let mut alternatives = Vec::new();
+            for alternative in pair.into_inner() {
+                let is_default = alternative
+                    .clone()
+                    .into_inner()
+                    .next()
+                    .is_some_and(|part| part.as_rule() == Rule::default_mark);
+                alternatives.push((is_default, expression(alternative)?));
             }
-            match <[_; 1]>::try_from(options) {
+            match <[_; 1]>::try_from(alternatives) {
                 Ok([(_, only)]) => return Ok(only),
-                Err(options) => Kind::Any(options),
+                Err(alternatives) => ExpressionKind::Disjunction(alternatives),
             }
         }
         Rule::alternative => {
-            let parts = pair.into_inner().filter(|part| part.as_rule() != Rule::star);
+            let parts = pair.into_inner().filter(|part| part.as_rule() != Rule::default_mark);
             let parts = parts.map(expression).collect::<Result<Vec<_>, _>>()?;
             match <[_; 1]>::try_from(parts) {
                 Ok([only]) => return Ok(only),
-                Err(parts) => Kind::All(parts),
+                Err(parts) => ExpressionKind::Conjunction(parts),
             }
         }
         Rule::conjunct => {
-            let what = Diagnostic { location: place, message: "a value that is empty".into() };
-            return expression(pair.into_inner().next().ok_or(what)?);
+            let error = Diagnostic { location, message: "empty value".into() };
+            return expression(pair.into_inner().next().ok_or(error)?);
         }
-        Rule::record => Kind::Record(pair.into_inner().map(field).collect::<Result<_, _>>()?),
+        Rule::record => ExpressionKind::Record(pair.into_inner().map(field).collect::<Result<_, _>>()?),
         Rule::list => match pair.into_inner().next() {
-            None => Kind::List(Vec::new()),
-            Some(inner) if inner.as_rule() == Rule::open => {
-                let of = inner
+            None => ExpressionKind::List(Vec::new()),
+            Some(inner) if inner.as_rule() == Rule::open_list => {
+                let element = inner
                     .into_inner()
                     .next()
-                    .ok_or(Diagnostic { location: place, message: "a list of nothing".into() })?;
-                Kind::ListOf(Box::new(expression(of)?))
+                    .ok_or(Diagnostic { location, message: "list without an element type".into() })?;
+                ExpressionKind::OpenList(Box::new(expression(element)?))
+            }
+            Some(inner) => {
+                ExpressionKind::List(inner.into_inner().map(expression).collect::<Result<_, _>>()?)
             }
-            Some(inner) => Kind::List(inner.into_inner().map(expression).collect::<Result<_, _>>()?),
         },
         Rule::bound => {
             let mut parts = pair.into_inner();
             let operator = match parts.next().map(|part| part.as_str()) {
-                Some(">=") => Operator::AtLeast,
-                Some("<=") => Operator::AtMost,
-                Some(">") => Operator::Above,
-                Some("<") => Operator::Below,
-                Some("!=") => Operator::Not,
-                _ => Operator::Matches,
+                Some(">=") => BoundOperator::AtLeast,
+                Some("<=") => BoundOperator::AtMost,
+                Some(">") => BoundOperator::Above,
+                Some("<") => BoundOperator::Below,
+                Some("!=") => BoundOperator::Not,
+                _ => BoundOperator::Matches,
             };
-            let of = parts
-                .next()
-                .ok_or(Diagnostic { location: place, message: "a bound without a value".into() })?;
-            Kind::Bound(operator, Box::new(expression(of)?))
+            let limit =
+                parts.next().ok_or(Diagnostic { location, message: "bound without a value".into() })?;
+            ExpressionKind::Bound(operator, Box::new(expression(limit)?))
         }
         Rule::number => {
-            let digits = written.replace('_', "");
-            let odd =
-                |_| Diagnostic { location: place, message: format!("'{written}' is no number that fits") };
+            let digits = source.replace('_', "");
+            let out_of_range =
+                |_| Diagnostic { location, message: format!("number '{source}' is out of range") };
             if digits.contains('.') {
-                Kind::Float(digits.parse().map_err(|_| odd(()))?)
+                ExpressionKind::Float(digits.parse().map_err(|_| out_of_range(()))?)
             } else {
-                Kind::Int(digits.parse().map_err(|_| odd(()))?)
+                ExpressionKind::Int(digits.parse().map_err(|_| out_of_range(()))?)
             }
         }
-        Rule::string => Kind::Text(text(&pair)),
-        Rule::word => match written {
-            "true" => Kind::Bool(true),
-            "false" => Kind::Bool(false),
-            "null" => Kind::Null,
-            other => Kind::Type(other.to_owned()),
+        Rule::string => ExpressionKind::Text(unescape(&pair)),
+        Rule::keyword => match source {
+            "true" => ExpressionKind::Bool(true),
+            "false" => ExpressionKind::Bool(false),
+            "null" => ExpressionKind::Null,
+            other => ExpressionKind::Type(other.to_owned()),
         },
-        _ => Kind::Reference(written.trim().to_owned()),
+        _ => ExpressionKind::Reference(source.trim().to_owned()),
     };
-    Ok(Expression { kind, place })
+    Ok(Expression { kind, location })
 }
