--- a/crates/lab/src/leases/proof.rs
+++ b/crates/lab/src/leases/proof.rs
@@ -6,7 +6,7 @@
 use super::script::Script;
 use crate::at_once;
 use crate::processes::process;
-use crate::processes::records::{plays, quantile};
+use crate::processes::records::{quantile, script_runs};
 use linnetdeal_coordination::lease::FullLeaseRules;
 use serde_json::json;
 use std::fmt::Display;
@@ -49,7 +49,7 @@
 ) -> Result<bool, Box<dyn std::error::Error + Send + Sync>> {
     let mut scripts = Script::folder(&wanted.folder)?;
     scripts.retain(|script| wanted.only.as_ref().is_none_or(|only| script.name.contains(only)));
-    let plays = plays(scripts.len(), wanted.times);
+    let plays = script_runs(scripts.len(), wanted.times);
     let outcomes = at_once(&plays, wanted.side_by_side, |(at, seed)| {
         play(&scripts[*at], scripts[*at].seed * 1_000 + seed, &wanted.program)
     });
--- a/crates/lab/src/leases/script.rs
+++ b/crates/lab/src/leases/script.rs
@@ -201,7 +201,7 @@
     /// # Errors
     ///
     /// When one can't be read, or something in it is wrong.
-    pub fn folder(folder: &Path) -> Result<Vec<Self>, records::Failure> {
-        records::folder(folder, |name, bytes| Ok(Self::decode(name, bytes)?))
+    pub fn folder(folder: &Path) -> Result<Vec<Self>, records::ScriptError> {
+        records::read_folder(folder, |name, bytes| Ok(Self::decode(name, bytes)?))
     }
 }
--- a/crates/lab/src/processes/records.rs
+++ b/crates/lab/src/processes/records.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Why a script can't be read or run.
-pub type Failure = Box<dyn std::error::Error + Send + Sync>;
+pub type ScriptError = Box<dyn std::error::Error + Send + Sync>;
 
 /// Deserializes a duration, written in `ms` or `s`.
 ///
@@ -25,10 +25,10 @@
 /// # Errors
 ///
 /// When a file can't be read, or `decode` rejects it.
-pub fn folder<T>(
+pub fn read_folder<T>(
     folder: &Path,
-    decode: impl Fn(&str, &[u8]) -> Result<T, Failure>,
-) -> Result<Vec<T>, Failure> {
+    decode: impl Fn(&str, &[u8]) -> Result<T, ScriptError>,
+) -> Result<Vec<T>, ScriptError> {
     let mut files: Vec<_> =
         std::fs::read_dir(folder)?.map(|entry| entry.map(|entry| entry.path())).collect::<Result<_, _>>()?;
     files.retain(|path| path.extension().is_some_and(|suffix| suffix == "cue"));
@@ -38,7 +38,7 @@
 
 /// All scripts `times` times, each as the script's index and a seed.
 #[must_use]
-pub fn plays(scripts: usize, times: u64) -> Vec<(usize, u64)> {
+pub fn script_runs(scripts: usize, times: u64) -> Vec<(usize, u64)> {
     (1..=times).flat_map(|seed| (0..scripts).map(move |script| (script, seed))).collect()
 }
 
--- a/crates/lab/src/processes/relay.rs
+++ b/crates/lab/src/processes/relay.rs
@@ -15,7 +15,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The poolers send no longer datagrams; longer ones are truncated here.
+/// The poolers send no longer datagrams; longer ones are truncated here, and so rejected by the receiver.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 /// A duplicated datagram arrives again after up to this time.
 const MAX_DUPLICATE_DELAY_MS: u32 = 1_500;
@@ -93,7 +93,7 @@
 }
 
 impl Relay {
-    /// Starts a relay between poolers that listen at these addresses, for the pairs that `between` selects. Each
+    /// Starts a relay between poolers that listen at these addresses, for the pairs that `relayed` selects. Each
     /// pooler has a second address for a duplicate process of the same name: a datagram for one of them is
     /// delivered to both, and datagrams from both are relayed as from one pooler.
     ///
@@ -103,12 +103,12 @@
     pub fn start(
         listen: &[[SocketAddr; 2]],
         seed: u64,
-        between: impl Fn(usize, usize) -> bool,
+        relayed: impl Fn(usize, usize) -> bool,
     ) -> std::io::Result<Self> {
         let mut sockets = BTreeMap::new();
         let mut addresses = BTreeMap::new();
         for from in 0..listen.len() {
-            for to in (0..listen.len()).filter(|to| *to != from && between(from, *to)) {
+            for to in (0..listen.len()).filter(|to| *to != from && relayed(from, *to)) {
                 let socket = UdpSocket::bind((listen[from][0].ip(), 0))?;
                 addresses.insert((from, to), socket.local_addr()?);
                 sockets.insert((from, to), socket);
--- a/crates/lab/src/soak/discovery.rs
+++ b/crates/lab/src/soak/discovery.rs
@@ -97,14 +97,15 @@
         });
         self.agents.borrow_mut().push(agent.clone());
         for (address_index, listener) in listeners.into_iter().enumerate() {
-            let (listener_agent, list, task_context) = (agent.clone(), self.clone(), context.clone());
+            let (listener_agent, discovery, task_context) = (agent.clone(), self.clone(), context.clone());
             let accept_loop = async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    let (agent, list, context) = (listener_agent.clone(), list.clone(), task_context.clone());
+                    let (agent, discovery, context) =
+                        (listener_agent.clone(), discovery.clone(), task_context.clone());
                     let task = async move {
                         let reset = agent.reset_event.listen();
                         let watch = async {
-                            let _ = agent.serve_watch(&context, &list, &stream, address_index).await;
+                            let _ = agent.serve_watch(&context, &discovery, &stream, address_index).await;
                         };
                         or(watch, reset).await;
                     };
@@ -227,7 +228,7 @@
     async fn serve_watch(
         &self,
         context: &Context,
-        list: &Discovery,
+        discovery: &Discovery,
         mut stream: &Async<TcpStream>,
         address_index: usize,
     ) -> std::io::Result<()> {
@@ -273,11 +274,11 @@
                 self.note(context, "silent watch closed");
                 return Ok(());
             }
-            let changed = list.change_event.listen();
-            let version = list.version.get();
+            let changed = discovery.change_event.listen();
+            let version = discovery.version.get();
             let line = if version > sent_version {
                 let full = sent_version == 0;
-                let text = list.list_json(self, sent_version, full);
+                let text = discovery.list_json(self, sent_version, full);
                 sent_version = version;
                 if context.chance(300) { format!("{text:#}\n") } else { format!("{text}\n") }
             } else {
--- a/crates/lab/src/soak/proxy.rs
+++ b/crates/lab/src/soak/proxy.rs
@@ -77,7 +77,7 @@
         if self.injects(FaultKind::LateConnect, LATE_CONNECT.0) {
             let delay = Timer::after(Duration::from_millis(self.context.random_below(LATE_CONNECT.1)));
             let departure = async {
-                // A connection that the pooler has closed in the meantime is not forwarded.
+                // A close by the pooler does not shorten the delay; the connection then ends once it is forwarded.
                 let _ = pooler.readable().await;
                 std::future::pending::<()>().await;
             };
--- a/crates/lab/src/work/proof.rs
+++ b/crates/lab/src/work/proof.rs
@@ -5,7 +5,7 @@
 use super::script::Script;
 use crate::at_once;
 use crate::processes::process;
-use crate::processes::records::{plays, quantile};
+use crate::processes::records::{quantile, script_runs};
 use linnetdeal_coordination::work::OrderPolicy;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -44,7 +44,7 @@
 ) -> Result<bool, Box<dyn std::error::Error + Send + Sync>> {
     let mut scripts = Script::folder(&wanted.folder)?;
     scripts.retain(|script| wanted.only.as_ref().is_none_or(|only| script.name.contains(only)));
-    let plays = plays(scripts.len(), wanted.times);
+    let plays = script_runs(scripts.len(), wanted.times);
     let outcomes = at_once(&plays, wanted.side_by_side, |(at, seed)| {
         play(&scripts[*at], scripts[*at].seed * 1_000 + seed, &wanted.program)
     });
