--- a/crates/registry/src/client.rs
+++ b/crates/registry/src/client.rs
@@ -1,5 +1,5 @@
-//! HTTP to one server of a registry at a time, over one kept connection, in the clear or over TLS. No request lasts
-//! longer than it is given, and nothing of a request is in memory but the frame that has just come.
+//! An HTTP client, with or without TLS, that calls one registry server at a time and keeps one connection open between
+//! calls. Each call has a timeout, and response bodies are streamed: only the latest frame is held in memory.
 
 use async_io::{Async, Timer};
 use base64::Engine;
@@ -24,41 +24,41 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Why a server gave no answer that can be used.
+/// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// No connection.
+    /// No connection could be established.
     #[error("no connection: {0}")]
     Connect(io::Error),
-    /// The connection broke, or what came is no HTTP.
+    /// The connection broke, or the response is not valid HTTP.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    /// The time ran out.
+    /// There was no complete response within the timeout.
     #[error("no answer within {0:?}")]
     Timeout(Duration),
-    /// The server said no.
+    /// The response had a status other than success.
     #[error("status {status}")]
     Status {
-        /// What it said.
+        /// The status code.
         status: u16,
-        /// When to come back, if it said so.
+        /// The value of `Retry-After`, if present in seconds.
         retry_after: Option<Span>,
     },
-    /// The body is of no kind that is read here.
-    #[error("a body of type '{0}'")]
+    /// The content type of the body is not supported.
+    #[error("unsupported content type '{0}'")]
     ContentType(String),
-    /// The body can't be read.
+    /// The body is invalid.
     #[error("the body: {0}")]
     Body(String),
 }
 
-/// Why a server can't be called at all, whatever it would answer.
+/// Why a server or the client can't be set up.
 #[derive(Debug, thiserror::Error)]
 pub enum SetupError {
-    /// Its URL is none that can be called.
+    /// The URL is invalid or not supported.
     #[error("url '{url}': {what}")]
     Url {
-        /// The URL, without what may be secret in it.
+        /// The URL without user and password.
         url: String,
         /// What is wrong.
         what: &'static str,
@@ -76,7 +76,7 @@
     Tls(#[from] futures_rustls::rustls::Error),
 }
 
-/// A server of a registry.
+/// A registry server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Server {
     tls: bool,
@@ -87,16 +87,16 @@
 }
 
 impl Server {
-    /// From a URL such as `http://127.0.0.1:8761/eureka`. The host is an address: names are not looked up; `at` gives
-    /// the address of a host that is a name, which then only TLS looks at.
+    /// Parses a URL such as `http://127.0.0.1:8761/eureka`. Host names are not looked up: for a host name, `resolved`
+    /// must give the address to connect to, and the name is used for TLS and the `Host` header.
     ///
     /// # Errors
     ///
-    /// When it is none.
+    /// When the URL is invalid or not supported.
     pub fn new(url: &str, resolved: Option<SocketAddr>) -> Result<Self, SetupError> {
         let redacted = url.rsplit_once('@').map_or(url, |(_, rest)| rest).to_owned();
         let invalid = |what| SetupError::Url { url: redacted.clone(), what };
-        let uri: Uri = url.parse().map_err(|_| invalid("no URL"))?;
+        let uri: Uri = url.parse().map_err(|_| invalid("not a URL"))?;
         let tls = match uri.scheme_str() {
             Some("http") => false,
             Some("https") => true,
@@ -104,15 +104,15 @@
         };
         let authority = uri.authority().ok_or_else(|| invalid("no host"))?;
         if authority.as_str().contains('@') {
-            return Err(invalid("a user stands in it; name a user and a password file instead"));
+            return Err(invalid("it contains a user; set a user and a password file instead"));
         }
         let host = authority.host().trim_start_matches('[').trim_end_matches(']').to_owned();
         let port = authority.port_u16().unwrap_or(if tls { 443 } else { 80 });
         let address = resolved.or_else(|| host.parse().ok().map(|ip| SocketAddr::new(ip, port)));
         let address =
-            address.ok_or_else(|| invalid("the host is a name, and names are not looked up: give 'at'"))?;
+            address.ok_or_else(|| invalid("the host is a name, and names are not looked up: set 'at'"))?;
         if uri.query().is_some() {
-            return Err(invalid("a query stands in it"));
+            return Err(invalid("it contains a query"));
         }
         let path = uri.path().trim_end_matches('/').to_owned();
         Ok(Self { tls, host, address, authority: authority.to_string(), path })
@@ -124,21 +124,21 @@
         self.tls
     }
 
-    /// As it is named in the log.
+    /// The host, with the port if the URL has one; used in log lines.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.authority
     }
 }
 
-/// How servers are called.
+/// The credentials and certificates for calling servers.
 #[derive(Clone, Debug, Default)]
 pub struct Access {
-    /// A user, with the file that holds the password.
+    /// A user and the path of its password file, for basic authentication.
     pub user: Option<(String, PathBuf)>,
-    /// The certificates of those who may vouch for a server, as PEM.
+    /// The certificate authorities that are trusted for servers, as a PEM file.
     pub ca: Option<PathBuf>,
-    /// The own certificate and key, as PEM.
+    /// The client certificate and its key, as PEM files.
     pub identity: Option<(PathBuf, PathBuf)>,
 }
 
@@ -156,19 +156,19 @@
     driver: Pin<Box<dyn Future<Output = ()>>>,
 }
 
-/// What a call asks for.
+/// A request to a server.
 #[derive(Debug)]
 pub struct Call<'a> {
     /// The method.
     pub method: Method,
-    /// The path behind the server's own, with a slash in front.
+    /// The path with a leading slash; it is appended to the path of the server's URL.
     pub path: &'a str,
-    /// A JSON body.
+    /// The JSON body, if any.
     pub body: Option<Vec<u8>>,
 }
 
 impl Call<'_> {
-    /// One that reads.
+    /// A `GET` request.
     #[must_use]
     pub fn get(path: &str) -> Call<'_> {
         Call { method: Method::GET, path, body: None }
@@ -176,11 +176,11 @@
 }
 
 impl Client {
-    /// A client; all files that `access` names are read now.
+    /// Creates a client; all files named by `access` are read here. TLS is set up only if `tls` is set.
     ///
     /// # Errors
     ///
-    /// When a file can't be read, a secret one can be read by others, or TLS can't be set up.
+    /// When a file can't be used, a secret file is accessible to others than its owner, or TLS can't be set up.
     pub fn new(access: &Access, tls: bool, timeout: Duration) -> Result<Self, SetupError> {
         let authorization = match &access.user {
             None => None,
@@ -190,18 +190,18 @@
         Ok(Self { tls, authorization, timeout, idle: None, connections_opened: 0 })
     }
 
-    /// How many connections were opened.
+    /// The number of connections opened so far.
     #[must_use]
     pub fn connections_opened(&self) -> u64 {
         self.connections_opened
     }
 
-    /// Makes a call. What the body holds goes to `take` piece by piece, unpacked, and its type before that; an error of
-    /// it ends the call. A connection is kept for the next call only after a whole answer.
+    /// Makes a call. The content type and then the decompressed body are passed to `on_chunk`, whose errors end the
+    /// call. The connection is kept for the next call only after a complete response.
     ///
     /// # Errors
     ///
-    /// When there is no answer in time, it says no, or it can't be read.
+    /// When there is no complete response in time, its status is an error, or its body is invalid.
     pub async fn call(
         &mut self,
         server: &Server,
@@ -219,7 +219,8 @@
             .filter(|(idle_server, connection)| idle_server == server && !connection.send.is_closed());
         let attempt = async {
             if let Some((_, mut connection)) = idle {
-                // One that the server closed while it was idle shows that once it is looked at, or by the first byte.
+                // A connection that the server closed while it was idle is detected by polling its driver or in the
+                // exchange. Unless a part of the response was received, the call is repeated on a new connection.
                 if poll_once(connection.driver.as_mut()).await.is_none() {
                     let mut received_any = false;
                     let mut tracked = |chunk: Chunk<'_>| {
@@ -246,24 +247,24 @@
     }
 }
 
-/// What comes of a body.
+/// A part of a response.
 #[derive(Clone, Copy, Debug)]
 pub enum Chunk<'a> {
-    /// What type it says to be.
+    /// The content type, passed once before any data.
     ContentType(&'a str),
-    /// Bytes of it, unpacked.
+    /// Bytes of the body, decompressed.
     Data(&'a [u8]),
 }
 
 impl Connection {
-    /// Sends a request and hands its answer's body on.
+    /// Sends a request and passes the response to `on_chunk`.
     async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
         on_chunk: &mut dyn FnMut(Chunk<'_>) -> Result<(), String>,
     ) -> Result<(), CallError> {
         let Self { send, driver } = self;
-        // The driver moves the bytes; should it end first, the exchange learns why.
+        // The driver performs the connection's I/O. If it ends first, the exchange returns the error.
         let driver_ended = async {
             driver.as_mut().await;
             std::future::pending().await
@@ -276,7 +277,7 @@
     let json = call.body.is_some();
     let mut request = Request::new(Full::new(Bytes::from(call.body.clone().unwrap_or_default())));
     *request.method_mut() = call.method.clone();
-    // The path was checked when the server's URL was; what goes behind it is made here.
+    // This can't fail: the server's path was checked with its URL, and the rest is generated by this program.
     *request.uri_mut() = format!("{}{}", server.path, call.path).parse().unwrap_or_default();
     let headers = request.headers_mut();
     let host = HeaderValue::from_str(&server.authority).unwrap_or(HeaderValue::from_static("registry"));
@@ -364,7 +365,7 @@
     }
 }
 
-/// Hands on what is written to it, and keeps why that failed.
+/// Passes what is written to it to `on_chunk`, and keeps the error if that fails.
 struct BodyWriter<'t> {
     on_chunk: &'t mut dyn FnMut(Chunk<'_>) -> Result<(), String>,
     error: Option<String>,
@@ -400,7 +401,7 @@
     SetupError::File { path: path.display().to_string(), what: what.to_string() }
 }
 
-/// A file that others may read holds no secret.
+/// Checks that a secret file is accessible only to its owner.
 fn check_private(path: &Path) -> Result<(), SetupError> {
     use std::os::unix::fs::PermissionsExt;
     let mode = std::fs::metadata(path).map_err(|error| file_error(path, error))?.permissions().mode();
@@ -417,8 +418,8 @@
     let password = std::fs::read_to_string(file).map_err(|error| file_error(file, error))?;
     let pair = format!("{user}:{}", password.trim_end_matches(['\r', '\n']));
     let credentials = format!("Basic {}", base64::engine::general_purpose::STANDARD.encode(pair));
-    let mut value =
-        HeaderValue::from_str(&credentials).map_err(|_| file_error(file, "not fit for a header"))?;
+    let mut value = HeaderValue::from_str(&credentials)
+        .map_err(|_| file_error(file, "its content can't be sent in an HTTP header"))?;
     value.set_sensitive(true);
     Ok(value)
 }
--- a/crates/registry/src/follow.rs
+++ b/crates/registry/src/follow.rs
@@ -1,5 +1,5 @@
-//! Follows a registry for as long as the pooler runs: asks, reads, and hands on what comes. It decides nothing about
-//! members; when to ask and what to tell of oneself stand in [`crate::eureka`].
+//! Follows a registry for as long as the pooler runs, and keeps the pooler registered there. This module only performs
+//! the I/O: the polling schedule and the lease are in [`crate::eureka`], decisions about members in the core.
 
 use crate::client::{Access, Call, CallError, Chunk, Client, Server, SetupError};
 use crate::eureka::body::Format;
@@ -20,87 +20,87 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What the follower is given: a way in for its news, and a clock.
+/// The receiver of a follower's updates and log lines, which also provides the clock.
 pub trait Sink {
-    /// The time, Unix in microseconds, never running backwards.
+    /// The Unix time in microseconds; it never runs backwards.
     fn now(&self) -> Time;
-    /// Takes news in.
+    /// Applies an update to the membership.
     fn apply_update(&self, update: SourceUpdate) -> UpdateOutcome;
-    /// A line for the people on call.
+    /// Logs a line for the operators.
     fn log(&self, line: &dyn fmt::Display);
 }
 
-/// What the pooler says of itself in the registry.
+/// The pooler's own registration.
 #[derive(Clone, Debug)]
 pub struct Registration {
     /// The application under which poolers register.
     pub app: String,
-    /// The id of this one.
+    /// The instance id of this pooler.
     pub id: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: std::net::SocketAddr,
-    /// How often the registration is renewed.
+    /// The interval at which the lease is renewed.
     pub renew_interval: Span,
-    /// After how long without that the registry may drop it.
+    /// The time without renewal after which the registry may remove the registration.
     pub lease_duration: Span,
 }
 
-/// What is followed, and how.
+/// The options for following a registry.
 #[derive(Clone, Debug)]
 pub struct RegistryOptions {
-    /// Its servers, the preferred one first.
+    /// The registry's servers, the preferred one first.
     pub servers: Vec<Server>,
-    /// How they are called.
+    /// The credentials and certificates for calling them.
     pub access: Access,
-    /// How long a call may take.
+    /// The timeout of a call.
     pub timeout: Duration,
-    /// How often to ask.
+    /// The options of polling.
     pub poll: PollOptions,
-    /// A body is no larger.
+    /// The maximum size of a response body in bytes, after decompression.
     pub max_body_bytes: u64,
-    /// How instances become members.
+    /// The mapping of instances to members.
     pub mapping: Mapping,
-    /// When a list is not believed.
+    /// When a list that lacks members is not believed.
     pub shrink_policy: ShrinkPolicy,
-    /// The whole list is asked for by this path, such as `/apps`.
+    /// The path of the full list, such as `/apps`.
     pub list_path: String,
-    /// What this pooler says of itself, if anything.
+    /// The pooler's own registration, if it is to be registered.
     pub registration: Option<Registration>,
 }
 
-/// What was seen of the registry.
+/// Counters of a registry; they are logged under the names of the fields.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Whole lists taken.
+    /// Full lists applied.
     pub fulls: Cell<u64>,
-    /// Deltas taken.
+    /// Deltas applied.
     pub deltas: Cell<u64>,
-    /// Calls that gave nothing.
+    /// Failed fetches.
     pub failures: Cell<u64>,
-    /// Answers whose hash code did not agree.
+    /// Responses whose hash code did not match the local copy.
     pub mismatches: Cell<u64>,
-    /// Lists that were not believed.
+    /// Lists that were suspect and therefore not believed.
     pub doubted: Cell<u64>,
-    /// Claims that were older than what is held.
+    /// Claims that were ignored because a newer one is held.
     pub stale: Cell<u64>,
-    /// Of these, claims that would have brought back who drains or is gone.
+    /// Of these, claims that would have returned a draining or gone member to service.
     pub kept_out: Cell<u64>,
-    /// Claims of two members under one id.
+    /// Claims that show two members under one id.
     pub conflicts: Cell<u64>,
-    /// Instances that could not be read.
+    /// Instances with invalid fields.
     pub unreadable: Cell<u64>,
-    /// Instances of ours that could not be members.
+    /// Instances of our applications that can't be members.
     pub refused: Cell<u64>,
-    /// Of these, those outside of the networks.
+    /// Of these, instances outside of the allowed networks.
     pub outside: Cell<u64>,
-    /// Own registrations, renewals and the rest that were taken.
+    /// Calls for the pooler's own registration that were accepted.
     pub own_taken: Cell<u64>,
-    /// Those that were not.
+    /// Calls for the pooler's own registration that failed.
     pub own_failed: Cell<u64>,
 }
 
-fn add(count: &Cell<u64>, more: usize) {
-    count.set(count.get().saturating_add(more as u64));
+fn add(count: &Cell<u64>, increment: usize) {
+    count.set(count.get().saturating_add(increment as u64));
 }
 
 impl fmt::Display for Counters {
@@ -125,7 +125,7 @@
     }
 }
 
-/// Follows a registry.
+/// Polls a registry and passes updates to a [`Sink`].
 pub struct Follower<S> {
     registry: RegistryOptions,
     client: Client,
@@ -133,8 +133,9 @@
     mirror: Mirror,
     sink: S,
     counters: Rc<Counters>,
-    /// What was last said of the registry's state, so that it is said once.
+    /// The registry's state at the last log line, so that only changes are logged.
     last_logged: LogState,
+    /// Whether unreadable and refused instances have been logged.
     rejections_logged: bool,
 }
 
@@ -148,11 +149,11 @@
 }
 
 impl<S: Sink> Follower<S> {
-    /// One that is ready to ask. All files are read now.
+    /// Creates a follower; `seed` is for the jitter of the polling. All files of the options are read here.
     ///
     /// # Errors
     ///
-    /// When a file can't be used.
+    /// When a file can't be used or TLS can't be set up.
     pub fn new(
         registry: RegistryOptions,
         seed: u64,
@@ -167,11 +168,11 @@
         Ok(Self { registry, client, poller, mirror, sink, counters, last_logged, rejections_logged })
     }
 
-    /// Asks once, whatever is due, and gives what was taken.
+    /// Performs the next fetch now, even if it is not due yet, and returns the outcome of the update.
     ///
     /// # Errors
     ///
-    /// When no answer came that can be used; it will be asked again in time.
+    /// When the fetch fails; the next one is already scheduled then.
     pub async fn poll(&mut self) -> Result<UpdateOutcome, CallError> {
         let (server, kind) = self.poller.next_fetch(self.sink.now());
         match self.fetch(server, kind).await {
@@ -228,8 +229,8 @@
             (Chunk::Data(_), None) => Err("no type".to_owned()),
         };
         client.call(&registry.servers[server], Call::get(&path), &mut on_chunk).await?;
-        let body = |error: crate::eureka::body::BodyError| CallError::Body(error.to_string());
-        reader.ok_or(CallError::ContentType(String::new()))?.finish(mirror).map_err(body)
+        let body_error = |error: crate::eureka::body::BodyError| CallError::Body(error.to_string());
+        reader.ok_or(CallError::ContentType(String::new()))?.finish(mirror).map_err(body_error)
     }
 
     fn apply(
@@ -251,7 +252,7 @@
         add(&counters.unreadable, update.unreadable);
         add(&counters.refused, update.refused);
         add(&counters.outside, update.outside);
-        // Whoever is refused is refused with each whole list: it is said once.
+        // The same instances are refused with each full list, so they are logged only once.
         if !update.problems.is_empty() && !std::mem::replace(&mut self.rejections_logged, true) {
             for problem in &update.problems {
                 self.sink.log(&format_args!("registry: {problem}"));
@@ -281,18 +282,18 @@
         }
     }
 
-    /// Asks for ever.
+    /// Polls whenever a fetch is due, without end.
     pub async fn run(mut self) {
         loop {
             wait_until(self.sink.now(), self.poller.due()).await;
-            // What went wrong has been counted and said; the poller knows when to ask again.
+            // Errors have been counted and logged, and the next fetch is scheduled.
             let _ = self.poll().await;
         }
     }
 }
 
-/// Keeps the pooler's own registration until its life has ended and the registry knows of it. It has a connection of
-/// its own: a list that takes long must not hold up the word of a drain.
+/// Keeps the pooler registered until it has ended and is deregistered. It uses a connection of its own, because a long
+/// response to the follower must not delay the report of a drain.
 pub struct Registrar<S> {
     servers: Vec<Server>,
     client: Client,
@@ -302,11 +303,11 @@
 }
 
 impl<S: Sink> Registrar<S> {
-    /// One for what `registry` says of this pooler; `None` where it says nothing.
+    /// Creates a registrar; `None` if the options contain no registration.
     ///
     /// # Errors
     ///
-    /// When a file can't be used.
+    /// When a file can't be used or TLS can't be set up.
     pub fn new(
         registry: &RegistryOptions,
         sink: S,
@@ -318,7 +319,7 @@
         Ok(Some(Self { servers: registry.servers.clone(), client, registration, sink, counters }))
     }
 
-    /// Tells the registry of this pooler for as long as it lives, and of its end.
+    /// Registers the pooler with its current status, renews the lease, and returns once the pooler is deregistered.
     pub async fn run(mut self, pooler_status: Rc<PoolerStatus>) {
         let mut lease = Lease::new(self.registration.renew_interval, self.sink.now());
         let mut server = 0;
@@ -336,7 +337,8 @@
                         action,
                         lease.dirty_ms(),
                     );
-                    // A status that changes while a server keeps silent is told at once, elsewhere if need be.
+                    // A change of status does not wait for a server that does not answer: it is sent at once, to the next
+                    // server.
                     let result = or(call, async {
                         changed.await;
                         LeaseResult::Failed
@@ -361,7 +363,7 @@
     }
 }
 
-/// What a registrar has to know of the pooler's life.
+/// The pooler's status as it is to be registered, shared between the pooler and its registrar.
 #[derive(Debug)]
 pub struct PoolerStatus {
     status: Cell<Option<Status>>,
@@ -383,7 +385,7 @@
 }
 
 impl PoolerStatus {
-    /// One of a pooler that is starting.
+    /// The status of a pooler that is starting.
     #[must_use]
     pub fn starting() -> Self {
         Self {
@@ -393,19 +395,19 @@
         }
     }
 
-    /// What it was last set to.
+    /// The current status; `None` once the pooler has ended.
     #[must_use]
     pub fn status(&self) -> Option<Status> {
         self.status.get()
     }
 
-    /// The pooler's status from now on; `None` for its end.
+    /// Sets the status; `None` deregisters the pooler.
     pub fn set(&self, status: Option<Status>) {
         self.status.set(status);
         self.changed.notify(usize::MAX);
     }
 
-    /// Waits until the registry knows of the end, but no longer than this.
+    /// Waits until the pooler is deregistered, but no longer than the timeout.
     pub async fn wait_deregistered(&self, timeout: Duration) {
         let deregistration = async {
             while !self.deregistered.is_set.get() {
@@ -431,19 +433,19 @@
     }
 }
 
-/// Tells a server of this pooler.
+/// Makes a call for the pooler's registration.
 async fn send_action(
     client: &mut Client,
     server: &Server,
-    own: &Registration,
+    registration: &Registration,
     action: LeaseAction,
     dirty_ms: i64,
 ) -> LeaseResult {
     use hyper::Method;
-    let (app, id) = (&own.app, &own.id);
+    let (app, id) = (&registration.app, &registration.id);
     let (method, path, body) = match action {
         LeaseAction::Register(status) => {
-            (Method::POST, format!("/apps/{app}"), Some(registration_body(own, status, dirty_ms)))
+            (Method::POST, format!("/apps/{app}"), Some(registration_body(registration, status, dirty_ms)))
         }
         LeaseAction::Renew(status) => {
             let status = status.name();
@@ -458,15 +460,20 @@
     }
 }
 
-fn registration_body(own: &Registration, status: Status, dirty_ms: i64) -> Vec<u8> {
+fn registration_body(registration: &Registration, status: Status, dirty_ms: i64) -> Vec<u8> {
     let seconds = |span: Span| (span.0 / 1_000_000).max(1);
     serde_json::json!({"instance": {
-        "instanceId": own.id, "app": own.app.to_ascii_uppercase(), "hostName": own.address.ip().to_string(),
-        "ipAddr": own.address.ip().to_string(), "vipAddress": own.app.to_ascii_lowercase(),
-        "port": {"$": own.address.port(), "@enabled": "true"}, "securePort": {"$": 443, "@enabled": "false"},
+        "instanceId": registration.id, "app": registration.app.to_ascii_uppercase(),
+        "hostName": registration.address.ip().to_string(), "ipAddr": registration.address.ip().to_string(),
+        "vipAddress": registration.app.to_ascii_lowercase(),
+        "port": {"$": registration.address.port(), "@enabled": "true"},
+        "securePort": {"$": 443, "@enabled": "false"},
         "status": status.name(), "overriddenstatus": "UNKNOWN",
         "dataCenterInfo": {"@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo", "name": "MyOwn"},
-        "leaseInfo": {"renewalIntervalInSecs": seconds(own.renew_interval), "durationInSecs": seconds(own.lease_duration)},
+        "leaseInfo": {
+            "renewalIntervalInSecs": seconds(registration.renew_interval),
+            "durationInSecs": seconds(registration.lease_duration)
+        },
         "lastDirtyTimestamp": dirty_ms.to_string(),
     }})
     .to_string()
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,5 +1,5 @@
-//! Members from a registry. [`eureka`] is the protocol without I/O; [`client`] takes it over HTTP, and [`follow`] keeps
-//! asking and hands what comes to whoever it is given.
+//! Discovers members through a registry that speaks Eureka's REST API. [`eureka`] implements the protocol without I/O,
+//! [`client`] is the HTTP client, and [`follow`] polls the registry and passes updates to a [`follow::Sink`].
 
 pub mod client;
 pub mod eureka;
--- a/crates/registry/tests/bodies.rs
+++ b/crates/registry/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies as registries write them, cut anywhere; and bodies that are none.
+//! Parsing of response bodies in JSON and XML, split at any byte, and of invalid ones.
 
 use linnetdeal_core::ListState;
 use linnetdeal_core::membership::SourceUpdate;
@@ -11,11 +11,11 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const ONE: &str = r#"{"instanceId":"s-1","app":"DB","ipAddr":"10.1.0.4","hostName":"h","status":"UP",
+const PRIMARY_JSON: &str = r#"{"instanceId":"s-1","app":"DB","ipAddr":"10.1.0.4","hostName":"h","status":"UP",
  "overriddenstatus":"UNKNOWN","port":{"$":6543,"@enabled":"true"},"securePort":{"$":"443","@enabled":"false"},
  "leaseInfo":{"registrationTimestamp":17},"metadata":{"group":"2","role":"primary","note":"}]{[\" \\"},
  "lastUpdatedTimestamp":"1767225600124","lastDirtyTimestamp":"1767225600123","actionType":"ADDED","nested":{"instance":[{}]}}"#;
-const OTHER: &str = r#"{"instanceId":"s-2","app":"db","ipAddr":"10.1.0.5","status":"OUT_OF_SERVICE","port":6544,
+const DRAINING_JSON: &str = r#"{"instanceId":"s-2","app":"db","ipAddr":"10.1.0.5","status":"OUT_OF_SERVICE","port":6544,
  "metadata":{"@class":"java.util.Collections$EmptyMap"},"lastDirtyTimestamp":1767225600200}"#;
 const XML: &str = r#"<?xml version="1.0"?><!-- <instance> in a comment --><applications><versions__delta>1</versions__delta>
 <apps__hashcode>OUT_OF_SERVICE_1_UP_1_</apps__hashcode><application><name>DB</name>
@@ -33,7 +33,7 @@
 fn json() -> String {
     format!(
         r#"{{"applications":{{"versions__delta":"1","apps__hashcode":"OUT_OF_SERVICE_1_UP_1_","application":[
-        {{"name":"DB","instance":[{ONE},{OTHER}]}},{{"name":"EMPTY","instance":[]}}]}}}}"#
+        {{"name":"DB","instance":[{PRIMARY_JSON},{DRAINING_JSON}]}},{{"name":"EMPTY","instance":[]}}]}}}}"#
     )
 }
 
@@ -53,169 +53,190 @@
     }
 }
 
-fn read(format: Format, text: &[u8], cuts: &[usize]) -> Result<(ListUpdate, Mirror), BodyError> {
+fn parse_list(format: Format, text: &[u8], splits: &[usize]) -> Result<(ListUpdate, Mirror), BodyError> {
     let (mapping, mut mirror) = (mapping(), Mirror::default());
     let mut reader =
         ListReader::new(&mapping, mirror.empty_with_same_hasher(), 0, FetchKind::Full, format, 8 << 20);
     let mut from = 0;
-    for cut in cuts.iter().copied().chain([text.len()]) {
-        let to = cut.clamp(from, text.len());
+    for split in splits.iter().copied().chain([text.len()]) {
+        let to = split.clamp(from, text.len());
         reader.push(&text[from..to])?;
         from = to;
     }
-    let read = reader.finish(&mut mirror)?;
-    Ok((read, mirror))
+    let update = reader.finish(&mut mirror)?;
+    Ok((update, mirror))
 }
 
-fn check(format: Format, text: &[u8], cuts: &[usize]) {
-    let (read, mirror) = read(format, text, cuts).unwrap();
-    assert_eq!(read.hash_code.as_deref(), Some("OUT_OF_SERVICE_1_UP_1_"));
+fn assert_parsed(format: Format, text: &[u8], splits: &[usize]) {
+    let (update, mirror) = parse_list(format, text, splits).unwrap();
+    assert_eq!(update.hash_code.as_deref(), Some("OUT_OF_SERVICE_1_UP_1_"));
     assert_eq!(mirror.hash_code(), "OUT_OF_SERVICE_1_UP_1_");
-    let SourceUpdate::Full { claims, view } = read.source_update else { panic!("a whole list") };
-    assert_eq!((view, read.instances, read.refused), (2 * 1_767_225_600_200 + 1, 2, 0));
-    let one = &claims[0];
-    assert_eq!((&*one.member.0, one.state, one.primary), ("s-1", ListState::Healthy, true));
-    assert_eq!((one.address.unwrap().to_string(), one.group.unwrap().0), ("10.1.0.4:6543".to_owned(), 2));
-    assert_eq!((one.zone.as_str(), one.version.stamp), ("adum", 2 * 1_767_225_600_123 + 1));
+    let SourceUpdate::Full { claims, view } = update.source_update else { panic!("not a full list") };
+    assert_eq!((view, update.instances, update.refused), (2 * 1_767_225_600_200 + 1, 2, 0));
+    let first = &claims[0];
+    assert_eq!((&*first.member.0, first.state, first.primary), ("s-1", ListState::Healthy, true));
+    assert_eq!((first.address.unwrap().to_string(), first.group.unwrap().0), ("10.1.0.4:6543".to_owned(), 2));
+    assert_eq!((first.zone.as_str(), first.version.stamp), ("adum", 2 * 1_767_225_600_123 + 1));
     assert_eq!((claims[1].state, claims[1].group.unwrap().0), (ListState::Draining, 7));
 }
 
 #[test]
-fn a_body_reads_the_same_wherever_it_is_cut() {
+fn a_body_parses_the_same_however_it_is_split() {
     let json = json();
-    for cut in 0..json.len() {
-        check(Format::Json, json.as_bytes(), &[cut]);
+    for split in 0..json.len() {
+        assert_parsed(Format::Json, json.as_bytes(), &[split]);
     }
-    for cut in 0..XML.len() {
-        check(Format::Xml, XML.as_bytes(), &[cut]);
+    for split in 0..XML.len() {
+        assert_parsed(Format::Xml, XML.as_bytes(), &[split]);
     }
-    let each: Vec<usize> = (0..json.len()).collect();
-    check(Format::Json, json.as_bytes(), &each);
-    check(Format::Xml, XML.as_bytes(), &(0..XML.len()).collect::<Vec<_>>());
+    let every_byte: Vec<usize> = (0..json.len()).collect();
+    assert_parsed(Format::Json, json.as_bytes(), &every_byte);
+    assert_parsed(Format::Xml, XML.as_bytes(), &(0..XML.len()).collect::<Vec<_>>());
 }
 
 #[test]
-fn a_body_that_ends_early_counts_for_nothing() {
+fn a_truncated_body_is_an_error() {
     let json = json();
     for end in 0..json.len() {
-        assert!(read(Format::Json, &json.as_bytes()[..end], &[]).is_err(), "{end} bytes");
+        assert!(parse_list(Format::Json, &json.as_bytes()[..end], &[]).is_err(), "{end} bytes");
     }
     for end in 0..XML.trim_end().len() {
-        assert!(read(Format::Xml, &XML.as_bytes()[..end], &[]).is_err(), "{end} bytes");
+        assert!(parse_list(Format::Xml, &XML.as_bytes()[..end], &[]).is_err(), "{end} bytes");
     }
 }
 
 #[test]
-fn one_instance_may_be_an_object_and_applications_too() {
+fn lists_of_one_may_be_plain_objects() {
     let body = format!(
-        r#"{{"applications":{{"apps__hashcode":"UP_1_","application":{{"name":"DB","instance":{ONE}}}}}}}"#
+        r#"{{"applications":{{"apps__hashcode":"UP_1_","application":{{"name":"DB","instance":{PRIMARY_JSON}}}}}}}"#
     );
-    assert_eq!(read(Format::Json, body.as_bytes(), &[]).unwrap().0.instances, 1);
-    let body = format!(r#"{{"application":{{"name":"DB","instance":[{ONE},{OTHER}]}}}}"#);
-    assert_eq!(read(Format::Json, body.as_bytes(), &[]).unwrap().0.instances, 2, "of one application");
+    assert_eq!(parse_list(Format::Json, body.as_bytes(), &[]).unwrap().0.instances, 1);
+    let body = format!(r#"{{"application":{{"name":"DB","instance":[{PRIMARY_JSON},{DRAINING_JSON}]}}}}"#);
     assert_eq!(
-        read(Format::Json, format!(r#"{{"instance":{ONE}}}"#).as_bytes(), &[]).unwrap().0.instances,
+        parse_list(Format::Json, body.as_bytes(), &[]).unwrap().0.instances,
+        2,
+        "an application without the outer object"
+    );
+    assert_eq!(
+        parse_list(Format::Json, format!(r#"{{"instance":{PRIMARY_JSON}}}"#).as_bytes(), &[])
+            .unwrap()
+            .0
+            .instances,
         1
     );
 }
 
 #[test]
-fn what_is_no_list_is_told_apart_by_its_byte() {
-    let form = |format, text: &str| match read(format, text.as_bytes(), &[]) {
+fn syntax_errors_report_their_offset() {
+    let syntax_error = |format, text: &str| match parse_list(format, text.as_bytes(), &[]) {
         Err(BodyError::Syntax { offset, what }) => (offset, what),
         other => panic!("{text:?}: {other:?}"),
     };
-    assert_eq!(form(Format::Json, "<html>"), (0, "invalid JSON"));
-    assert_eq!(form(Format::Json, "{\"a\":1}}"), (7, "something behind the end"));
-    assert_eq!(form(Format::Json, "{\"a\":1]"), (6, "a bracket that closes nothing"));
-    assert_eq!(form(Format::Json, &"[".repeat(10_000)), (48, "nested too deeply"));
+    assert_eq!(syntax_error(Format::Json, "<html>"), (0, "invalid JSON"));
+    assert_eq!(syntax_error(Format::Json, "{\"a\":1}}"), (7, "something behind the end"));
+    assert_eq!(syntax_error(Format::Json, "{\"a\":1]"), (6, "a bracket that closes nothing"));
+    assert_eq!(syntax_error(Format::Json, &"[".repeat(10_000)), (48, "nested too deeply"));
     assert_eq!(
-        form(Format::Json, &format!("{{\"instance\":{{\"a\":{}", "[".repeat(10_000))).1,
+        syntax_error(Format::Json, &format!("{{\"instance\":{{\"a\":{}", "[".repeat(10_000))).1,
         "nested too deeply"
     );
-    assert_eq!(form(Format::Xml, "{}"), (0, "invalid XML"));
-    assert_eq!(form(Format::Xml, "<a></b>"), (6, "a tag that closes another"));
-    assert_eq!(form(Format::Xml, "<!DOCTYPE a [<!ENTITY b \"c\">]>").1, "a document type, which is not read");
-    assert_eq!(form(Format::Xml, &"<a>".repeat(10_000)).1, "nested too deeply");
+    assert_eq!(syntax_error(Format::Xml, "{}"), (0, "invalid XML"));
+    assert_eq!(syntax_error(Format::Xml, "<a></b>"), (6, "a tag that closes another"));
+    assert_eq!(
+        syntax_error(Format::Xml, "<!DOCTYPE a [<!ENTITY b \"c\">]>").1,
+        "a document type, which is not read"
+    );
+    assert_eq!(syntax_error(Format::Xml, &"<a>".repeat(10_000)).1, "nested too deeply");
     let long = format!("{{\"instance\":{{\"a\":\"{}", "x".repeat(300_000));
-    assert_eq!(form(Format::Json, &long).1, "an instance that is too long");
+    assert_eq!(syntax_error(Format::Json, &long).1, "an instance that is too long");
     let mut body = BodyScanner::new(Format::Json, 100);
     assert_eq!(body.push(&[b' '; 101], &mut |_| Ok(())), Err(BodyError::TooLarge(100)));
 }
 
 #[test]
-fn a_body_of_very_many_very_small_instances_is_given_up() {
+fn a_body_with_too_many_instances_is_an_error() {
     let many = "{\"instanceId\":\"1\"},".repeat(50_001);
     let body = format!("{{\"instance\":[{}]}}", many.trim_end_matches(','));
-    match read(Format::Json, body.as_bytes(), &[]) {
-        Err(BodyError::InvalidItem(words)) => assert_eq!(words, "more than 50000 instances"),
+    match parse_list(Format::Json, body.as_bytes(), &[]) {
+        Err(BodyError::InvalidItem(message)) => assert_eq!(message, "more than 50000 instances"),
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn a_delta_is_added_to_what_was_there_only_at_its_end() {
+fn a_delta_takes_effect_only_when_it_is_complete() {
     let (mapping, mut mirror) = (mapping(), Mirror::default());
-    let mut take = |ask, text: &str, end: bool| {
+    let mut read_body = |kind, text: &str, is_complete: bool| {
         let mut reader =
-            ListReader::new(&mapping, mirror.empty_with_same_hasher(), 0, ask, Format::Json, 1 << 20);
+            ListReader::new(&mapping, mirror.empty_with_same_hasher(), 0, kind, Format::Json, 1 << 20);
         reader.push(text.as_bytes()).unwrap();
-        if end {
+        if is_complete {
             reader.finish(&mut mirror).unwrap();
         }
         mirror.hash_code()
     };
-    assert_eq!(take(FetchKind::Full, &json(), true), "OUT_OF_SERVICE_1_UP_1_");
-    let gone = ONE.replace("ADDED", "DELETED");
-    let other = OTHER.replace("OUT_OF_SERVICE", "UP").replace("\"db\"", "\"DB\"");
-    let delta = format!("{{\"application\":{{\"instance\":[{gone},{other}]}}}}");
-    assert_eq!(take(FetchKind::Delta, &delta[..delta.len() - 3], false), "OUT_OF_SERVICE_1_UP_1_");
-    assert_eq!(take(FetchKind::Delta, &delta, true), "UP_1_", "one left, the other is the same box");
-    assert_eq!(take(FetchKind::Delta, &delta, true), "UP_1_", "and twice changes nothing");
+    assert_eq!(read_body(FetchKind::Full, &json(), true), "OUT_OF_SERVICE_1_UP_1_");
+    let deleted = PRIMARY_JSON.replace("ADDED", "DELETED");
+    let other = DRAINING_JSON.replace("OUT_OF_SERVICE", "UP").replace("\"db\"", "\"DB\"");
+    let delta = format!("{{\"application\":{{\"instance\":[{deleted},{other}]}}}}");
+    assert_eq!(read_body(FetchKind::Delta, &delta[..delta.len() - 3], false), "OUT_OF_SERVICE_1_UP_1_");
+    assert_eq!(
+        read_body(FetchKind::Delta, &delta, true),
+        "UP_1_",
+        "one was deleted, the other is the same instance"
+    );
+    assert_eq!(read_body(FetchKind::Delta, &delta, true), "UP_1_", "applying it twice changes nothing");
 }
 
 #[test]
-fn one_unreadable_instance_spoils_itself_and_what_is_missing() {
-    let bad = ONE.replace("1767225600123", "soon").replace("s-1", "s-9");
-    let body = format!(r#"{{"applications":{{"application":{{"instance":[{bad},{OTHER}]}}}}}}"#);
-    let (read, _) = read(Format::Json, body.as_bytes(), &[]).unwrap();
-    assert_eq!((read.instances, read.unreadable), (2, 1));
-    assert_eq!(read.problems, ["instance 's-9': lastDirtyTimestamp is 'soon'"]);
-    // Nobody counts as missing from it: the one that could not be read may be anybody.
-    assert!(matches!(read.source_update, SourceUpdate::Full { claims, view: i64::MIN } if claims.len() == 1));
+fn an_unreadable_instance_keeps_others_from_counting_as_missing() {
+    let invalid = PRIMARY_JSON.replace("1767225600123", "soon").replace("s-1", "s-9");
+    let body = format!(r#"{{"applications":{{"application":{{"instance":[{invalid},{DRAINING_JSON}]}}}}}}"#);
+    let (update, _) = parse_list(Format::Json, body.as_bytes(), &[]).unwrap();
+    assert_eq!((update.instances, update.unreadable), (2, 1));
+    assert_eq!(update.problems, ["instance 's-9': lastDirtyTimestamp is 'soon'"]);
+    // No member may count as missing from this list, because the unreadable instance could be any of them.
+    assert!(
+        matches!(update.source_update, SourceUpdate::Full { claims, view: i64::MIN } if claims.len() == 1)
+    );
 }
 
 #[test]
-fn who_lies_elsewhere_is_named_but_gets_nothing() {
-    let outside = ONE.replace("10.1.0.4", "10.2.0.4");
+fn an_instance_that_can_not_be_a_member_is_listed_without_an_address() {
+    let outside = PRIMARY_JSON.replace("10.1.0.4", "10.2.0.4");
     let body = format!(r#"{{"application":{{"instance":[{outside}]}}}}"#);
-    let (read, _) = read(Format::Json, body.as_bytes(), &[]).unwrap();
-    assert_eq!((read.refused, read.outside), (1, 1));
-    let SourceUpdate::Full { claims, .. } = read.source_update else { panic!("a whole list") };
+    let (update, _) = parse_list(Format::Json, body.as_bytes(), &[]).unwrap();
+    assert_eq!((update.refused, update.outside), (1, 1));
+    let SourceUpdate::Full { claims, .. } = update.source_update else { panic!("not a full list") };
     assert_eq!((claims[0].state, claims[0].address), (ListState::Draining, None));
     let instance = |text: &str| Instance::from_json(text.as_bytes()).unwrap();
-    let refused = |text: &str| mapping().claim(&instance(text), 0).unwrap_err();
-    assert_eq!(refused(&ONE.replace("\"DB\"", "\"WEB\"")), MappingError::OtherApplication);
+    let mapping_error = |text: &str| mapping().claim(&instance(text), 0).unwrap_err();
+    assert_eq!(mapping_error(&PRIMARY_JSON.replace("\"DB\"", "\"WEB\"")), MappingError::OtherApplication);
     assert_eq!(
-        refused(&ONE.replace("10.1.0.4", "box.example")),
+        mapping_error(&PRIMARY_JSON.replace("10.1.0.4", "box.example")),
         MappingError::InvalidAddress("box.example:Some(6543)".into())
     );
-    assert_eq!(refused(&ONE.replace("\"2\"", "\"two\"")), MappingError::InvalidGroup("two".into()));
     assert_eq!(
-        refused(&ONE.replace("\"$\":6543,\"@enabled\":\"true\"", "\"$\":6543,\"@enabled\":\"false\"")),
+        mapping_error(&PRIMARY_JSON.replace("\"2\"", "\"two\"")),
+        MappingError::InvalidGroup("two".into())
+    );
+    assert_eq!(
+        mapping_error(
+            &PRIMARY_JSON.replace("\"$\":6543,\"@enabled\":\"true\"", "\"$\":6543,\"@enabled\":\"false\"")
+        ),
         MappingError::InvalidAddress("10.1.0.4:None".into())
     );
     assert_eq!(
-        refused(&ONE.replace("10.1.0.4", "::ffff:10.2.0.4")),
+        mapping_error(&PRIMARY_JSON.replace("10.1.0.4", "::ffff:10.2.0.4")),
         MappingError::OutsideNetworks("10.2.0.4".parse().unwrap())
     );
 }
 
 #[test]
-fn a_registration_that_starts_comes_before_the_same_in_service() {
+fn a_starting_registration_is_ordered_before_the_same_in_service() {
     let stamp = |status: &str| {
         let instance =
-            Instance::from_json(ONE.replace("\"UP\"", &format!("\"{status}\"")).as_bytes()).unwrap();
+            Instance::from_json(PRIMARY_JSON.replace("\"UP\"", &format!("\"{status}\"")).as_bytes()).unwrap();
         mapping().claim(&instance, 0).unwrap().version.stamp
     };
     assert!(stamp("STARTING") < stamp("UP") && stamp("UP") == stamp("DOWN"));
@@ -223,11 +244,11 @@
 }
 
 #[test]
-fn the_smallest_network_names_the_zone() {
+fn the_smallest_network_determines_the_zone() {
     let mut networks = Networks::default();
     assert!(networks.add("10.0.0.0/8".parse().unwrap(), None));
     assert!(networks.add("10.1.0.0/16".parse().unwrap(), Some("adum".into())));
-    assert!(!networks.add("10.1.0.0/16".parse().unwrap(), None), "twice");
+    assert!(!networks.add("10.1.0.0/16".parse().unwrap(), None), "added before");
     assert!(networks.add("fd00::/8".parse().unwrap(), Some("suame".into())));
     let zone = |text: &str| networks.zone(text.parse().unwrap());
     assert_eq!(zone("10.1.2.3"), Some(Some("adum".into())));
@@ -240,14 +261,14 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(5), failure_persistence: None, cases: 300, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_bytes_make_it_panic(at in 0..1_400_usize, junk in prop::collection::vec(any::<u8>(), 0..6), xml in any::<bool>(), cut in 0..1_400_usize) {
+    fn corrupted_bodies_parse_the_same_however_they_are_split(position in 0..1_400_usize, junk in prop::collection::vec(any::<u8>(), 0..6), xml in any::<bool>(), split in 0..1_400_usize) {
         let (format, text) = if xml { (Format::Xml, XML.to_owned()) } else { (Format::Json, json()) };
         let mut bytes = text.into_bytes();
-        let at = at.min(bytes.len());
-        bytes.splice(at..(at + junk.len() / 2).min(bytes.len()), junk);
-        let whole = read(format, &bytes, &[]).map(|(read, _)| read.instances);
-        let parts = read(format, &bytes, &[cut]).map(|(read, _)| read.instances);
-        prop_assert_eq!(whole.is_ok(), parts.is_ok(), "the same however it is cut");
+        let position = position.min(bytes.len());
+        bytes.splice(position..(position + junk.len() / 2).min(bytes.len()), junk);
+        let whole = parse_list(format, &bytes, &[]).map(|(update, _)| update.instances);
+        let parts = parse_list(format, &bytes, &[split]).map(|(update, _)| update.instances);
+        prop_assert_eq!(whole.is_ok(), parts.is_ok(), "the result must not depend on the split");
         prop_assert_eq!(whole.ok(), parts.ok());
     }
 }
