--- a/crates/daemon/tests/invariants.rs
+++ b/crates/daemon/tests/invariants.rs
@@ -233,9 +233,9 @@
     assert!(gaps[10] < Duration::from_millis(20), "{gaps:?}");
 }
 
-/// A limit on file descriptors that draining slots for [`CLIENT_SLOTS`] clients.
+/// A limit on file descriptors that leaves slots for [`CLIENT_SLOTS`] clients.
 const FEW_SOCKETS: usize = 24;
-/// Client connections that [`FEW_SOCKETS`] draining room for.
+/// Client connections that [`FEW_SOCKETS`] leaves room for.
 const CLIENT_SLOTS: usize = 8;
 
 #[test]
--- a/crates/daemon/tests/leases.rs
+++ b/crates/daemon/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Leases among processes of the program, with faults between them: all scripts once, with fixed seeds.
+//! Leases between processes of the program while faults are injected: runs each script once, with a fixed seed.
 
 use linnetdeal_lab::family::Family;
 use linnetdeal_lab::leases::play::play;
@@ -13,17 +13,18 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linnetdeal");
-/// Tests that start processes run one after another: terms are short, and a machine that is crowded makes them look shorter.
-static ONE: Mutex<()> = Mutex::new(());
-/// Scripts that run side by side; on four cores each process gets what it needs.
-const AT_ONCE: usize = 6;
+/// Held by tests that start processes, so that they run one after another: terms are short, and appear shorter still on a busy
+/// machine.
+static EXCLUSIVE: Mutex<()> = Mutex::new(());
+/// Scripts that run concurrently; on four cores each process still gets the CPU time that it needs.
+const MAX_CONCURRENT: usize = 6;
 
 fn scripts() -> Vec<Script> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/leases");
     Script::folder(&folder).expect("scripts")
 }
 
-/// A fleet whose poolers all know the same servers and follow no list.
+/// A fleet whose poolers all know the same servers and follow no discovery.
 fn spec(count: usize, seed: u64, known: serde_json::Value) -> Spec {
     Spec {
         program: PROGRAM.into(),
@@ -37,25 +38,26 @@
 }
 
 #[test]
-fn two_holders_never_act_at_once_whatever_fails() {
-    let _one = lock(&ONE);
+fn two_holders_never_act_concurrently_whatever_fails() {
+    let _guard = lock(&EXCLUSIVE);
     let scripts = scripts();
-    let outcomes = at_once(&scripts, AT_ONCE, |script| play(script, script.seed, Path::new(PROGRAM)));
-    let mut wrong = Vec::new();
+    let outcomes = at_once(&scripts, MAX_CONCURRENT, |script| play(script, script.seed, Path::new(PROGRAM)));
+    let mut failures = Vec::new();
     for (script, outcome) in scripts.iter().zip(outcomes) {
         let outcome = outcome.expect(&script.name);
         println!("{}, seed {}: {outcome:?}", script.name, script.seed);
         if !outcome.is_well(script) {
-            wrong.push((script.name.clone(), outcome));
+            failures.push((script.name.clone(), outcome));
         }
     }
-    assert!(wrong.is_empty(), "{wrong:#?}");
+    assert!(failures.is_empty(), "{failures:#?}");
 }
 
-/// What stays in force where clocks run beyond what was stated is the gate alone: without it, older tokens get through.
+/// Where clocks drift by more than the stated bound, only the check of fencing tokens at the gate still protects: without it,
+/// older tokens are accepted.
 #[test]
-fn without_its_gate_the_worst_script_is_found_out() {
-    let _one = lock(&ONE);
+fn without_the_gate_excessive_clock_drift_lets_older_tokens_through() {
+    let _guard = lock(&EXCLUSIVE);
     let mut script = scripts().into_iter().find(|script| script.name == "drift-beyond").expect("the script");
     script.gate = false;
     let let_through = (1..=3).any(|seed| {
@@ -63,9 +65,10 @@
         println!("seed {seed}: {outcome:?}");
         outcome.verdict.old_tokens_let_through > 0
     });
-    assert!(let_through, "the audit finds nothing where there must be something");
+    assert!(let_through, "the audit found no older token that was let through");
 }
 
+/// Writes the key and returns the operator's file with a lease task named `sweep`.
 fn operator(folder: &Path, key: &str) -> String {
     std::fs::write(folder.join("key"), key).expect("a file");
     format!(
@@ -76,69 +79,78 @@
 }
 
 #[test]
-fn the_second_address_shows_leases_and_moves_them() {
-    let _one = lock(&ONE);
+fn the_operator_api_shows_leases_and_moves_them() {
+    let _guard = lock(&EXCLUSIVE);
     let folder = std::env::temp_dir().join(format!("linnetdeal-leases-test-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let text = operator(&folder, "a key that is long enough");
     let known = json!({"generation": 1, "reset": true, "instances": []});
     let spec = spec(3, 4, known);
     let mut fleet = Fleet::new(spec).expect("a fleet");
-    for at in 0..3 {
-        fleet.start(at, &text, &[]).expect("a start");
+    for pooler in 0..3 {
+        fleet.start(pooler, &text, &[]).expect("a start");
     }
-    for at in 0..3 {
-        fleet.wait_until_listening(at).expect("a pooler");
+    for pooler in 0..3 {
+        fleet.wait_until_listening(pooler).expect("a pooler");
     }
-    let shown = |fleet: &Fleet, at: usize| -> Value {
-        let (status, body) = fleet.call(at, "GET", "/-/leases").expect("an answer");
+    let lease_status = |fleet: &Fleet, pooler: usize| -> Value {
+        let (status, body) = fleet.call(pooler, "GET", "/-/leases").expect("an answer");
         assert_eq!(status, 200);
         serde_json::from_str(&body).expect("JSON")
     };
-    let holder = |fleet: &Fleet, at: usize| shown(fleet, at)["tasks"][0]["holder"]["pooler"].as_u64();
-    let until = |fleet: &Fleet, what: &dyn Fn(&Fleet) -> bool| {
-        let end = Instant::now() + process::WAIT_TIMEOUT;
-        while !what(fleet) {
-            assert!(Instant::now() < end, "in vain: {}", shown(fleet, 0));
+    let holder =
+        |fleet: &Fleet, pooler: usize| lease_status(fleet, pooler)["tasks"][0]["holder"]["pooler"].as_u64();
+    let wait_until = |fleet: &Fleet, holds: &dyn Fn(&Fleet) -> bool| {
+        let deadline = Instant::now() + process::WAIT_TIMEOUT;
+        while !holds(fleet) {
+            assert!(Instant::now() < deadline, "condition not met in time: {}", lease_status(fleet, 0));
             std::thread::sleep(Duration::from_millis(5));
         }
     };
-    // All of them see the same one.
-    until(&fleet, &|fleet| {
-        holder(fleet, 0).is_some() && (1..3).all(|at| holder(fleet, at) == holder(fleet, 0))
+    // All poolers see the same holder.
+    wait_until(&fleet, &|fleet| {
+        holder(fleet, 0).is_some() && (1..3).all(|pooler| holder(fleet, pooler) == holder(fleet, 0))
     });
     let first = holder(&fleet, 0).expect("a holder") as usize;
-    let token = shown(&fleet, first)["tasks"][0]["own"]["token"].as_u64().expect("its token");
-    assert_eq!(shown(&fleet, first)["voters"].as_array().map(Vec::len), Some(3));
-    let heir = (first + 1) % 3;
-    assert_eq!(fleet.call(heir, "POST", "/-/leases/sweep/release").expect("an answer").0, 409, "not its");
+    let token = lease_status(&fleet, first)["tasks"][0]["own"]["token"].as_u64().expect("its token");
+    assert_eq!(lease_status(&fleet, first)["voters"].as_array().map(Vec::len), Some(3));
+    let successor = (first + 1) % 3;
+    assert_eq!(
+        fleet.call(successor, "POST", "/-/leases/sweep/release").expect("an answer").0,
+        409,
+        "not its lease"
+    );
     assert_eq!(fleet.call(first, "POST", "/-/leases/nothing/release").expect("an answer").0, 409);
     assert_eq!(fleet.call(first, "POST", "/-/leases/sweep/hand/x").expect("an answer").0, 400);
     assert_eq!(fleet.call(first, "GET", "/-/leases/sweep/release").expect("an answer").0, 405);
-    assert_eq!(fleet.call(first, "POST", &format!("/-/leases/sweep/hand/{heir}")).expect("an answer").0, 200);
-    until(&fleet, &|fleet| holder(fleet, first) == Some(heir as u64));
-    assert!(shown(&fleet, heir)["tasks"][0]["own"]["token"].as_u64() > Some(token));
-    // Who is told to end gives it back first, and others need not wait for the term.
-    fleet.terminate(heir).expect("its end");
+    assert_eq!(
+        fleet.call(first, "POST", &format!("/-/leases/sweep/hand/{successor}")).expect("an answer").0,
+        200
+    );
+    wait_until(&fleet, &|fleet| holder(fleet, first) == Some(successor as u64));
+    assert!(lease_status(&fleet, successor)["tasks"][0]["own"]["token"].as_u64() > Some(token));
+    // A terminating holder releases its lease first, so that others need not wait for the end of the term.
+    fleet.terminate(successor).expect("its end");
     assert!(
         fleet
             .logs()
             .iter()
-            .any(|(at, log)| *at == heir && log.iter().any(|line| line.contains("sweep released")))
+            .any(|(pooler, log)| *pooler == successor
+                && log.iter().any(|line| line.contains("sweep released")))
     );
     drop(fleet);
-    // A key that can be guessed is refused at the start, with its place.
+    // A key that is short enough to be guessed is refused, and the error names the reason.
     let text = operator(&folder, "short");
     let file = folder.join("operator.cue");
     std::fs::write(&file, text).expect("a file");
     let checked = std::process::Command::new(PROGRAM).arg("check").arg(&file).output().expect("the program");
-    let words = String::from_utf8_lossy(&checked.stderr).into_owned();
-    assert!(!checked.status.success() && words.contains("has fewer than 16 bytes"), "{words}");
+    let stderr = String::from_utf8_lossy(&checked.stderr).into_owned();
+    assert!(!checked.status.success() && stderr.contains("has fewer than 16 bytes"), "{stderr}");
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 #[test]
-fn every_script_says_what_it_causes_and_none_is_idle() {
+fn every_script_injects_a_fault_or_a_call() {
     let scripts = scripts();
     assert!(scripts.len() >= 25);
     for script in &scripts {
@@ -147,8 +159,8 @@
 }
 
 #[test]
-fn one_pooler_a_group_asks_members_and_the_others_hear_of_it() {
-    let _one = lock(&ONE);
+fn one_pooler_per_group_polls_positions_and_sends_them_to_the_others() {
+    let _guard = lock(&EXCLUSIVE);
     let folder = std::env::temp_dir().join(format!("linnetdeal-positions-test-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let text = operator(&folder, "a key that is long enough").replace(
@@ -156,8 +168,8 @@
         "positions: {term: \"500ms\", every: \"200ms\"}",
     );
     let family = Family::start(3, std::net::Ipv4Addr::LOCALHOST.into()).expect("a family");
-    let entry = |(at, address): (usize, &SocketAddr)| {
-        json!({"instanceId": format!("s{at}"), "hostPort": address.to_string(), "zone": "a", "machineType": "m",
+    let entry = |(index, address): (usize, &SocketAddr)| {
+        json!({"instanceId": format!("s{index}"), "hostPort": address.to_string(), "zone": "a", "machineType": "m",
                "cell": 1, "lifecycle": "up", "weight": 1.0, "startedAtMs": 0})
     };
     let list: Vec<Value> = family.addresses.iter().enumerate().map(entry).collect();
@@ -165,42 +177,42 @@
     let spec = spec(5, 6, known);
     let mut fleet = Fleet::new(spec).expect("a fleet");
     fleet.settings["FamilyInfo"]["WhenBehind"] = "bounce".into();
-    for at in 0..5 {
-        fleet.start(at, &text, &[]).expect("a start");
+    for pooler in 0..5 {
+        fleet.start(pooler, &text, &[]).expect("a start");
     }
-    for at in 0..5 {
-        fleet.wait_until_listening(at).expect("a pooler");
+    for pooler in 0..5 {
+        fleet.wait_until_listening(pooler).expect("a pooler");
     }
-    let until = |words: &str, what: &mut dyn FnMut() -> bool| {
-        let end = Instant::now() + process::WAIT_TIMEOUT;
-        while !what() {
-            assert!(Instant::now() < end, "in vain: {words}");
+    let wait_until = |description: &str, holds: &mut dyn FnMut() -> bool| {
+        let deadline = Instant::now() + process::WAIT_TIMEOUT;
+        while !holds() {
+            assert!(Instant::now() < deadline, "not in time: {description}");
             std::thread::sleep(Duration::from_millis(5));
         }
     };
-    // Three members are asked five times a second by one, and would be five times as often if each asked.
-    let asked_by_one = |family: &Family| {
+    // One pooler probes three members five times a second; if all five did, there would be five times as many probes.
+    let assert_polled_by_one = |family: &Family| {
         let (began, before) = (Instant::now(), family.probes());
-        until("probes", &mut || family.probes() >= before + 45);
+        wait_until("probes", &mut || family.probes() >= before + 45);
         assert!(began.elapsed() > Duration::from_millis(1_500), "45 probes in {:?}", began.elapsed());
     };
-    until("a first probe", &mut || family.probes() > 0);
-    asked_by_one(&family);
-    let holder = (0..5).find(|at| {
-        let (_, body) = fleet.call(*at, "GET", "/-/leases").expect("an answer");
+    wait_until("a first probe", &mut || family.probes() > 0);
+    assert_polled_by_one(&family);
+    let holder = (0..5).find(|pooler| {
+        let (_, body) = fleet.call(*pooler, "GET", "/-/leases").expect("an answer");
         serde_json::from_str::<Value>(&body).expect("JSON")["tasks"][0]["own"].is_object()
     });
-    let holder = holder.expect("somebody holds it");
-    for at in (0..5).filter(|at| *at != holder) {
-        until("hearsay", &mut || {
-            fleet.signal(at, "USR1").expect("a signal");
-            let log = fleet.log(at);
-            let heard = log.iter().filter_map(|line| line.split_once("positions_heard="));
-            heard.filter_map(|(_, count)| count.trim().parse::<u64>().ok()).any(|count| count >= 10)
+    let holder = holder.expect("a holder");
+    for pooler in (0..5).filter(|pooler| *pooler != holder) {
+        wait_until("positions received from the holder", &mut || {
+            fleet.signal(pooler, "USR1").expect("a signal");
+            let log = fleet.log(pooler);
+            let counts = log.iter().filter_map(|line| line.split_once("positions_heard="));
+            counts.filter_map(|(_, count)| count.trim().parse::<u64>().ok()).any(|count| count >= 10)
         });
     }
     fleet.kill(holder);
-    asked_by_one(&family);
+    assert_polled_by_one(&family);
     drop(fleet);
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/daemon/tests/registry.rs
+++ b/crates/daemon/tests/registry.rs
@@ -1,5 +1,5 @@
-//! Stories of the pooler beside a registry, against stand-ins. Nothing here rests on how fast something is: a step is
-//! over when the registry has been asked again, since the pooler asks only after it has taken in the answer before.
+//! Tests of the pooler with a registry, against scripted registry peers and servers. No test depends on timing: a step is
+//! complete once the registry has been polled again, because the pooler polls only after it has applied the previous answer.
 
 use linnetdeal_lab::clients::Client;
 use linnetdeal_lab::eureka::{Manner, Peer};
@@ -13,36 +13,39 @@
 use std::time::Duration;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linnetdeal");
+/// The index of the class of reads that the client sends.
 const READ: usize = 2;
 
-struct Story {
+/// A pooler that follows scripted registry peers, with the stage that they and the servers belong to, and a client.
+struct RegistryTest {
     stage: Stage,
     pooler: Pooler,
     client: Client,
 }
 
-fn begin(boxes: usize, peers: usize, operator: &str) -> Story {
+/// Starts the pooler and waits until it has read its list.
+fn start(boxes: usize, peers: usize, operator: &str) -> RegistryTest {
     let stage = Stage::new(boxes, peers).unwrap();
-    let none = json!({"generation": 0, "reset": true, "instances": []});
-    let mut pooler = Pooler::start(Path::new(PROGRAM), Some(&stage.operator(operator)), &none).unwrap();
+    let empty_list = json!({"generation": 0, "reset": true, "instances": []});
+    let mut pooler = Pooler::start(Path::new(PROGRAM), Some(&stage.operator(operator)), &empty_list).unwrap();
     pooler.wait_for_log("instances read").unwrap();
     let client = Client::new(pooler.address, 1, 1);
-    Story { stage, pooler, client }
+    RegistryTest { stage, pooler, client }
 }
 
-impl Story {
+impl RegistryTest {
     fn act(&mut self, act: Act) {
         self.stage.act(&act, &self.pooler).unwrap();
     }
 
-    /// Waits until all that a peer knew has been taken in: it has been asked twice more.
-    fn taken(&self, peer: usize) {
+    /// Waits until the pooler has applied all that a peer knows now, which is so once it has polled the peer twice more.
+    fn wait_applied(&self, peer: usize) {
         let asked = |peer: &Peer| peer.heard().fulls + peer.heard().deltas;
         let before = asked(&self.stage.peers[peer]);
         wait("the registry is asked", || asked(&self.stage.peers[peer]) >= before + 2).unwrap();
     }
 
-    /// So many reads, and to whom they went.
+    /// Sends this many reads; returns how many went to each server.
     fn reads(&mut self, count: usize) -> Vec<(String, usize)> {
         let sends = |stage: &Stage| -> Vec<usize> {
             stage.boxes.keys().map(|name| lock(&stage.ledger).sends(name)).collect()
@@ -51,15 +54,17 @@
         for _ in 0..count {
             assert_eq!(self.client.ask_for(READ, &self.stage.ledger), "served");
         }
-        let counts = sends(&self.stage).into_iter().zip(before).map(|(now, before)| now - before);
+        let counts = sends(&self.stage).into_iter().zip(before).map(|(after, before)| after - before);
         self.stage.boxes.keys().cloned().zip(counts).collect()
     }
 
+    /// How many of 60 reads go to this server.
     fn sent_to(&mut self, name: &str) -> usize {
-        self.reads(60).into_iter().find(|(of, _)| of == name).map_or(0, |(_, count)| count)
+        self.reads(60).into_iter().find(|(server, _)| server == name).map_or(0, |(_, count)| count)
     }
 
-    fn kept_the_rules(&self) {
+    /// Asserts that no rule was broken and each request was answered.
+    fn assert_rules_kept(&self) {
         let verdict = lock(&self.stage.ledger).verdict();
         assert_eq!((verdict.drains_broken, verdict.stale_reads, verdict.writes_doubled), (0, 0, 0));
         assert_eq!((verdict.sends_outside, verdict.answered), (0, verdict.requests));
@@ -67,26 +72,26 @@
 }
 
 #[test]
-fn a_drain_is_kept_though_another_peer_still_lists_the_box_as_up() {
-    let mut story = begin(3, 2, "");
-    story.stage.peers[1].set_lag(Duration::from_secs(3_600));
-    assert!(story.sent_to("s-2") > 0);
-    story.act(Act::Drain("s-2".into()));
-    story.taken(0);
-    assert_eq!(story.sent_to("s-2"), 0);
-    story.act(Act::Behave(0, Manner::Refuse));
-    story.taken(1);
-    assert_eq!(story.sent_to("s-2"), 0, "the other peer is older than the drain");
-    // The box's own later word, heard by the peer that is behind no more.
-    story.stage.peers[1].set_lag(Duration::ZERO);
-    story.act(Act::Up("s-2".into()));
-    story.taken(1);
-    assert!(story.sent_to("s-2") > 0);
-    story.kept_the_rules();
+fn a_drain_holds_although_another_registry_peer_still_lists_the_server_as_up() {
+    let mut test = start(3, 2, "");
+    test.stage.peers[1].set_lag(Duration::from_secs(3_600));
+    assert!(test.sent_to("s-2") > 0);
+    test.act(Act::Drain("s-2".into()));
+    test.wait_applied(0);
+    assert_eq!(test.sent_to("s-2"), 0);
+    test.act(Act::Behave(0, Manner::Refuse));
+    test.wait_applied(1);
+    assert_eq!(test.sent_to("s-2"), 0, "the other peer is older than the drain");
+    // The server's own later update, at the peer that no longer lags.
+    test.stage.peers[1].set_lag(Duration::ZERO);
+    test.act(Act::Up("s-2".into()));
+    test.wait_applied(1);
+    assert!(test.sent_to("s-2") > 0);
+    test.assert_rules_kept();
 }
 
 #[test]
-fn what_a_sick_registry_says_removes_nobody() {
+fn answers_of_a_faulty_registry_remove_no_server() {
     let manners = [
         Manner::Empty,
         Manner::Few(1),
@@ -97,78 +102,74 @@
         Manner::WrongHash,
         Manner::LostDelta,
     ];
-    let mut story = begin(4, 1, "");
+    let mut test = start(4, 1, "");
     for manner in manners {
-        story.act(Act::Behave(0, manner.clone()));
-        story.taken(0);
-        let reads = story.reads(60);
+        test.act(Act::Behave(0, manner.clone()));
+        test.wait_applied(0);
+        let reads = test.reads(60);
         let used = reads.iter().filter(|(_, count)| *count > 0).count();
         assert!(used >= 3, "{manner:?}: {reads:?}");
-        story.act(Act::Behave(0, Manner::Well));
-        story.taken(0);
+        test.act(Act::Behave(0, Manner::Well));
+        test.wait_applied(0);
     }
-    // A registry that has lost its memory and gets it back, box by box.
-    story.act(Act::Forget);
-    story.taken(0);
+    // A registry that has lost its contents and gets them back server by server.
+    test.act(Act::Forget);
+    test.wait_applied(0);
     for _ in 0..2 {
-        story.act(Act::Return(0));
-        story.taken(0);
-        assert!(story.reads(60).iter().filter(|(_, count)| *count > 0).count() >= 3);
+        test.act(Act::Return(0));
+        test.wait_applied(0);
+        assert!(test.reads(60).iter().filter(|(_, count)| *count > 0).count() >= 3);
     }
-    story.kept_the_rules();
+    test.assert_rules_kept();
 }
 
 #[test]
-fn a_box_that_leaves_moves_or_lies_elsewhere_gets_nothing_more_where_it_was() {
-    let mut story = begin(4, 1, "");
-    story.act(Act::Remove("s-2".into()));
-    story.act(Act::Move("s-3".into()));
-    story.act(Act::Stray("s-4".into()));
-    story.act(Act::Outside("s-9".into()));
-    story.taken(0);
-    let reads = story.reads(60);
-    let sent = |name: &str| reads.iter().find(|(of, _)| of == name).map(|(_, count)| *count);
+fn a_server_that_was_removed_or_moved_gets_nothing_more_at_its_old_address() {
+    let mut test = start(4, 1, "");
+    test.act(Act::Remove("s-2".into()));
+    test.act(Act::Move("s-3".into()));
+    test.act(Act::Stray("s-4".into()));
+    test.act(Act::Outside("s-9".into()));
+    test.wait_applied(0);
+    let reads = test.reads(60);
+    let sent = |name: &str| reads.iter().find(|(server, _)| server == name).map(|(_, count)| *count);
     assert_eq!((sent("s-2"), sent("s-3"), sent("s-4")), (Some(0), Some(0), Some(0)), "{reads:?}");
     assert!(sent("s-3-moved") > Some(0), "{reads:?}");
-    assert!(story.pooler.wait_for_log("lies outside of the networks").is_ok());
-    story.kept_the_rules();
+    assert!(test.pooler.wait_for_log("lies outside of the networks").is_ok());
+    test.assert_rules_kept();
 }
 
 #[test]
-fn the_pooler_registers_says_that_it_drains_first_thing_and_takes_itself_off() {
-    let mut story = begin(2, 1, "register: {app: \"POOLER\", renew: \"1s\", expires: \"3s\"}");
-    let peer = story.stage.peers[0].clone();
-    wait("it is up", || peer.heard().own.iter().any(|words| words == "POST POOLER UP")).unwrap();
-    wait("it renews", || peer.heard().own.iter().any(|words| words == "PUT POOLER UP")).unwrap();
-    let id = story
-        .stage
-        .world
-        .ids()
-        .into_iter()
-        .find(|id| id.contains(&story.pooler.address.to_string()))
-        .unwrap();
-    // The registry forgets it: it registers anew.
-    story.stage.world.cancel(&id);
-    wait("it is back", || story.stage.world.get(&id).is_some()).unwrap();
+fn the_pooler_registers_reports_its_drain_first_and_deregisters() {
+    let mut test = start(2, 1, "register: {app: \"POOLER\", renew: \"1s\", expires: \"3s\"}");
+    let peer = test.stage.peers[0].clone();
+    wait("it is up", || peer.heard().own.iter().any(|call| call == "POST POOLER UP")).unwrap();
+    wait("it renews", || peer.heard().own.iter().any(|call| call == "PUT POOLER UP")).unwrap();
+    let id =
+        test.stage.world.ids().into_iter().find(|id| id.contains(&test.pooler.address.to_string())).unwrap();
+    // The registry loses its entry: it registers again.
+    test.stage.world.cancel(&id);
+    wait("it is back", || test.stage.world.get(&id).is_some()).unwrap();
     let before = peer.heard().own.len();
-    story.pooler.signal("TERM").unwrap();
+    test.pooler.signal("TERM").unwrap();
     wait("it drains", || peer.heard().own.len() > before).unwrap();
-    assert!(story.pooler.wait_for_exit().unwrap().success());
-    let told: Vec<String> = peer.heard().own.split_off(before);
-    let last: Vec<&str> = told.iter().map(String::as_str).filter(|words| !words.starts_with("PUT")).collect();
+    assert!(test.pooler.wait_for_exit().unwrap().success());
+    let calls: Vec<String> = peer.heard().own.split_off(before);
+    let last: Vec<&str> = calls.iter().map(String::as_str).filter(|call| !call.starts_with("PUT")).collect();
     assert_eq!(last, ["POST POOLER OUT_OF_SERVICE", "DELETE POOLER"]);
-    assert!(story.stage.world.get(&id).is_none());
+    assert!(test.stage.world.get(&id).is_none());
 }
 
 #[test]
-fn a_silent_registry_delays_neither_requests_nor_the_end() {
-    let mut story = begin(2, 1, "register: {app: \"POOLER\", renew: \"1s\", expires: \"3s\"}");
-    story.act(Act::Behave(0, Manner::Silent));
-    assert_eq!(story.reads(20).iter().map(|(_, count)| count).sum::<usize>(), 20);
-    story.pooler.signal("TERM").unwrap();
-    assert!(story.pooler.wait_for_exit().unwrap().success());
+fn a_silent_registry_delays_neither_requests_nor_termination() {
+    let mut test = start(2, 1, "register: {app: \"POOLER\", renew: \"1s\", expires: \"3s\"}");
+    test.act(Act::Behave(0, Manner::Silent));
+    assert_eq!(test.reads(20).iter().map(|(_, count)| count).sum::<usize>(), 20);
+    test.pooler.signal("TERM").unwrap();
+    assert!(test.pooler.wait_for_exit().unwrap().success());
 }
 
+/// Runs the program; returns its exit code, stdout and stderr.
 fn run(arguments: &[&str]) -> (Option<i32>, String, String) {
     let mut command = Command::new(PROGRAM);
     command.args(arguments).env_remove("GW_CONFIG").env_remove("LINNETDEAL_OPERATOR");
@@ -177,10 +178,10 @@
     (output.status.code(), text(output.stdout), text(output.stderr))
 }
 
-/// A file that is there until it is dropped.
-struct Held(std::path::PathBuf);
+/// A file in the folder for temporary files that is removed when dropped.
+struct TempFile(std::path::PathBuf);
 
-impl Held {
+impl TempFile {
     fn new(name: &str, text: &str) -> Self {
         let path = std::env::temp_dir().join(format!("linnetdeal-test-{}-{name}", std::process::id()));
         std::fs::write(&path, text).unwrap();
@@ -192,31 +193,34 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
 #[test]
-fn check_tells_each_fault_with_its_place_and_members_shows_whom_it_believes() {
+fn check_reports_each_error_with_its_position_and_members_lists_the_known_servers() {
     let stage = Stage::new(2, 1).unwrap();
-    let good = Held::new("good.cue", &stage.operator(""));
+    let good = TempFile::new("good.cue", &stage.operator(""));
     assert_eq!(run(&["check", good.path()]), (Some(0), String::new(), String::new()));
-    let bad = Held::new("bad.cue", &stage.operator("interval_s: 5\n\tprimary: 7"));
-    let (code, _, words) = run(&["check", bad.path()]);
+    let bad = TempFile::new("bad.cue", &stage.operator("interval_s: 5\n\tprimary: 7"));
+    let (code, _, stderr) = run(&["check", bad.path()]);
     assert_eq!(code, Some(78));
     let file = bad.path();
-    assert!(words.contains(&format!("{file}:9:2: there is no field 'interval_s' here")), "{words}");
-    assert!(words.contains(&format!("{file}:10:")) && words.contains("7 does not fit string"), "{words}");
-    let secret = Held::new("password", "x");
-    let open = stage.operator(&format!("user: {{name: \"n\", password_file: {:?}}}", secret.path()));
-    let open = Held::new("open.cue", &open);
-    let (code, _, words) = run(&["check", open.path()]);
-    assert!(code == Some(78) && words.contains("others than its owner"), "{words}");
-    let broken = Held::new("config.json", "{\n  \"listen\": 7}");
-    let (code, _, words) = run(&["check", "--config", broken.path()]);
-    assert!(code == Some(78) && words.contains(broken.path()) && words.contains("line 2 column"), "{words}");
+    assert!(stderr.contains(&format!("{file}:9:2: there is no field 'interval_s' here")), "{stderr}");
+    assert!(stderr.contains(&format!("{file}:10:")) && stderr.contains("7 does not fit string"), "{stderr}");
+    let secret = TempFile::new("password", "x");
+    let readable = stage.operator(&format!("user: {{name: \"n\", password_file: {:?}}}", secret.path()));
+    let readable = TempFile::new("open.cue", &readable);
+    let (code, _, stderr) = run(&["check", readable.path()]);
+    assert!(code == Some(78) && stderr.contains("others than its owner"), "{stderr}");
+    let broken = TempFile::new("config.json", "{\n  \"listen\": 7}");
+    let (code, _, stderr) = run(&["check", "--config", broken.path()]);
+    assert!(
+        code == Some(78) && stderr.contains(broken.path()) && stderr.contains("line 2 column"),
+        "{stderr}"
+    );
 
     let (code, out, _) = run(&["members", "--operator", good.path(), "--json"]);
     assert_eq!(code, Some(0));
@@ -233,32 +237,33 @@
 }
 
 #[test]
-fn check_tells_which_settings_have_no_effect_and_finds_no_fault_in_them() {
+fn check_lists_settings_without_effect_and_treats_them_as_no_error() {
     let mut config = json!({"listen": "127.0.0.1:0", "settings": linnetdeal_lab::pooler::settings()});
     let settings = &mut config["settings"];
     settings["WorthBy"] = "work".into();
     settings["Limits"]["MayDuplicate"] = true.into();
     settings["Report"] = json!({"Fields": ["x0", "eps"], "How": "probe"});
     settings["Weather"] = json!({"Wind": 3});
-    let held = Held::new("settings.json", &config.to_string());
-    let (code, out, words) = run(&["check", "--config", held.path()]);
-    assert_eq!((code, words.as_str()), (Some(0), ""));
-    for (path, why) in [
+    let file = TempFile::new("settings.json", &config.to_string());
+    let (code, out, stderr) = run(&["check", "--config", file.path()]);
+    assert_eq!((code, stderr.as_str()), (Some(0), ""));
+    for (path, reason) in [
         ("WorthBy", "worth"),
         ("Discovery", "watched"),
         ("Report.Fields eps", "no decision"),
         ("Report.How", "wherever it comes"),
     ] {
-        let told = |line: &str| line.starts_with(&format!("not used: {path}: ")) && line.contains(why);
-        assert_eq!(out.lines().filter(|line| told(line)).count(), 1, "{path}: {out}");
+        let is_listed =
+            |line: &str| line.starts_with(&format!("not used: {path}: ")) && line.contains(reason);
+        assert_eq!(out.lines().filter(|line| is_listed(line)).count(), 1, "{path}: {out}");
     }
     assert!(out.lines().any(|line| line == "not known: Weather.Wind"), "{out}");
     let used = ["Lanes.count", "SendCap", "MayDuplicate"];
     assert!(used.iter().all(|path| !out.contains(path)), "{out}");
 
-    // A file that can't be used is told as before, and nothing beside it.
+    // For an unusable file only the error is reported.
     config["settings"]["Limits"]["SendCap"] = 0.into();
-    let held = Held::new("useless.json", &config.to_string());
-    let (code, out, words) = run(&["check", "--config", held.path()]);
-    assert!(code == Some(78) && out.is_empty() && words.contains("Limits.SendCap"), "{out}{words}");
+    let file = TempFile::new("useless.json", &config.to_string());
+    let (code, out, stderr) = run(&["check", "--config", file.path()]);
+    assert!(code == Some(78) && out.is_empty() && stderr.contains("Limits.SendCap"), "{out}{stderr}");
 }
