--- a/crates/daemon/tests/leases.rs
+++ b/crates/daemon/tests/leases.rs
@@ -144,8 +144,8 @@
     let file = folder.join("operator.cue");
     std::fs::write(&file, text).expect("a file");
     let checked = std::process::Command::new(PROGRAM).arg("check").arg(&file).output().expect("the program");
-    let stderr = String::from_utf8_lossy(&checked.stderr).into_owned();
-    assert!(!checked.status.success() && stderr.contains("has fewer than 16 bytes"), "{stderr}");
+    let errors = String::from_utf8_lossy(&checked.stderr).into_owned();
+    assert!(!checked.status.success() && errors.contains("has fewer than 16 bytes"), "{errors}");
     let _ = std::fs::remove_dir_all(&folder);
 }
 
--- a/crates/daemon/tests/registry.rs
+++ b/crates/daemon/tests/registry.rs
@@ -17,23 +17,23 @@
 const READ: usize = 2;
 
 /// A pooler that follows scripted registry peers, with the stage that they and the servers belong to, and a client.
-struct RegistryTest {
+struct Fixture {
     stage: Stage,
     pooler: Pooler,
     client: Client,
 }
 
 /// Starts the pooler and waits until it has read its list.
-fn start(boxes: usize, peers: usize, operator: &str) -> RegistryTest {
+fn start_fixture(boxes: usize, peers: usize, operator: &str) -> Fixture {
     let stage = Stage::new(boxes, peers).unwrap();
     let empty_list = json!({"generation": 0, "reset": true, "instances": []});
     let mut pooler = Pooler::start(Path::new(PROGRAM), Some(&stage.operator(operator)), &empty_list).unwrap();
     pooler.wait_for_log("instances read").unwrap();
     let client = Client::new(pooler.address, 1, 1);
-    RegistryTest { stage, pooler, client }
+    Fixture { stage, pooler, client }
 }
 
-impl RegistryTest {
+impl Fixture {
     fn act(&mut self, act: Act) {
         self.stage.act(&act, &self.pooler).unwrap();
     }
@@ -73,21 +73,21 @@
 
 #[test]
 fn a_drain_holds_although_another_registry_peer_still_lists_the_server_as_up() {
-    let mut test = start(3, 2, "");
-    test.stage.peers[1].set_lag(Duration::from_secs(3_600));
-    assert!(test.sent_to("s-2") > 0);
-    test.act(Act::Drain("s-2".into()));
-    test.wait_applied(0);
-    assert_eq!(test.sent_to("s-2"), 0);
-    test.act(Act::Behave(0, Manner::Refuse));
-    test.wait_applied(1);
-    assert_eq!(test.sent_to("s-2"), 0, "the other peer is older than the drain");
+    let mut fixture = start_fixture(3, 2, "");
+    fixture.stage.peers[1].set_lag(Duration::from_secs(3_600));
+    assert!(fixture.sent_to("s-2") > 0);
+    fixture.act(Act::Drain("s-2".into()));
+    fixture.wait_applied(0);
+    assert_eq!(fixture.sent_to("s-2"), 0);
+    fixture.act(Act::Behave(0, Manner::Refuse));
+    fixture.wait_applied(1);
+    assert_eq!(fixture.sent_to("s-2"), 0, "the other peer is older than the drain");
     // The server's own later update, at the peer that no longer lags.
-    test.stage.peers[1].set_lag(Duration::ZERO);
-    test.act(Act::Up("s-2".into()));
-    test.wait_applied(1);
-    assert!(test.sent_to("s-2") > 0);
-    test.assert_rules_kept();
+    fixture.stage.peers[1].set_lag(Duration::ZERO);
+    fixture.act(Act::Up("s-2".into()));
+    fixture.wait_applied(1);
+    assert!(fixture.sent_to("s-2") > 0);
+    fixture.assert_rules_kept();
 }
 
 #[test]
@@ -102,71 +102,76 @@
         Manner::WrongHash,
         Manner::LostDelta,
     ];
-    let mut test = start(4, 1, "");
+    let mut fixture = start_fixture(4, 1, "");
     for manner in manners {
-        test.act(Act::Behave(0, manner.clone()));
-        test.wait_applied(0);
-        let reads = test.reads(60);
+        fixture.act(Act::Behave(0, manner.clone()));
+        fixture.wait_applied(0);
+        let reads = fixture.reads(60);
         let used = reads.iter().filter(|(_, count)| *count > 0).count();
         assert!(used >= 3, "{manner:?}: {reads:?}");
-        test.act(Act::Behave(0, Manner::Well));
-        test.wait_applied(0);
+        fixture.act(Act::Behave(0, Manner::Well));
+        fixture.wait_applied(0);
     }
     // A registry that has lost its contents and gets them back server by server.
-    test.act(Act::Forget);
-    test.wait_applied(0);
+    fixture.act(Act::Forget);
+    fixture.wait_applied(0);
     for _ in 0..2 {
-        test.act(Act::Return(0));
-        test.wait_applied(0);
-        assert!(test.reads(60).iter().filter(|(_, count)| *count > 0).count() >= 3);
+        fixture.act(Act::Return(0));
+        fixture.wait_applied(0);
+        assert!(fixture.reads(60).iter().filter(|(_, count)| *count > 0).count() >= 3);
     }
-    test.assert_rules_kept();
+    fixture.assert_rules_kept();
 }
 
 #[test]
 fn a_server_that_was_removed_or_moved_gets_nothing_more_at_its_old_address() {
-    let mut test = start(4, 1, "");
-    test.act(Act::Remove("s-2".into()));
-    test.act(Act::Move("s-3".into()));
-    test.act(Act::Stray("s-4".into()));
-    test.act(Act::Outside("s-9".into()));
-    test.wait_applied(0);
-    let reads = test.reads(60);
+    let mut fixture = start_fixture(4, 1, "");
+    fixture.act(Act::Remove("s-2".into()));
+    fixture.act(Act::Move("s-3".into()));
+    fixture.act(Act::Stray("s-4".into()));
+    fixture.act(Act::Outside("s-9".into()));
+    fixture.wait_applied(0);
+    let reads = fixture.reads(60);
     let sent = |name: &str| reads.iter().find(|(server, _)| server == name).map(|(_, count)| *count);
     assert_eq!((sent("s-2"), sent("s-3"), sent("s-4")), (Some(0), Some(0), Some(0)), "{reads:?}");
     assert!(sent("s-3-moved") > Some(0), "{reads:?}");
-    assert!(test.pooler.wait_for_log("lies outside of the networks").is_ok());
-    test.assert_rules_kept();
+    assert!(fixture.pooler.wait_for_log("lies outside of the networks").is_ok());
+    fixture.assert_rules_kept();
 }
 
 #[test]
 fn the_pooler_registers_reports_its_drain_first_and_deregisters() {
-    let mut test = start(2, 1, "register: {app: \"POOLER\", renew: \"1s\", expires: \"3s\"}");
-    let peer = test.stage.peers[0].clone();
+    let mut fixture = start_fixture(2, 1, "register: {app: \"POOLER\", renew: \"1s\", expires: \"3s\"}");
+    let peer = fixture.stage.peers[0].clone();
     wait("it is up", || peer.heard().own.iter().any(|call| call == "POST POOLER UP")).unwrap();
     wait("it renews", || peer.heard().own.iter().any(|call| call == "PUT POOLER UP")).unwrap();
-    let id =
-        test.stage.world.ids().into_iter().find(|id| id.contains(&test.pooler.address.to_string())).unwrap();
+    let id = fixture
+        .stage
+        .world
+        .ids()
+        .into_iter()
+        .find(|id| id.contains(&fixture.pooler.address.to_string()))
+        .unwrap();
     // The registry loses its entry: it registers again.
-    test.stage.world.cancel(&id);
-    wait("it is back", || test.stage.world.get(&id).is_some()).unwrap();
+    fixture.stage.world.cancel(&id);
+    wait("it is back", || fixture.stage.world.get(&id).is_some()).unwrap();
     let before = peer.heard().own.len();
-    test.pooler.signal("TERM").unwrap();
+    fixture.pooler.signal("TERM").unwrap();
     wait("it drains", || peer.heard().own.len() > before).unwrap();
-    assert!(test.pooler.wait_for_exit().unwrap().success());
+    assert!(fixture.pooler.wait_for_exit().unwrap().success());
     let calls: Vec<String> = peer.heard().own.split_off(before);
     let last: Vec<&str> = calls.iter().map(String::as_str).filter(|call| !call.starts_with("PUT")).collect();
     assert_eq!(last, ["POST POOLER OUT_OF_SERVICE", "DELETE POOLER"]);
-    assert!(test.stage.world.get(&id).is_none());
+    assert!(fixture.stage.world.get(&id).is_none());
 }
 
 #[test]
 fn a_silent_registry_delays_neither_requests_nor_termination() {
-    let mut test = start(2, 1, "register: {app: \"POOLER\", renew: \"1s\", expires: \"3s\"}");
-    test.act(Act::Behave(0, Manner::Silent));
-    assert_eq!(test.reads(20).iter().map(|(_, count)| count).sum::<usize>(), 20);
-    test.pooler.signal("TERM").unwrap();
-    assert!(test.pooler.wait_for_exit().unwrap().success());
+    let mut fixture = start_fixture(2, 1, "register: {app: \"POOLER\", renew: \"1s\", expires: \"3s\"}");
+    fixture.act(Act::Behave(0, Manner::Silent));
+    assert_eq!(fixture.reads(20).iter().map(|(_, count)| count).sum::<usize>(), 20);
+    fixture.pooler.signal("TERM").unwrap();
+    assert!(fixture.pooler.wait_for_exit().unwrap().success());
 }
 
 /// Runs the program; returns its exit code, stdout and stderr.
@@ -205,21 +210,21 @@
     let good = TempFile::new("good.cue", &stage.operator(""));
     assert_eq!(run(&["check", good.path()]), (Some(0), String::new(), String::new()));
     let bad = TempFile::new("bad.cue", &stage.operator("interval_s: 5\n\tprimary: 7"));
-    let (code, _, stderr) = run(&["check", bad.path()]);
+    let (code, _, errors) = run(&["check", bad.path()]);
     assert_eq!(code, Some(78));
     let file = bad.path();
-    assert!(stderr.contains(&format!("{file}:9:2: there is no field 'interval_s' here")), "{stderr}");
-    assert!(stderr.contains(&format!("{file}:10:")) && stderr.contains("7 does not fit string"), "{stderr}");
+    assert!(errors.contains(&format!("{file}:9:2: there is no field 'interval_s' here")), "{errors}");
+    assert!(errors.contains(&format!("{file}:10:")) && errors.contains("7 does not fit string"), "{errors}");
     let secret = TempFile::new("password", "x");
     let readable = stage.operator(&format!("user: {{name: \"n\", password_file: {:?}}}", secret.path()));
     let readable = TempFile::new("open.cue", &readable);
-    let (code, _, stderr) = run(&["check", readable.path()]);
-    assert!(code == Some(78) && stderr.contains("others than its owner"), "{stderr}");
+    let (code, _, errors) = run(&["check", readable.path()]);
+    assert!(code == Some(78) && errors.contains("others than its owner"), "{errors}");
     let broken = TempFile::new("config.json", "{\n  \"listen\": 7}");
-    let (code, _, stderr) = run(&["check", "--config", broken.path()]);
+    let (code, _, errors) = run(&["check", "--config", broken.path()]);
     assert!(
-        code == Some(78) && stderr.contains(broken.path()) && stderr.contains("line 2 column"),
-        "{stderr}"
+        code == Some(78) && errors.contains(broken.path()) && errors.contains("line 2 column"),
+        "{errors}"
     );
 
     let (code, out, _) = run(&["members", "--operator", good.path(), "--json"]);
@@ -244,9 +249,9 @@
     settings["Limits"]["MayDuplicate"] = true.into();
     settings["Report"] = json!({"Fields": ["x0", "eps"], "How": "probe"});
     settings["Weather"] = json!({"Wind": 3});
-    let file = TempFile::new("settings.json", &config.to_string());
-    let (code, out, stderr) = run(&["check", "--config", file.path()]);
-    assert_eq!((code, stderr.as_str()), (Some(0), ""));
+    let config_file = TempFile::new("settings.json", &config.to_string());
+    let (code, out, errors) = run(&["check", "--config", config_file.path()]);
+    assert_eq!((code, errors.as_str()), (Some(0), ""));
     for (path, reason) in [
         ("WorthBy", "worth"),
         ("Discovery", "watched"),
@@ -263,7 +268,7 @@
 
     // For an unusable file only the error is reported.
     config["settings"]["Limits"]["SendCap"] = 0.into();
-    let file = TempFile::new("useless.json", &config.to_string());
-    let (code, out, stderr) = run(&["check", "--config", file.path()]);
-    assert!(code == Some(78) && out.is_empty() && stderr.contains("Limits.SendCap"), "{out}{stderr}");
+    let config_file = TempFile::new("useless.json", &config.to_string());
+    let (code, out, errors) = run(&["check", "--config", config_file.path()]);
+    assert!(code == Some(78) && out.is_empty() && errors.contains("Limits.SendCap"), "{out}{errors}");
 }
