--- a/crates/daemon/tests/registry.rs
+++ b/crates/daemon/tests/registry.rs
@@ -40,9 +40,9 @@
 
     /// Waits until the pooler has applied all that a peer knows now, which is so once it has polled the peer twice more.
     fn wait_applied(&self, peer: usize) {
-        let asked = |peer: &Peer| peer.heard().fulls + peer.heard().deltas;
-        let before = asked(&self.stage.peers[peer]);
-        wait("the registry is asked", || asked(&self.stage.peers[peer]) >= before + 2).unwrap();
+        let polls = |peer: &Peer| peer.heard().fulls + peer.heard().deltas;
+        let before = polls(&self.stage.peers[peer]);
+        wait("the registry is polled", || polls(&self.stage.peers[peer]) >= before + 2).unwrap();
     }
 
     /// Sends this many reads; returns how many went to each server.
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn the_pooler_registers_reports_its_drain_first_and_deregisters() {
+fn the_pooler_registers_and_on_sigterm_reports_its_drain_and_deregisters() {
     let mut fixture = start_fixture(2, 1, "register: {app: \"POOLER\", renew: \"1s\", expires: \"3s\"}");
     let peer = fixture.stage.peers[0].clone();
     wait("it is up", || peer.heard().own.iter().any(|call| call == "POST POOLER UP")).unwrap();
--- a/crates/daemon/tests/sockets.rs
+++ b/crates/daemon/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! Stories of the pooler on real sockets, against scripted peers: one for each thing that went wrong or must not.
+//! Tests of the running pooler on real sockets between scripted servers, discovery and clients: one for each fault that has
+//! occurred or must not.
 
 mod common;
 use common::*;
@@ -12,18 +13,18 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 #[test]
-fn a_value_passes_through_whole_and_only_the_wait_is_rewritten() {
+fn a_value_is_forwarded_unchanged_and_only_the_timeout_of_a_statement_is_rewritten() {
     let big = vec![0xA5; 65_536];
     let value = big.clone();
-    // The empty query that came along is answered in the same write: where its answer comes 25 ms late, on a busy machine, the second
-    // command goes to a new connection, as it should.
+    // The empty query that is sent along with a statement is answered in the same write: if its answer were 25 ms late, as on a busy
+    // machine, the second command would rightly go to a new connection.
     let server = Server::raw("s-1", move |conn, statement| {
         let empty = b"I\0\0\0\x04Z\0\0\0\x05I";
-        let marked = !statement.is_empty() && conn.has_buffered();
-        if marked {
-            assert_eq!(conn.next_message(), Some((b'Q', b"\0".to_vec())), "nothing else comes along");
+        let with_ping = !statement.is_empty() && conn.has_buffered();
+        if with_ping {
+            assert_eq!(conn.next_message(), Some((b'Q', b"\0".to_vec())), "nothing else is sent along");
         }
-        match (statement.is_empty(), marked) {
+        match (statement.is_empty(), with_ping) {
             (true, _) => conn.send_bytes(empty),
             (false, false) => conn.send_row(&value, "replica", REPORTED_POSITION),
             (false, true) => conn.send_row_and(&value, "replica", REPORTED_POSITION, empty),
@@ -32,25 +33,28 @@
     });
     let discovery = Discovery::new();
     let pooler = Pooler::new(&discovery, vec![server.entry("up", "replica")]);
-    // The first query comes straight after the startup message, as the front's check does.
+    // The first query directly follows the startup message, as in the health check of the front end.
     let mut client = Client::connect_with(&pooler, b"Q\0\0\0\x05\0");
     assert_eq!(client.answer().tags.chars().last(), Some('Z'));
     assert_eq!(client.answer().tags, "IZ", "ready");
-    // Two commands in one go are answered in their order.
+    // Two pipelined commands are answered in order.
     client.send(&menu("11"));
     client.send(&menu("12"));
     for _ in 0..2 {
         let answer = client.answer();
         assert_eq!((answer.tags.as_str(), answer.value.as_ref()), ("TDCZ", Some(&big)));
     }
-    let ids = |statement: &String| {
+    let with_original_timeout = |statement: &String| {
         let (before, rest) = statement.split_once(",d=").unwrap();
-        let (wait, after) = rest.split_once(',').unwrap();
-        let wait: u64 = wait.parse().unwrap();
-        assert!((1..=8_000).contains(&wait), "{wait}");
+        let (timeout, after) = rest.split_once(',').unwrap();
+        let timeout: u64 = timeout.parse().unwrap();
+        assert!((1..=8_000).contains(&timeout), "{timeout}");
         format!("{before},d=8000,{after}")
     };
-    assert_eq!(server.received().iter().map(ids).collect::<Vec<_>>(), [menu("11"), menu("12")]);
+    assert_eq!(
+        server.received().iter().map(with_original_timeout).collect::<Vec<_>>(),
+        [menu("11"), menu("12")]
+    );
     let counters = pooler.counters();
     for count in [" taken=2 ", " sent=2 ", " served=2 ", " dials=1 ", " outcome.ok=2 "] {
         assert!(counters.contains(count), "{counters}");
@@ -58,8 +62,9 @@
 }
 
 #[test]
-fn a_top_up_walks_on_proof_that_it_never_ran_and_never_runs_twice() {
-    // The one listed as primary is a replica by now; the true one takes the write and dies of the second.
+fn a_write_is_retried_only_on_proof_that_it_never_ran() {
+    // The server that is listed as the primary is a replica by now; the actual primary runs the first write, and fails during the
+    // second.
     let replica = Server::new("s-1", |conn, _| {
         conn.send_error("25006", "replica");
         true
@@ -77,26 +82,26 @@
     let mut client = Client::connect(&pooler);
     assert_eq!(client.execute(&top_up("1")).value.as_deref(), Some(&b"done"[..]));
     assert_eq!((replica.received().len(), primary.received().len()), (1, 1));
-    // All of it was written when the connection broke: it may have run, and the client must not think otherwise.
+    // The whole statement was written when the connection broke: it may have run, and the answer must say so.
     let answer = client.execute(&top_up("2"));
     assert_eq!((answer.tags.as_str(), answer.code.as_deref()), ("EZ", Some("08007")));
     assert_eq!((replica.received().len(), primary.received().len()), (1, 2), "not sent again");
-    // Whoever has to look it up finds it by the client's id.
+    // Operators find the write by the client's request id.
     pooler.signal("USR1");
-    let doubts = pooler.wait_for_log("in doubt: ");
-    assert!(doubts.contains("in doubt: 1 since the start; top-up id=2 at s-2, "), "{doubts}");
+    let in_doubt = pooler.wait_for_log("in doubt: ");
+    assert!(in_doubt.contains("in doubt: 1 since the start; top-up id=2 at s-2, "), "{in_doubt}");
 }
 
 #[test]
 fn a_write_without_a_primary_is_held_until_a_probe_shows_one() {
-    // Both turn the write away; one has become the primary by the time it is probed.
-    let member = |id: &'static str, heir: bool| {
+    // Both reject the write; the successor has become the primary by the time it is probed.
+    let member = |id: &'static str, is_successor: bool| {
         let promoted = AtomicBool::new(false);
         Server::new(id, move |conn, statement| {
             if statement.starts_with("SHOW") {
-                promoted.store(heir, Ordering::Relaxed);
+                promoted.store(is_successor, Ordering::Relaxed);
                 let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64();
-                conn.send_row(format!("x0={now:.6},x1={}", u8::from(heir)).as_bytes(), "", "");
+                conn.send_row(format!("x0={now:.6},x1={}", u8::from(is_successor)).as_bytes(), "", "");
             } else if promoted.load(Ordering::Relaxed) {
                 conn.send_row(b"done", "master", REPORTED_POSITION);
             } else {
@@ -105,25 +110,25 @@
             true
         })
     };
-    let (heir, other) = (member("s-2", true), member("s-1", false));
+    let (successor, other) = (member("s-2", true), member("s-1", false));
     let discovery = Discovery::new();
-    let pooler = Pooler::new(&discovery, vec![other.entry("up", "master"), heir.entry("up", "replica")]);
+    let pooler = Pooler::new(&discovery, vec![other.entry("up", "master"), successor.entry("up", "replica")]);
     let mut client = Client::connect(&pooler);
     assert_eq!(client.execute(&top_up("1")).value.as_deref(), Some(&b"done"[..]));
     assert_eq!(
-        (other.received().len(), heir.received().len()),
+        (other.received().len(), successor.received().len()),
         (1, 2),
-        "a walk round the group, then straight there"
+        "each rejected it once, then the successor ran it"
     );
 }
 
 #[test]
 fn nothing_is_sent_to_a_member_that_drains_while_its_connection_is_opened() {
-    let (open, opened) = channel::<()>();
-    let opened = Mutex::new(opened);
+    let (accept, accepted) = channel::<()>();
+    let accepted = Mutex::new(accepted);
     let slow = Server::with_accept_hook(
         "s-1",
-        move || assert!(opened.lock().unwrap().recv().is_err()),
+        move || assert!(accepted.lock().unwrap().recv().is_err()),
         |conn, _| {
             conn.send_row(b"s-1", "replica", REPORTED_POSITION);
             true
@@ -135,7 +140,7 @@
     let (_, watch) = discovery.next_watch();
     let mut first = Client::connect(&pooler);
     first.send(&menu("1"));
-    // The change is known once a request reaches the member that came with it.
+    // The list has been applied once a request reaches the server that it adds.
     watch
         .send(Some(server_list(42, false, vec![slow.entry("draining", ""), other.entry("up", "")])))
         .unwrap();
@@ -147,20 +152,20 @@
         let _ = client.0.stream.peek(&mut [0]);
         waiting.push(client);
     }
-    drop(open);
+    drop(accept);
     assert_eq!(first.answer().value.as_deref(), Some(&b"s-2"[..]));
-    assert_eq!(slow.received(), [""; 0], "its connections came up too late");
+    assert_eq!(slow.received(), [""; 0], "its connections were established too late");
 }
 
 #[test]
-fn what_a_client_leaves_behind_is_given_up_and_the_next_one_served() {
-    let (tell, told) = channel();
-    let tell = Mutex::new(tell);
+fn an_abandoned_request_is_cancelled_and_the_next_client_served() {
+    let (closed_sender, server_side_closed) = channel();
+    let closed_sender = Mutex::new(closed_sender);
     let server = Server::new("s-1", move |conn, statement| {
         if statement.contains("id=1,") {
-            // No answer; the pooler closes this connection once its client has left.
+            // No answer: the pooler closes this connection once its client has disconnected.
             let closed = conn.wait_closed();
-            tell.lock().unwrap().send(closed).unwrap();
+            closed_sender.lock().unwrap().send(closed).unwrap();
             return false;
         }
         conn.send_row(b"s-1", "replica", REPORTED_POSITION);
@@ -174,7 +179,7 @@
         std::thread::yield_now();
     }
     drop(client);
-    assert_eq!(told.recv(), Ok(true));
+    assert_eq!(server_side_closed.recv(), Ok(true));
     let mut client = Client::connect(&pooler);
     assert_eq!(client.execute(&menu("2")).value.as_deref(), Some(&b"s-1"[..]));
     let counters = pooler.counters();
@@ -182,7 +187,7 @@
 }
 
 #[test]
-fn what_is_given_up_is_refused_at_once_with_a_time_to_come_back() {
+fn a_request_that_is_given_up_is_refused_immediately_with_a_retry_after() {
     let server = Server::new("s-1", |conn, _| {
         conn.send_error("53300", "replica");
         true
@@ -192,19 +197,19 @@
     let mut client = Client::connect(&pooler);
     let answer = client.execute(&menu("1"));
     assert_eq!((answer.tags.as_str(), answer.code.as_deref()), ("EZ", Some("53300")));
-    let wait: u64 = answer.detail.unwrap().parse().unwrap();
-    assert!((1..=2_000).contains(&wait), "{wait}");
+    let retry_after: u64 = answer.detail.unwrap().parse().unwrap();
+    assert!((1..=2_000).contains(&retry_after), "{retry_after}");
     assert!(!server.received().is_empty());
 }
 
 #[test]
-fn a_connection_that_the_server_closed_carries_nothing_more() {
-    let (tell, told) = channel();
-    let tell = Mutex::new(tell);
+fn a_connection_that_the_server_closed_is_not_reused() {
+    let (closed_sender, closed) = channel();
+    let closed_sender = Mutex::new(closed_sender);
     let server = Server::new("s-1", move |conn, _| {
         conn.send_row(b"s-1", "replica", REPORTED_POSITION);
         conn.stream.shutdown(std::net::Shutdown::Both).unwrap();
-        tell.lock().unwrap().send(()).unwrap();
+        closed_sender.lock().unwrap().send(()).unwrap();
         false
     });
     let discovery = Discovery::new();
@@ -212,7 +217,7 @@
     let mut client = Client::connect(&pooler);
     for id in ["1", "2", "3"] {
         assert_eq!(client.execute(&menu(id)).value.as_deref(), Some(&b"s-1"[..]));
-        told.recv().unwrap();
+        closed.recv().unwrap();
     }
     assert_eq!(server.received().len(), 3);
     let counters = pooler.counters();
@@ -221,8 +226,8 @@
 
 #[test]
 fn a_kept_connection_that_breaks_or_falls_silent_loses_no_request() {
-    // The server gives each connection up after one answer, but only shows it when something more is written;
-    // or it does not even then.
+    // The server abandons each connection after one answer. That shows only when something more is written, or, in turn, not
+    // even then.
     let silent = AtomicBool::new(false);
     let server = Server::raw("s-1", move |conn, statement| {
         if !statement.is_empty() {
@@ -244,16 +249,16 @@
 }
 
 #[test]
-fn what_a_server_sends_too_much_later_on_is_nobodys_answer() {
-    // The copy of an answer comes long after it, in front of what follows; the next request may be on its way.
-    let last = Mutex::new(String::new());
+fn surplus_data_that_arrives_later_is_not_taken_for_an_answer() {
+    // A copy of an answer is sent long after it, before the next answer, when the next request may have been sent already.
+    let last_id = Mutex::new(String::new());
     let server = Server::raw("s-1", move |conn, statement| {
         if statement.is_empty() {
-            conn.send_row(last.lock().unwrap().as_bytes(), "replica", REPORTED_POSITION);
+            conn.send_row(last_id.lock().unwrap().as_bytes(), "replica", REPORTED_POSITION);
             conn.send_bytes(b"I\0\0\0\x04Z\0\0\0\x05I");
         } else {
             let id = statement.split_once("id=").unwrap().1.split_once(',').unwrap().0;
-            id.clone_into(&mut last.lock().unwrap());
+            id.clone_into(&mut last_id.lock().unwrap());
             conn.send_row(id.as_bytes(), "replica", REPORTED_POSITION);
         }
         true
@@ -271,11 +276,11 @@
 }
 
 #[test]
-fn reads_may_find_one_kept_connection_dead_and_then_all_are_asked_first() {
-    // The server gives a connection up once it has answered there, and shows it to whoever sends more on it; only
-    // the empty query behind the answer still finds it well.
+fn after_a_read_finds_a_kept_connection_broken_all_are_pinged_before_use() {
+    // The server abandons a connection after one answer, which shows when more is sent on it; only the empty query sent along
+    // with the statement is still answered.
     let server = Server::raw("s-1", |conn, statement| {
-        // What came along with the statement is still answered.
+        // What was sent along with the statement is still answered.
         let more = conn.has_buffered();
         if statement.is_empty() {
             conn.send_bytes(b"I\0\0\0\x04Z\0\0\0\x05I");
@@ -295,19 +300,19 @@
     }
     let counters = pooler.counters();
     let resets = [" outcome.reset=0 ", " outcome.reset=1 "];
-    assert!(resets.iter().any(|of| counters.contains(of)), "{counters}");
+    assert!(resets.iter().any(|count| counters.contains(count)), "{counters}");
 }
 
 #[test]
 fn a_member_that_does_not_answer_a_dial_is_unreachable_and_nothing_ran_there() {
-    let (open, opened) = channel::<()>();
-    let door = Mutex::new(Some(opened));
+    let (accept, accepted) = channel::<()>();
+    let first_accept = Mutex::new(Some(accepted));
     let server = Server::with_accept_hook(
         "s-1",
         move || {
-            let first = door.lock().unwrap().take();
-            if let Some(opened) = first {
-                assert!(opened.recv().is_err());
+            let first = first_accept.lock().unwrap().take();
+            if let Some(accepted) = first {
+                assert!(accepted.recv().is_err());
             }
         },
         |conn, _| {
@@ -323,15 +328,15 @@
     assert_eq!(server.received().len(), 1);
     let counters = pooler.counters();
     assert!(counters.contains(" outcome.unreachable=1 "), "{counters}");
-    drop(open);
+    drop(accept);
 }
 
 #[test]
-fn a_spoilt_answer_is_never_passed_on() {
+fn a_malformed_answer_is_never_forwarded() {
     let column: &[u8] = b"T\0\0\0\x20\0\x01content\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
     let (row, tag): (&[u8], &[u8]) = (b"D\0\0\0\x0c\0\x01\0\0\0\x02ab", b"C\0\0\0\x0dSELECT 1\0");
     let ready: &[u8] = b"Z\0\0\0\x05I";
-    let spoilt = [
+    let malformed = [
         [b"noise".as_slice(), row, tag, ready].concat(),
         [row, tag, ready].concat(),
         [column, tag, ready].concat(),
@@ -344,15 +349,15 @@
         [column, row, b"C\0\0\0\x0dSELECT 1!", ready].concat(),
         [b"E\0\0\0\x0aC5330".as_slice(), ready].concat(),
     ];
-    let count = spoilt.len();
-    let spoils = std::sync::atomic::AtomicUsize::new(0);
+    let count = malformed.len();
+    let next_new_id = std::sync::atomic::AtomicUsize::new(0);
     let server = Server::new("s-1", move |conn, statement| {
-        // The first attempt of each request is spoilt, while the connection stays open. The second brings more
-        // than belongs to it: a copy just behind.
+        // The first attempt of each request gets a malformed answer, and the connection stays open. The second gets its answer
+        // twice.
         let id = statement.split_once("id=").unwrap().1.split_once(',').unwrap().0;
         let id: usize = id.parse().unwrap();
-        if spoils.fetch_max(id + 1, Ordering::Relaxed) <= id {
-            conn.send_bytes(&spoilt[id % count]);
+        if next_new_id.fetch_max(id + 1, Ordering::Relaxed) <= id {
+            conn.send_bytes(&malformed[id % count]);
         } else {
             let value = format!("value {id}");
             conn.send_row(value.as_bytes(), "replica", REPORTED_POSITION);
@@ -369,18 +374,18 @@
         assert_eq!((answer.tags.as_str(), value), ("TDCZ", Some(format!("value {id}"))));
     }
     assert_eq!(server.received().len(), 2 * count);
-    // What may have run and must not run twice has failed.
+    // A write, which may have run and must not run twice, fails.
     let answer = client.execute(&top_up(&count.to_string()));
     assert_eq!((answer.tags.as_str(), answer.code.as_deref()), ("EZ", Some("08007")));
     assert_eq!(server.received().len(), 2 * count + 1);
 }
 
 #[test]
-fn a_large_value_is_passed_on_as_it_comes_and_one_that_breaks_off_is_visibly_not_whole() {
-    // The head comes in pieces cut at every byte; the first bytes have reached the client before the server goes on.
+fn a_large_value_is_streamed_and_a_truncated_one_is_visibly_incomplete() {
+    // The head is sent byte by byte, and the first bytes have reached the client before the server continues.
     const SIZE: usize = 4 * 1024 * 1024;
-    let (go, gone_on) = channel::<bool>();
-    let gone_on = Mutex::new(gone_on);
+    let (continuations, continued) = channel::<bool>();
+    let continued = Mutex::new(continued);
     let server = Server::new("s-1", move |conn, statement| {
         if !statement.contains("c=bundle-menu") || statement.contains("id=small") {
             conn.send_row(b"small", "replica", REPORTED_POSITION);
@@ -393,46 +398,40 @@
         for byte in head {
             conn.send_bytes(&[byte]);
         }
-        let whole = gone_on.lock().unwrap().recv().unwrap();
-        let rest = vec![0x5A; if whole { SIZE - 5 } else { SIZE / 2 }];
+        let complete = continued.lock().unwrap().recv().unwrap();
+        let rest = vec![0x5A; if complete { SIZE - 5 } else { SIZE / 2 }];
         conn.send_bytes(&rest);
-        if whole {
+        if complete {
             conn.send_bytes(b"C\0\0\0\x0dSELECT 1\0S\0\0\0\x11part\0replica\0Z\0\0\0\x05I");
         }
-        whole
+        complete
     });
     let discovery = Discovery::new();
     let pooler = Pooler::new(&discovery, vec![server.entry("up", "replica")]);
-    for (id, whole) in [("1", true), ("2", true), ("3", false)] {
+    for (id, complete) in [("1", true), ("2", true), ("3", false)] {
         let mut client = Client::connect(&pooler);
         client.send(&menu(id));
         let mut first = [0; 49];
         client.0.stream.read_exact(&mut first).unwrap();
         assert!(first.ends_with(b"first"), "{first:?}");
-        // What is small does not wait behind it.
+        // A small value does not wait behind it.
         assert_eq!(Client::connect(&pooler).execute(&menu("small")).value.as_deref(), Some(&b"small"[..]));
-        go.send(whole).unwrap();
-        let mut rest = vec![0; if whole { SIZE - 5 } else { SIZE / 2 }];
+        continuations.send(complete).unwrap();
+        let mut rest = vec![0; if complete { SIZE - 5 } else { SIZE / 2 }];
         client.0.stream.read_exact(&mut rest).unwrap();
         assert!(rest.iter().all(|byte| *byte == 0x5A));
-        if whole {
+        if complete {
             assert_eq!(client.answer().tags, "CZ");
             assert_eq!(client.execute(&menu("small")).value.as_deref(), Some(&b"small"[..]));
         } else {
-            assert!(
-                client.0.next_message().is_none(),
-                "an end in the middle of the row, and nothing behind it"
-            );
+            assert!(client.0.next_message().is_none(), "the connection ends in the middle of the row");
         }
     }
-    assert!(
-        server.received().iter().filter(|of| !of.contains("id=small")).count() == 3,
-        "none is begun again"
-    );
+    assert!(server.received().iter().filter(|sql| !sql.contains("id=small")).count() == 3, "none is retried");
 }
 
 #[test]
-fn a_dropped_watch_is_taken_up_again_where_it_ended() {
+fn a_closed_watch_is_resumed_where_it_ended() {
     let server = id_server("s-9", "replica");
     let discovery = Discovery::new();
     let pooler = Pooler::new(&discovery, Vec::new());
@@ -444,8 +443,8 @@
     let (second, _silent) = discovery.next_watch();
     assert!(second.contains("since=57"), "{second}");
     let mut client = Client::connect(&pooler);
-    assert_eq!(client.execute(&menu("1")).value.as_deref(), Some(&b"s-9"[..]), "and the list was taken");
-    // A watch that says nothing at all is given up as well. Who has moved is found where it listens now.
+    assert_eq!(client.execute(&menu("1")).value.as_deref(), Some(&b"s-9"[..]), "the list was applied");
+    // A silent watch is closed as well. A server that has moved is found at its new address.
     let (_, watch) = discovery.next_watch();
     let moved = Server::new("s-9", |conn, _| {
         conn.send_row(b"moved", "replica", REPORTED_POSITION);
@@ -453,12 +452,12 @@
     });
     watch.send(Some(server_list(58, false, vec![moved.entry("up", "replica")]))).unwrap();
     let found = (0..100_000).any(|_| client.execute(&menu("2")).value.as_deref() == Some(&b"moved"[..]));
-    assert!(found, "connections to its old address are not used any more");
+    assert!(found, "connections to its old address are no longer used");
 }
 
 #[test]
-fn a_new_configuration_moves_the_watch_and_an_unusable_one_changes_nothing() {
-    let (open, busy_server) = blocked_server("s-1");
+fn a_reload_moves_the_watch_and_an_unusable_configuration_changes_nothing() {
+    let (release, busy_server) = blocked_server("s-1");
     let (moved, dropped) = (id_server("s-2", "replica"), id_server("s-3", "replica"));
     let (old, new) = (Discovery::new(), Discovery::new());
     let mut pooler = Pooler::new(&old, vec![busy_server.entry("up", "replica")]);
@@ -473,15 +472,15 @@
         pooler.signal("HUP");
         pooler.wait_for_log("configuration kept as it was: ");
     }
-    // The old address would stay silent for seconds yet; what is held is told to the new one.
+    // The watch at the old address could stay open for seconds; the new one is requested from the generation that is known.
     pooler.write_config(&config(&new, Vec::new(), 1_024));
     pooler.signal("HUP");
     pooler.wait_for_log("configuration read again");
-    let (asked, watch) = new.next_watch();
-    assert!(asked.contains("since=41"), "{asked}");
-    drop(open);
+    let (request, watch) = new.next_watch();
+    assert!(request.contains("since=41"), "{request}");
+    drop(release);
     assert_eq!(busy.answer().value.as_deref(), Some(&b"s-1"[..]), "the open request went on");
-    // The whole list there takes the place of the one held, and changes follow.
+    // The complete list there replaces the present one, and changes follow.
     watch.send(Some(server_list(7, true, vec![dropped.entry("up", "replica")]))).unwrap();
     let changes = vec![moved.entry("up", "replica"), dropped.entry("draining", "")];
     watch.send(Some(server_list(8, false, changes))).unwrap();
@@ -491,7 +490,11 @@
     for _ in 0..20 {
         assert_eq!(client.execute(&menu("3")).value.as_deref(), Some(&b"s-2"[..]));
     }
-    assert_eq!(busy_server.received().len(), before, "who is not on the new list gets nothing new");
+    assert_eq!(
+        busy_server.received().len(),
+        before,
+        "a server that is not on the new list gets no new requests"
+    );
     assert!(pooler.counters().contains(" reloads=1 "));
     drop((busy, client));
     pooler.signal("TERM");
@@ -499,8 +502,8 @@
 }
 
 #[test]
-fn a_new_configuration_changes_the_classes_and_a_broken_one_none() {
-    let (open, server) = blocked_server("s-1");
+fn a_reload_changes_the_classes_and_an_invalid_configuration_none() {
+    let (release, server) = blocked_server("s-1");
     let discovery = Discovery::new();
     let entry = || vec![server.entry("up", "master")];
     let pooler = Pooler::new(&discovery, entry());
@@ -515,152 +518,160 @@
         change(&mut config["settings"]);
         config.to_string()
     };
-    // 'bundle-menu' is dropped, 'top-up' is a read and may be repeated, and 'note' is new.
-    let whole = changed(&|of| {
-        of["Lanes"][0]["Name"] = "note".into();
-        of["Lanes"][2]["Effect"] = "retryable".into();
-        of["FamilyInfo"]["NeedsByClass"][2] = "eventual".into();
-        of["Limits"]["SendCap"] = 2.into();
+    // 'bundle-menu' is removed, 'top-up' becomes a read that may be repeated, and 'note' is new.
+    let valid = changed(&|settings| {
+        settings["Lanes"][0]["Name"] = "note".into();
+        settings["Lanes"][2]["Effect"] = "retryable".into();
+        settings["FamilyInfo"]["NeedsByClass"][2] = "eventual".into();
+        settings["Limits"]["SendCap"] = 2.into();
     });
-    let broken = [
+    let invalid = [
         (String::new(), "EOF"),
-        (whole[..whole.len() / 2].to_owned(), "EOF"),
-        (changed(&|of| drop(of.as_object_mut().unwrap().remove("Limits"))), "Limits"),
-        (changed(&|of| of["Lanes"][1]["Deadline"] = 0.into()), "Lanes.1.Deadline is not above 0"),
-        (changed(&|of| drop(of["Lanes"][1].as_object_mut().unwrap().remove("Deadline"))), "Lanes.1.Deadline"),
-        (changed(&|of| of["Limits"]["SendCap"] = 0.into()), "SendCap is not above 0"),
+        (valid[..valid.len() / 2].to_owned(), "EOF"),
+        (changed(&|settings| drop(settings.as_object_mut().unwrap().remove("Limits"))), "Limits"),
+        (changed(&|settings| settings["Lanes"][1]["Deadline"] = 0.into()), "Lanes.1.Deadline is not above 0"),
+        (
+            changed(&|settings| drop(settings["Lanes"][1].as_object_mut().unwrap().remove("Deadline"))),
+            "Lanes.1.Deadline",
+        ),
+        (changed(&|settings| settings["Limits"]["SendCap"] = 0.into()), "SendCap is not above 0"),
     ];
     let mut client = Client::connect(&pooler);
-    for (text, place) in &broken {
+    for (text, reason) in &invalid {
         pooler.write_config(text);
         pooler.signal("HUP");
         let line = pooler.wait_for_log("configuration kept as it was: ");
-        assert!(line.contains(place), "{line}");
+        assert!(line.contains(reason), "{line}");
     }
     let note = menu("2").replace("bundle-menu", "note");
     assert_eq!(client.execute(&note).tags, "EZ", "nothing has changed");
-    pooler.write_config(&whole);
+    pooler.write_config(&valid);
     pooler.signal("HUP");
     pooler.wait_for_log("configuration read again");
-    assert_eq!(client.execute(&menu("3")).tags, "EZ", "dropped");
-    drop(open);
+    assert_eq!(client.execute(&menu("3")).tags, "EZ", "removed");
+    drop(release);
     assert_eq!(busy.answer().value.as_deref(), Some(&b"s-1"[..]), "the open request went on");
     assert_eq!(client.execute(&note).value.as_deref(), Some(&b"s-1"[..]));
 }
 
 #[test]
-fn a_full_house_lets_the_idle_go_first_and_says_so_to_who_is_over() {
-    let (open, server) = blocked_server("s-1");
+fn at_the_connection_limit_idle_clients_are_evicted_and_new_ones_refused_with_an_answer() {
+    let (release, server) = blocked_server("s-1");
     let discovery = Discovery::new();
-    // Of 48 descriptors 12 are kept aside, 13 go to servers, 8 to clients that are refused, 15 to clients.
+    // Of 48 descriptors 12 are reserved, 13 are for servers, 8 for clients that are refused, and 15 for clients.
     let pooler = Pooler::with_sockets(&discovery, vec![server.entry("up", "replica")], 48);
     let mut idle = Client::connect(&pooler);
     assert_eq!(idle.execute("").tags, "IZ");
-    let asking = |number: usize| {
+    let client_with_request = |number: usize| {
         let mut client = Client::connect(&pooler);
         client.send(&menu(&number.to_string()));
         client
     };
-    let mut busy: Vec<Client> = (0..14).map(asking).collect();
+    let mut busy: Vec<Client> = (0..14).map(client_with_request).collect();
     while !pooler.counters().contains(" taken=14 ") {}
-    // A further client takes the place of the idle one, once that has been idle for more than a moment.
+    // A further client replaces the idle one, once that has been idle for the minimum time.
     let further = || {
         let mut client = Client::connect_with(&pooler, b"");
         (client.answer(), client)
     };
-    let welcome = |tried: &(Answer, Client)| tried.0.tags.ends_with('Z');
-    let (_, mut last) = std::iter::repeat_with(further).find(welcome).unwrap();
-    assert!(idle.0.next_message().is_none(), "the idle one made room");
+    let is_accepted = |tried: &(Answer, Client)| tried.0.tags.ends_with('Z');
+    let (_, mut last) = std::iter::repeat_with(further).find(is_accepted).unwrap();
+    assert!(idle.0.next_message().is_none(), "the idle client was evicted");
     last.send(&menu("15"));
     busy.push(last);
     while !pooler.counters().contains(" taken=15 ") {}
-    // Now all are busy. Who comes then is told in full: its connection is not reset with the request unread.
-    let mut over = Client::from_stream(TcpStream::connect(pooler.address).unwrap(), &menu("16"));
-    let answer = over.answer();
+    // Now all clients have open requests. The next one receives a complete error: its connection is not reset while its request
+    // is unread.
+    let mut refused_client = Client::from_stream(TcpStream::connect(pooler.address).unwrap(), &menu("16"));
+    let answer = refused_client.answer();
     assert_eq!((answer.tags.as_str(), answer.code.as_deref()), ("E", Some("53300")));
-    assert!(!over.0.reset, "an end, not a reset");
-    drop(open);
+    assert!(!refused_client.0.reset, "closed, not reset");
+    drop(release);
     let answers: Vec<Answer> = busy.iter_mut().map(Client::answer).collect();
     let refused = |answer: &&Answer| answer.code.as_deref() == Some("53300");
     let served = answers.iter().filter(|answer| answer.value.is_some()).count();
-    assert!(served >= 13, "as many as had a connection: {answers:?}");
+    assert!(served >= 13, "all that had a connection to a server: {answers:?}");
     assert_eq!(served + answers.iter().filter(refused).count(), 15, "{answers:?}");
-    assert!(pooler.counters().contains(" outcome.connect_failed=0 "), "no member is blamed");
+    assert!(pooler.counters().contains(" outcome.connect_failed=0 "), "not counted against a server");
 }
 
 #[test]
-fn a_silent_crowd_pushes_out_nobody_and_is_closed() {
+fn silent_connections_displace_no_client_and_are_closed() {
     let server = id_server("s-1", "replica");
     let discovery = Discovery::new();
     let pooler = Pooler::with_sockets(&discovery, vec![server.entry("up", "replica")], 48);
     let mut usual = Client::connect(&pooler);
     assert_eq!(usual.execute(&menu("1")).value.as_deref(), Some(&b"s-1"[..]));
-    // More of them than there are seats; two of them begin a command that they never end.
-    let mut half: Vec<_> = (0..2).map(|_| Client::connect_with(&pooler, b"Q\0\0\0\x20SEL")).collect();
-    let mut crowd: Vec<_> = (0..40).map(|_| TcpStream::connect(pooler.address).unwrap()).collect();
+    // More silent connections than there are slots, and two clients that never complete a command.
+    let mut incomplete: Vec<_> = (0..2).map(|_| Client::connect_with(&pooler, b"Q\0\0\0\x20SEL")).collect();
+    let mut silent_streams: Vec<_> = (0..40).map(|_| TcpStream::connect(pooler.address).unwrap()).collect();
     let mut late = Client::connect(&pooler);
-    assert_eq!(late.execute(&menu("2")).value.as_deref(), Some(&b"s-1"[..]), "there is room for who asks");
-    assert_eq!(usual.execute(&menu("3")).value.as_deref(), Some(&b"s-1"[..]), "who was there stays");
-    for silent in &mut crowd {
-        silent.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-        assert!(!matches!(silent.read(&mut [0]), Ok(1)), "closed without a word");
+    assert_eq!(
+        late.execute(&menu("2")).value.as_deref(),
+        Some(&b"s-1"[..]),
+        "a client with a request gets a slot"
+    );
+    assert_eq!(usual.execute(&menu("3")).value.as_deref(), Some(&b"s-1"[..]), "an earlier client stays");
+    for stream in &mut silent_streams {
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+        assert!(!matches!(stream.read(&mut [0]), Ok(1)), "closed without an answer");
     }
-    for client in &mut half {
+    for client in &mut incomplete {
         while client.0.next_message().is_some() {}
     }
     assert_eq!(usual.execute(&menu("4")).value.as_deref(), Some(&b"s-1"[..]));
 }
 
 #[test]
-fn who_asks_once_and_stays_makes_room_before_the_house_is_full() {
+fn clients_idle_after_a_request_are_evicted_before_all_slots_are_taken() {
     let server = id_server("s-1", "replica");
     let discovery = Discovery::new();
-    // Of 48 descriptors 15 go to clients, and no more than 12 of them to such as have asked.
+    // Of 48 descriptors 15 are for clients, of which at most 12 may be idle after a request.
     let pooler = Pooler::with_sockets(&discovery, vec![server.entry("up", "replica")], 48);
-    let asking = |_| {
+    let client_after_request = |_| {
         let mut client = Client::connect(&pooler);
         assert!(client.execute(&menu("1")).value.is_some());
         client
     };
-    let stay: Vec<Client> = (0..13).map(asking).collect();
-    // Others come and go, so that there are never more than 14.
-    stay[0].0.stream.set_read_timeout(Some(std::time::Duration::from_millis(50))).unwrap();
-    let closed = (0..200).map(asking).any(|_| matches!(stay[0].0.stream.peek(&mut [0]), Ok(0)));
-    assert!(closed, "the one idle longest");
+    let idle: Vec<Client> = (0..13).map(client_after_request).collect();
+    // Other clients connect and disconnect one at a time, so that there are never more than 14.
+    idle[0].0.stream.set_read_timeout(Some(std::time::Duration::from_millis(50))).unwrap();
+    let closed = (0..200).map(client_after_request).any(|_| matches!(idle[0].0.stream.peek(&mut [0]), Ok(0)));
+    assert!(closed, "the client that has been idle longest");
 }
 
 #[test]
-fn a_planned_restart_answers_what_was_taken_and_ends_well() {
-    // Connections keep arriving for up to 0.4 s. A machine that stalls that long between two lines here tells
-    // nothing, and the story is played again.
+fn a_planned_restart_answers_accepted_requests_and_exits_with_success() {
+    // New connections are accepted for another 0.4 s. If the machine stalls for that long between two lines of the test, nothing
+    // can be concluded and the test is repeated.
     while !restart() {}
 }
 
-/// False if the late client came too late.
+/// False if the late client connected too late.
 fn restart() -> bool {
-    let (open, server) = blocked_server("s-1");
+    let (release, server) = blocked_server("s-1");
     let discovery = Discovery::new();
     let mut pooler = Pooler::new(&discovery, vec![server.entry("up", "replica")]);
     let (mut idle, mut busy) = (Client::connect(&pooler), Client::connect(&pooler));
     busy.send(&menu("1"));
     let signalled = std::time::Instant::now();
     pooler.signal("TERM");
-    // It still accepts who comes now.
+    // It still accepts connections.
     let late = TcpStream::connect(pooler.address);
     if signalled.elapsed().as_millis() >= 400 {
         return false;
     }
     let mut late = Client::from_stream(late.expect("it accepts"), &menu("2"));
-    drop(open);
-    assert!(late.answer().tags.ends_with('Z'), "welcome");
+    drop(release);
+    assert!(late.answer().tags.ends_with('Z'), "session start");
     for client in [&mut busy, &mut late] {
         assert_eq!(client.answer().value.as_deref(), Some(&b"s-1"[..]));
     }
-    // Who keeps its connection is served on it, and only then parted from: it has nowhere else to go.
-    let mut asked = 2;
+    // A client that keeps its connection is still served on it before it is closed, as there is no newer process.
+    let mut requests = 2;
     let mut served = signalled.elapsed();
     while busy.execute(&menu("3")).value.is_some() {
-        asked += 1;
+        requests += 1;
         served = signalled.elapsed();
     }
     assert!(served.as_millis() > 1_000, "closed after {served:?}");
@@ -669,14 +680,14 @@
     }
     assert!(pooler.child.wait().unwrap().success());
     let counters = pooler.wait_for_log("counters");
-    let kept = [format!(" taken={asked} "), format!(" served={asked} ")];
-    assert!(kept.iter().all(|count| counters.contains(count)), "{asked} {counters}");
+    let expected = [format!(" taken={requests} "), format!(" served={requests} ")];
+    assert!(expected.iter().all(|count| counters.contains(count)), "{requests} {counters}");
     assert!(TcpStream::connect(pooler.address).is_err());
     true
 }
 
 #[test]
-fn what_makes_no_sense_is_answered_or_closed_and_harms_nobody_else() {
+fn malformed_input_is_answered_or_its_connection_closed_and_others_are_unaffected() {
     let server = id_server("s-1", "replica");
     let discovery = Discovery::new();
     let pooler = Pooler::new(&discovery, vec![server.entry("up", "replica")]);
@@ -697,7 +708,7 @@
     ] {
         assert_eq!(Client::connect(&pooler).execute(statement).tags, tags, "{statement}");
     }
-    // The extended protocol is turned down once, up to Sync.
+    // The extended protocol is refused with one error, up to Sync.
     let mut client = Client::connect(&pooler);
     client.0.send_bytes(b"P\0\0\0\x08\0\0\0\0B\0\0\0\x04S\0\0\0\x04");
     assert_eq!(client.answer().tags, "EZ");
@@ -707,14 +718,14 @@
         let answer = client.answer();
         assert_eq!((answer.tags.as_str(), answer.code.as_deref()), ("E", Some("08P01")), "{bad:?}");
     }
-    // The same again the moment it was turned away: a few errors, and then an end.
+    // A client that repeats an error immediately gets a few answers, and then its connection is closed.
     let mut flood = Client::connect(&pooler);
     for _ in 0..20 {
         flood.send("SELECT now()");
     }
     let tags: Vec<String> = (0..8).map(|_| flood.answer().tags).collect();
     assert_eq!((tags.concat().as_str(), flood.0.next_message().is_none()), ("EZEZEZEZEZEZEZE", true));
-    // One that is still sending 60 MB can read what is wrong with them.
+    // A client that is still sending 60 MB can read the error.
     let mut huge = Client::connect(&pooler);
     let mut stream = huge.0.stream.try_clone().unwrap();
     let sender = std::thread::spawn(move || {
@@ -730,8 +741,8 @@
 }
 
 #[test]
-fn the_id_of_an_open_request_is_nobody_elses() {
-    let (open, server) = blocked_server("s-1");
+fn the_id_of_an_open_request_cannot_be_used_by_another_client() {
+    let (release, server) = blocked_server("s-1");
     let discovery = Discovery::new();
     let pooler = Pooler::new(&discovery, vec![server.entry("up", "replica")]);
     let (mut owner, mut other) = (Client::connect(&pooler), Client::connect(&pooler));
@@ -740,27 +751,28 @@
         std::thread::yield_now();
     }
     assert_eq!(other.execute(&menu("7")).tags, "EZ");
-    drop(open);
+    drop(release);
     assert_eq!(owner.answer().value.as_deref(), Some(&b"s-1"[..]));
     assert_eq!(server.received().len(), 1);
-    // It is free again once the answer has gone out.
+    // The id is free again once the answer has been sent.
     assert_eq!(owner.execute(&menu("7")).value.as_deref(), Some(&b"s-1"[..]));
 }
 
 #[test]
-fn a_bad_configuration_ends_the_start_with_one_line() {
-    for (config, word) in [("{", "EOF"), (r#"{"listen":"x"}"#, "invalid socket address"), ("{}", "listen")] {
+fn an_invalid_configuration_ends_the_start_with_one_line() {
+    for (config, reason) in [("{", "EOF"), (r#"{"listen":"x"}"#, "invalid socket address"), ("{}", "listen")]
+    {
         let (child, file) = spawn_process(config);
         let output = child.wait_with_output().unwrap();
         std::fs::remove_file(file).unwrap();
         let error = String::from_utf8(output.stderr).unwrap();
         assert_eq!((output.status.code(), error.lines().count()), (Some(78), 1), "{error}");
-        assert!(error.contains(word), "{error}");
+        assert!(error.contains(reason), "{error}");
     }
 }
 
 #[test]
-fn a_poolers_word_moves_a_write_and_a_strangers_does_not() {
+fn a_gossip_datagram_of_a_peer_moves_writes_and_one_of_a_stranger_does_not() {
     use linnetdeal_core::peers::{Gossip, To};
     use linnetdeal_core::settings::Pairs;
     use linnetdeal_core::{Action, GroupId, MemberId, Settings, Span, Time};
@@ -770,12 +782,12 @@
     let known = vec![one.entry("up", "master"), two.entry("up", "replica")];
     let mut config: Value = serde_json::from_str(&config(&Discovery::new(), known, 1_024)).unwrap();
     config["peer_listen"] = listen.to_string().into();
-    config["peers"] = [listen, peer.local_addr().unwrap()].map(|of| of.to_string()).to_vec().into();
+    config["peers"] = [listen, peer.local_addr().unwrap()].map(|address| address.to_string()).to_vec().into();
     config["settings"]["FleetSize"] = 2.into();
     config["settings"]["Limits"]["Peers"] = true.into();
     let pooler = Pooler::with_config(&config.to_string());
 
-    // A genuine datagram of the other pooler, to which the primary has just changed.
+    // A genuine datagram of the other pooler, which has observed a change of primary.
     let settings = Pairs::from_json(&config["settings"]).settings().unwrap();
     let mut other = Gossip::new(1, &Settings { rank: 1, ..settings });
     let now = Time(SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as i64);
@@ -785,136 +797,142 @@
     other.send_due(now, &mut actions);
     let [Action::Tell { to: To::All, bytes }] = &actions[..] else { panic!("{actions:?}") };
 
-    // The counters only say when what was sent has been read.
-    let read = |count| assert!((0..10_000).any(|_| pooler.counters().contains(count)), "{count}");
+    // The counters show when a datagram has been read.
+    let wait_for_count = |count| assert!((0..10_000).any(|_| pooler.counters().contains(count)), "{count}");
     let mut client = Client::connect(&pooler);
     stranger.send_to(bytes, listen).unwrap();
-    read(" strangers=1 ");
+    wait_for_count(" strangers=1 ");
     for bad in [&bytes[..bytes.len() - 1], &[bytes.as_slice(), &[0; 300]].concat(), b""] {
         peer.send_to(bad, listen).unwrap();
     }
-    read(" heard=3 ");
+    wait_for_count(" heard=3 ");
     assert_eq!(client.execute(&top_up("61")).tags, "TDCZ");
-    assert_eq!((one.received().len(), two.received().len()), (1, 0), "where the list says");
+    assert_eq!((one.received().len(), two.received().len()), (1, 0), "at the primary of the list");
     peer.send_to(bytes, listen).unwrap();
-    read(" heard=4 ");
+    wait_for_count(" heard=4 ");
     assert_eq!(client.execute(&top_up("62")).tags, "TDCZ");
-    assert_eq!((one.received().len(), two.received().len()), (1, 1), "where the other pooler says");
+    assert_eq!(
+        (one.received().len(), two.received().len()),
+        (1, 1),
+        "at the primary that the other pooler observed"
+    );
 }
 
-/// One call of the second address, and the status that it gets.
-fn call(address: std::net::SocketAddr, what: &str) -> String {
+/// Makes one call of the operators' API, given as method and path; returns its status code.
+fn call(address: std::net::SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-    stream.write_all(format!("{what} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").as_bytes()).unwrap();
+    stream
+        .write_all(format!("{request} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").as_bytes())
+        .unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
     answer.split(' ').nth(1).unwrap_or("").to_owned()
 }
 
 #[test]
-fn calls_by_hand_take_a_server_out_and_empty_the_pooler_while_others_hold_the_line() {
+fn operator_calls_drain_a_server_and_the_pooler_despite_stalled_connections() {
     let (one, two) = (id_server("s-1", "replica"), id_server("s-2", "replica"));
     let discovery = Discovery::new();
     let known = vec![one.entry("up", "replica"), two.entry("up", "replica")];
     let mut config: Value = serde_json::from_str(&config(&discovery, known, 1_024)).unwrap();
-    let desk = free_port();
-    config["operator"] = desk.to_string().into();
+    let operator_addr = free_port();
+    config["operator"] = operator_addr.to_string().into();
     let pooler = Pooler::with_config(&config.to_string());
-    // These finish no call.
-    let silent: Vec<TcpStream> = (0..8).map(|_| TcpStream::connect(desk).unwrap()).collect();
-    assert_eq!(call(desk, "GET /-/ready"), "200");
-    assert_eq!(call(desk, "POST /-/servers/s-9/disable"), "404");
-    for (what, status) in [
+    // Connections that never complete a call.
+    let silent: Vec<TcpStream> = (0..8).map(|_| TcpStream::connect(operator_addr).unwrap()).collect();
+    assert_eq!(call(operator_addr, "GET /-/ready"), "200");
+    assert_eq!(call(operator_addr, "POST /-/servers/s-9/disable"), "404");
+    for (request, status) in [
         ("POST /-/ready", "405"),
         ("GET /-/drain", "405"),
         ("GET /", "404"),
         ("POST /-/servers//disable", "404"),
     ] {
-        assert_eq!(call(desk, what), status, "{what}");
+        assert_eq!(call(operator_addr, request), status, "{request}");
     }
-    assert_eq!(call(desk, "POST /-/servers/s-1/disable"), "200");
-    assert_eq!(call(desk, "POST /-/servers/s-1/disable"), "200");
+    assert_eq!(call(operator_addr, "POST /-/servers/s-1/disable"), "200");
+    assert_eq!(call(operator_addr, "POST /-/servers/s-1/disable"), "200");
     let mut client = Client::connect(&pooler);
     for id in 700..720 {
         assert_eq!(client.execute(&menu(&id.to_string())).value.as_deref(), Some(&b"s-2"[..]));
     }
     assert!(one.received().is_empty());
-    assert_eq!(call(desk, "POST /-/servers/s-1/enable"), "200");
-    // At once or after some reads: who was never asked may count as slower than who was.
+    assert_eq!(call(operator_addr, "POST /-/servers/s-1/enable"), "200");
+    // Possibly not immediately: a server without answers may be estimated to be slower than one with answers.
     let used = (720..5_000).any(|id| {
         assert_eq!(client.execute(&menu(&id.to_string())).tags, "TDCZ");
         !one.received().is_empty()
     });
     assert!(used, "it is used again");
 
-    assert_eq!(call(desk, "POST /-/drain"), "200");
-    assert_eq!(call(desk, "GET /-/ready"), "503");
-    let mut front = Client::connect(&pooler);
-    assert_eq!(front.execute("").tags, "EZ", "no more clients");
-    assert!(client.0.wait_closed(), "who is idle is let go");
-    assert_eq!(call(desk, "POST /-/resume"), "200");
-    let mut front = Client::connect(&pooler);
-    assert_eq!(front.execute("").tags, "IZ");
+    assert_eq!(call(operator_addr, "POST /-/drain"), "200");
+    assert_eq!(call(operator_addr, "GET /-/ready"), "503");
+    let mut newcomer = Client::connect(&pooler);
+    assert_eq!(newcomer.execute("").tags, "EZ", "no new clients");
+    assert!(client.0.wait_closed(), "idle clients are disconnected");
+    assert_eq!(call(operator_addr, "POST /-/resume"), "200");
+    let mut newcomer = Client::connect(&pooler);
+    assert_eq!(newcomer.execute("").tags, "IZ");
     drop(silent);
 }
 
-/// A port that was free a moment ago: the program is told where to listen for calls, and says nothing of it.
+/// An address whose port was free a moment ago: the operators' API needs a configured address, as the program does not log one.
 fn free_port() -> std::net::SocketAddr {
     std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-/// A place whose processes share a listening socket, a folder and what they know of servers.
-struct Place {
+/// A deployment whose processes share a listener, a folder for their files and the configured list of servers.
+struct Deployment {
     folder: PathBuf,
-    door: std::net::TcpListener,
+    listener: std::net::TcpListener,
     config: Value,
 }
 
-impl Place {
+impl Deployment {
     fn new(name: &str, discovery: &Discovery, known: Vec<Value>) -> Self {
         let folder = std::env::temp_dir().join(format!("linnetdeal-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        let door = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-        Self { folder, door, config: serde_json::from_str(&config(discovery, known, 1_024)).unwrap() }
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+        Self { folder, listener, config: serde_json::from_str(&config(discovery, known, 1_024)).unwrap() }
     }
 
-    /// A process that may not serve yet, and its second address.
-    fn begin(&self) -> (Pooler, std::net::SocketAddr) {
-        let (mut config, desk) = (self.config.clone(), free_port());
-        config["operator"] = desk.to_string().into();
-        (Pooler::sharing_listener(&config.to_string(), &self.door, &self.folder), desk)
+    /// Starts a process, which may not serve yet; returns it and the address of its operators' API.
+    fn spawn(&self) -> (Pooler, std::net::SocketAddr) {
+        let (mut config, operator_addr) = (self.config.clone(), free_port());
+        config["operator"] = operator_addr.to_string().into();
+        (Pooler::sharing_listener(&config.to_string(), &self.listener, &self.folder), operator_addr)
     }
 
-    /// One that serves.
-    fn serve(&self) -> (Pooler, std::net::SocketAddr) {
-        let (pooler, desk) = self.begin();
+    /// Starts a process and waits until it is ready.
+    fn spawn_ready(&self) -> (Pooler, std::net::SocketAddr) {
+        let (pooler, operator_addr) = self.spawn();
         let mut tries = 0..100_000;
-        assert!(tries.any(|_| call(desk, "GET /-/ready") == "200"), "it says yes in the end");
-        (pooler, desk)
+        assert!(tries.any(|_| call(operator_addr, "GET /-/ready") == "200"), "the process is ready");
+        (pooler, operator_addr)
     }
 }
 
-impl Drop for Place {
+impl Drop for Deployment {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
 #[test]
-fn a_newer_process_takes_the_clients_and_the_bans_and_none_of_them_is_cut() {
-    let (open, busy_server) = blocked_server("s-1");
+fn a_newer_process_takes_over_clients_and_operator_drains_without_resets() {
+    let (release, busy_server) = blocked_server("s-1");
     let (two, three) = (id_server("s-2", "replica"), id_server("s-3", "replica"));
     let discovery = Discovery::new();
     let known = vec![busy_server.entry("up", ""), two.entry("up", ""), three.entry("up", "")];
-    let place = Place::new("overlap", &discovery, known);
-    let served = |client: &mut Client, by: &[&str]| {
+    let deployment = Deployment::new("overlap", &discovery, known);
+    let assert_served_by = |client: &mut Client, ids: &[&str]| {
         let value = String::from_utf8(client.execute(&menu("9")).value.unwrap()).unwrap();
-        assert!(by.contains(&value.as_str()), "{value}");
+        assert!(ids.contains(&value.as_str()), "{value}");
     };
-    let (mut older, desk) = place.serve();
+    let (mut older, operator_addr) = deployment.spawn_ready();
     for id in ["s-2", "s-3"] {
-        assert_eq!(call(desk, &format!("POST /-/servers/{id}/disable")), "200");
+        assert_eq!(call(operator_addr, &format!("POST /-/servers/{id}/disable")), "200");
     }
     let mut busy = Client::connect(&older);
     busy.send(&menu("1"));
@@ -923,31 +941,31 @@
     }
     let (mut usual, mut idle) = (Client::connect(&older), Client::connect(&older));
 
-    // What either is told by hand, both keep.
-    let (newer, next) = place.serve();
+    // An operator's command to either process applies to both.
+    let (newer, next) = deployment.spawn_ready();
     assert_eq!(call(next, "POST /-/servers/s-2/enable"), "200");
     older.wait_for_log("server s-2 back by hand, as the other process was told");
-    assert_eq!(call(desk, "POST /-/servers/s-1/disable"), "200");
-    let out = newer.wait_for_log("as the other process was told");
-    let out = if out.contains("s-1 out") { out } else { newer.wait_for_log("s-1 out by hand, as") };
-    assert!(out.contains("server s-1 out"), "{out}");
-    served(&mut usual, &["s-2"]);
+    assert_eq!(call(operator_addr, "POST /-/servers/s-1/disable"), "200");
+    let line = newer.wait_for_log("as the other process was told");
+    let line = if line.contains("s-1 out") { line } else { newer.wait_for_log("s-1 out by hand, as") };
+    assert!(line.contains("server s-1 out"), "{line}");
+    assert_served_by(&mut usual, &["s-2"]);
 
-    // From SIGTERM on only the newer one accepts; who has its answer from the older one is parted from with it.
+    // From SIGTERM on only the newer process accepts clients; the older one closes a client's connection with its next answer.
     older.signal("TERM");
     older.wait_for_log("for a newer process");
     let before = older.counters();
     let mut late = Client::connect(&newer);
     for _ in 0..5 {
-        served(&mut late, &["s-2"]);
+        assert_served_by(&mut late, &["s-2"]);
     }
-    assert!(newer.counters().contains(" taken=5 "), "all went there");
-    served(&mut usual, &["s-2"]);
-    assert!(usual.0.next_message().is_none() && !usual.0.reset, "an end behind the answer");
-    drop(open);
+    assert!(newer.counters().contains(" taken=5 "), "all requests went to the newer process");
+    assert_served_by(&mut usual, &["s-2"]);
+    assert!(usual.0.next_message().is_none() && !usual.0.reset, "closed behind the answer");
+    drop(release);
     assert_eq!(busy.answer().value.as_deref(), Some(&b"s-1"[..]));
     assert!(busy.0.next_message().is_none() && !busy.0.reset);
-    // Closed while idle only at the end, and then without a request to serve the older process has nothing to stay for.
+    // Idle clients are closed only at the end; without an open request the older process then exits.
     assert!(idle.0.next_message().is_none() && !idle.0.reset);
     assert!(older.child.wait().unwrap().success());
     let after = older.wait_for_log("counters");
@@ -956,52 +974,52 @@
         "{after}"
     );
 
-    // Both calls hold in the process that is left, and it can end them.
-    served(&mut late, &["s-2"]);
+    // Both drains hold in the remaining process, which can end them.
+    assert_served_by(&mut late, &["s-2"]);
     assert_eq!(call(next, "POST /-/servers/s-3/enable"), "200");
     let used = (0..5_000).any(|_| late.execute(&menu("7")).value.as_deref() == Some(b"s-3"));
     assert!(used, "it is used again");
 }
 
-/// Two processes of one place; the older one has a client, and has been told to end.
-fn overlap(place: &Place) -> (Pooler, Pooler, Client) {
-    let (older, _) = place.serve();
+/// Two processes of one deployment, of which the older one has a client and has been sent SIGTERM.
+fn overlap(deployment: &Deployment) -> (Pooler, Pooler, Client) {
+    let (older, _) = deployment.spawn_ready();
     let client = Client::connect(&older);
-    let (newer, _) = place.serve();
+    let (newer, _) = deployment.spawn_ready();
     older.signal("TERM");
     older.wait_for_log("for a newer process");
     (older, newer, client)
 }
 
 #[test]
-fn who_was_told_to_end_takes_clients_again_when_the_newer_process_dies() {
+fn a_terminating_process_accepts_clients_again_when_the_newer_process_dies() {
     let (one, discovery) = (id_server("s-1", "replica"), Discovery::new());
-    let place = Place::new("newer-dies", &discovery, vec![one.entry("up", "")]);
-    let (mut older, mut newer, mut kept) = overlap(&place);
+    let deployment = Deployment::new("newer-dies", &discovery, vec![one.entry("up", "")]);
+    let (mut older, mut newer, mut kept) = overlap(&deployment);
     newer.signal("KILL");
     newer.child.wait().unwrap();
     older.wait_for_log("clients are taken again");
     for round in 0..3 {
-        // None of them is parted from any more.
+        // Connections are no longer closed after an answer.
         let mut late = Client::connect(&older);
         for _ in 0..2 {
             assert_eq!(late.execute(&menu(&round.to_string())).value.as_deref(), Some(&b"s-1"[..]));
         }
         assert_eq!(kept.execute(&menu("k")).value.as_deref(), Some(&b"s-1"[..]));
     }
-    assert!(older.child.wait().unwrap().success(), "it ends all the same");
+    assert!(older.child.wait().unwrap().success(), "it still terminates");
     assert!(older.wait_for_log("counters").contains(" taken=9 "));
 }
 
 #[test]
-fn a_newer_process_that_hangs_is_not_taken_for_dead() {
+fn a_newer_process_that_hangs_is_not_considered_dead() {
     let (one, discovery) = (id_server("s-1", "replica"), Discovery::new());
-    let place = Place::new("newer-hangs", &discovery, vec![one.entry("up", "")]);
-    let (mut older, mut newer, mut kept) = overlap(&place);
+    let deployment = Deployment::new("newer-hangs", &discovery, vec![one.entry("up", "")]);
+    let (mut older, mut newer, mut kept) = overlap(&deployment);
     newer.signal("STOP");
-    // Answered, and parted from: who connects now waits for the newer process.
+    // The client gets its answer and its connection is closed: new clients wait for the newer process.
     assert_eq!(kept.execute(&menu("1")).value.as_deref(), Some(&b"s-1"[..]));
-    assert!(kept.0.next_message().is_none() && !kept.0.reset, "an end behind the answer");
+    assert!(kept.0.next_message().is_none() && !kept.0.reset, "closed behind the answer");
     assert!(older.child.wait().unwrap().success());
     assert!(older.wait_for_log("counters").contains(" taken=1 "));
     newer.signal("CONT");
@@ -1011,57 +1029,57 @@
 }
 
 #[test]
-fn a_newer_process_that_dies_before_it_serves_leaves_the_older_one_as_it_was() {
+fn a_newer_process_that_dies_before_it_serves_does_not_affect_the_older_one() {
     let (one, discovery) = (id_server("s-1", "replica"), Discovery::new());
-    let place = Place::new("early", &discovery, vec![one.entry("up", "")]);
-    let (mut older, _) = place.begin();
+    let deployment = Deployment::new("early", &discovery, vec![one.entry("up", "")]);
+    let (mut older, _) = deployment.spawn();
     let mut client = Client::connect(&older);
-    let served =
+    let assert_served =
         |client: &mut Client| assert_eq!(client.execute(&menu("1")).value.as_deref(), Some(&b"s-1"[..]));
-    // Twice: what the first leaves behind hinders nobody.
+    // Twice: the files that the first leaves behind do no harm.
     for _ in 0..2 {
-        let (mut newer, _) = place.begin();
+        let (mut newer, _) = deployment.spawn();
         newer.signal("KILL");
         newer.child.wait().unwrap();
-        served(&mut client);
+        assert_served(&mut client);
     }
-    // And when it is told to end it finds nobody in its place.
+    // On SIGTERM it finds no successor.
     older.signal("TERM");
     older.wait_for_log("draining with 1 clients");
     let mut late = Client::connect(&older);
-    served(&mut late);
+    assert_served(&mut late);
     assert!(older.child.wait().unwrap().success());
 }
 
 #[test]
-fn two_newer_processes_in_a_row_and_a_new_configuration_between_lose_no_client() {
+fn two_takeovers_with_a_reload_between_them_lose_no_client() {
     let (one, two, discovery) = (id_server("s-1", "replica"), id_server("s-2", "replica"), Discovery::new());
-    let place = Place::new("row", &discovery, vec![one.entry("up", ""), two.entry("up", "")]);
-    let served =
+    let deployment = Deployment::new("row", &discovery, vec![one.entry("up", ""), two.entry("up", "")]);
+    let assert_served =
         |client: &mut Client| assert_eq!(client.execute(&menu("1")).value.as_deref(), Some(&b"s-2"[..]));
-    let (mut first, desk) = place.serve();
-    assert_eq!(call(desk, "POST /-/servers/s-1/disable"), "200");
+    let (mut first, operator_addr) = deployment.spawn_ready();
+    assert_eq!(call(operator_addr, "POST /-/servers/s-1/disable"), "200");
     let mut kept = Client::connect(&first);
-    served(&mut kept);
-    let (mut second, _) = place.serve();
+    assert_served(&mut kept);
+    let (mut second, _) = deployment.spawn_ready();
     first.signal("TERM");
     first.wait_for_log("for a newer process");
-    // Both read their configurations again, while they overlap.
+    // Both reload their configurations while they overlap.
     first.signal("HUP");
     second.signal("HUP");
     second.wait_for_log("configuration read again");
-    let (mut third, last) = place.serve();
+    let (mut third, third_addr) = deployment.spawn_ready();
     second.signal("TERM");
     second.wait_for_log("for a newer process");
-    served(&mut kept);
+    assert_served(&mut kept);
     let mut late = Client::connect(&third);
-    served(&mut late);
+    assert_served(&mut late);
     for ended in [&mut first, &mut second] {
         assert!(ended.child.wait().unwrap().success());
     }
-    // Out by hand for all three, until the last one ends it.
-    served(&mut late);
-    assert_eq!(call(last, "POST /-/servers/s-1/enable"), "200");
+    // The operator's drain applies to all three, until the last one ends it.
+    assert_served(&mut late);
+    assert_eq!(call(third_addr, "POST /-/servers/s-1/enable"), "200");
     let used = (0..5_000).any(|_| late.execute(&menu("7")).value.as_deref() == Some(b"s-1"));
     assert!(used, "it is used again");
     third.signal("TERM");
@@ -1069,11 +1087,11 @@
 }
 
 #[test]
-fn an_older_process_that_hangs_in_its_end_holds_up_nobody() {
+fn an_older_process_that_hangs_during_termination_delays_no_client() {
     let (one, discovery) = (id_server("s-1", "replica"), Discovery::new());
-    let place = Place::new("hang", &discovery, vec![one.entry("up", "")]);
-    let (mut older, _) = place.serve();
-    let (mut newer, desk) = place.serve();
+    let deployment = Deployment::new("hang", &discovery, vec![one.entry("up", "")]);
+    let (mut older, _) = deployment.spawn_ready();
+    let (mut newer, operator_addr) = deployment.spawn_ready();
     older.signal("TERM");
     older.wait_for_log("for a newer process");
     older.signal("STOP");
@@ -1081,10 +1099,14 @@
     for round in 0..20 {
         assert_eq!(client.execute(&menu(&round.to_string())).value.as_deref(), Some(&b"s-1"[..]));
     }
-    // A ban in that time is learnt when it goes on, and the folder that both share may be gone by then.
-    assert_eq!(call(desk, "POST /-/servers/s-1/disable"), "200");
-    std::fs::remove_dir_all(&place.folder).unwrap();
-    assert_eq!(call(desk, "POST /-/servers/s-1/enable"), "200", "it holds in this process all the same");
+    // The older process learns of this drain when it is continued; the shared folder may be gone by then.
+    assert_eq!(call(operator_addr, "POST /-/servers/s-1/disable"), "200");
+    std::fs::remove_dir_all(&deployment.folder).unwrap();
+    assert_eq!(
+        call(operator_addr, "POST /-/servers/s-1/enable"),
+        "200",
+        "it applies in this process all the same"
+    );
     older.signal("CONT");
     assert!(older.child.wait().unwrap().success());
     assert_eq!(client.execute(&menu("last")).value.as_deref(), Some(&b"s-1"[..]));
@@ -1093,31 +1115,32 @@
 }
 
 #[test]
-fn what_a_tenant_asks_beyond_its_share_waits_behind_what_others_ask_within_theirs() {
-    let (open, first) = blocked_server("s-1");
-    let (open_too, second) = blocked_server("s-2");
+fn requests_beyond_a_tenants_share_wait_behind_requests_within_the_share_of_others() {
+    let (release_first, first) = blocked_server("s-1");
+    let (release_second, second) = blocked_server("s-2");
     let discovery = Discovery::new();
-    let site = |tenants: Value| {
+    let config_with = |tenants: Value| {
         let mut config: Value = serde_json::from_str(&config(&discovery, Vec::new(), 1_024)).unwrap();
         config["settings"]["Tenants"] = tenants;
         config["settings"]["OverShareWorth"] = 0.1.into();
         config.to_string().replace("9000.0", "60000.0")
     };
     let share = |name: &str| json!({"Name": name, "QuotaRps": 5.0});
-    let pooler = Pooler::with_config(&site(json!([share("large"), share("small & sons")])));
+    let pooler = Pooler::with_config(&config_with(json!([share("large"), share("small & sons")])));
     let (_, watch) = discovery.next_watch();
     let mut waiting = Vec::new();
-    // A server takes 16 at a time. In the second round the settings have the same tenants in other places, with another.
+    // A server is sent 16 requests at a time. In the second round the settings list the same tenants at other positions, and a new
+    // one.
     for (cluster, server, taken) in [(2, &first, 21), (3, &second, 42)] {
-        let mut ask = |tenant: &str| {
+        let mut send_from = |tenant: &str| {
             let mut client = Client::connect(&pooler);
-            let whose = format!("d=60000,t={tenant},cluster={cluster}");
+            let fields = format!("d=60000,t={tenant},cluster={cluster}");
             let id = format!("{cluster}-{}", waiting.len());
-            client.send(&menu(&id).replace("d=8000,cluster=2", &whose));
+            client.send(&menu(&id).replace("d=8000,cluster=2", &fields));
             waiting.push(client);
         };
-        (0..20).for_each(|_| ask("large"));
-        ask("small & sons");
+        (0..20).for_each(|_| send_from("large"));
+        send_from("small & sons");
         pooler.wait_for_counter(&format!(" taken={taken} "));
         let mut entry = server.entry("up", "replica");
         entry["cell"] = cluster.into();
@@ -1125,11 +1148,11 @@
         while server.received().len() < 16 {
             std::thread::yield_now();
         }
-        let small = server.received().iter().filter(|got| got.contains("t=small & sons")).count();
-        assert_eq!(small, 1, "the last to come is among the first to be sent: {:?}", server.received());
-        pooler.write_config(&site(json!([share("new"), share("small & sons"), share("large")])));
+        let small = server.received().iter().filter(|sql| sql.contains("t=small & sons")).count();
+        assert_eq!(small, 1, "the last request received is among the first sent: {:?}", server.received());
+        pooler.write_config(&config_with(json!([share("new"), share("small & sons"), share("large")])));
         pooler.signal("HUP");
         pooler.wait_for_log("configuration read again");
     }
-    drop((open, open_too));
+    drop((release_first, release_second));
 }
