--- a/crates/registry/tests/bodies.rs
+++ b/crates/registry/tests/bodies.rs
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn an_instance_that_can_not_be_a_member_is_listed_without_an_address() {
+fn an_instance_that_cannot_be_a_member_is_listed_without_an_address() {
     let outside = PRIMARY_JSON.replace("10.1.0.4", "10.2.0.4");
     let body = format!(r#"{{"application":{{"instance":[{outside}]}}}}"#);
     let (update, _) = parse_list(Format::Json, body.as_bytes(), &[]).unwrap();
