--- a/crates/operator/src/eval.rs
+++ b/crates/operator/src/eval.rs
@@ -1,5 +1,5 @@
-//! Unification of the schema with a file, field by field. Defaults are filled in, and each conflict is reported with its
-//! location in the file.
+//! Unification of the schema with a file, field by field. Defaults are filled in, and each conflict is reported with
+//! its location in the file.
 
 use crate::syntax::{BoundOperator, Expression, ExpressionKind, Field, Presence};
 use std::collections::BTreeMap;
@@ -293,7 +293,8 @@
             match self.evaluate(&field.value, depth + 1, closed) {
                 Ok(value) => {
                     let record_field = RecordField { presence: field.presence, value, location };
-                    // CUE unifies a repeated field with the first one. Here it is an error, as it is most likely a mistake.
+                    // CUE unifies a repeated field with the first one. Here it is an error, as it is most likely a
+                    // mistake.
                     if record_fields.insert(field.name.clone(), record_field).is_some() {
                         diagnostics.push(Diagnostic {
                             location,
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,6 +1,6 @@
 //! The operator's file: settings of this installation in addition to the platform's configuration. It is written in a
-//! strict subset of CUE and unified with a schema that is part of the program. Each error is reported with its location,
-//! and a file with an error has no effect at all.
+//! strict subset of CUE and unified with a schema that is part of the program. Each error is reported with its
+//! location, and a file with an error has no effect at all.
 
 mod eval;
 mod syntax;
--- a/crates/operator/src/schema.cue
+++ b/crates/operator/src/schema.cue
@@ -1,40 +1,41 @@
-// What may stand in an operator's file. Records are closed: a field that is not named here is an error.
+// The schema of the operator's file. Records are closed: a field that is not listed here is an error.
 package linnetdeal
 
-// A length of time with its unit.
+// A duration with its unit.
 #Duration: =~"^[1-9][0-9]{0,8}(ms|s|m|h)$"
 // An amount of memory with its unit.
 #Size: =~"^[1-9][0-9]{0,5}(KB|MB)$"
-// A path of a file.
+// A file path.
 #Path: =~"^[^\n]{1,4096}$"
-// A word that stands in URLs and ids.
+// A name that can be part of URLs and ids.
 #Word: =~"^[A-Za-z0-9._:-]{1,128}$"
 
-// A server of a registry. Names are not looked up: 'at' says where a host that is a name listens.
+// A registry server. Host names are not looked up: if the URL has one, 'at' gives the address.
 #Server: {
 	url!: =~"^https?://[^ @?#]+$"
 	at?:  =~"^[0-9a-fA-F.:\\[\\]]+:[0-9]+$"
 }
 
-// A network in which boxes may lie, and the zone of what lies in it.
+// A network in which members may be, and the zone of the members in it.
 #Network: {
 	prefix!: =~"^[0-9a-fA-F.:]+/[0-9]{1,3}$"
 	zone:    string | *""
 }
 
-// The password is the first line of a file that only its owner may read.
+// Credentials. The password is the first line of a file that only its owner may read.
 #User: {
 	name!:          =~"^[^:\n]{1,256}$"
 	password_file!: #Path
 }
 
-// The own certificate, and its key in a file that only its owner may read.
+// The pooler's certificate, and its key in a file that only its owner may read.
 #Identity: {
 	certificate!: #Path
 	key!:         #Path
 }
 
-// What this pooler says of itself in the registry.
+// How this pooler registers itself: 'renew' is the interval of renewals, 'expires' how long it is
+// valid without one.
 #Own: {
 	app!:    #Word
 	id?:     #Word
@@ -42,154 +43,162 @@
 	expires: #Duration | *"90s"
 }
 
-// A registry that speaks Eureka's REST API.
+// A service registry that speaks Eureka's REST API.
 #Registry: {
-	// Asked in this order; the next one when one fails.
+	// Tried in this order; when one fails, the next one is used.
 	servers!: [...#Server]
-	// The applications whose instances are boxes.
+	// The applications whose instances are members.
 	apps!: [...#Word]
-	// Where boxes may lie. What lies elsewhere gets nothing.
+	// The networks in which members may be. Instances elsewhere are ignored, so nothing is sent to them.
 	networks!: [...#Network]
-	// What is asked for: 'delta' follows changes, 'full' reads all each time, 'app' and 'vip' read what is named there.
+	// What is read: 'delta' follows changes, 'full' reads everything each time, 'app' and 'vip' read only the application
+	// in 'apps' or the virtual address in 'vip'.
 	read: *"delta" | "full" | "app" | "vip"
-	// The virtual address, where 'vip' is read.
+	// The virtual address for read: "vip".
 	vip: #Word | *""
-	// How often.
+	// The polling interval.
 	interval: #Duration | *"30s"
-	// A call may take so long, and the longest pause while all servers fail.
+	// The timeout of a call, and the maximum pause while all registry servers fail.
 	patience:      #Duration | *"10s"
 	longest_pause: #Duration | *"60s"
-	// A larger body is not read.
+	// The maximum size of a response body. A larger one is rejected.
 	most_body: #Size | *"64MB"
-	// A list that lacks more than this share of the boxes in service is not believed, nor is an empty one,
+	// A list that lacks more than this share of the members in service is suspect and not accepted, nor is an empty one,
 	lost_share: number & >=0 & <=1 | *0.5
-	// until it has told the same for so long; "never" for ever.
+	// until lists have been suspect for this long; "never" if they are never accepted.
 	believe_after: #Duration | *"never"
-	// Once an override is taken back: 'registration' waits for the box to register anew, 'override' takes it as lifted.
+	// What ends a drain by a status override: 'registration' waits until the instance registers anew, 'override' also
+	// accepts the removal of the override.
 	lifts: *"registration" | "override"
-	// The metadata keys that hold these.
+	// The metadata keys of these properties.
 	metadata: {
 		group:   string | *"group"
 		zone:    string | *"zone"
 		role:    string | *"role"
 		started: string | *"startedAtMs"
 	}
-	// The role of a primary, and the group of who names none.
+	// The role of a primary, and the group of instances that name none.
 	primary: string | *"primary"
 	group?:  int & >=0 & <=1000000
-	// Whether boxes are reached on their secure port.
+	// Whether members are reached on their secure port.
 	secure_port: bool | *false
 	user?:       #User
-	// Who may vouch for servers, where these speak TLS.
+	// The certificate authorities for registry servers that use TLS.
 	ca?:       #Path
 	identity?: #Identity
 	register?: #Own
 }
 
-// What is written to standard error.
+// Logging to standard error.
 #Log: {
 	level:  "error" | "warn" | *"info" | "debug"
 	format: *"text" | "json"
 }
 
-// How long a change of primary takes: none is over before 'least', and most are after 'usual'.
+// Expected duration of a primary change: none takes less than 'least', and most take no more than 'usual'.
 #Change: {
 	least!: #Duration
 	usual!: #Duration
 }
 
-// What is known of changes of primary before any was seen; two of a kind that were seen count for more.
+// Expected durations of planned and unplanned primary changes. Once the pooler has observed two changes of a kind, the
+// observed durations are used instead.
 #Primary: {
 	planned?:   #Change
 	unplanned?: #Change
 }
 
-// A pooler, by its place in the platform's list of poolers.
+// A pooler's number: its position in the platform's list of poolers.
 #Number: int & >=0 & <=65000
 
-// What a task's holder calls, over HTTP/1.1: 'begin', and 'end' when it is done.
+// HTTP/1.1 calls that a task's holder makes: 'begin', and 'end' when an act is done.
 #Call: {
 	address!: =~"^[0-9a-fA-F.:\\[\\]]+:[0-9]+$"
 	path:     =~"^/[^ \n]{0,256}$" | *"/"
-	// A pause between two acts, and how long each lasts.
+	// The pause between two acts, and the duration of an act.
 	every: #Duration | *"1s"
 	lasts: #Duration | *"1ms"
 }
 
-// A task of the whole fleet.
+// A task that one pooler of the fleet executes at a time.
 #Task: {
 	name!: #Word
-	// Who holds it and dies leaves it alone for so long.
+	// The term of the lease: when the holder dies, the task is not executed for up to this long.
 	term: #Duration | *"3s"
-	// Who may hold it; all poolers where none is named.
+	// The poolers that may hold the lease; all if none is named.
 	candidates: [...#Number] | *[]
 	call?: #Call
 }
 
-// Tasks that one pooler of the fleet does at a time. All poolers have the same here.
+// Leases of tasks that one pooler of the fleet executes at a time. These settings must be the same on all poolers.
 #Leases: {
-	// The installation, and the version of the voters: poolers that differ in either don't talk.
+	// The name of the installation, and the version of the set of voters. Poolers that differ in either do not
+	// communicate.
 	site!:    #Word
 	version!: int & >=1 & <=1000000000
-	// 3, 5 or 7 poolers that decide.
+	// The 3, 5 or 7 poolers that grant leases by majority.
 	voters!: [...#Number]
-	// The sets that poolers of other versions may still go by.
+	// Earlier sets of voters that poolers with another version may still use.
 	previous: [...[...#Number]] | *[]
-	// Clocks of any two poolers differ in speed by no more than so many parts in a thousand, each.
+	// Maximum deviation of each pooler's clock rate, in parts per thousand.
 	drift: int & >=0 & <=500 | *50
-	// No term is longer. A voter that has started is silent for so long; it is made shorter in two versions only.
+	// The maximum term. A voter does not answer for this long after its start. To shorten it, two
+	// successive versions are needed.
 	longest: #Duration | *"10s"
-	// Files with a key in their first line, 16 bytes or more; the first signs, all are believed.
+	// Files with a key of 16 bytes or more in their first line. The first key signs datagrams, all keys are accepted.
 	keys!: [...#Path]
 	tasks: [...#Task] | *[]
-	// One pooler a group asks its members for position and role, and tells all others. It counts only where members check what
-	// they are sent.
+	// If set, one pooler per group polls the members for position and role, and publishes these to all others. This has an
+	// effect only if members check the requests that they receive.
 	positions?: {
 		term:  #Duration | *"3s"
 		every: #Duration | *"500ms"
 	}
 }
 
-// So many machines out at once: of all, of one zone, and in so many zones.
+// Limits on machines that are out at once: in total, per zone, and the number of zones with machines out.
 #Bounds: {
 	all:   int & >=1 & <=256 | *1
 	zone:  int & >=1 & <=256 | *1
 	zones: int & >=1 & <=256 | *1
 }
 
-// Requests a second that a machine of a type bears, by the list's name for the type.
+// The capacity in requests per second of a machine type, by the type's name in the list of servers.
 #Capacity: {
 	machine!:  string
 	requests!: number & >=0 & <=1000000
 }
 
-// Hours, in UTC, in which nothing begins.
+// A period of the day, in UTC, in which no machine is taken out.
 #Quiet: {
 	from!: =~"^([01][0-9]|2[0-3]):[0-5][0-9]$"
 	to!:   =~"^([01][0-9]|2[0-3]):[0-5][0-9]$"
 }
 
-// Machines out for work. It rests on the leases; all poolers have the same here.
+// Maintenance work that takes machines out of service. It requires 'leases', and must be the same on all poolers.
 #Work: {
-	// A pooler says so often how far it is while a plan is under way; the lease's term.
+	// How often a pooler reports its progress while a plan is under way, and the term of the lease.
 	every: #Duration | *"1s"
 	term:  #Duration | *"3s"
-	// A pooler that starts is not ready before a majority of voters has told it what is out, or so much time has passed.
+	// A starting pooler is not ready until a majority of the voters has reported which machines are out, or this much time
+	// has passed.
 	hold: #Duration | *"30s"
-	// Servers, those that are dead among them, and of one group.
+	// Limits on servers that are out, counting failed ones, and the maximum per group.
 	servers: #Bounds
 	group: int & >=1 & <=256 | *1
-	// Warm replicas that a group keeps, and how many times its load now and at the last hour's peak the machines that it keeps can do.
+	// The minimum number of warm replicas that remain in a group, and the minimum ratio of the remaining machines'
+	// capacity to the group's load, both the present load and the last hour's peak.
 	warm:  int & >=0 & <=256 | *1
 	spare: number & >=0 & <=100 | *1.2
 	capacity: [...#Capacity] | *[]
-	// Back, a machine counts as cold for so long. A primary that is not handed over by then is left out; who is out for longer is told of.
+	// 'cold' is how long a machine counts as cold after its return. A primary that is not handed over within 'handing' is
+	// skipped. A machine that is out for longer than 'longest' is reported.
 	cold:    #Duration | *"30s"
 	handing: #Duration | *"30s"
 	longest: #Duration | *"4h"
 	order: *"ahead" | "spare" | "named"
 	quiet: [...#Quiet] | *[]
-	// Called over HTTP/1.1, with the lease's token, to have somebody else made the primary of a group.
+	// Called over HTTP/1.1, with the lease's token, to request another primary for a group.
 	handover?: {
 		address!: =~"^[0-9a-fA-F.:\\[\\]]+:[0-9]+$"
 		path:     =~"^/[^ \n]{0,256}$" | *"/"
--- a/crates/operator/src/typed.rs
+++ b/crates/operator/src/typed.rs
@@ -1,4 +1,5 @@
-//! The file as plain types, with what a schema can't check: that networks are networks and bounds fit one another.
+//! The settings as Rust types, with the checks that the schema can't express, such as valid network prefixes and limits
+//! that must be consistent with each other.
 
 mod leases;
 mod work;
@@ -15,47 +16,47 @@
 use work::RawWork;
 pub use work::{OutLimits, WorkSettings};
 
-/// What an operator wants.
+/// All settings of an operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorSettings {
-    /// The registry that is followed, if one is.
+    /// The service registry to follow, if any.
     pub registry: Option<RegistrySettings>,
-    /// Tasks of the whole fleet, where there are any.
+    /// Leases, for tasks that one pooler of the fleet executes at a time.
     pub leases: Option<LeaseSettings>,
-    /// Machines out for work, where the poolers see to it.
+    /// Limits of maintenance work, if the poolers coordinate it.
     pub work: Option<WorkSettings>,
-    /// What is known of changes of primary.
+    /// Expected durations of primary changes.
     pub primary: PrimarySettings,
-    /// What is written to standard error.
+    /// Logging to standard error.
     pub log: LogSettings,
 }
 
-/// How long a change of primary takes.
+/// Expected duration of a primary change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrimaryChangeSettings {
-    /// None is over sooner.
+    /// No change takes less time.
     pub minimum: Duration,
-    /// Most are over by then.
+    /// Most changes take no more time.
     pub typical: Duration,
 }
 
-/// What is known of changes of primary before any was seen.
+/// Expected durations of primary changes, used until the pooler has observed two changes of the kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PrimarySettings {
-    /// Of those by plan.
+    /// Planned changes (handovers).
     pub planned: Option<PrimaryChangeSettings>,
-    /// Of all others.
+    /// Unplanned changes (failovers).
     pub unplanned: Option<PrimaryChangeSettings>,
 }
 
-/// What is asked of a registry.
+/// What is read from a registry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ReadMode {
-    /// All, and then what changes.
+    /// Everything once, then changes only.
     #[default]
     Delta,
-    /// All, each time.
+    /// Everything, each time.
     Full,
     /// One application, each time.
     App,
@@ -63,121 +64,121 @@
     Vip,
 }
 
-/// A registry.
+/// A service registry that speaks Eureka's REST API.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegistrySettings {
-    /// Its servers.
+    /// The registry's servers, in the order in which they are tried.
     pub servers: Vec<Server>,
-    /// The applications whose instances are boxes.
+    /// The applications whose instances are the members.
     pub apps: Vec<String>,
-    /// Where boxes may lie.
+    /// The networks in which members may be. Instances elsewhere are ignored, so nothing is sent to them.
     pub networks: Vec<Network>,
-    /// What is asked for.
+    /// What is read.
     pub read: ReadMode,
-    /// The virtual address, where that is read.
+    /// The virtual address to read; empty except with [`ReadMode::Vip`].
     pub vip: String,
-    /// How often it is asked.
+    /// The polling interval.
     pub interval: Duration,
-    /// How long a call may take.
+    /// The timeout of a call.
     pub timeout: Duration,
-    /// The longest pause while all servers fail.
+    /// The maximum pause between attempts while all registry servers fail.
     pub max_pause: Duration,
-    /// A larger body is not read, in bytes.
+    /// Maximum size of a response body in bytes.
     pub max_body_bytes: u64,
-    /// The share of boxes in service that a list may lack and still be believed.
+    /// The share of the members in service that a list may lack. A list that lacks more is suspect.
     pub lost_share: f64,
-    /// For how long a list has to tell the same until it is believed; `None` for ever.
+    /// How long lists must have been suspect before one is accepted; `None` if never.
     pub believe_after: Option<Duration>,
-    /// Whether an override that is taken back lifts a drain.
+    /// Whether removing a status override in the registry ends the drain. Otherwise a newer registration does.
     pub override_removal_ends_drain: bool,
-    /// The metadata keys.
+    /// The keys of the instances' metadata.
     pub metadata: Metadata,
-    /// The role of a primary.
+    /// The metadata value that marks a primary.
     pub primary_value: String,
-    /// The group of who names none.
+    /// The group of instances that name none.
     pub default_group: Option<i64>,
-    /// Whether boxes are reached on their secure port.
+    /// Whether members are reached on their secure port.
     pub secure_port: bool,
-    /// Who calls.
+    /// Credentials for calls to the registry.
     pub credentials: Option<Credentials>,
-    /// Who may vouch for servers.
+    /// The file of the certificate authorities for the registry's TLS certificates.
     pub ca: Option<PathBuf>,
-    /// The own certificate and key.
+    /// The files of the client certificate and its key.
     pub identity: Option<(PathBuf, PathBuf)>,
-    /// What this pooler says of itself.
+    /// How this pooler registers itself, if it does.
     pub registration: Option<Registration>,
 }
 
 /// A server of a registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Server {
-    /// Its URL.
+    /// The server's URL.
     pub url: String,
-    /// Where a host that is a name listens.
+    /// The address, required if the URL's host is a name: names are not looked up.
     pub address: Option<SocketAddr>,
 }
 
-/// A network with its zone.
+/// A network in which members may be, with its zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Network {
-    /// The network.
+    /// The network prefix.
     pub prefix: IpNet,
-    /// The zone of what lies in it, where that is known.
+    /// The zone of members in this network, if known.
     pub zone: Option<String>,
 }
 
-/// The keys of an instance's metadata.
+/// The metadata keys that hold an instance's properties.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Metadata {
-    /// Of the group.
+    /// Key of the group.
     pub group: String,
-    /// Of the zone.
+    /// Key of the zone.
     pub zone: String,
-    /// Of the role.
+    /// Key of the role.
     pub role: String,
-    /// Of the last start.
+    /// Key of the time of the last start.
     pub started: String,
 }
 
-/// Who calls, by name and password.
+/// User name and password for calls to the registry.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Credentials {
-    /// The name.
+    /// The user name.
     pub name: String,
-    /// The file that holds the password.
+    /// The file with the password.
     pub password_file: PathBuf,
 }
 
-/// What the pooler says of itself.
+/// How the pooler registers itself in the registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Registration {
-    /// Its application.
+    /// The application name.
     pub app: String,
-    /// Its id; by default its name and where it listens.
+    /// The instance id. The default is the pooler's name and listening address.
     pub id: Option<String>,
-    /// How often it renews that.
+    /// How often the registration is renewed.
     pub renew_interval: Duration,
-    /// After how long without that it may be dropped.
+    /// How long the registration is valid without renewal.
     pub lease_duration: Duration,
 }
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// What is written to standard error.
+/// Logging to standard error.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct LogSettings {
-    /// The least level: `error`, `warn`, `info` or `debug`.
+    /// The minimum level: `error`, `warn`, `info` or `debug`.
     pub level: String,
-    /// How lines are written.
+    /// The format of lines.
     pub format: LogFormat,
 }
 
@@ -229,7 +230,7 @@
     user: Option<Credentials>,
     ca: Option<PathBuf>,
     identity: Option<RawIdentity>,
-    register: Option<RawOwn>,
+    register: Option<RawRegistration>,
 }
 
 #[derive(Deserialize)]
@@ -251,28 +252,29 @@
 }
 
 #[derive(Deserialize)]
-struct RawOwn {
+struct RawRegistration {
     app: String,
     id: Option<String>,
     renew: String,
     expires: String,
 }
 
-/// Collects what is wrong, by path.
-struct Checker<'t> {
+/// Checks values and collects the errors, each with its path.
+struct Validator<'t> {
     tree: &'t Tree,
-    faults: Vec<Diagnostic>,
+    diagnostics: Vec<Diagnostic>,
 }
 
-impl Checker<'_> {
-    fn fault(&mut self, path: &str, what: impl Into<String>) {
-        self.faults.push(self.tree.diagnostic(path, what.into()));
+impl Validator<'_> {
+    fn report(&mut self, path: &str, message: impl Into<String>) {
+        self.diagnostics.push(self.tree.diagnostic(path, message.into()));
     }
 
+    /// Parses a duration, which the schema has checked to be a number with a unit, and checks its range.
     fn duration(&mut self, path: &str, text: &str, range: (Duration, Duration)) -> Duration {
-        let unit = text.find(|letter: char| !letter.is_ascii_digit()).unwrap_or(text.len());
-        let number: u64 = text[..unit].parse().unwrap_or(0);
-        let ms = match &text[unit..] {
+        let unit_start = text.find(|character: char| !character.is_ascii_digit()).unwrap_or(text.len());
+        let number: u64 = text[..unit_start].parse().unwrap_or(0);
+        let ms = match &text[unit_start..] {
             "ms" => number,
             "s" => number * 1_000,
             "m" => number * 60_000,
@@ -280,7 +282,7 @@
         };
         let duration = Duration::from_millis(ms);
         if duration < range.0 || duration > range.1 {
-            self.fault(path, format!("{text} is not between {:?} and {:?}", range.0, range.1));
+            self.report(path, format!("{text} is not between {:?} and {:?}", range.0, range.1));
         }
         duration
     }
@@ -289,105 +291,108 @@
 const SECOND: Duration = Duration::from_secs(1);
 const DAY: Duration = Duration::from_secs(86_400);
 const HOUR: Duration = Duration::from_secs(3_600);
-const MOST_SERVERS: usize = 16;
-const MOST_NETWORKS: usize = 10_000;
+const MAX_SERVERS: usize = 16;
+const MAX_NETWORKS: usize = 10_000;
 
 pub(crate) fn decode(tree: &Tree) -> Result<OperatorSettings, Vec<Diagnostic>> {
     let raw: RawFile = serde_json::from_value(tree.value.clone())
         .map_err(|error| vec![Diagnostic { location: Location::default(), message: error.to_string() }])?;
-    let mut check = Checker { tree, faults: Vec::new() };
-    let registry = raw.registry.map(|raw| registry(raw, &mut check));
-    let leases = raw.leases.map(|raw| leases::decode(raw, &mut check));
-    let work = raw.work.map(|raw| work::decode(raw, leases.as_ref(), &mut check));
+    let mut validator = Validator { tree, diagnostics: Vec::new() };
+    let registry = raw.registry.map(|raw| decode_registry(raw, &mut validator));
+    let leases = raw.leases.map(|raw| leases::decode(raw, &mut validator));
+    let work = raw.work.map(|raw| work::decode(raw, leases.as_ref(), &mut validator));
     let primary = PrimarySettings {
-        planned: raw.primary.planned.map(|raw| change("primary.planned", &raw, &mut check)),
-        unplanned: raw.primary.unplanned.map(|raw| change("primary.unplanned", &raw, &mut check)),
+        planned: raw.primary.planned.map(|raw| decode_change("primary.planned", &raw, &mut validator)),
+        unplanned: raw.primary.unplanned.map(|raw| decode_change("primary.unplanned", &raw, &mut validator)),
     };
-    check.faults.sort();
-    if check.faults.is_empty() {
+    validator.diagnostics.sort();
+    if validator.diagnostics.is_empty() {
         Ok(OperatorSettings { registry, leases, work, primary, log: raw.log })
     } else {
-        Err(check.faults)
+        Err(validator.diagnostics)
     }
 }
 
-fn change(path: &str, raw: &RawChange, check: &mut Checker<'_>) -> PrimaryChangeSettings {
+fn decode_change(path: &str, raw: &RawChange, validator: &mut Validator<'_>) -> PrimaryChangeSettings {
     let range = (Duration::from_millis(1), HOUR);
-    let minimum = check.duration(&format!("{path}.least"), &raw.least, range);
-    let typical = check.duration(&format!("{path}.usual"), &raw.usual, range);
+    let minimum = validator.duration(&format!("{path}.least"), &raw.least, range);
+    let typical = validator.duration(&format!("{path}.usual"), &raw.usual, range);
     if typical < minimum {
-        check.fault(&format!("{path}.usual"), "it is shorter than 'least'");
+        validator.report(&format!("{path}.usual"), "it is shorter than 'least'");
     }
     PrimaryChangeSettings { minimum, typical }
 }
 
-fn registry(raw: RawRegistry, check: &mut Checker<'_>) -> RegistrySettings {
-    for (what, count, most) in [
-        ("servers", raw.servers.len(), MOST_SERVERS),
+fn decode_registry(raw: RawRegistry, validator: &mut Validator<'_>) -> RegistrySettings {
+    for (field, count, max) in [
+        ("servers", raw.servers.len(), MAX_SERVERS),
         ("apps", raw.apps.len(), 256),
-        ("networks", raw.networks.len(), MOST_NETWORKS),
+        ("networks", raw.networks.len(), MAX_NETWORKS),
     ] {
-        if count == 0 || count > most {
-            check.fault(&format!("registry.{what}"), format!("{count} are named, and 1 to {most} can be"));
+        if count == 0 || count > max {
+            validator
+                .report(&format!("registry.{field}"), format!("{count} are named, 1 to {max} are allowed"));
         }
     }
     let mut servers: Vec<Server> = Vec::new();
-    for (at, server) in raw.servers.into_iter().enumerate() {
-        let path = format!("registry.servers[{at}]");
+    for (index, server) in raw.servers.into_iter().enumerate() {
+        let path = format!("registry.servers[{index}]");
         let address = server.at.as_ref().map(|text| text.parse::<SocketAddr>());
         if let Some(Err(error)) = &address {
-            check.fault(&format!("{path}.at"), format!("{error}"));
+            validator.report(&format!("{path}.at"), format!("{error}"));
         }
         if servers.iter().any(|other| other.url == server.url) {
-            check.fault(&format!("{path}.url"), "it is named twice");
+            validator.report(&format!("{path}.url"), "it is named twice");
         }
         servers.push(Server { url: server.url, address: address.and_then(Result::ok) });
     }
     let mut networks: Vec<Network> = Vec::new();
     let mut seen = std::collections::HashSet::new();
-    for (at, network) in raw.networks.into_iter().enumerate() {
-        let path = format!("registry.networks[{at}].prefix");
+    for (index, network) in raw.networks.into_iter().enumerate() {
+        let path = format!("registry.networks[{index}].prefix");
         match network.prefix.parse::<IpNet>() {
             Ok(prefix) if prefix.trunc() != prefix => {
-                check.fault(
+                validator.report(
                     &path,
-                    format!("{prefix} has bits set behind its length; {} is meant", prefix.trunc()),
+                    format!("{prefix} has bits set beyond its prefix length; use {}", prefix.trunc()),
                 );
             }
-            Ok(prefix) if !seen.insert(prefix) => check.fault(&path, format!("{prefix} is named twice")),
+            Ok(prefix) if !seen.insert(prefix) => validator.report(&path, format!("{prefix} is named twice")),
             Ok(prefix) => {
                 networks.push(Network { prefix, zone: Some(network.zone).filter(|zone| !zone.is_empty()) });
             }
-            Err(error) => check.fault(&path, error.to_string()),
+            Err(error) => validator.report(&path, error.to_string()),
         }
     }
     if raw.read == ReadMode::App && raw.apps.len() > 1 {
-        check.fault("registry.read", "\"app\" reads one application, and several are named");
+        validator.report("registry.read", "\"app\" reads a single application, but several are named");
     }
     if (raw.read == ReadMode::Vip) == raw.vip.is_empty() {
-        check.fault("registry.vip", "it goes with read: \"vip\", and with nothing else");
+        validator.report("registry.vip", "it goes with read: \"vip\", and with nothing else");
     }
     let believe_after = match raw.believe_after.as_str() {
         "never" => None,
-        text => Some(check.duration("registry.believe_after", text, (SECOND, 30 * DAY))),
+        text => Some(validator.duration("registry.believe_after", text, (SECOND, 30 * DAY))),
     };
-    let interval = check.duration("registry.interval", &raw.interval, (SECOND / 10, HOUR));
-    let registration = raw.register.map(|own| {
-        let renew_interval = check.duration("registry.register.renew", &own.renew, (SECOND, HOUR));
-        let lease_duration = check.duration("registry.register.expires", &own.expires, (SECOND, DAY));
+    let interval = validator.duration("registry.interval", &raw.interval, (SECOND / 10, HOUR));
+    let registration = raw.register.map(|raw_registration| {
+        let renew_interval =
+            validator.duration("registry.register.renew", &raw_registration.renew, (SECOND, HOUR));
+        let lease_duration =
+            validator.duration("registry.register.expires", &raw_registration.expires, (SECOND, DAY));
         if lease_duration < renew_interval * 2 {
-            check.fault(
+            validator.report(
                 "registry.register.expires",
-                "one renewal that is lost must not end it: twice 'renew' at least",
+                "one renewal that is lost must not end it: use at least twice 'renew'",
             );
         }
-        Registration { app: own.app, id: own.id, renew_interval, lease_duration }
+        Registration { app: raw_registration.app, id: raw_registration.id, renew_interval, lease_duration }
     });
     let (number, unit) = raw.most_body.split_at(raw.most_body.len() - 2);
     let max_body_bytes =
         number.parse::<u64>().unwrap_or(0) * if unit == "KB" { 1_024 } else { 1_024 * 1_024 };
     if !(64 * 1_024..=1_024 * 1_024 * 1_024).contains(&max_body_bytes) {
-        check.fault("registry.most_body", "between 64KB and 1024MB");
+        validator.report("registry.most_body", "it is not between 64KB and 1024MB");
     }
     RegistrySettings {
         servers,
@@ -396,8 +401,8 @@
         read: raw.read,
         vip: raw.vip,
         interval,
-        timeout: check.duration("registry.patience", &raw.patience, (SECOND / 10, 10 * 60 * SECOND)),
-        max_pause: check.duration("registry.longest_pause", &raw.longest_pause, (SECOND / 10, HOUR)),
+        timeout: validator.duration("registry.patience", &raw.patience, (SECOND / 10, 10 * 60 * SECOND)),
+        max_pause: validator.duration("registry.longest_pause", &raw.longest_pause, (SECOND / 10, HOUR)),
         max_body_bytes,
         lost_share: raw.lost_share,
         believe_after,
--- a/crates/operator/src/typed/leases.rs
+++ b/crates/operator/src/typed/leases.rs
@@ -1,58 +1,58 @@
-//! The tasks of a whole fleet, as an operator names them.
+//! Lease settings: tasks that one pooler of the fleet executes at a time.
 
-use super::Checker;
+use super::Validator;
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Tasks that one pooler at a time does.
+/// Leases of tasks that one pooler of the fleet executes at a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseSettings {
-    /// The installation.
+    /// The name of the installation.
     pub site: String,
-    /// The version of the voters.
+    /// The version of the set of voters. Poolers with different versions do not communicate.
     pub version: u32,
-    /// The voters, by their numbers.
+    /// The pooler numbers of the voters.
     pub voters: BTreeSet<u16>,
-    /// Earlier sets that may still be in force somewhere.
+    /// Earlier sets of voters that poolers with an older version may still use.
     pub previous: Vec<BTreeSet<u16>>,
-    /// By how many parts in a thousand a clock may run wrong.
+    /// Maximum error of a clock's speed, in parts per thousand.
     pub drift: u16,
-    /// No term is longer.
+    /// The maximum term of all leases.
     pub max_term: Duration,
-    /// The files of the keys, the one that signs first.
+    /// The key files. The first key signs, all are accepted.
     pub keys: Vec<PathBuf>,
     /// The tasks.
     pub tasks: Vec<Task>,
-    /// Whether one pooler a group asks members for their positions: for which term, and how often.
+    /// Lease term and polling interval, if one pooler per group polls the members for their positions.
     pub positions: Option<(Duration, Duration)>,
 }
 
-/// A task.
+/// A task that is executed by the holder of its lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Task {
-    /// Its name.
+    /// The task's name.
     pub name: String,
-    /// How long a grant lasts.
+    /// The term of the lease.
     pub term: Duration,
-    /// Who may hold it; all where it is empty.
+    /// The poolers that may hold the lease; empty for all.
     pub candidates: BTreeSet<u16>,
-    /// What its holder calls.
+    /// The HTTP call that the holder makes.
     pub call: Option<HolderCall>,
 }
 
-/// What a holder calls.
+/// An HTTP call that a lease holder makes repeatedly.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HolderCall {
-    /// Where.
+    /// The address of the HTTP server.
     pub address: SocketAddr,
-    /// What.
+    /// The path of the request.
     pub path: String,
     /// The pause between two acts.
     pub interval: Duration,
-    /// How long an act lasts.
+    /// The duration of an act.
     pub act_duration: Duration,
 }
 
@@ -92,67 +92,70 @@
 }
 
 const MS: Duration = Duration::from_millis(1);
-const SHORTEST_TERM: Duration = Duration::from_millis(100);
-const LONGEST_TERM: Duration = Duration::from_secs(600);
-/// As many as a voter remembers; `linnetdeal-coordination` has the same bound.
-const MOST_TASKS: usize = 64;
-const MOST_PREVIOUS: usize = 4;
+const MIN_TERM: Duration = Duration::from_millis(100);
+const MAX_TERM: Duration = Duration::from_secs(600);
+/// Maximum number of tasks that a voter keeps track of; `linnetdeal-coordination` has the same limit.
+const MAX_TASKS: usize = 64;
+const MAX_PREVIOUS_SETS: usize = 4;
 
-/// A set of voters. An even number bears the loss of no more than the odd one below it.
-fn set(path: &str, numbers: &[u16], check: &mut Checker<'_>) -> BTreeSet<u16> {
-    let set: BTreeSet<u16> = numbers.iter().copied().collect();
-    if set.len() < numbers.len() {
-        check.fault(path, "a pooler is named twice");
+/// Checks a set of voters. Its size is odd, because an even number tolerates no more failures than the odd number below
+/// it.
+fn voter_set(path: &str, numbers: &[u16], validator: &mut Validator<'_>) -> BTreeSet<u16> {
+    let voters: BTreeSet<u16> = numbers.iter().copied().collect();
+    if voters.len() < numbers.len() {
+        validator.report(path, "a pooler is named twice");
     }
     if ![3, 5, 7].contains(&numbers.len()) {
-        check.fault(path, format!("{} voters are named, and 3, 5 or 7 decide", numbers.len()));
+        validator.report(path, format!("{} voters are named, and 3, 5 or 7 decide", numbers.len()));
     }
-    set
+    voters
 }
 
-pub(super) fn decode(raw: RawLeases, check: &mut Checker<'_>) -> LeaseSettings {
-    let voters = set("leases.voters", &raw.voters, check);
+pub(super) fn decode(raw: RawLeases, validator: &mut Validator<'_>) -> LeaseSettings {
+    let voters = voter_set("leases.voters", &raw.voters, validator);
     let mut previous = Vec::new();
-    for (at, numbers) in raw.previous.iter().enumerate() {
-        let path = format!("leases.previous[{at}]");
-        let earlier = set(&path, numbers, check);
-        if at == 0 && earlier.difference(&voters).count() > 1 {
-            check.fault(&path, "more than one voter is replaced: voters change one at a time");
+    for (index, numbers) in raw.previous.iter().enumerate() {
+        let path = format!("leases.previous[{index}]");
+        let earlier = voter_set(&path, numbers, validator);
+        if index == 0 && earlier.difference(&voters).count() > 1 {
+            validator.report(&path, "more than one voter is replaced: voters change one at a time");
         }
         previous.push(earlier);
     }
-    if previous.len() > MOST_PREVIOUS {
-        check.fault(
+    if previous.len() > MAX_PREVIOUS_SETS {
+        validator.report(
             "leases.previous",
-            format!("{} sets are named, and {MOST_PREVIOUS} can be", previous.len()),
+            format!("{} sets are named, at most {MAX_PREVIOUS_SETS} are allowed", previous.len()),
         );
     }
     if raw.keys.is_empty() || raw.keys.len() > 2 {
-        check.fault("leases.keys", format!("{} keys are named, and 1 or 2 can be", raw.keys.len()));
+        validator.report("leases.keys", format!("{} keys are named, 1 or 2 are allowed", raw.keys.len()));
     }
-    if raw.tasks.len() > MOST_TASKS {
-        check.fault("leases.tasks", format!("{} tasks are named, and {MOST_TASKS} can be", raw.tasks.len()));
+    if raw.tasks.len() > MAX_TASKS {
+        validator.report(
+            "leases.tasks",
+            format!("{} tasks are named, at most {MAX_TASKS} are allowed", raw.tasks.len()),
+        );
     }
-    let max_term = check.duration("leases.longest", &raw.longest, (SHORTEST_TERM, LONGEST_TERM));
+    let max_term = validator.duration("leases.longest", &raw.longest, (MIN_TERM, MAX_TERM));
     let mut tasks: Vec<Task> = Vec::new();
-    for (at, raw) in raw.tasks.into_iter().enumerate() {
-        let path = format!("leases.tasks[{at}]");
-        let term = check.duration(&format!("{path}.term"), &raw.term, (SHORTEST_TERM, LONGEST_TERM));
+    for (index, raw) in raw.tasks.into_iter().enumerate() {
+        let path = format!("leases.tasks[{index}]");
+        let term = validator.duration(&format!("{path}.term"), &raw.term, (MIN_TERM, MAX_TERM));
         if term > max_term {
-            check.fault(&format!("{path}.term"), format!("{} is longer than 'longest'", raw.term));
+            validator.report(&format!("{path}.term"), format!("{} is longer than 'longest'", raw.term));
         }
         if tasks.iter().any(|other| other.name == raw.name) {
-            check.fault(&format!("{path}.name"), "it is named twice");
+            validator.report(&format!("{path}.name"), "it is named twice");
         }
-        let call = raw.call.and_then(|raw| call(&format!("{path}.call"), &raw, check));
+        let call = raw.call.and_then(|raw| decode_call(&format!("{path}.call"), &raw, validator));
         let candidates = raw.candidates.into_iter().collect();
         tasks.push(Task { name: raw.name, term, candidates, call });
     }
     let positions = raw.positions.map(|raw| {
-        let term =
-            check.duration("leases.positions.term", &raw.term, (SHORTEST_TERM, max_term.max(SHORTEST_TERM)));
-        let every = check.duration("leases.positions.every", &raw.every, (SHORTEST_TERM, LONGEST_TERM));
-        (term, every)
+        let term = validator.duration("leases.positions.term", &raw.term, (MIN_TERM, max_term.max(MIN_TERM)));
+        let interval = validator.duration("leases.positions.every", &raw.every, (MIN_TERM, MAX_TERM));
+        (term, interval)
     });
     LeaseSettings {
         site: raw.site,
@@ -167,14 +170,14 @@
     }
 }
 
-fn call(path: &str, raw: &RawCall, check: &mut Checker<'_>) -> Option<HolderCall> {
-    let range = (MS, LONGEST_TERM);
-    let interval = check.duration(&format!("{path}.every"), &raw.every, range);
-    let act_duration = check.duration(&format!("{path}.lasts"), &raw.lasts, range);
+fn decode_call(path: &str, raw: &RawCall, validator: &mut Validator<'_>) -> Option<HolderCall> {
+    let range = (MS, MAX_TERM);
+    let interval = validator.duration(&format!("{path}.every"), &raw.every, range);
+    let act_duration = validator.duration(&format!("{path}.lasts"), &raw.lasts, range);
     match raw.address.parse() {
         Ok(address) => Some(HolderCall { address, path: raw.path.clone(), interval, act_duration }),
         Err(error) => {
-            check.fault(&format!("{path}.address"), format!("{error}"));
+            validator.report(&format!("{path}.address"), format!("{error}"));
             None
         }
     }
--- a/crates/operator/src/typed/work.rs
+++ b/crates/operator/src/typed/work.rs
@@ -1,54 +1,54 @@
-//! Machines out for work, as an operator bounds it.
+//! Settings for maintenance work: how many machines may be out of service at once, and under which conditions.
 
-use super::{Checker, LeaseSettings};
+use super::{LeaseSettings, Validator};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How machines may be taken out.
+/// The conditions under which machines may be taken out of service for maintenance work.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkSettings {
-    /// How often a pooler says how far it is while a plan is under way.
+    /// How often each pooler reports its progress while a plan is under way.
     pub heartbeat_interval: Duration,
-    /// The term of the lease of who has steps taken.
+    /// The term of the lease whose holder executes the plan.
     pub term: Duration,
-    /// A pooler that starts waits so long for a majority of the voters.
+    /// How long a starting pooler waits for a majority of the voters to report which machines are out.
     pub start_timeout: Duration,
-    /// Servers out at once.
+    /// Limits on servers that are out at once.
     pub server_limits: OutLimits,
-    /// Of one group.
+    /// Maximum number of servers of one group that are out at once.
     pub per_group: usize,
-    /// Warm replicas that a group keeps.
+    /// Minimum number of warm replicas that remain in a group.
     pub min_warm: usize,
-    /// What a group keeps can do so many times its load.
+    /// Minimum ratio of the capacity that remains in a group to the group's load.
     pub load_factor: f64,
-    /// Back, a machine counts as cold for so long.
+    /// How long a machine counts as cold after its return.
     pub cold_period: Duration,
-    /// A primary that is not handed over by then is left out.
+    /// A primary that is not handed over within this time is skipped.
     pub handover_timeout: Duration,
-    /// A machine that is out for longer is told of.
+    /// A machine that is out for longer is reported as overdue.
     pub max_out_time: Duration,
-    /// `ahead`, `spare` or `named`.
+    /// The order in which machines go out: `ahead`, `spare` or `named`.
     pub order: String,
-    /// Requests a second that a machine of a type bears.
+    /// Capacity of each machine type in requests per second.
     pub capacity: Vec<(String, f64)>,
-    /// Minutes of the day, in UTC, from and to, in which nothing begins.
+    /// Start and end, in minutes of the day (UTC), of periods in which no machine is taken out.
     pub quiet_hours: Vec<(u16, u16)>,
-    /// What is called to have another primary.
+    /// Address and path of the HTTP call that requests another primary.
     pub handover: Option<(SocketAddr, String)>,
-    /// Poolers out at once.
+    /// Limits on poolers that are out at once.
     pub pooler_limits: OutLimits,
 }
 
-/// So many at once.
+/// Limits on machines that are out of service at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutLimits {
-    /// Of all.
+    /// Maximum in total.
     pub total: usize,
-    /// Of one zone.
+    /// Maximum per zone.
     pub per_zone: usize,
-    /// In so many zones.
+    /// Maximum number of zones with a machine out.
     pub zones: usize,
 }
 
@@ -106,66 +106,76 @@
     }
 }
 
-/// As many voters as a datagram names, those of earlier sets among them; `linnetdeal-coordination` has the same bound.
-const MOST_VOTERS: usize = 14;
-/// The lease that work rests on.
-const TASK: &str = "work";
+/// Maximum number of voters in a datagram, including those of earlier sets; `linnetdeal-coordination` has the same
+/// limit.
+const MAX_VOTERS: usize = 14;
+/// The name of the lease whose holder executes plans.
+const WORK_TASK: &str = "work";
 
-pub(super) fn decode(raw: RawWork, leases: Option<&LeaseSettings>, check: &mut Checker<'_>) -> WorkSettings {
-    let mut span = |name: &str, text: &str, least: Duration, most: Duration| {
-        check.duration(&format!("work.{name}"), text, (least, most))
+pub(super) fn decode(
+    raw: RawWork,
+    leases: Option<&LeaseSettings>,
+    validator: &mut Validator<'_>,
+) -> WorkSettings {
+    let mut duration = |name: &str, text: &str, min: Duration, max: Duration| {
+        validator.duration(&format!("work.{name}"), text, (min, max))
     };
-    let heartbeat_interval = span("every", &raw.every, 50 * MS, MINUTE);
-    let term = span("term", &raw.term, 100 * MS, 10 * MINUTE);
-    let start_timeout = span("hold", &raw.hold, MS, DAY);
-    let cold_period = span("cold", &raw.cold, MS, DAY);
-    let handover_timeout = span("handing", &raw.handing, MS, DAY);
-    let max_out_time = span("longest", &raw.longest, MS, 30 * DAY);
+    let heartbeat_interval = duration("every", &raw.every, 50 * MS, MINUTE);
+    let term = duration("term", &raw.term, 100 * MS, 10 * MINUTE);
+    let start_timeout = duration("hold", &raw.hold, MS, DAY);
+    let cold_period = duration("cold", &raw.cold, MS, DAY);
+    let handover_timeout = duration("handing", &raw.handing, MS, DAY);
+    let max_out_time = duration("longest", &raw.longest, MS, 30 * DAY);
     let Some(leases) = leases else {
-        check.fault("work", "it rests on 'leases', which are not there");
-        return settle(
+        validator.report("work", "it rests on 'leases', which are not configured");
+        return decode_remaining(
             raw,
             [heartbeat_interval, term, start_timeout, cold_period, handover_timeout, max_out_time],
-            check,
+            validator,
         );
     };
     if term > leases.max_term {
-        check.fault("work.term", format!("{} is longer than 'leases.longest'", raw.term));
+        validator.report("work.term", format!("{} is longer than 'leases.longest'", raw.term));
     }
     let voters: BTreeSet<u16> =
         leases.voters.iter().chain(leases.previous.iter().flatten()).copied().collect();
-    if voters.len() > MOST_VOTERS {
-        check.fault(
+    if voters.len() > MAX_VOTERS {
+        validator.report(
             "leases.previous",
-            format!("{} voters in all, and work can have {MOST_VOTERS}", voters.len()),
+            format!("{} voters in all, work supports at most {MAX_VOTERS}", voters.len()),
         );
     }
-    if let Some(at) = leases.tasks.iter().position(|task| task.name == TASK) {
-        check.fault(
-            &format!("leases.tasks[{at}].name"),
-            "this name is that of the lease that 'work' rests on",
+    if let Some(index) = leases.tasks.iter().position(|task| task.name == WORK_TASK) {
+        validator.report(
+            &format!("leases.tasks[{index}].name"),
+            "this name is reserved for the lease that 'work' rests on",
         );
     }
-    settle(raw, [heartbeat_interval, term, start_timeout, cold_period, handover_timeout, max_out_time], check)
+    decode_remaining(
+        raw,
+        [heartbeat_interval, term, start_timeout, cold_period, handover_timeout, max_out_time],
+        validator,
+    )
 }
 
-fn settle(raw: RawWork, spans: [Duration; 6], check: &mut Checker<'_>) -> WorkSettings {
-    let [heartbeat_interval, term, start_timeout, cold_period, handover_timeout, max_out_time] = spans;
+/// Decodes the remaining settings; `durations` have been decoded already.
+fn decode_remaining(raw: RawWork, durations: [Duration; 6], validator: &mut Validator<'_>) -> WorkSettings {
+    let [heartbeat_interval, term, start_timeout, cold_period, handover_timeout, max_out_time] = durations;
     let mut quiet_hours = Vec::new();
-    for (at, one) in raw.quiet.iter().enumerate() {
-        let minute = |text: &str| {
+    for (index, period) in raw.quiet.iter().enumerate() {
+        let minute_of_day = |text: &str| {
             let (hours, minutes) = text.split_once(':')?;
             Some(hours.parse::<u16>().ok()? * 60 + minutes.parse::<u16>().ok()?)
         };
-        match (minute(&one.from), minute(&one.to)) {
+        match (minute_of_day(&period.from), minute_of_day(&period.to)) {
             (Some(from), Some(to)) if from != to => quiet_hours.push((from, to)),
-            _ => check.fault(&format!("work.quiet[{at}]"), "it begins when it ends"),
+            _ => validator.report(&format!("work.quiet[{index}]"), "it begins when it ends"),
         }
     }
     let handover = raw.handover.and_then(|raw| match raw.address.parse() {
         Ok(address) => Some((address, raw.path)),
         Err(error) => {
-            check.fault("work.handover.address", format!("{error}"));
+            validator.report("work.handover.address", format!("{error}"));
             None
         }
     });
@@ -181,7 +191,7 @@
         handover_timeout,
         max_out_time,
         order: raw.order,
-        capacity: raw.capacity.into_iter().map(|of| (of.machine, of.requests)).collect(),
+        capacity: raw.capacity.into_iter().map(|capacity| (capacity.machine, capacity.requests)).collect(),
         quiet_hours,
         handover,
         pooler_limits: (&raw.poolers).into(),
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -1,11 +1,11 @@
-//! Files that are good, and files that are not: each fault with its place.
+//! Decoding of valid operator's files, and of invalid ones, whose errors are reported with their locations.
 
 use linnetdeal_operator::{OperatorSettings, ReadMode};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::time::Duration;
 
-const GOOD: &str = r#"
+const VALID_TEMPLATE: &str = r#"
 package linnetdeal
 
 // A registry beside the platform's list.
@@ -24,20 +24,22 @@
 "#;
 
 fn decode(text: &str) -> Result<OperatorSettings, String> {
-    OperatorSettings::decode("operator.cue", text.as_bytes()).map_err(|faults| faults.to_string())
+    OperatorSettings::decode("operator.cue", text.as_bytes()).map_err(|diagnostics| diagnostics.to_string())
 }
 
-fn good() -> String {
-    GOOD.replace(
-        "primary: unplanned: {least: \"2800ms\", usual: \"5s\"}",
-        "primary: {unplanned: {least: \"2800ms\", usual: \"5s\"}}",
-    )
-    .replace("log: level: \"warn\"", "log: {level: \"warn\"}\n_pooler: {app: \"POOLER\", renew: \"10s\"}")
+/// A valid file: the template with nested records in braces and a hidden field.
+fn valid_file() -> String {
+    VALID_TEMPLATE
+        .replace(
+            "primary: unplanned: {least: \"2800ms\", usual: \"5s\"}",
+            "primary: {unplanned: {least: \"2800ms\", usual: \"5s\"}}",
+        )
+        .replace("log: level: \"warn\"", "log: {level: \"warn\"}\n_pooler: {app: \"POOLER\", renew: \"10s\"}")
 }
 
 #[test]
-fn a_file_is_read_with_its_defaults() {
-    let operator = decode(&good()).unwrap();
+fn file_is_decoded_with_defaults() {
+    let operator = decode(&valid_file()).unwrap();
     let registry = operator.registry.unwrap();
     assert_eq!(registry.interval, Duration::from_secs(5));
     assert_eq!(registry.timeout, Duration::from_secs(10));
@@ -46,21 +48,26 @@
     assert_eq!(registry.networks[1].prefix.to_string(), "fd00::/8");
     assert_eq!(registry.max_body_bytes, 64 << 20);
     assert_eq!(registry.metadata.group, "group");
-    let own = registry.registration.unwrap();
-    assert_eq!((own.renew_interval, own.lease_duration), (Duration::from_secs(10), Duration::from_secs(90)));
+    let registration = registry.registration.unwrap();
+    assert_eq!(
+        (registration.renew_interval, registration.lease_duration),
+        (Duration::from_secs(10), Duration::from_secs(90))
+    );
     assert_eq!(operator.log.level, "warn");
     let (planned, unplanned) = (operator.primary.planned, operator.primary.unplanned.unwrap());
     assert_eq!(
         (planned, unplanned.minimum, unplanned.typical.as_secs()),
         (None, Duration::from_millis(2_800), 5)
     );
-    let shorter = good().replace("\"2800ms\"", "\"6s\"");
-    assert!(decode(&shorter).unwrap_err().contains("'primary.unplanned.usual': it is shorter than 'least'"));
-    assert_eq!(decode("").unwrap(), OperatorSettings::default(), "nothing in it, nothing wanted");
+    let inconsistent = valid_file().replace("\"2800ms\"", "\"6s\"");
+    assert!(
+        decode(&inconsistent).unwrap_err().contains("'primary.unplanned.usual': it is shorter than 'least'")
+    );
+    assert_eq!(decode("").unwrap(), OperatorSettings::default(), "an empty file gives the defaults");
 }
 
 #[test]
-fn each_fault_is_told_with_its_place() {
+fn each_error_is_reported_with_its_location() {
     let cases = [
         (
             "interval: \"5s\"",
@@ -91,27 +98,30 @@
         ("log:", "#Own: {}\nlog:", "15:1: '#Own' is defined already"),
         ("\"5s\"", "_loop\n", "it refers to itself"),
     ];
-    for (from, to, told) in cases {
-        let text =
-            good().replacen(from, to, 1) + if to.starts_with("_loop") { "\n_loop: _loop\n" } else { "" };
-        let faults = decode(&text).expect_err(to);
-        assert!(faults.contains(told), "'{to}' gives\n{faults}\nand not\n{told}");
+    for (from, to, expected) in cases {
+        let text = valid_file().replacen(from, to, 1)
+            + if to.starts_with("_loop") { "\n_loop: _loop\n" } else { "" };
+        let message = decode(&text).expect_err(to);
+        assert!(message.contains(expected), "'{to}' gives\n{message}\nand not\n{expected}");
     }
 }
 
 #[test]
-fn all_faults_are_told_at_once() {
-    let text = good()
+fn all_errors_are_reported_at_once() {
+    let text = valid_file()
         .replace("\"5s\"", "7")
         .replace("0.25", "2")
         .replace("\"warn\"", "3")
         .replace("\"2800ms\"", "4");
-    let faults = OperatorSettings::decode("f", text.as_bytes()).unwrap_err().diagnostics;
-    assert_eq!(faults.iter().map(|fault| fault.location.line).collect::<Vec<_>>(), [11, 12, 15, 17, 17]);
+    let diagnostics = OperatorSettings::decode("f", text.as_bytes()).unwrap_err().diagnostics;
+    assert_eq!(
+        diagnostics.iter().map(|diagnostic| diagnostic.location.line).collect::<Vec<_>>(),
+        [11, 12, 15, 17, 17]
+    );
 }
 
 #[test]
-fn what_goes_too_deep_or_is_too_long_is_an_error_and_no_end() {
+fn excessive_nesting_and_length_are_errors_and_no_crash() {
     for text in ["[".repeat(100_000), format!("a: {}", "{b: ".repeat(5_000)), "a: (".repeat(9_999)] {
         assert!(decode(&text).unwrap_err().contains("deep"));
     }
@@ -122,8 +132,8 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(3), failure_persistence: None, cases: 400, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_file_makes_it_panic(cut in 0..700_usize, junk in "[ -~\\n]{0,12}", keep in any::<bool>()) {
-        let text = good();
+    fn no_file_causes_a_panic(cut in 0..700_usize, junk in "[ -~\\n]{0,12}", keep in any::<bool>()) {
+        let text = valid_file();
         let cut = cut.min(text.len());
         let rest = if keep { &text[cut..] } else { "" };
         let _ = decode(&format!("{}{junk}{rest}", &text[..cut]));
@@ -142,11 +152,11 @@
 "#;
 
 #[test]
-fn leases_are_read_whole_or_refused_with_their_places() {
+fn leases_are_decoded_or_rejected_with_locations() {
     let leases = decode(LEASES).unwrap().leases.unwrap();
     assert_eq!((leases.version, leases.drift, leases.previous.len()), (2, 50, 1));
     assert_eq!(leases.tasks[0].call.as_ref().map(|call| call.path.as_str()), Some("/"));
-    for (good, bad, words) in [
+    for (valid, invalid, expected) in [
         ("[0, 1, 3]", "[0, 1]", "2 voters are named, and 3, 5 or 7 decide"),
         ("[0, 1, 3]", "[0, 1, 1]", "a pooler is named twice"),
         ("[0, 1, 3]", "[0, 4, 3]", "voters change one at a time"),
@@ -156,23 +166,26 @@
         ("127.0.0.1:80", "127.0.0.1:99999", "leases"),
         ("site: \"kumasi\"\n", "", "site"),
     ] {
-        let text = LEASES.replace(good, bad);
-        let told = decode(&text).unwrap_err();
-        assert!(told.contains(words) || words == "leases" && told.contains("f:8:"), "{bad}: {told}");
+        let text = LEASES.replace(valid, invalid);
+        let message = decode(&text).unwrap_err();
+        assert!(
+            message.contains(expected) || expected == "leases" && message.contains("f:8:"),
+            "{invalid}: {message}"
+        );
     }
 }
 
 #[test]
-fn work_is_read_with_its_defaults_or_refused_with_its_places() {
-    let with = |text: &str| format!("{LEASES}work: {{{text}}}\n");
-    let work = decode(&with("quiet: [{from: \"22:00\", to: \"05:30\"}]")).unwrap().work.unwrap();
+fn work_is_decoded_with_defaults_or_rejected_with_locations() {
+    let with_work = |text: &str| format!("{LEASES}work: {{{text}}}\n");
+    let work = decode(&with_work("quiet: [{from: \"22:00\", to: \"05:30\"}]")).unwrap().work.unwrap();
     assert_eq!(
         (work.server_limits.total, work.per_group, work.min_warm, work.order.as_str()),
         (1, 1, 1, "ahead")
     );
     assert_eq!(work.quiet_hours, [(1_320, 330)]);
     assert!(decode("package linnetdeal\nwork: {}\n").unwrap_err().contains("rests on 'leases'"));
-    for (text, words) in [
+    for (text, expected) in [
         ("term: \"11s\"", "longer than 'leases.longest'"),
         ("quiet: [{from: \"22:00\", to: \"22:00\"}]", "it begins when it ends"),
         ("quiet: [{from: \"24:00\", to: \"22:00\"}]", "quiet"),
@@ -180,12 +193,12 @@
         ("handover: {address: \"127.0.0.1:99999\"}", "invalid socket address"),
         ("unknown: 1", "unknown"),
     ] {
-        let told = decode(&with(text)).unwrap_err();
-        assert!(told.contains(words), "{text}: {told}");
+        let message = decode(&with_work(text)).unwrap_err();
+        assert!(message.contains(expected), "{text}: {message}");
     }
-    let named = with("").replace("name: \"sweep\"", "name: \"work\"");
-    assert!(decode(&named).unwrap_err().contains("the lease that 'work' rests on"));
-    let sets = "previous: [[0, 1, 2], [10, 11, 12, 13, 14, 15, 16], [20, 21, 22, 23, 24, 25, 26]]";
-    let many = with("").replace("previous: [[0, 1, 2]]", sets);
-    assert!(decode(&many).unwrap_err().contains("18 voters in all"));
+    let reserved_name = with_work("").replace("name: \"sweep\"", "name: \"work\"");
+    assert!(decode(&reserved_name).unwrap_err().contains("the lease that 'work' rests on"));
+    let previous_sets = "previous: [[0, 1, 2], [10, 11, 12, 13, 14, 15, 16], [20, 21, 22, 23, 24, 25, 26]]";
+    let too_many_voters = with_work("").replace("previous: [[0, 1, 2]]", previous_sets);
+    assert!(decode(&too_many_voters).unwrap_err().contains("18 voters in all"));
 }
