--- a/crates/daemon/tests/sockets.rs
+++ b/crates/daemon/tests/sockets.rs
@@ -204,7 +204,7 @@
 
 #[test]
 fn a_connection_that_the_server_closed_is_not_reused() {
-    let (closed_sender, closed) = channel();
+    let (closed_sender, disconnects) = channel();
     let closed_sender = Mutex::new(closed_sender);
     let server = Server::new("s-1", move |conn, _| {
         conn.send_row(b"s-1", "replica", REPORTED_POSITION);
@@ -217,7 +217,7 @@
     let mut client = Client::connect(&pooler);
     for id in ["1", "2", "3"] {
         assert_eq!(client.execute(&menu(id)).value.as_deref(), Some(&b"s-1"[..]));
-        closed.recv().unwrap();
+        disconnects.recv().unwrap();
     }
     assert_eq!(server.received().len(), 3);
     let counters = pooler.counters();
@@ -300,7 +300,7 @@
     }
     let counters = pooler.counters();
     let resets = [" outcome.reset=0 ", " outcome.reset=1 "];
-    assert!(resets.iter().any(|count| counters.contains(count)), "{counters}");
+    assert!(resets.iter().any(|allowed| counters.contains(allowed)), "{counters}");
 }
 
 #[test]
@@ -519,22 +519,27 @@
         config.to_string()
     };
     // 'bundle-menu' is removed, 'top-up' becomes a read that may be repeated, and 'note' is new.
-    let valid = changed(&|settings| {
-        settings["Lanes"][0]["Name"] = "note".into();
-        settings["Lanes"][2]["Effect"] = "retryable".into();
-        settings["FamilyInfo"]["NeedsByClass"][2] = "eventual".into();
-        settings["Limits"]["SendCap"] = 2.into();
+    let valid = changed(&|new_settings| {
+        new_settings["Lanes"][0]["Name"] = "note".into();
+        new_settings["Lanes"][2]["Effect"] = "retryable".into();
+        new_settings["FamilyInfo"]["NeedsByClass"][2] = "eventual".into();
+        new_settings["Limits"]["SendCap"] = 2.into();
     });
     let invalid = [
         (String::new(), "EOF"),
         (valid[..valid.len() / 2].to_owned(), "EOF"),
-        (changed(&|settings| drop(settings.as_object_mut().unwrap().remove("Limits"))), "Limits"),
-        (changed(&|settings| settings["Lanes"][1]["Deadline"] = 0.into()), "Lanes.1.Deadline is not above 0"),
+        (changed(&|new_settings| drop(new_settings.as_object_mut().unwrap().remove("Limits"))), "Limits"),
         (
-            changed(&|settings| drop(settings["Lanes"][1].as_object_mut().unwrap().remove("Deadline"))),
+            changed(&|new_settings| new_settings["Lanes"][1]["Deadline"] = 0.into()),
+            "Lanes.1.Deadline is not above 0",
+        ),
+        (
+            changed(&|new_settings| {
+                drop(new_settings["Lanes"][1].as_object_mut().unwrap().remove("Deadline"))
+            }),
             "Lanes.1.Deadline",
         ),
-        (changed(&|settings| settings["Limits"]["SendCap"] = 0.into()), "SendCap is not above 0"),
+        (changed(&|new_settings| new_settings["Limits"]["SendCap"] = 0.into()), "SendCap is not above 0"),
     ];
     let mut client = Client::connect(&pooler);
     for (text, reason) in &invalid {
@@ -612,9 +617,9 @@
         "a client with a request gets a slot"
     );
     assert_eq!(usual.execute(&menu("3")).value.as_deref(), Some(&b"s-1"[..]), "an earlier client stays");
-    for stream in &mut silent_streams {
-        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-        assert!(!matches!(stream.read(&mut [0]), Ok(1)), "closed without an answer");
+    for silent_stream in &mut silent_streams {
+        silent_stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+        assert!(!matches!(silent_stream.read(&mut [0]), Ok(1)), "closed without an answer");
     }
     for client in &mut incomplete {
         while client.0.next_message().is_some() {}
@@ -633,10 +638,11 @@
         assert!(client.execute(&menu("1")).value.is_some());
         client
     };
-    let idle: Vec<Client> = (0..13).map(client_after_request).collect();
+    let idle_clients: Vec<Client> = (0..13).map(client_after_request).collect();
     // Other clients connect and disconnect one at a time, so that there are never more than 14.
-    idle[0].0.stream.set_read_timeout(Some(std::time::Duration::from_millis(50))).unwrap();
-    let closed = (0..200).map(client_after_request).any(|_| matches!(idle[0].0.stream.peek(&mut [0]), Ok(0)));
+    idle_clients[0].0.stream.set_read_timeout(Some(std::time::Duration::from_millis(50))).unwrap();
+    let closed =
+        (0..200).map(client_after_request).any(|_| matches!(idle_clients[0].0.stream.peek(&mut [0]), Ok(0)));
     assert!(closed, "the client that has been idle longest");
 }
 
@@ -782,7 +788,7 @@
     let known = vec![one.entry("up", "master"), two.entry("up", "replica")];
     let mut config: Value = serde_json::from_str(&config(&Discovery::new(), known, 1_024)).unwrap();
     config["peer_listen"] = listen.to_string().into();
-    config["peers"] = [listen, peer.local_addr().unwrap()].map(|address| address.to_string()).to_vec().into();
+    config["peers"] = [listen, peer.local_addr().unwrap()].map(|socket| socket.to_string()).to_vec().into();
     config["settings"]["FleetSize"] = 2.into();
     config["settings"]["Limits"]["Peers"] = true.into();
     let pooler = Pooler::with_config(&config.to_string());
@@ -898,15 +904,15 @@
     }
 
     /// Starts a process, which may not serve yet; returns it and the address of its operators' API.
-    fn spawn(&self) -> (Pooler, std::net::SocketAddr) {
+    fn launch(&self) -> (Pooler, std::net::SocketAddr) {
         let (mut config, operator_addr) = (self.config.clone(), free_port());
         config["operator"] = operator_addr.to_string().into();
         (Pooler::sharing_listener(&config.to_string(), &self.listener, &self.folder), operator_addr)
     }
 
     /// Starts a process and waits until it is ready.
-    fn spawn_ready(&self) -> (Pooler, std::net::SocketAddr) {
-        let (pooler, operator_addr) = self.spawn();
+    fn launch_ready(&self) -> (Pooler, std::net::SocketAddr) {
+        let (pooler, operator_addr) = self.launch();
         let mut tries = 0..100_000;
         assert!(tries.any(|_| call(operator_addr, "GET /-/ready") == "200"), "the process is ready");
         (pooler, operator_addr)
@@ -926,11 +932,11 @@
     let discovery = Discovery::new();
     let known = vec![busy_server.entry("up", ""), two.entry("up", ""), three.entry("up", "")];
     let deployment = Deployment::new("overlap", &discovery, known);
-    let assert_served_by = |client: &mut Client, ids: &[&str]| {
+    let assert_served_by = |client: &mut Client, expected_ids: &[&str]| {
         let value = String::from_utf8(client.execute(&menu("9")).value.unwrap()).unwrap();
-        assert!(ids.contains(&value.as_str()), "{value}");
+        assert!(expected_ids.contains(&value.as_str()), "{value}");
     };
-    let (mut older, operator_addr) = deployment.spawn_ready();
+    let (mut older, operator_addr) = deployment.launch_ready();
     for id in ["s-2", "s-3"] {
         assert_eq!(call(operator_addr, &format!("POST /-/servers/{id}/disable")), "200");
     }
@@ -942,13 +948,14 @@
     let (mut usual, mut idle) = (Client::connect(&older), Client::connect(&older));
 
     // An operator's command to either process applies to both.
-    let (newer, next) = deployment.spawn_ready();
+    let (newer, next) = deployment.launch_ready();
     assert_eq!(call(next, "POST /-/servers/s-2/enable"), "200");
     older.wait_for_log("server s-2 back by hand, as the other process was told");
     assert_eq!(call(operator_addr, "POST /-/servers/s-1/disable"), "200");
-    let line = newer.wait_for_log("as the other process was told");
-    let line = if line.contains("s-1 out") { line } else { newer.wait_for_log("s-1 out by hand, as") };
-    assert!(line.contains("server s-1 out"), "{line}");
+    let log_line = newer.wait_for_log("as the other process was told");
+    let log_line =
+        if log_line.contains("s-1 out") { log_line } else { newer.wait_for_log("s-1 out by hand, as") };
+    assert!(log_line.contains("server s-1 out"), "{log_line}");
     assert_served_by(&mut usual, &["s-2"]);
 
     // From SIGTERM on only the newer process accepts clients; the older one closes a client's connection with its next answer.
@@ -983,9 +990,9 @@
 
 /// Two processes of one deployment, of which the older one has a client and has been sent SIGTERM.
 fn overlap(deployment: &Deployment) -> (Pooler, Pooler, Client) {
-    let (older, _) = deployment.spawn_ready();
+    let (older, _) = deployment.launch_ready();
     let client = Client::connect(&older);
-    let (newer, _) = deployment.spawn_ready();
+    let (newer, _) = deployment.launch_ready();
     older.signal("TERM");
     older.wait_for_log("for a newer process");
     (older, newer, client)
@@ -1032,13 +1039,13 @@
 fn a_newer_process_that_dies_before_it_serves_does_not_affect_the_older_one() {
     let (one, discovery) = (id_server("s-1", "replica"), Discovery::new());
     let deployment = Deployment::new("early", &discovery, vec![one.entry("up", "")]);
-    let (mut older, _) = deployment.spawn();
+    let (mut older, _) = deployment.launch();
     let mut client = Client::connect(&older);
     let assert_served =
         |client: &mut Client| assert_eq!(client.execute(&menu("1")).value.as_deref(), Some(&b"s-1"[..]));
     // Twice: the files that the first leaves behind do no harm.
     for _ in 0..2 {
-        let (mut newer, _) = deployment.spawn();
+        let (mut newer, _) = deployment.launch();
         newer.signal("KILL");
         newer.child.wait().unwrap();
         assert_served(&mut client);
@@ -1057,18 +1064,18 @@
     let deployment = Deployment::new("row", &discovery, vec![one.entry("up", ""), two.entry("up", "")]);
     let assert_served =
         |client: &mut Client| assert_eq!(client.execute(&menu("1")).value.as_deref(), Some(&b"s-2"[..]));
-    let (mut first, operator_addr) = deployment.spawn_ready();
+    let (mut first, operator_addr) = deployment.launch_ready();
     assert_eq!(call(operator_addr, "POST /-/servers/s-1/disable"), "200");
     let mut kept = Client::connect(&first);
     assert_served(&mut kept);
-    let (mut second, _) = deployment.spawn_ready();
+    let (mut second, _) = deployment.launch_ready();
     first.signal("TERM");
     first.wait_for_log("for a newer process");
     // Both reload their configurations while they overlap.
     first.signal("HUP");
     second.signal("HUP");
     second.wait_for_log("configuration read again");
-    let (mut third, third_addr) = deployment.spawn_ready();
+    let (mut third, third_addr) = deployment.launch_ready();
     second.signal("TERM");
     second.wait_for_log("for a newer process");
     assert_served(&mut kept);
@@ -1090,8 +1097,8 @@
 fn an_older_process_that_hangs_during_termination_delays_no_client() {
     let (one, discovery) = (id_server("s-1", "replica"), Discovery::new());
     let deployment = Deployment::new("hang", &discovery, vec![one.entry("up", "")]);
-    let (mut older, _) = deployment.spawn_ready();
-    let (mut newer, operator_addr) = deployment.spawn_ready();
+    let (mut older, _) = deployment.launch_ready();
+    let (mut newer, operator_addr) = deployment.launch_ready();
     older.signal("TERM");
     older.wait_for_log("for a newer process");
     older.signal("STOP");
