--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Shared test support: runs the built pooler as a process between scripted servers, discovery and clients on loopback
-//! sockets.
+//! Shared test support: runs the built pooler as a process between scripted servers, discovery and clients on
+//! loopback sockets.
 #![allow(dead_code)]
 
 use linnetdeal_net::pg::{self, write};
@@ -40,7 +40,8 @@
                 self.read.extend_from_slice(&bytes[..count]);
                 count > 0
             }
-            // The system doesn't restart a read with a timeout after a signal, such as SIGCHLD when a child is stopped.
+            // The system does not restart a read with a timeout after a signal, such as SIGCHLD when a child is
+            // stopped.
             Err(error) if error.kind() == std::io::ErrorKind::Interrupted => self.read_more(),
             Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => {
                 self.reset = true;
@@ -82,6 +83,7 @@
         }
     }
 
+    /// Writes bytes; a failure is ignored.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
         // The pooler may have closed the connection already.
         let _ = self.stream.write_all(bytes);
@@ -118,8 +120,8 @@
         self.send_bytes(&out);
     }
 
-    /// Waits until the other side's kernel has acknowledged all that was written, which on a busy machine may be later than
-    /// the return of the write call.
+    /// Waits until the other side's kernel has acknowledged all that was written, which on a busy machine may
+    /// be later than the return of the write call.
     pub fn wait_acknowledged(&self) {
         self.wait_tcp_state(|_, unsent| unsent == 0);
     }
@@ -131,8 +133,8 @@
         self.wait_tcp_state(|state, _| state == 5);
     }
 
-    /// Waits until the predicate holds for the connection's TCP state and its count of unacknowledged bytes, or until the
-    /// connection no longer exists.
+    /// Waits until the predicate holds for the connection's TCP state and its count of unacknowledged bytes, or
+    /// until the connection no longer exists.
     fn wait_tcp_state(&self, holds: impl Fn(u8, u32) -> bool) {
         let port = |socket: SocketAddr| format!(":{:04X}", socket.port());
         let own = port(self.stream.local_addr().unwrap());
@@ -161,25 +163,28 @@
     }
 }
 
+/// Appends a protocol message.
 fn push_message(out: &mut Vec<u8>, tag: u8, body: &[u8]) {
     out.push(tag);
     out.extend_from_slice(&u32::try_from(body.len() + 4).unwrap().to_be_bytes());
     out.extend_from_slice(body);
 }
 
-fn spawn_listener(mut each: impl FnMut(TcpStream) + Send + 'static) -> SocketAddr {
+/// Passes each connection to a new loopback address to `handle_connection`, on a thread of its own; returns the
+/// address.
+fn spawn_listener(mut handle_connection: impl FnMut(TcpStream) + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            each(stream.unwrap());
+            handle_connection(stream.unwrap());
         }
     });
     address
 }
 
-/// A server that accepts every session and passes each statement to `handle_statement`, which returns whether to read on.
-/// It records the statements that it was sent, except for probes and empty queries.
+/// A server that accepts every session and passes each statement to `handle_statement`, which returns whether
+/// to read on. It records the statements that it was sent, except for probes and empty queries.
 pub struct Server {
     pub id: &'static str,
     pub address: SocketAddr,
@@ -202,13 +207,13 @@
         Self::start(id, || {}, handle_statement)
     }
 
-    /// A server that calls `before_welcome` before it answers a startup message.
+    /// A server that calls `before_session` before it answers a startup message.
     pub fn with_accept_hook(
         id: &'static str,
-        before_welcome: impl Fn() + Send + Sync + 'static,
+        before_session: impl Fn() + Send + Sync + 'static,
         handle_statement: impl Fn(&mut PgConnection, &str) -> bool + Send + Sync + 'static,
     ) -> Self {
-        Self::start(id, before_welcome, move |conn, statement| {
+        Self::start(id, before_session, move |conn, statement| {
             if statement.is_empty() {
                 let mut out = Vec::new();
                 write::empty_query_response(&mut out);
@@ -222,11 +227,11 @@
 
     fn start(
         id: &'static str,
-        before_welcome: impl Fn() + Send + Sync + 'static,
+        before_session: impl Fn() + Send + Sync + 'static,
         handle_statement: impl Fn(&mut PgConnection, &str) -> bool + Send + Sync + 'static,
     ) -> Self {
         let received = Arc::new(Mutex::new(Vec::new()));
-        let (log, hooks) = (received.clone(), Arc::new((before_welcome, handle_statement)));
+        let (log, hooks) = (received.clone(), Arc::new((before_session, handle_statement)));
         let address = spawn_listener(move |stream| {
             let (log, hooks) = (log.clone(), hooks.clone());
             std::thread::spawn(move || {
@@ -252,6 +257,7 @@
         Self { id, address, received }
     }
 
+    /// The statements that the server was sent.
     pub fn received(&self) -> Vec<String> {
         self.received.lock().unwrap().clone()
     }
@@ -336,8 +342,8 @@
         Self { server, commands, finished }
     }
 
-    /// Answers the pending statement with a row (`row`), with an error of the SQLSTATE given, or not at all (`closed`): then
-    /// the connection has to be closed by the pooler with nothing more sent on it.
+    /// Answers the pending statement with a row (`row`), with an error of the SQLSTATE given, or not at all
+    /// (`closed`): then the connection has to be closed by the pooler with nothing more sent on it.
     pub fn answer(&self, how: &'static str) {
         self.commands.send(how).unwrap();
         self.finished.recv_timeout(WAIT_TIMEOUT).unwrap();
@@ -359,8 +365,8 @@
     server.received().iter().map(id).collect()
 }
 
-/// A scripted discovery service. `watches` yields the request line of each watch and a sender: a value is sent to the
-/// pooler as a line, and `None` ends the watch.
+/// A scripted discovery service. `watches` yields the request line of each watch and a sender: a value is sent
+/// to the pooler as a line, and `None` ends the watch.
 pub struct Discovery {
     pub address: SocketAddr,
     pub watches: Receiver<(String, Sender<Option<Value>>)>,
@@ -509,8 +515,8 @@
         assert!(status.unwrap().success());
     }
 
-    /// Stops the process with SIGSTOP and waits until it has stopped: once resumed, it finds all that arrived meanwhile in
-    /// the same poll.
+    /// Stops the process with SIGSTOP and waits until it has stopped: once resumed, it finds all that arrived
+    /// meanwhile in the same poll.
     pub fn suspend(&self) {
         self.signal("STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
@@ -567,8 +573,11 @@
 pub struct Answer {
     /// The tags of its messages.
     pub tags: String,
+    /// The value of its row.
     pub value: Option<Vec<u8>>,
+    /// The SQLSTATE of its error.
     pub code: Option<String>,
+    /// The detail of its error: for how many milliseconds to wait before a retry.
     pub detail: Option<String>,
 }
 
@@ -604,17 +613,20 @@
         client
     }
 
+    /// Sends a statement.
     pub fn send(&mut self, statement: &str) {
         let mut out = Vec::new();
         write::query(&mut out, statement);
         self.0.send_bytes(&out);
     }
 
+    /// Sends a statement and waits for its answer.
     pub fn execute(&mut self, statement: &str) -> Answer {
         self.send(statement);
         self.answer()
     }
 
+    /// Waits for the next answer.
     pub fn answer(&mut self) -> Answer {
         let mut answer = Answer::default();
         while let Some((tag, body)) = self.0.next_message() {
--- a/crates/daemon/tests/copies.rs
+++ b/crates/daemon/tests/copies.rs
@@ -1,5 +1,5 @@
-//! Hedging, where the settings allow second copies: two concurrent attempts of one request, forced by servers that hold back
-//! their answers.
+//! Hedging, where the settings allow second copies: two concurrent attempts of one request, forced by servers
+//! that hold back their answers.
 
 mod common;
 use common::*;
@@ -7,24 +7,25 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-/// The latency objective. A second copy is sent after a third to a half of it, and none after all of it. With a shorter one (2 s)
-/// a stall of 0.6 s of the machine causes second copies in the warm-up, which no server is directed to answer.
+/// The latency objective. A second copy is sent after a third to a half of it, and none after all of it. With a
+/// shorter one (2 s) a stall of 0.6 s of the machine causes second copies in the warm-up, which no server is
+/// directed to answer.
 const LATENCY_OBJECTIVE: Duration = Duration::from_millis(6_000);
 
 /// A pooler that may send second copies, with these servers known.
 fn hedging_pooler(discovery: &Discovery, servers: &[(&ControlledServer, &str)]) -> Pooler {
-    let known = servers.iter().map(|(slow, part)| slow.server.entry("up", part)).collect();
+    let known = servers.iter().map(|(controlled, part)| controlled.server.entry("up", part)).collect();
     let text = config(discovery, known, 1_024).replace("8000.0", "6000.0");
     Pooler::with_config(&text.replace("\"MayDuplicate\":false", "\"MayDuplicate\":true"))
 }
 
 /// Whether the server has been sent the request.
-fn was_sent(slow: &ControlledServer, id: &str) -> bool {
-    ids_at(&slow.server).iter().any(|received| received == id)
+fn was_sent(controlled: &ControlledServer, id: &str) -> bool {
+    ids_at(&controlled.server).iter().any(|received| received == id)
 }
 
-/// Has these servers answer 60 requests immediately: until the pooler knows their usual latency, its initial estimate delays a
-/// second copy for longer than a watch of discovery may be silent.
+/// Has these servers answer 60 requests immediately: until the pooler knows their usual latency, its initial
+/// estimate delays a second copy for longer than a watch of discovery may be silent.
 fn warm_up(client: &mut Client, servers: &[&ControlledServer], statement: fn(&str) -> String) {
     for number in 0..60 {
         let id = format!("w{number}");
@@ -36,12 +37,12 @@
 
 /// Waits until one of the servers has been sent the request and has it answer.
 fn answer(servers: &[&ControlledServer], id: &str) {
-    wait_until(|| servers.iter().any(|slow| was_sent(slow, id)));
-    servers.iter().find(|slow| was_sent(slow, id)).unwrap().answer("row");
+    wait_until(|| servers.iter().any(|controlled| was_sent(controlled, id)));
+    servers.iter().find(|controlled| was_sent(controlled, id)).unwrap().answer("row");
 }
 
-/// Sends reads until one is pending at both servers; returns its id and the servers in the order in which they were sent it.
-/// A process that stalls, as on a busy machine, sends no second copy: then another read is tried.
+/// Sends reads until one is pending at both servers; returns its id and the servers in the order in which they
+/// were sent it. A process that stalls, as on a busy machine, sends no second copy: then another read is tried.
 fn hedged_read<'a>(
     client: &mut Client,
     servers: [&'a ControlledServer; 2],
@@ -51,7 +52,7 @@
         assert!(number < 10, "no second copy was sent");
         let id = format!("r{number}");
         client.send(&menu(&id));
-        wait_until(|| servers.iter().any(|slow| was_sent(slow, &id)));
+        wait_until(|| servers.iter().any(|controlled| was_sent(controlled, &id)));
         let order = if was_sent(servers[0], &id) { servers } else { [servers[1], servers[0]] };
         let began = Instant::now();
         while began.elapsed() < LATENCY_OBJECTIVE {
@@ -82,8 +83,8 @@
         "{counters}"
     );
     // Each attempt is sent with its own remaining time and is otherwise unchanged.
-    let timeouts = [first, second].map(|slow| {
-        let statements = slow.server.received();
+    let timeouts = [first, second].map(|controlled| {
+        let statements = controlled.server.received();
         let attempt = statements.iter().find(|sql| sql.contains(&format!("id={id},"))).unwrap();
         let (before, rest) = attempt.split_once(",d=").unwrap();
         let (timeout_ms, after) = rest.split_once(',').unwrap();
@@ -175,7 +176,7 @@
 fn without_second_copies_the_first_attempt_is_closed_before_the_second_is_sent() {
     let (one, two) = (ControlledServer::new("s-1"), ControlledServer::new("s-2"));
     let discovery = Discovery::new();
-    let known = [&one, &two].map(|slow| slow.server.entry("up", "replica")).to_vec();
+    let known = [&one, &two].map(|controlled| controlled.server.entry("up", "replica")).to_vec();
     let pooler = Pooler::with_config(&config(&discovery, known, 1_024).replace("8000.0", "6000.0"));
     let mut client = Client::connect(&pooler);
     let (_, [first, second]) = hedged_read(&mut client, [&one, &two]);
@@ -204,6 +205,6 @@
     let (_, [first, _second]) = hedged_read(&mut reader, [&one, &two]);
     first.answer("row");
     assert!(reader.answer().value.is_some());
-    let all_ids = [&primary, &one, &two].map(|slow| ids_at(&slow.server)).concat();
+    let all_ids = [&primary, &one, &two].map(|controlled| ids_at(&controlled.server)).concat();
     assert_eq!(all_ids.iter().filter(|id| *id == "write").count(), 1, "{all_ids:?}");
 }
--- a/crates/daemon/tests/crossings.rs
+++ b/crates/daemon/tests/crossings.rs
@@ -119,7 +119,8 @@
     let (_, watch) = discovery.next_watch();
     watch.send(Some(server_list(43, false, vec![draining.entry("draining", "")]))).unwrap();
     watch.send(None).unwrap();
-    // The watch is resumed at a discovery server with older data, which sends changes first and then its full list.
+    // The watch is resumed at a discovery server with older data, which sends changes first and then its full
+    // list.
     let (reopened, watch) = discovery.next_watch();
     assert!(reopened.contains("since=43"), "{reopened}");
     let third = id_server("s-3", "replica");
@@ -224,7 +225,8 @@
         let with_list = format!("{head}{:x}\r\n{line}\r\n", line.len());
         let busy = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
         let mut open = Vec::new();
-        // Answered without a change and ended, refused twice, reset without an answer, and then answered with the list.
+        // Answered without a change and ended, refused twice, reset without an answer, and then answered with
+        // the list.
         for response in [head, busy, busy, "", &with_list] {
             let mut stream = listener.accept().unwrap().0;
             let request =
@@ -328,7 +330,8 @@
 
 // ---- A client disconnects
 
-/// A server that reports each ping of a kept connection (an empty query on its own) and answers it when the test says so.
+/// A server that reports each ping of a kept connection (an empty query on its own) and answers it when the
+/// test says so.
 struct PingedServer {
     server: Server,
     /// The client ports of the connections that carried statements.
@@ -376,8 +379,8 @@
         Self { server, ports, pings, answer_permits, answers_sent }
     }
 
-    /// Whether the second statement was sent on a new connection: on a busy machine the ping may time out before the process
-    /// is stopped, so that the race did not come about.
+    /// Whether the second statement was sent on a new connection: on a busy machine the ping may time out
+    /// before the process is stopped, so that the race did not come about.
     fn timed_out(&self) -> bool {
         let ports: Vec<u16> = self.ports.try_iter().collect();
         ports.len() > 1 && ports[0] != ports[1]
@@ -414,19 +417,19 @@
 #[test]
 fn a_pipelined_request_is_dropped_once_the_client_has_disconnected() {
     // The answer to the first request and the client's disconnect are found in the same poll.
-    let slow = ControlledServer::new("s-1");
+    let controlled = ControlledServer::new("s-1");
     let discovery = Discovery::new();
-    let pooler = Pooler::new(&discovery, vec![slow.server.entry("up", "replica")]);
+    let pooler = Pooler::new(&discovery, vec![controlled.server.entry("up", "replica")]);
     let mut client = Client::connect(&pooler);
     client.send(&menu("1"));
     client.send(&menu("2"));
-    wait_until(|| slow.server.received().len() == 1);
+    wait_until(|| controlled.server.received().len() == 1);
     pooler.suspend();
-    slow.answer("row");
+    controlled.answer("row");
     client.0.close_and_wait();
     pooler.resume();
     pooler.wait_for_counter(" gone=1 ");
-    assert_eq!(ids_at(&slow.server), ["1"]);
+    assert_eq!(ids_at(&controlled.server), ["1"]);
     assert!(pooler.counters().contains(" served=1 "));
 }
 
@@ -459,7 +462,8 @@
     assert!((0..MAX_TRIES).any(|_| disconnected_between_attempts()), "the process stalled each time");
 }
 
-/// False if the process stalled until the first attempt timed out: then another was sent before the client disconnected.
+/// False if the process stalled until the first attempt timed out: then another was sent before the client
+/// disconnected.
 fn disconnected_between_attempts() -> bool {
     let (one, two) = (ControlledServer::new("s-1"), ControlledServer::new("s-2"));
     let discovery = Discovery::new();
@@ -577,7 +581,8 @@
     let discovery = Discovery::new();
     let pooler = Pooler::new(&discovery, vec![replica.entry("up", "master")]);
     let (_, watch) = discovery.next_watch();
-    // One client's disconnect is queued behind more than the pooler reads ahead, the other's directly behind its request.
+    // One client's disconnect is queued behind more than the pooler reads ahead, the other's directly behind
+    // its request.
     let (mut pipelining, mut single) = (Client::connect(&pooler), Client::connect(&pooler));
     pipelining.send(&top_up("1"));
     (0..300).for_each(|number| pipelining.send(&menu(&format!("1-{number}"))));
@@ -620,8 +625,8 @@
     let (release, server) = blocked_server("s-1");
     let discovery = Discovery::new();
     let pooler = Pooler::new(&discovery, vec![server.entry("up", "replica")]);
-    // As many as the router sends at once: a request that it queues is refused after some seconds, which a busy machine may
-    // take.
+    // As many as the router sends at once: a request that it queues is refused after some seconds, which a busy
+    // machine may take.
     let mut clients: Vec<Client> = (0..12).map(|_| Client::connect(&pooler)).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&menu(&number.to_string()));
@@ -656,7 +661,8 @@
     pooler.wait_for_log("draining");
     (1..=4).for_each(|number| client.send(&short_request(&number.to_string())));
     let answers: Vec<String> = (1..=4).map(|_| client.answer().code.unwrap()).collect();
-    // The first has 0.9 s by its deadline, and the second may be cut off; the others were not started, so a retry is safe.
+    // The first has 0.9 s by its deadline, and the second may be cut off; the others were not started, so a
+    // retry is safe.
     assert_eq!(answers[2..], ["53300", "53300"], "{answers:?}");
     assert!(pooler.child.wait().unwrap().success());
     assert!(server.received().len() <= 2, "{:?}", ids_at(&server));
@@ -760,15 +766,15 @@
 
 #[test]
 fn an_answer_that_has_arrived_takes_precedence_over_a_timeout() {
-    let slow = ControlledServer::new("s-1");
+    let controlled = ControlledServer::new("s-1");
     let discovery = Discovery::new();
-    let pooler = Pooler::new(&discovery, vec![slow.server.entry("up", "replica")]);
+    let pooler = Pooler::new(&discovery, vec![controlled.server.entry("up", "replica")]);
     let mut client = Client::connect(&pooler);
     let sent_at = Instant::now();
     client.send(&menu("1").replace("d=8000", "d=900"));
-    wait_until(|| slow.server.received().len() == 1);
+    wait_until(|| controlled.server.received().len() == 1);
     pooler.suspend();
-    slow.answer("row");
+    controlled.answer("row");
     wait_until(|| sent_at.elapsed() > Duration::from_millis(1_000));
     pooler.resume();
     assert_eq!(client.answer().value.as_deref(), Some(&b"done"[..]));
--- a/crates/daemon/tests/invariants.rs
+++ b/crates/daemon/tests/invariants.rs
@@ -1,5 +1,5 @@
-//! Invariants of sends, retries, closes and starts when two or three rare events coincide: each test forces one such race
-//! that has been a fault.
+//! Invariants of sends, retries, closes and starts when two or three rare events coincide: each test forces one
+//! such race that has been a fault.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use std::sync::mpsc::{Sender, channel};
 use std::time::{Duration, Instant};
 
-/// How much more time than the client has left a server may be told.
+/// The maximum by which the timeout sent to a server may exceed the client's remaining time.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
 
 /// Minimum time for which a suspended process stays suspended in these tests.
@@ -62,7 +62,8 @@
     });
 }
 
-/// Sends a list to a suspended process, waits until it is there unread and for [`STALL`] longer, and resumes the process.
+/// Sends a list to a suspended process, waits until it is there unread and for [`STALL`] longer, and resumes
+/// the process.
 fn resume_after_list(pooler: &Pooler, discovery: &Discovery, watch: &Sender<Option<Value>>, update: Value) {
     let size = update.to_string().len() as u64;
     watch.send(Some(update)).unwrap();
@@ -91,7 +92,8 @@
 
 #[test]
 fn load_reports_are_parsed_by_the_fields_of_the_current_settings() {
-    // Both reject writes; the successor has become the primary by the time it is probed, and its reports name the fields.
+    // Both reject writes; the successor has become the primary by the time it is probed, and its reports name
+    // the fields.
     let member = |id: &'static str, is_successor: bool| {
         let promoted = std::sync::atomic::AtomicBool::new(false);
         Server::new(id, move |conn, statement| {
@@ -141,7 +143,8 @@
     let pooler = Pooler::new(&discovery, vec![server.entry("up", "replica")]);
     let mut client = Client::connect(&pooler);
     client.execute(&common::menu("1"));
-    // From now on servers close connections after 30 ms without use, and a connection may be reused for only a part of that time.
+    // From now on servers close connections after 30 ms without use, and a connection may be reused for only a
+    // part of that time.
     let text = common::config(&discovery, Vec::new(), 1_024);
     pooler.write_config(&text.replace("\"Keepalive\":60000.0", "\"Keepalive\":30.0"));
     pooler.signal("HUP");
@@ -176,7 +179,7 @@
 }
 
 #[test]
-fn a_client_that_repeats_the_request_for_encryption_is_disconnected() {
+fn a_client_that_keeps_requesting_encryption_is_disconnected() {
     let discovery = Discovery::new();
     let pooler = Pooler::new(&discovery, Vec::new());
     let mut client = PgConnection::new(std::net::TcpStream::connect(pooler.address).unwrap());
@@ -228,8 +231,8 @@
         gaps.push(first.elapsed());
     }
     gaps.sort();
-    // An answer that Nagle's algorithm holds back is delayed by up to 40 ms, until the earlier one is acknowledged, and is lost
-    // if the connection is reset meanwhile.
+    // An answer that Nagle's algorithm holds back is delayed by up to 40 ms, until the earlier one is
+    // acknowledged, and is lost if the connection is reset meanwhile.
     assert!(gaps[10] < Duration::from_millis(20), "{gaps:?}");
 }
 
@@ -252,7 +255,8 @@
     };
     let mut clients: Vec<Client> = (0..CLIENT_SLOTS).map(client_with_request).collect();
     pooler.wait_for_counter(&format!(" taken={CLIENT_SLOTS} "));
-    // All slots are taken by clients with open requests, and the pooler waits for a free one. Then all clients disconnect.
+    // All slots are taken by clients with open requests, and the pooler waits for a free one. Then all clients
+    // disconnect.
     watch.send(Some(common::server_list(42, false, vec![other.entry("up", "")]))).unwrap();
     drop(release);
     clients.iter_mut().for_each(|client| assert!(client.answer().tags.ends_with('Z')));
--- a/crates/daemon/tests/leases.rs
+++ b/crates/daemon/tests/leases.rs
@@ -13,8 +13,8 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linnetdeal");
-/// Held by tests that start processes, so that they run one after another: terms are short, and appear shorter still on a busy
-/// machine.
+/// Held by tests that start processes, so that they run one after another: terms are short, and appear shorter
+/// still on a busy machine.
 static EXCLUSIVE: Mutex<()> = Mutex::new(());
 /// Scripts that run concurrently; on four cores each process still gets the CPU time that it needs.
 const MAX_CONCURRENT: usize = 6;
@@ -53,8 +53,8 @@
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
-/// Where clocks drift by more than the stated bound, only the check of fencing tokens at the gate still protects: without it,
-/// older tokens are accepted.
+/// Where clocks drift by more than the stated bound, only the check of fencing tokens at the gate still
+/// protects: without it, older tokens are accepted.
 #[test]
 fn without_the_gate_excessive_clock_drift_lets_older_tokens_through() {
     let _guard = lock(&EXCLUSIVE);
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn every_script_injects_a_fault_or_a_call() {
+fn every_script_has_a_step_besides_waiting() {
     let scripts = scripts();
     assert!(scripts.len() >= 25);
     for script in &scripts {
@@ -190,7 +190,8 @@
             std::thread::sleep(Duration::from_millis(5));
         }
     };
-    // One pooler probes three members five times a second; if all five did, there would be five times as many probes.
+    // One pooler probes three members five times a second; if all five did, there would be five times as many
+    // probes.
     let assert_polled_by_one = |family: &Family| {
         let (began, before) = (Instant::now(), family.probes());
         wait_until("probes", &mut || family.probes() >= before + 45);
--- a/crates/daemon/tests/registry.rs
+++ b/crates/daemon/tests/registry.rs
@@ -1,5 +1,6 @@
-//! Tests of the pooler with a registry, against scripted registry peers and servers. No test depends on timing: a step is
-//! complete once the registry has been polled again, because the pooler polls only after it has applied the previous answer.
+//! Tests of the pooler with a registry, against scripted registry peers and servers. No test depends on timing:
+//! a step is complete once the registry has been polled again, because the pooler polls only after it has
+//! applied the previous answer.
 
 use linnetdeal_lab::clients::Client;
 use linnetdeal_lab::eureka::{Manner, Peer};
@@ -16,7 +17,8 @@
 /// The index of the class of reads that the client sends.
 const READ: usize = 2;
 
-/// A pooler that follows scripted registry peers, with the stage that they and the servers belong to, and a client.
+/// A pooler that follows scripted registry peers, with the stage that they and the servers belong to, and a
+/// client.
 struct Fixture {
     stage: Stage,
     pooler: Pooler,
@@ -34,11 +36,13 @@
 }
 
 impl Fixture {
+    /// Performs an action of a script on the stage.
     fn act(&mut self, act: Act) {
         self.stage.act(&act, &self.pooler).unwrap();
     }
 
-    /// Waits until the pooler has applied all that a peer knows now, which is so once it has polled the peer twice more.
+    /// Waits until the pooler has applied all that a peer knows now, which is so once it has polled the peer
+    /// twice more.
     fn wait_applied(&self, peer: usize) {
         let polls = |peer: &Peer| peer.heard().fulls + peer.heard().deltas;
         let before = polls(&self.stage.peers[peer]);
--- a/crates/daemon/tests/soak.rs
+++ b/crates/daemon/tests/soak.rs
@@ -1,5 +1,5 @@
-//! A short soak test on real sockets: the program breaks no rule during overlapping faults, and seeded faults in variants of it
-//! are detected. The long soak is `make -s soak`.
+//! A short soak test on real sockets: the program breaks no rule during overlapping faults, and seeded faults
+//! in variants of it are detected. The long soak is `make -s soak`.
 
 use linnetdeal_lab::soak::{Report, Spec, run_soak};
 use std::path::{Path, PathBuf};
--- a/crates/daemon/tests/sockets.rs
+++ b/crates/daemon/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! Tests of the running pooler on real sockets between scripted servers, discovery and clients: one for each fault that has
-//! occurred or must not.
+//! Tests of the running pooler on real sockets between scripted servers, discovery and clients: one for each
+//! fault that has occurred or must not.
 
 mod common;
 use common::*;
@@ -16,8 +16,8 @@
 fn a_value_is_forwarded_unchanged_and_only_the_timeout_of_a_statement_is_rewritten() {
     let big = vec![0xA5; 65_536];
     let value = big.clone();
-    // The empty query that is sent along with a statement is answered in the same write: if its answer were 25 ms late, as on a busy
-    // machine, the second command would rightly go to a new connection.
+    // The empty query that is sent along with a statement is answered in the same write: if its answer were 25
+    // ms late, as on a busy machine, the second command would rightly go to a new connection.
     let server = Server::raw("s-1", move |conn, statement| {
         let empty = b"I\0\0\0\x04Z\0\0\0\x05I";
         let with_ping = !statement.is_empty() && conn.has_buffered();
@@ -63,8 +63,8 @@
 
 #[test]
 fn a_write_is_retried_only_on_proof_that_it_never_ran() {
-    // The server that is listed as the primary is a replica by now; the actual primary runs the first write, and fails during the
-    // second.
+    // The server that is listed as the primary is a replica by now; the actual primary runs the first write,
+    // and fails during the second.
     let replica = Server::new("s-1", |conn, _| {
         conn.send_error("25006", "replica");
         true
@@ -226,8 +226,8 @@
 
 #[test]
 fn a_kept_connection_that_breaks_or_falls_silent_loses_no_request() {
-    // The server abandons each connection after one answer. That shows only when something more is written, or, in turn, not
-    // even then.
+    // The server abandons each connection after one answer. That shows only when something more is written, or,
+    // in turn, not even then.
     let silent = AtomicBool::new(false);
     let server = Server::raw("s-1", move |conn, statement| {
         if !statement.is_empty() {
@@ -250,7 +250,8 @@
 
 #[test]
 fn surplus_data_that_arrives_later_is_not_taken_for_an_answer() {
-    // A copy of an answer is sent long after it, before the next answer, when the next request may have been sent already.
+    // A copy of an answer is sent long after it, before the next answer, when the next request may have been
+    // sent already.
     let last_id = Mutex::new(String::new());
     let server = Server::raw("s-1", move |conn, statement| {
         if statement.is_empty() {
@@ -277,8 +278,8 @@
 
 #[test]
 fn after_a_read_finds_a_kept_connection_broken_all_are_pinged_before_use() {
-    // The server abandons a connection after one answer, which shows when more is sent on it; only the empty query sent along
-    // with the statement is still answered.
+    // The server abandons a connection after one answer, which shows when more is sent on it; only the empty
+    // query sent along with the statement is still answered.
     let server = Server::raw("s-1", |conn, statement| {
         // What was sent along with the statement is still answered.
         let more = conn.has_buffered();
@@ -352,8 +353,8 @@
     let count = malformed.len();
     let next_new_id = std::sync::atomic::AtomicUsize::new(0);
     let server = Server::new("s-1", move |conn, statement| {
-        // The first attempt of each request gets a malformed answer, and the connection stays open. The second gets its answer
-        // twice.
+        // The first attempt of each request gets a malformed answer, and the connection stays open. The second
+        // gets its answer twice.
         let id = statement.split_once("id=").unwrap().1.split_once(',').unwrap().0;
         let id: usize = id.parse().unwrap();
         if next_new_id.fetch_max(id + 1, Ordering::Relaxed) <= id {
@@ -472,7 +473,8 @@
         pooler.signal("HUP");
         pooler.wait_for_log("configuration kept as it was: ");
     }
-    // The watch at the old address could stay open for seconds; the new one is requested from the generation that is known.
+    // The watch at the old address could stay open for seconds; the new one is requested from the generation
+    // that is known.
     pooler.write_config(&config(&new, Vec::new(), 1_024));
     pooler.signal("HUP");
     pooler.wait_for_log("configuration read again");
@@ -519,27 +521,22 @@
         config.to_string()
     };
     // 'bundle-menu' is removed, 'top-up' becomes a read that may be repeated, and 'note' is new.
-    let valid = changed(&|new_settings| {
-        new_settings["Lanes"][0]["Name"] = "note".into();
-        new_settings["Lanes"][2]["Effect"] = "retryable".into();
-        new_settings["FamilyInfo"]["NeedsByClass"][2] = "eventual".into();
-        new_settings["Limits"]["SendCap"] = 2.into();
+    let valid = changed(&|edited| {
+        edited["Lanes"][0]["Name"] = "note".into();
+        edited["Lanes"][2]["Effect"] = "retryable".into();
+        edited["FamilyInfo"]["NeedsByClass"][2] = "eventual".into();
+        edited["Limits"]["SendCap"] = 2.into();
     });
     let invalid = [
         (String::new(), "EOF"),
         (valid[..valid.len() / 2].to_owned(), "EOF"),
-        (changed(&|new_settings| drop(new_settings.as_object_mut().unwrap().remove("Limits"))), "Limits"),
+        (changed(&|edited| drop(edited.as_object_mut().unwrap().remove("Limits"))), "Limits"),
+        (changed(&|edited| edited["Lanes"][1]["Deadline"] = 0.into()), "Lanes.1.Deadline is not above 0"),
         (
-            changed(&|new_settings| new_settings["Lanes"][1]["Deadline"] = 0.into()),
-            "Lanes.1.Deadline is not above 0",
-        ),
-        (
-            changed(&|new_settings| {
-                drop(new_settings["Lanes"][1].as_object_mut().unwrap().remove("Deadline"))
-            }),
+            changed(&|edited| drop(edited["Lanes"][1].as_object_mut().unwrap().remove("Deadline"))),
             "Lanes.1.Deadline",
         ),
-        (changed(&|new_settings| new_settings["Limits"]["SendCap"] = 0.into()), "SendCap is not above 0"),
+        (changed(&|edited| edited["Limits"]["SendCap"] = 0.into()), "SendCap is not above 0"),
     ];
     let mut client = Client::connect(&pooler);
     for (text, reason) in &invalid {
@@ -585,8 +582,8 @@
     last.send(&menu("15"));
     busy.push(last);
     while !pooler.counters().contains(" taken=15 ") {}
-    // Now all clients have open requests. The next one receives a complete error: its connection is not reset while its request
-    // is unread.
+    // Now all clients have open requests. The next one receives a complete error: its connection is not reset
+    // while its request is unread.
     let mut refused_client = Client::from_stream(TcpStream::connect(pooler.address).unwrap(), &menu("16"));
     let answer = refused_client.answer();
     assert_eq!((answer.tags.as_str(), answer.code.as_deref()), ("E", Some("53300")));
@@ -605,8 +602,8 @@
     let server = id_server("s-1", "replica");
     let discovery = Discovery::new();
     let pooler = Pooler::with_sockets(&discovery, vec![server.entry("up", "replica")], 48);
-    let mut usual = Client::connect(&pooler);
-    assert_eq!(usual.execute(&menu("1")).value.as_deref(), Some(&b"s-1"[..]));
+    let mut regular = Client::connect(&pooler);
+    assert_eq!(regular.execute(&menu("1")).value.as_deref(), Some(&b"s-1"[..]));
     // More silent connections than there are slots, and two clients that never complete a command.
     let mut incomplete: Vec<_> = (0..2).map(|_| Client::connect_with(&pooler, b"Q\0\0\0\x20SEL")).collect();
     let mut silent_streams: Vec<_> = (0..40).map(|_| TcpStream::connect(pooler.address).unwrap()).collect();
@@ -616,7 +613,7 @@
         Some(&b"s-1"[..]),
         "a client with a request gets a slot"
     );
-    assert_eq!(usual.execute(&menu("3")).value.as_deref(), Some(&b"s-1"[..]), "an earlier client stays");
+    assert_eq!(regular.execute(&menu("3")).value.as_deref(), Some(&b"s-1"[..]), "an earlier client stays");
     for silent_stream in &mut silent_streams {
         silent_stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         assert!(!matches!(silent_stream.read(&mut [0]), Ok(1)), "closed without an answer");
@@ -624,7 +621,7 @@
     for client in &mut incomplete {
         while client.0.next_message().is_some() {}
     }
-    assert_eq!(usual.execute(&menu("4")).value.as_deref(), Some(&b"s-1"[..]));
+    assert_eq!(regular.execute(&menu("4")).value.as_deref(), Some(&b"s-1"[..]));
 }
 
 #[test]
@@ -648,8 +645,8 @@
 
 #[test]
 fn a_planned_restart_answers_accepted_requests_and_exits_with_success() {
-    // New connections are accepted for another 0.4 s. If the machine stalls for that long between two lines of the test, nothing
-    // can be concluded and the test is repeated.
+    // New connections are accepted for another 0.4 s. If the machine stalls for that long between two lines of
+    // the test, nothing can be concluded and the test is repeated.
     while !restart() {}
 }
 
@@ -883,7 +880,8 @@
     drop(silent);
 }
 
-/// An address whose port was free a moment ago: the operators' API needs a configured address, as the program does not log one.
+/// An address whose port was free a moment ago: the operators' API needs a configured address, as the program
+/// does not log one.
 fn free_port() -> std::net::SocketAddr {
     std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
@@ -945,7 +943,7 @@
     while busy_server.received().is_empty() {
         std::thread::yield_now();
     }
-    let (mut usual, mut idle) = (Client::connect(&older), Client::connect(&older));
+    let (mut regular, mut idle) = (Client::connect(&older), Client::connect(&older));
 
     // An operator's command to either process applies to both.
     let (newer, next) = deployment.launch_ready();
@@ -956,9 +954,10 @@
     let log_line =
         if log_line.contains("s-1 out") { log_line } else { newer.wait_for_log("s-1 out by hand, as") };
     assert!(log_line.contains("server s-1 out"), "{log_line}");
-    assert_served_by(&mut usual, &["s-2"]);
+    assert_served_by(&mut regular, &["s-2"]);
 
-    // From SIGTERM on only the newer process accepts clients; the older one closes a client's connection with its next answer.
+    // From SIGTERM on only the newer process accepts clients; the older one closes a client's connection with
+    // its next answer.
     older.signal("TERM");
     older.wait_for_log("for a newer process");
     let before = older.counters();
@@ -967,8 +966,8 @@
         assert_served_by(&mut late, &["s-2"]);
     }
     assert!(newer.counters().contains(" taken=5 "), "all requests went to the newer process");
-    assert_served_by(&mut usual, &["s-2"]);
-    assert!(usual.0.next_message().is_none() && !usual.0.reset, "closed behind the answer");
+    assert_served_by(&mut regular, &["s-2"]);
+    assert!(regular.0.next_message().is_none() && !regular.0.reset, "closed behind the answer");
     drop(release);
     assert_eq!(busy.answer().value.as_deref(), Some(&b"s-1"[..]));
     assert!(busy.0.next_message().is_none() && !busy.0.reset);
@@ -1136,8 +1135,8 @@
     let pooler = Pooler::with_config(&config_with(json!([share("large"), share("small & sons")])));
     let (_, watch) = discovery.next_watch();
     let mut waiting = Vec::new();
-    // A server is sent 16 requests at a time. In the second round the settings list the same tenants at other positions, and a new
-    // one.
+    // A server is sent 16 requests at a time. In the second round the settings list the same tenants at other
+    // positions, and a new one.
     for (cluster, server, taken) in [(2, &first, 21), (3, &second, 42)] {
         let mut send_from = |tenant: &str| {
             let mut client = Client::connect(&pooler);
--- a/crates/daemon/tests/work.rs
+++ b/crates/daemon/tests/work.rs
@@ -1,5 +1,5 @@
-//! Maintenance plans carried out by processes of the program: a fixed part of `make proof-work` with fixed seeds, one test for
-//! each script.
+//! Maintenance plans carried out by processes of the program: a fixed part of `make proof-work` with fixed
+//! seeds, one test for each script.
 
 use linnetdeal_lab::lock;
 use linnetdeal_lab::processes::process;
