--- a/crates/operator/src/schema.cue
+++ b/crates/operator/src/schema.cue
@@ -34,8 +34,8 @@
 	key!:         #Path
 }
 
-// How this pooler registers itself: 'renew' is the interval of renewals, 'expires' how long it is
-// valid without one.
+// How this pooler registers itself: 'renew' is the interval of renewals, 'expires' is how long the registration stays
+// valid without a renewal.
 #Own: {
 	app!:    #Word
 	id?:     #Word
@@ -63,9 +63,9 @@
 	longest_pause: #Duration | *"60s"
 	// The maximum size of a response body. A larger one is rejected.
 	most_body: #Size | *"64MB"
-	// A list that lacks more than this share of the members in service is suspect and not accepted, nor is an empty one,
+	// A list that lacks more than this share of the members in service is suspect and not accepted. So is an empty list.
 	lost_share: number & >=0 & <=1 | *0.5
-	// until lists have been suspect for this long; "never" if they are never accepted.
+	// How long lists must have been suspect before one is accepted after all, or "never".
 	believe_after: #Duration | *"never"
 	// What ends a drain by a status override: 'registration' waits until the instance registers anew, 'override' also
 	// accepts the removal of the override.
