--- a/crates/lab/src/soak/discovery.rs
+++ b/crates/lab/src/soak/discovery.rs
@@ -1,5 +1,5 @@
 //! Discovery as a pooler's agent provides it: a versioned list, watches that stream changes, and watches that
-//! fall silent, are reset or refused. The checker is told from when each change binds a pooler.
+//! fall silent, are reset or refused. The checker learns from when each change binds a pooler.
 
 use super::context::Context;
 use super::faults::FaultKind;
--- a/crates/lab/src/soak/report.rs
+++ b/crates/lab/src/soak/report.rs
@@ -60,10 +60,11 @@
         let violations: BTreeMap<String, u64> =
             self.violations.iter().map(|(rule, count)| (format!("{rule:?}"), *count)).collect();
         let Counts { requests, served, refused, failed, excused, departed, attempts, .. } = self.counts;
-        json!({"seed": self.seed, "mutant": self.mutant, "violated": self.violation_count(), "violations": violations,
-            "asked": requests, "served": served, "refused": refused, "failed": failed, "excused": excused, "left": departed,
-            "attempts": attempts, "starts": self.starts, "worst_drain_ms": self.counts.worst_drain_ms,
-            "worst_departure_ms": self.counts.worst_departure_ms, "worst_overstated_ms": self.counts.worst_overstated_ms,
+        json!({"seed": self.seed, "mutant": self.mutant, "violated": self.violation_count(),
+            "violations": violations, "asked": requests, "served": served, "refused": refused, "failed": failed,
+            "excused": excused, "left": departed, "attempts": attempts, "starts": self.starts,
+            "worst_drain_ms": self.counts.worst_drain_ms, "worst_departure_ms": self.counts.worst_departure_ms,
+            "worst_overstated_ms": self.counts.worst_overstated_ms,
             "injected": by_name(&self.injected), "pairs": self.overlapping_pairs.len(), "calls": self.failed_calls})
     }
 }
