--- a/crates/fleet/src/audit.rs
+++ b/crates/fleet/src/audit.rs
@@ -91,36 +91,36 @@
 }
 
 #[derive(Clone, Debug)]
-struct Open {
+struct OpenRequest {
     router: u32,
     class: usize,
     group: u32,
     session: i64,
-    asked: Time,
+    requested_at: Time,
     deadline: Time,
-    sent: Time,
-    out: u32,
-    runs: u32,
+    last_sent: Time,
+    in_flight: u32,
+    executions: u32,
     /// What a session's or a fresh read must have seen.
-    need: Time,
+    min_position: Time,
 }
 
 /// Boxes' windows of the latest work.
 #[derive(Clone, Debug)]
-struct Cold {
+struct ColdBox {
     started: Time,
     capacity: f64,
-    sent: VecDeque<(Time, f64)>,
-    work: f64,
+    arrivals: VecDeque<(Time, f64)>,
+    arrived_work: f64,
 }
 
 /// A client over its tries.
 #[derive(Clone, Copy, Debug)]
-struct Trying {
-    tries: i64,
-    request: u64,
+struct ClientTries {
+    last_try: i64,
+    last_request: u64,
     /// When it must have its answer.
-    until: Time,
+    deadline: Time,
 }
 
 /// A job that a box has.
@@ -130,50 +130,50 @@
     attempt: i64,
     work: f64,
     /// When it was among the first, as many as there are cores.
-    began: Option<Time>,
+    started: Option<Time>,
 }
 
 /// What a router has of a list that is asked.
 #[derive(Clone, Copy, Debug)]
-struct Asking {
-    watching: bool,
-    called: Time,
+struct ListWatch {
+    open: bool,
+    last_call: Time,
     failed: bool,
 }
 
 /// The auditor.
 pub struct Auditor {
     rules: Rules,
-    open: HashMap<u64, Open>,
+    open_requests: HashMap<u64, OpenRequest>,
     /// Requests that were refused and that were not to run after that: their ids, for as long as attempts may linger.
     ended: HashMap<u64, (bool, Time)>,
-    told: HashMap<(u32, u32), Time>,
-    tokens: HashMap<(u32, i64), Time>,
-    commits: HashMap<u32, Time>,
-    cold: BTreeMap<u32, Cold>,
-    clients: HashMap<i64, Trying>,
+    known_drains: HashMap<(u32, u32), Time>,
+    session_commits: HashMap<(u32, i64), Time>,
+    group_commits: HashMap<u32, Time>,
+    cold_boxes: BTreeMap<u32, ColdBox>,
+    clients: HashMap<i64, ClientTries>,
     /// The client and the try's number of a request that is about to be asked.
-    trying: Option<(u64, i64, i64)>,
+    announced_try: Option<(u64, i64, i64)>,
     jobs: HashMap<u32, VecDeque<Job>>,
-    asking: HashMap<u32, Asking>,
+    watches: HashMap<u32, ListWatch>,
     /// Since when the list has said that a box is out of service.
-    out: HashMap<u32, Time>,
+    unavailable_since: HashMap<u32, Time>,
     first_tries: u64,
     violations: BTreeMap<Rule, u64>,
     first_violation: Option<(Rule, Record)>,
     cold_peak: f64,
     requests: u64,
-    swept: Time,
+    last_expiry: Time,
 }
 
 /// Stands for the router where clients carry what their sessions wrote.
-const ANYBODY: u32 = u32::MAX;
+const ANY_ROUTER: u32 = u32::MAX;
 /// After a call that failed a router may wait so many times as long for the next.
-const AFTER_FAILURE: f64 = 4.0;
+const FAILED_CALL_FACTOR: f64 = 4.0;
 /// Ends of work are whole microseconds.
-const ROUNDING: f64 = 4.0;
+const ROUNDING_US: f64 = 4.0;
 /// Ended requests are looked at for this long: longer than any attempt lasts.
-const LINGER: Span = Span::millis(20_000);
+const ENDED_RETENTION: Span = Span::millis(20_000);
 
 impl Auditor {
     /// One by these rules.
@@ -181,23 +181,23 @@
     pub fn new(rules: Rules) -> Self {
         Self {
             rules,
-            open: HashMap::new(),
+            open_requests: HashMap::new(),
             ended: HashMap::new(),
-            told: HashMap::new(),
-            tokens: HashMap::new(),
-            commits: HashMap::new(),
-            cold: BTreeMap::new(),
+            known_drains: HashMap::new(),
+            session_commits: HashMap::new(),
+            group_commits: HashMap::new(),
+            cold_boxes: BTreeMap::new(),
             clients: HashMap::new(),
-            trying: None,
+            announced_try: None,
             jobs: HashMap::new(),
-            asking: HashMap::new(),
-            out: HashMap::new(),
+            watches: HashMap::new(),
+            unavailable_since: HashMap::new(),
             first_tries: 0,
             violations: BTreeMap::new(),
             first_violation: None,
             cold_peak: 0.0,
             requests: 0,
-            swept: Time(0),
+            last_expiry: Time(0),
         }
     }
 
@@ -205,7 +205,8 @@
     #[must_use]
     pub fn finish(mut self, end: Time) -> AuditReport {
         let unanswered =
-            self.open.values().filter(|open| open.deadline + self.rules.answer_slack < end).count() as u64;
+            self.open_requests.values().filter(|open| open.deadline + self.rules.answer_slack < end).count()
+                as u64;
         if unanswered > 0 {
             *self.violations.entry(Rule::Answered).or_default() += unanswered;
         }
@@ -219,238 +220,244 @@
         }
     }
 
-    fn breaks(&mut self, rule: Rule, record: &Record) {
+    fn record_violation(&mut self, rule: Rule, record: &Record) {
         *self.violations.entry(rule).or_default() += 1;
         self.first_violation.get_or_insert((rule, *record));
     }
 
-    fn answer(&mut self, record: &Record) {
-        let Some(open) = self.open.remove(&record.request) else {
-            self.breaks(Rule::Answered, record);
+    fn check_answer(&mut self, record: &Record) {
+        let Some(open) = self.open_requests.remove(&record.request) else {
+            self.record_violation(Rule::Answered, record);
             return;
         };
-        let law = self.rules.classes[open.class];
+        let class = self.rules.classes[open.class];
         if record.at > open.deadline + self.rules.answer_slack {
-            self.breaks(Rule::Answered, record);
+            self.record_violation(Rule::Answered, record);
         }
         let refused = record.what == RecordKind::Refused;
-        if refused && law.run_once && (open.runs > 0 || open.out > 0) {
-            self.breaks(Rule::Once, record);
+        if refused && class.run_once && (open.executions > 0 || open.in_flight > 0) {
+            self.record_violation(Rule::Once, record);
         }
         if record.what == RecordKind::Served {
             let position = Time(record.x);
-            if law.write {
-                if open.runs == 0 {
-                    self.breaks(Rule::Honest, record);
+            if class.write {
+                if open.executions == 0 {
+                    self.record_violation(Rule::Honest, record);
                 }
-                let knows = if self.rules.tokens_carried { ANYBODY } else { open.router };
-                let token = self.tokens.entry((knows, open.session)).or_insert(position);
+                let writer = if self.rules.tokens_carried { ANY_ROUTER } else { open.router };
+                let token = self.session_commits.entry((writer, open.session)).or_insert(position);
                 *token = position.max(*token);
-                let commit = self.commits.entry(open.group).or_insert(position);
+                let commit = self.group_commits.entry(open.group).or_insert(position);
                 *commit = position.max(*commit);
             } else {
-                let need = match law.freshness {
+                let need = match class.freshness {
                     Freshness::Any => Time(i64::MIN),
-                    Freshness::Bounded(bound) => open.sent - bound,
-                    Freshness::Session | Freshness::All => open.need,
+                    Freshness::Bounded(bound) => open.last_sent - bound,
+                    Freshness::Session | Freshness::All => open.min_position,
                 };
                 if position < need {
-                    self.breaks(Rule::Stale, record);
+                    self.record_violation(Rule::Stale, record);
                 }
             }
         }
-        self.ended.insert(record.request, (refused && law.run_once, record.at));
+        self.ended.insert(record.request, (refused && class.run_once, record.at));
     }
 
-    fn sweep(&mut self, now: Time) {
-        if now - self.swept > LINGER {
-            self.swept = now;
-            self.ended.retain(|_, (_, at)| now - *at < LINGER);
-            self.clients.retain(|_, client| now - client.until < LINGER);
+    fn expire(&mut self, now: Time) {
+        if now - self.last_expiry > ENDED_RETENTION {
+            self.last_expiry = now;
+            self.ended.retain(|_, (_, at)| now - *at < ENDED_RETENTION);
+            self.clients.retain(|_, client| now - client.deadline < ENDED_RETENTION);
         }
     }
 
     /// A try begins: the first of a client that nobody knows, or the next of one whose latest was answered.
-    fn tries(&mut self, record: &Record, class: usize) {
-        let (Some(full), Some((request, client, number))) = (self.rules.full, self.trying.take()) else {
+    fn check_try(&mut self, record: &Record, class: usize) {
+        let (Some(full), Some((request, client, number))) = (self.rules.full, self.announced_try.take())
+        else {
             return;
         };
-        let until = record.at + self.rules.classes[class].deadline;
+        let deadline = record.at + self.rules.classes[class].deadline;
         let wrong = match self.clients.get(&client).copied() {
             _ if request != record.request || number > i64::from(full.retries) => true,
-            None => number != 0 || Time(record.x) > until,
+            None => number != 0 || Time(record.x) > deadline,
             Some(before) => {
-                number != before.tries + 1
-                    || self.open.contains_key(&before.request)
-                    || Time(record.x) > before.until
+                number != before.last_try + 1
+                    || self.open_requests.contains_key(&before.last_request)
+                    || Time(record.x) > before.deadline
             }
         };
         self.first_tries += u64::from(number == 0);
-        let until = self.clients.get(&client).map_or(until, |before| before.until);
-        self.clients.insert(client, Trying { tries: number, request, until });
+        let deadline = self.clients.get(&client).map_or(deadline, |before| before.deadline);
+        self.clients.insert(client, ClientTries { last_try: number, last_request: request, deadline });
         if wrong {
-            self.breaks(Rule::Tries, record);
+            self.record_violation(Rule::Tries, record);
         }
     }
 
     /// A box has taken a job, or is through with it. Of what it holds as many as it has cores are worked at.
-    fn job(&mut self, record: &Record) {
+    fn check_job(&mut self, record: &Record) {
         let Some(full) = self.rules.full else { return };
         let jobs = self.jobs.entry(record.b).or_default();
         if record.what == RecordKind::Took {
             let (request, attempt, work) = (record.request, record.y, record.x as f64);
-            jobs.push_back(Job { request, attempt, work, began: None });
+            jobs.push_back(Job { request, attempt, work, started: None });
         } else {
-            let of = |job: &Job| (job.request, job.attempt) == (record.request, record.y);
-            let job = jobs.iter().position(of).and_then(|at| jobs.remove(at));
-            let least = |job: &Job| job.work / full.max_core_speed - ROUNDING;
-            let right = job.is_some_and(|job| {
+            let matches = |job: &Job| (job.request, job.attempt) == (record.request, record.y);
+            let job = jobs.iter().position(matches).and_then(|index| jobs.remove(index));
+            let min_duration = |job: &Job| job.work / full.max_core_speed - ROUNDING_US;
+            let valid = job.is_some_and(|job| {
                 record.what == RecordKind::Lost
-                    || job.began.is_some_and(|at| (record.at - at).0 as f64 >= least(&job))
+                    || job.started.is_some_and(|started| (record.at - started).0 as f64 >= min_duration(&job))
             });
-            if !right {
-                self.breaks(Rule::Works, record);
+            if !valid {
+                self.record_violation(Rule::Works, record);
             }
         }
         for job in self.jobs.entry(record.b).or_default().iter_mut().take(full.cores) {
-            job.began.get_or_insert(record.at);
+            job.started.get_or_insert(record.at);
         }
     }
 
     /// Whether a router counts as told that a box is out of service, by what it could have asked long enough ago.
-    fn deemed_told(&self, record: &Record) -> bool {
-        let Some(every) = self.rules.poll_interval else { return false };
-        let of = self.asking.get(&record.a).copied();
-        let of = of.unwrap_or(Asking { watching: false, called: Time(0), failed: false });
-        let age = if of.failed { every.times(AFTER_FAILURE) } else { every };
-        let since = self.out.get(&record.b).copied();
-        !of.watching
-            && record.at - of.called > age
-            && since.is_some_and(|since| record.at - since > Span(age.0 + self.rules.drain_grace.0))
+    fn should_know_of_drain(&self, record: &Record) -> bool {
+        let Some(poll_interval) = self.rules.poll_interval else { return false };
+        let watch = self.watches.get(&record.a).copied();
+        let watch = watch.unwrap_or(ListWatch { open: false, last_call: Time(0), failed: false });
+        let max_age = if watch.failed { poll_interval.times(FAILED_CALL_FACTOR) } else { poll_interval };
+        let since = self.unavailable_since.get(&record.b).copied();
+        !watch.open
+            && record.at - watch.last_call > max_age
+            && since.is_some_and(|since| record.at - since > Span(max_age.0 + self.rules.drain_grace.0))
     }
 
     /// Work has come to a box that may be cold.
-    fn came(&mut self, record: &Record) {
-        let (share, warm) = self.rules.cold;
-        let (multiple, span) = self.rules.fall;
-        let Some(cold) = self.cold.get_mut(&record.b) else { return };
+    fn check_cold_load(&mut self, record: &Record) {
+        let (share, warm_up) = self.rules.cold;
+        let (multiple, window) = self.rules.fall;
+        let Some(cold) = self.cold_boxes.get_mut(&record.b) else { return };
         let warmth = |at: Time| {
-            (share + (1.0 - share) * (at - cold.started).0 as f64 / warm.0.max(1) as f64).clamp(share, 1.0)
+            (share + (1.0 - share) * (at - cold.started).0 as f64 / warm_up.0.max(1) as f64).clamp(share, 1.0)
         };
         if warmth(record.at) >= 1.0 {
-            self.cold.remove(&record.b);
+            self.cold_boxes.remove(&record.b);
             return;
         }
-        cold.sent.push_back((record.at, record.x as f64));
-        cold.work += record.x as f64;
-        while let Some((_, work)) = cold.sent.front().copied().filter(|(at, _)| record.at - *at > span) {
-            cold.work -= work;
-            cold.sent.pop_front();
+        cold.arrivals.push_back((record.at, record.x as f64));
+        cold.arrived_work += record.x as f64;
+        while let Some((_, work)) = cold.arrivals.front().copied().filter(|(at, _)| record.at - *at > window)
+        {
+            cold.arrived_work -= work;
+            cold.arrivals.pop_front();
         }
-        let began = cold.sent.front().map_or(record.at, |(at, _)| *at);
-        let budget =
-            multiple * cold.capacity * (warmth(began) + warmth(record.at)) / 2.0 * span.0 as f64 / 1e6;
-        let used = cold.work / budget;
+        let window_start = cold.arrivals.front().map_or(record.at, |(at, _)| *at);
+        let budget = multiple * cold.capacity * (warmth(window_start) + warmth(record.at)) / 2.0
+            * window.0 as f64
+            / 1e6;
+        let used = cold.arrived_work / budget;
         self.cold_peak = self.cold_peak.max(used);
         if used > 1.0 {
-            self.breaks(Rule::Cold, record);
+            self.record_violation(Rule::Cold, record);
         }
     }
 }
 
 impl Sink for Auditor {
     fn record(&mut self, record: Record) {
-        self.sweep(record.at);
+        self.expire(record.at);
         match record.what {
-            RecordKind::Told if record.x == 1 => drop(self.told.remove(&(record.a, record.b))),
-            RecordKind::Told => drop(self.told.entry((record.a, record.b)).or_insert(record.at)),
+            RecordKind::Told if record.x == 1 => drop(self.known_drains.remove(&(record.a, record.b))),
+            RecordKind::Told => drop(self.known_drains.entry((record.a, record.b)).or_insert(record.at)),
             RecordKind::Asked => {
                 self.requests += 1;
                 let (class, group) = ((record.b % 256) as usize, record.b / 256);
-                let need = match self.rules.classes[class].freshness {
+                let min_position = match self.rules.classes[class].freshness {
                     Freshness::Session if self.rules.tokens_carried => {
-                        self.tokens.get(&(ANYBODY, record.y)).copied()
+                        self.session_commits.get(&(ANY_ROUTER, record.y)).copied()
                     }
-                    Freshness::Session => self.tokens.get(&(record.a, record.y)).copied(),
-                    Freshness::All => self.commits.get(&group).copied(),
+                    Freshness::Session => self.session_commits.get(&(record.a, record.y)).copied(),
+                    Freshness::All => self.group_commits.get(&group).copied(),
                     Freshness::Any | Freshness::Bounded(_) => None,
                 };
-                let open = Open {
+                let open = OpenRequest {
                     router: record.a,
                     class,
                     group,
                     session: record.y,
-                    asked: record.at,
+                    requested_at: record.at,
                     deadline: Time(record.x),
-                    sent: record.at,
-                    out: 0,
-                    runs: 0,
-                    need: need.unwrap_or(Time(i64::MIN)),
+                    last_sent: record.at,
+                    in_flight: 0,
+                    executions: 0,
+                    min_position: min_position.unwrap_or(Time(i64::MIN)),
                 };
-                debug_assert!(open.asked <= open.deadline);
-                self.tries(&record, class);
-                self.open.insert(record.request, open);
+                debug_assert!(open.requested_at <= open.deadline);
+                self.check_try(&record, class);
+                self.open_requests.insert(record.request, open);
             }
             RecordKind::Sent => {
                 let late = |at: &Time| record.at - *at > self.rules.drain_grace;
-                if self.told.get(&(record.a, record.b)).is_some_and(late) || self.deemed_told(&record) {
-                    self.breaks(Rule::Drain, &record);
+                if self.known_drains.get(&(record.a, record.b)).is_some_and(late)
+                    || self.should_know_of_drain(&record)
+                {
+                    self.record_violation(Rule::Drain, &record);
                 }
-                match self.open.get_mut(&record.request) {
+                match self.open_requests.get_mut(&record.request) {
                     Some(open) => {
-                        (open.out, open.sent) = (open.out + 1, record.at);
+                        (open.in_flight, open.last_sent) = (open.in_flight + 1, record.at);
                         let copies = self.rules.second_copies && !self.rules.classes[open.class].run_once;
-                        if open.out > if copies { 2 } else { 1 } {
-                            self.breaks(Rule::OneOut, &record);
+                        if open.in_flight > if copies { 2 } else { 1 } {
+                            self.record_violation(Rule::OneOut, &record);
                         }
                     }
-                    None => self.breaks(Rule::Answered, &record),
+                    None => self.record_violation(Rule::Answered, &record),
                 }
             }
-            RecordKind::Came => self.came(&record),
+            RecordKind::Came => self.check_cold_load(&record),
             RecordKind::Over => {
-                if let Some(open) = self.open.get_mut(&record.request) {
-                    open.out = open.out.saturating_sub(1);
+                if let Some(open) = self.open_requests.get_mut(&record.request) {
+                    open.in_flight = open.in_flight.saturating_sub(1);
                 }
             }
-            RecordKind::Ran => match self.open.get_mut(&record.request) {
+            RecordKind::Ran => match self.open_requests.get_mut(&record.request) {
                 Some(open) => {
-                    open.runs += 1;
-                    if open.runs > 1 && self.rules.classes[open.class].run_once {
-                        self.breaks(Rule::Once, &record);
+                    open.executions += 1;
+                    if open.executions > 1 && self.rules.classes[open.class].run_once {
+                        self.record_violation(Rule::Once, &record);
                     }
                 }
                 None if self.ended.get(&record.request).is_some_and(|(refused, _)| *refused) => {
-                    self.breaks(Rule::Once, &record);
+                    self.record_violation(Rule::Once, &record);
                 }
                 None => {}
             },
-            RecordKind::Served | RecordKind::Refused | RecordKind::Failed => self.answer(&record),
+            RecordKind::Served | RecordKind::Refused | RecordKind::Failed => self.check_answer(&record),
             RecordKind::Killed => {
-                self.open.retain(|_, open| open.router != record.a);
-                self.tokens.retain(|(router, _), _| *router != record.a);
-                self.told.retain(|(router, _), _| *router != record.a);
-                self.asking.remove(&record.a);
+                self.open_requests.retain(|_, open| open.router != record.a);
+                self.session_commits.retain(|(router, _), _| *router != record.a);
+                self.known_drains.retain(|(router, _), _| *router != record.a);
+                self.watches.remove(&record.a);
             }
             RecordKind::Started => {
                 let capacity = record.x as f64;
-                self.cold.insert(
+                self.cold_boxes.insert(
                     record.b,
-                    Cold { started: record.at, capacity, sent: VecDeque::new(), work: 0.0 },
+                    ColdBox { started: record.at, capacity, arrivals: VecDeque::new(), arrived_work: 0.0 },
                 );
             }
-            RecordKind::Try => self.trying = Some((record.request, record.x, record.y)),
-            RecordKind::Took | RecordKind::Through | RecordKind::Lost => self.job(&record),
-            RecordKind::Published if record.x == 1 => drop(self.out.remove(&record.b)),
-            RecordKind::Published => drop(self.out.entry(record.b).or_insert(record.at)),
+            RecordKind::Try => self.announced_try = Some((record.request, record.x, record.y)),
+            RecordKind::Took | RecordKind::Through | RecordKind::Lost => self.check_job(&record),
+            RecordKind::Published if record.x == 1 => drop(self.unavailable_since.remove(&record.b)),
+            RecordKind::Published => drop(self.unavailable_since.entry(record.b).or_insert(record.at)),
             RecordKind::Called => {
-                let of = self.asking.entry(record.a);
-                of.or_insert(Asking { watching: false, called: record.at, failed: false }).called = record.at;
+                let watch = self.watches.entry(record.a);
+                watch.or_insert(ListWatch { open: false, last_call: record.at, failed: false }).last_call =
+                    record.at;
             }
             RecordKind::Watching => {
-                let of = self.asking.entry(record.a);
-                let of = of.or_insert(Asking { watching: false, called: record.at, failed: false });
-                (of.watching, of.failed) = (record.x == 1, record.x < 0);
+                let watch = self.watches.entry(record.a);
+                let watch = watch.or_insert(ListWatch { open: false, last_call: record.at, failed: false });
+                (watch.open, watch.failed) = (record.x == 1, record.x < 0);
             }
             RecordKind::Kept | RecordKind::Fell | RecordKind::Trouble => {}
         }
--- a/crates/fleet/src/discovery.rs
+++ b/crates/fleet/src/discovery.rs
@@ -10,12 +10,12 @@
 /// The service.
 #[derive(Clone, Debug)]
 pub struct DiscoveryService {
-    call: Span,
-    wait: Span,
-    every: Span,
+    call_time: Span,
+    max_wait: Span,
+    notify_interval: Span,
     /// How much longer than usual a call takes.
     pub slowdown: f64,
-    free: Time,
+    busy_until: Time,
     /// Calls, and those that failed.
     pub calls: (u64, u64),
 }
@@ -34,11 +34,11 @@
     #[must_use]
     pub fn new(list: &List) -> Self {
         Self {
-            call: list.call,
-            wait: list.wait,
-            every: list.every,
+            call_time: list.call,
+            max_wait: list.wait,
+            notify_interval: list.every,
             slowdown: 1.0,
-            free: Time(0),
+            busy_until: Time(0),
             calls: (0, 0),
         }
     }
@@ -46,19 +46,19 @@
     /// Somebody asks.
     pub fn call(&mut self, now: Time) -> CallOutcome {
         self.calls.0 += 1;
-        let begins = self.free.max(now);
-        let failed = begins - now > self.wait;
+        let starts_at = self.busy_until.max(now);
+        let failed = starts_at - now > self.max_wait;
         self.calls.1 += u64::from(failed);
-        if begins - now <= self.wait.times(MAX_QUEUED_WAITS) {
-            self.free = begins + self.call.times(self.slowdown);
+        if starts_at - now <= self.max_wait.times(MAX_QUEUED_WAITS) {
+            self.busy_until = starts_at + self.call_time.times(self.slowdown);
         }
-        if failed { CallOutcome::Failed(now + self.wait) } else { CallOutcome::Answered(self.free) }
+        if failed { CallOutcome::Failed(now + self.max_wait) } else { CallOutcome::Answered(self.busy_until) }
     }
 
     /// When news of this moment go out to those who watch.
     #[must_use]
     pub fn next_notification(&self, now: Time) -> Time {
-        let every = self.every.0.max(1);
-        Time((now.0.div_euclid(every) + 1).saturating_mul(every))
+        let interval = self.notify_interval.0.max(1);
+        Time((now.0.div_euclid(interval) + 1).saturating_mul(interval))
     }
 }
--- a/crates/fleet/src/even.rs
+++ b/crates/fleet/src/even.rs
@@ -21,31 +21,31 @@
 use scheme::Chooser;
 
 /// The mean work of a request on a standard core; its answer earns its full worth within the aim.
-pub const WORK: Span = Span::millis(20);
+pub const MEAN_WORK: Span = Span::millis(20);
 /// See [`WORK`].
-pub const AIM: Span = Span::millis(150);
+pub const OBJECTIVE: Span = Span::millis(150);
 /// What the network adds, in the same zone and between zones.
-const SAME: Span = Span(250);
-const CROSS: Span = Span(850);
+const SAME_ZONE_DELAY: Span = Span(250);
+const CROSS_ZONE_DELAY: Span = Span(850);
 /// What a new connection costs its server.
-const HANDSHAKE: Span = Span::millis(2);
+const HANDSHAKE_WORK: Span = Span::millis(2);
 /// A request is sent so often at most.
-const ATTEMPTS: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 /// Work that a primary has, as a part of what a replica has.
-const PRIMARY_WORK: f64 = 0.8;
+const PRIMARY_LOAD: f64 = 0.8;
 /// Reads that need what their session wrote, and how long ago that was, in the mean.
-const SESSIONS: f64 = 0.1;
-const WROTE: Span = Span::millis(150);
+const SESSION_READ_SHARE: f64 = 0.1;
+const MEAN_WRITE_AGE: Span = Span::millis(150);
 /// How far behind replicas are, and how far one in six is.
-const LAG: std::ops::Range<i64> = 5..60;
-const FAR_BEHIND: Span = Span::millis(250);
+const REPLICA_LAG_MS: std::ops::Range<i64> = 5..60;
+const SLOW_REPLICA_LAG: Span = Span::millis(250);
 /// Zones, what clients in each ask, and after the shift.
 const ZONES: usize = 3;
-const ASKED: [[f64; ZONES]; 2] = [[0.5, 0.3, 0.2], [0.2, 0.3, 0.5]];
+const ZONE_SHARES: [[f64; ZONES]; 2] = [[0.5, 0.3, 0.2], [0.2, 0.3, 0.5]];
 /// Poolers with more traffic than the mean: one in so many, and how much more. The first has most.
-const HEAVY: usize = 20;
-const HEAVIER: f64 = 4.0;
-const HEAVIEST: f64 = 10.0;
+const HEAVY_EVERY: usize = 20;
+const HEAVY_FACTOR: f64 = 4.0;
+const HEAVIEST_FACTOR: f64 = 10.0;
 /// Until then nothing counts.
 pub const WARM_UP_SECONDS: i64 = 2;
 const BEGIN: Time = Time(1_000_000_000_000);
@@ -126,18 +126,18 @@
     }
 
     /// What clients ask at that second, as a multiple of the usual.
-    fn step(&self, second: f64) -> f64 {
-        if self.troubles && STEP.contains(&second) { 1.4 } else { 1.0 }
+    fn load_factor(&self, second: f64) -> f64 {
+        if self.troubles && LOAD_STEP.contains(&second) { 1.4 } else { 1.0 }
     }
 
     /// Which of [`ASKED`] holds then.
-    fn shifted(&self, at: Time) -> usize {
-        usize::from(self.troubles && at >= second(SHIFT))
+    fn zone_share_index(&self, at: Time) -> usize {
+        usize::from(self.troubles && at >= time_at(ZONE_SHIFT))
     }
 }
 
-fn second(of: i64) -> Time {
-    BEGIN + Span::millis(of * 1_000)
+fn time_at(seconds: i64) -> Time {
+    BEGIN + Span::millis(seconds * 1_000)
 }
 
 /// What befalls each of the servers that are hit: the third of each group.
@@ -146,35 +146,35 @@
     /// New work runs so many times as long, in percent.
     Slow(i64),
     /// Its process ends, and that is told.
-    Dies,
+    Crashes,
     Unlisted,
     /// It starts anew, cold, and that is told.
     Returns,
     Listed,
     /// All that it is sent ends with an error at once; or no more.
-    Errs(bool),
+    Errors(bool),
 }
 
 /// When clients ask more, and from when zones change places, in seconds.
-const STEP: std::ops::Range<f64> = 6.0..10.0;
-const SHIFT: i64 = 23;
+const LOAD_STEP: std::ops::Range<f64> = 6.0..10.0;
+const ZONE_SHIFT: i64 = 23;
 /// The troubles: when in ms, and what.
 const TROUBLES: [(i64, Trouble); 8] = [
     (11_000, Trouble::Slow(200)),
     (14_000, Trouble::Slow(100)),
-    (15_000, Trouble::Dies),
+    (15_000, Trouble::Crashes),
     (15_300, Trouble::Unlisted),
     (17_000, Trouble::Returns),
     (17_300, Trouble::Listed),
-    (21_000, Trouble::Errs(true)),
-    (22_000, Trouble::Errs(false)),
+    (21_000, Trouble::Errors(true)),
+    (22_000, Trouble::Errors(false)),
 ];
 
 /// When troubles begin and end, in seconds: the step, what befalls servers, the shift.
 #[must_use]
 pub fn trouble_times() -> Vec<f64> {
     let servers = TROUBLES.iter().map(|(ms, _)| *ms as f64 / 1_000.0);
-    [STEP.start, STEP.end].into_iter().chain(servers).chain([SHIFT as f64]).collect()
+    [LOAD_STEP.start, LOAD_STEP.end].into_iter().chain(servers).chain([ZONE_SHIFT as f64]).collect()
 }
 
 /// A request, as its client asks it: the same for every scheme.
@@ -203,43 +203,46 @@
 }
 
 /// Where a draw falls in sums that end with the whole.
-fn falls(sums: &[f64], draw: f64) -> usize {
-    let whole = sums.last().copied().unwrap_or(0.0);
-    sums.partition_point(|sum| *sum <= draw * whole).min(sums.len() - 1)
+fn weighted_index(sums: &[f64], draw: f64) -> usize {
+    let total = sums.last().copied().unwrap_or(0.0);
+    sums.partition_point(|sum| *sum <= draw * total).min(sums.len() - 1)
 }
 
-fn sums(of: impl Iterator<Item = f64>) -> Vec<f64> {
-    of.scan(0.0, |sum, one| {
-        *sum += one;
-        Some(*sum)
-    })
-    .collect()
+fn running_sums(values: impl Iterator<Item = f64>) -> Vec<f64> {
+    values
+        .scan(0.0, |sum, value| {
+            *sum += value;
+            Some(*sum)
+        })
+        .collect()
 }
 
 impl Arrivals {
     fn new(plan: Plan, servers: &[Member]) -> Self {
-        let capacity =
-            |of: &[Member]| of.iter().map(|of| of.config.cores as f64 * of.config.speed).sum::<f64>();
+        let capacity = |group: &[Member]| {
+            group.iter().map(|member| member.config.cores as f64 * member.config.speed).sum::<f64>()
+        };
         let groups: Vec<f64> = servers.chunks(plan.members).map(capacity).collect();
         let weight = |pooler: usize, when: usize| {
-            let zone = if plan.sources.zones { ASKED[when][pooler % ZONES] * ZONES as f64 } else { 1.0 };
-            let heavy = match pooler {
-                0 if plan.sources.heavy => HEAVIEST,
-                _ if plan.sources.heavy && pooler % HEAVY == 7 => HEAVIER,
+            let zone =
+                if plan.sources.zones { ZONE_SHARES[when][pooler % ZONES] * ZONES as f64 } else { 1.0 };
+            let weight_factor = match pooler {
+                0 if plan.sources.heavy => HEAVIEST_FACTOR,
+                _ if plan.sources.heavy && pooler % HEAVY_EVERY == 7 => HEAVY_FACTOR,
                 _ => 1.0,
             };
-            zone * heavy
+            zone * weight_factor
         };
-        let writes = PRIMARY_WORK / (plan.members as f64 - 1.0 + PRIMARY_WORK);
-        let share = (plan.members as f64 - 1.0 + PRIMARY_WORK) / plan.members as f64;
+        let writes = PRIMARY_LOAD / (plan.members as f64 - 1.0 + PRIMARY_LOAD);
+        let share = (plan.members as f64 - 1.0 + PRIMARY_LOAD) / plan.members as f64;
         let (share, write_share) = if plan.sources.writes { (share, writes) } else { (1.0, 0.0) };
         Self {
             plan,
             rng: ChaCha8Rng::seed_from_u64(plan.seed),
             at: BEGIN,
-            rate: plan.load * share * groups.iter().sum::<f64>() / WORK.0 as f64,
-            groups: sums(groups.into_iter()),
-            poolers: [0, 1].map(|when| sums((0..plan.poolers).map(|pooler| weight(pooler, when)))),
+            rate: plan.load * share * groups.iter().sum::<f64>() / MEAN_WORK.0 as f64,
+            groups: running_sums(groups.into_iter()),
+            poolers: [0, 1].map(|when| running_sums((0..plan.poolers).map(|pooler| weight(pooler, when)))),
             write_share,
         }
     }
@@ -253,20 +256,21 @@
         let mut drawn = || if sources.chance { Exp1.sample(&mut self.rng) } else { 1.0 };
         let (gap, work): (f64, f64) = (drawn(), drawn());
         let now = (self.at - BEGIN).0 as f64 / 1e6;
-        self.at = self.at + Span((gap / (self.rate * self.plan.step(now))).max(1.0) as i64);
-        if self.at >= second(self.plan.seconds) {
+        self.at = self.at + Span((gap / (self.rate * self.plan.load_factor(now))).max(1.0) as i64);
+        if self.at >= time_at(self.plan.seconds) {
             return None;
         }
         let write = self.rng.random_bool(self.write_share);
-        let session = self.rng.random_bool(SESSIONS) && !write && sources.sessions;
+        let session = self.rng.random_bool(SESSION_READ_SHARE) && !write && sources.sessions;
         let wrote: f64 = Exp1.sample(&mut self.rng);
         Some(Arrival {
             at: self.at,
-            pooler: falls(&self.poolers[self.plan.shifted(self.at)], self.rng.random()) as u32,
-            group: falls(&self.groups, self.rng.random()) as u32,
+            pooler: weighted_index(&self.poolers[self.plan.zone_share_index(self.at)], self.rng.random())
+                as u32,
+            group: weighted_index(&self.groups, self.rng.random()) as u32,
             write,
-            wrote: session.then(|| WROTE.times(wrote)),
-            work: WORK.times(work).max(Span(1)),
+            wrote: session.then(|| MEAN_WRITE_AGE.times(wrote)),
+            work: MEAN_WORK.times(work).max(Span(1)),
         })
     }
 }
@@ -279,7 +283,7 @@
     zone: usize,
     lag: Span,
     listed: bool,
-    errs: bool,
+    returns_errors: bool,
 }
 
 fn servers(plan: &Plan) -> Vec<Member> {
@@ -295,44 +299,51 @@
             cold: (0.2, Span::millis(12_000)),
             fall: (f64::INFINITY, Span::millis(1)),
         };
-        let near = Span::millis(rng.random_range(LAG));
-        let lag = if at % 6 == 5 { FAR_BEHIND } else { near };
-        Member { config, server: Server::new(config), zone: at % ZONES, lag, listed: true, errs: false }
+        let near = Span::millis(rng.random_range(REPLICA_LAG_MS));
+        let lag = if at % 6 == 5 { SLOW_REPLICA_LAG } else { near };
+        Member {
+            config,
+            server: Server::new(config),
+            zone: at % ZONES,
+            lag,
+            listed: true,
+            returns_errors: false,
+        }
     };
     (0..plan.servers()).map(member).collect()
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    Done {
+    JobDone {
         server: u32,
         slot: usize,
     },
     Trouble(usize),
     /// What is told is told anew.
-    Told,
+    PublishLoads,
     /// Loads are looked at.
-    Look,
+    SampleLoads,
 }
 
 /// A request that has no final answer.
 #[derive(Clone, Copy, Debug)]
-struct Open {
-    asked: Arrival,
-    tried: [u32; ATTEMPTS],
+struct OpenRequest {
+    arrival: Arrival,
+    tried: [u32; MAX_ATTEMPTS],
     attempts: usize,
-    sent: Time,
+    sent_at: Time,
     /// Whether a member that may answer had a free core as it was sent last.
-    beside: bool,
+    idle_member_available: bool,
 }
 
 /// A play.
-struct World {
+struct Simulation {
     plan: Plan,
     members: Vec<Member>,
-    agenda: EventQueue<Event>,
-    open: Vec<Open>,
-    free: Vec<usize>,
+    queue: EventQueue<Event>,
+    open: Vec<OpenRequest>,
+    free_slots: Vec<usize>,
     chooser: Chooser,
     loads: Loads,
     figures: Figures,
@@ -348,87 +359,99 @@
 
 /// Plays a scheme, and gives with its figures what takes one more decision as it stood at the end, for who measures what one costs.
 pub fn run_with_chooser(plan: &Plan, scheme: Scheme) -> (Figures, impl FnMut(usize) -> Option<u32>) {
-    let mut world = play(plan, scheme);
-    let figures = world.figures.clone();
-    let again = move |at: usize| {
-        let (pooler, group) = (at % world.plan.poolers, at / world.plan.poolers % world.plan.groups);
-        let from = group * world.plan.members + 1;
-        world.pool.clear();
-        world.pool.extend((from..from + world.plan.members - 1).map(|at| at as u32));
-        world.chooser.choose(second(world.plan.seconds), pooler, &world.pool, &world.members)
+    let mut simulation = play(plan, scheme);
+    let figures = simulation.figures.clone();
+    let decide = move |call: usize| {
+        let (pooler, group) =
+            (call % simulation.plan.poolers, call / simulation.plan.poolers % simulation.plan.groups);
+        let from = group * simulation.plan.members + 1;
+        simulation.pool.clear();
+        simulation.pool.extend((from..from + simulation.plan.members - 1).map(|index| index as u32));
+        simulation.chooser.choose(
+            time_at(simulation.plan.seconds),
+            pooler,
+            &simulation.pool,
+            &simulation.members,
+        )
     };
-    (figures, again)
+    (figures, decide)
 }
 
-fn play(plan: &Plan, scheme: Scheme) -> World {
+fn play(plan: &Plan, scheme: Scheme) -> Simulation {
     let members = servers(plan);
     let mut arrivals = Arrivals::new(*plan, &members);
     let rate = arrivals.rate * 1e6;
-    let mut world = World {
+    let mut simulation = Simulation {
         plan: *plan,
         chooser: Chooser::new(plan, scheme, rate),
         loads: Loads::new(plan.members, members.len()),
         members,
-        agenda: EventQueue::default(),
+        queue: EventQueue::default(),
         open: Vec::new(),
-        free: Vec::new(),
+        free_slots: Vec::new(),
         figures: Figures::default(),
         pool: Vec::new(),
         rng: ChaCha8Rng::seed_from_u64(plan.seed ^ 0xC01D),
     };
-    world.agenda.schedule(BEGIN, Event::Look);
-    world.agenda.schedule(BEGIN, Event::Told);
-    for (at, (ms, _)) in TROUBLES.iter().enumerate().filter(|_| plan.troubles) {
-        world.agenda.schedule(BEGIN + Span::millis(*ms), Event::Trouble(at));
+    simulation.queue.schedule(BEGIN, Event::SampleLoads);
+    simulation.queue.schedule(BEGIN, Event::PublishLoads);
+    for (index, (ms, _)) in TROUBLES.iter().enumerate().filter(|_| plan.troubles) {
+        simulation.queue.schedule(BEGIN + Span::millis(*ms), Event::Trouble(index));
     }
     let mut next = arrivals.next();
     loop {
-        let due = world.agenda.next_time().unwrap_or(Time(i64::MAX));
-        if let Some(asked) = next.filter(|asked| asked.at <= due) {
-            world.ask(asked);
+        let due = simulation.queue.next_time().unwrap_or(Time(i64::MAX));
+        if let Some(arrival) = next.filter(|arrival| arrival.at <= due) {
+            simulation.submit(arrival);
             next = arrivals.next();
             continue;
         }
-        match world.agenda.pop() {
-            Some((now, event)) if now < second(plan.seconds) => world.happens(now, event),
+        match simulation.queue.pop() {
+            Some((now, event)) if now < time_at(plan.seconds) => simulation.handle(now, event),
             _ => break,
         }
     }
-    world.loads.tell(&mut world.figures);
-    world.chooser.tell(&mut world.figures);
-    world
+    simulation.loads.write_figures(&mut simulation.figures);
+    simulation.chooser.write_figures(&mut simulation.figures);
+    simulation
 }
 
-impl World {
-    fn ask(&mut self, asked: Arrival) {
-        let open = Open { asked, tried: [u32::MAX; ATTEMPTS], attempts: 0, sent: asked.at, beside: false };
-        let slot = self.free.pop().unwrap_or(self.open.len());
+impl Simulation {
+    fn submit(&mut self, arrival: Arrival) {
+        let open = OpenRequest {
+            arrival,
+            tried: [u32::MAX; MAX_ATTEMPTS],
+            attempts: 0,
+            sent_at: arrival.at,
+            idle_member_available: false,
+        };
+        let slot = self.free_slots.pop().unwrap_or(self.open.len());
         if slot == self.open.len() {
             self.open.push(open);
         } else {
             self.open[slot] = open;
         }
-        self.send(asked.at, slot);
+        self.send(arrival.at, slot);
     }
 
     /// Members that may answer it; those tried only where nobody else is left.
-    fn fill_pool(&mut self, now: Time, open: &Open) {
-        let begin = open.asked.group as usize * self.plan.members;
+    fn fill_pool(&mut self, now: Time, open: &OpenRequest) {
+        let begin = open.arrival.group as usize * self.plan.members;
         let primary = self.plan.sources.writes;
         self.pool.clear();
-        if open.asked.write {
+        if open.arrival.write {
             self.pool.push(begin as u32);
             return;
         }
         let range = begin + usize::from(primary)..begin + self.plan.members;
-        for at in range {
-            let of = &self.members[at];
-            let fresh = open.asked.wrote.is_none_or(|ago| of.lag <= ago);
+        for index in range {
+            let member = &self.members[index];
+            let fresh = open.arrival.wrote.is_none_or(|ago| member.lag <= ago);
             // A cold one is sent a part of what it would be warm, by every scheme: the budget of cold members is another matter.
-            let warmth = of.server.warmth(now);
+            let warmth = member.server.warmth(now);
             let warm = warmth >= 1.0 || self.rng.random_bool(warmth);
-            if of.listed && fresh && warm && !open.tried.contains(&(at as u32)) {
-                self.pool.push(at as u32);
+            if member.listed && fresh && warm && !open.tried.contains(&(index as u32)) {
+                self.pool.push(index as u32);
             }
         }
         if self.pool.is_empty() {
@@ -440,103 +463,111 @@
     fn send(&mut self, now: Time, slot: usize) {
         let mut open = self.open[slot];
         loop {
-            if open.attempts == ATTEMPTS {
-                self.ends(&open, None);
-                self.free.push(slot);
+            if open.attempts == MAX_ATTEMPTS {
+                self.finish(&open, None);
+                self.free_slots.push(slot);
                 return;
             }
             self.fill_pool(now, &open);
-            let pooler = open.asked.pooler as usize;
-            open.beside = self.pool.iter().any(|at| {
-                let of = &self.members[*at as usize];
-                of.server.state() == ServerState::Up && !of.errs && of.server.jobs() < of.config.cores
+            let pooler = open.arrival.pooler as usize;
+            open.idle_member_available = self.pool.iter().any(|index| {
+                let member = &self.members[*index as usize];
+                member.server.state() == ServerState::Up
+                    && !member.returns_errors
+                    && member.server.jobs() < member.config.cores
             });
             let pick = self.chooser.choose(now, pooler, &self.pool, &self.members);
             let to = pick.unwrap_or(self.pool[0]);
             open.tried[open.attempts] = to;
             open.attempts += 1;
-            open.sent = now;
-            let counts = now >= second(WARM_UP_SECONDS);
+            open.sent_at = now;
+            let counts = now >= time_at(WARM_UP_SECONDS);
             self.figures.attempts += u64::from(counts);
-            let of = &mut self.members[to as usize];
-            if self.chooser.connects(pooler, to) {
-                of.server.add_overhead(HANDSHAKE);
+            let member = &mut self.members[to as usize];
+            if self.chooser.opens_connection(pooler, to) {
+                member.server.add_overhead(HANDSHAKE_WORK);
             }
-            self.loads.sent(to, open.asked.work);
+            self.loads.record_send(to, open.arrival.work);
             // An error, as a refusal, teaches nothing: it must not look like a quick answer.
-            if of.errs {
+            if member.returns_errors {
                 continue;
             }
-            match of.server.admit(now, Job { id: slot as u64, work: open.asked.work }) {
-                Admission::Started(ends) => self.agenda.schedule(ends, Event::Done { server: to, slot }),
+            match member.server.admit(now, Job { id: slot as u64, work: open.arrival.work }) {
+                Admission::Started(ends) => self.queue.schedule(ends, Event::JobDone { server: to, slot }),
                 Admission::Queued => {}
                 Admission::Rejected | Admission::Down | Admission::Collapsed => continue,
             }
-            self.chooser.sent(now, pooler, to);
+            self.chooser.record_send(now, pooler, to);
             self.open[slot] = open;
             return;
         }
     }
 
     /// The final outcome: answered then, or never.
-    fn ends(&mut self, open: &Open, took: Option<Span>) {
-        if open.asked.at < second(WARM_UP_SECONDS) {
+    fn finish(&mut self, open: &OpenRequest, took: Option<Span>) {
+        if open.arrival.at < time_at(WARM_UP_SECONDS) {
             return;
         }
-        let late = took.is_none_or(|took| took > AIM);
+        let late = took.is_none_or(|took| took > OBJECTIVE);
         self.figures.requests += 1;
         self.figures.refused += u64::from(took.is_none());
         self.figures.late += u64::from(late && took.is_some());
-        self.figures.failed_beside_idle += u64::from(late && open.beside);
-        if let Some(took) = took.filter(|_| !open.asked.write) {
+        self.figures.failed_beside_idle += u64::from(late && open.idle_member_available);
+        if let Some(took) = took.filter(|_| !open.arrival.write) {
             self.figures.latencies.saturating_record(took.0.max(1) as u64);
         }
     }
 
-    fn happens(&mut self, now: Time, event: Event) {
+    fn handle(&mut self, now: Time, event: Event) {
         match event {
-            Event::Done { server, slot } => {
-                let of = &mut self.members[server as usize];
+            Event::JobDone { server, slot } => {
+                let member = &mut self.members[server as usize];
                 // The box has died since, and the slot may have been given to another request.
-                let Some(next) = of.server.complete(now, slot as u64) else { return };
-                if let Some((id, ends)) = next {
-                    self.agenda.schedule(ends, Event::Done { server, slot: id as usize });
+                let Some(next) = member.server.complete(now, slot as u64) else { return };
+                if let Some((id, ends_at)) = next {
+                    self.queue.schedule(ends_at, Event::JobDone { server, slot: id as usize });
                 }
                 let open = self.open[slot];
-                let pooler = open.asked.pooler as usize;
-                let net = if pooler % ZONES == of.zone { SAME } else { CROSS };
-                self.chooser.answered(now, pooler, server, open.sent, Span((now - open.sent).0 + net.0));
-                self.ends(&open, Some(Span((now - open.asked.at).0 + net.0)));
-                self.free.push(slot);
+                let pooler = open.arrival.pooler as usize;
+                let network = if pooler % ZONES == member.zone { SAME_ZONE_DELAY } else { CROSS_ZONE_DELAY };
+                self.chooser.record_answer(
+                    now,
+                    pooler,
+                    server,
+                    open.sent_at,
+                    Span((now - open.sent_at).0 + network.0),
+                );
+                self.finish(&open, Some(Span((now - open.arrival.at).0 + network.0)));
+                self.free_slots.push(slot);
             }
-            Event::Told => {
-                self.chooser.told(now, &self.members);
-                self.agenda.schedule(now + self.plan.publish_interval, Event::Told);
+            Event::PublishLoads => {
+                self.chooser.publish(now, &self.members);
+                self.queue.schedule(now + self.plan.publish_interval, Event::PublishLoads);
             }
-            Event::Look => {
-                self.loads.look(now >= second(WARM_UP_SECONDS), now, &self.members);
-                self.agenda.schedule(now + figures::LOOK, Event::Look);
+            Event::SampleLoads => {
+                self.loads.sample(now >= time_at(WARM_UP_SECONDS), now, &self.members);
+                self.queue.schedule(now + figures::SAMPLE_INTERVAL, Event::SampleLoads);
             }
-            Event::Trouble(at) => {
+            Event::Trouble(index) => {
                 for group in 0..self.plan.groups {
-                    self.befalls(now, TROUBLES[at].1, group * self.plan.members + 2);
+                    self.apply_trouble(now, TROUBLES[index].1, group * self.plan.members + 2);
                 }
             }
         }
     }
 
-    fn befalls(&mut self, now: Time, trouble: Trouble, at: usize) {
-        let of = &mut self.members[at];
+    fn apply_trouble(&mut self, now: Time, trouble: Trouble, index: usize) {
+        let member = &mut self.members[index];
         match trouble {
-            Trouble::Slow(percent) => of.server.slowdown = percent as f64 / 100.0,
-            Trouble::Unlisted => of.listed = false,
-            Trouble::Listed => of.listed = true,
-            Trouble::Errs(errs) => of.errs = errs,
-            Trouble::Returns => drop(of.server.start(now)),
-            Trouble::Dies => {
-                for slot in of.server.die() {
+            Trouble::Slow(percent) => member.server.slowdown = percent as f64 / 100.0,
+            Trouble::Unlisted => member.listed = false,
+            Trouble::Listed => member.listed = true,
+            Trouble::Errors(errors) => member.returns_errors = errors,
+            Trouble::Returns => drop(member.server.start(now)),
+            Trouble::Crashes => {
+                for slot in member.server.die() {
                     let open = self.open[slot as usize];
-                    self.chooser.lost(open.asked.pooler as usize, at as u32, open.sent);
+                    self.chooser.forget(open.arrival.pooler as usize, index as u32, open.sent_at);
                     self.send(now, slot as usize);
                 }
             }
--- a/crates/fleet/src/even/figures.rs
+++ b/crates/fleet/src/even/figures.rs
@@ -6,12 +6,12 @@
 use linnetdeal_core::{Span, Time};
 
 /// How often loads are looked at; four looks are a window of a second.
-pub(super) const LOOK: Span = Span::millis(250);
-const WINDOW: usize = 4;
+pub(super) const SAMPLE_INTERVAL: Span = Span::millis(250);
+const SAMPLES_PER_WINDOW: usize = 4;
 /// A server that gets more than so many times the mean of its group in a look is in a herd.
 pub const HERD_FACTOR: f64 = 4.0;
 /// A server with less than this part of its group's mean idles.
-const IDLE: f64 = 0.5;
+const IDLE_SHARE: f64 = 0.5;
 
 /// What came out. Loads are work sent against capacity, as a multiple of the mean over the replicas of the same group.
 #[derive(Clone, Debug)]
@@ -109,102 +109,104 @@
 pub(super) struct Loads {
     members: usize,
     /// Work sent since the last look, and in the window so far with the capacity of that time.
-    sent: Vec<f64>,
+    sent_work: Vec<f64>,
     window: Vec<(f64, f64)>,
     /// Whether it served all the time, and warm.
-    whole: Vec<bool>,
+    in_service: Vec<bool>,
     warm: Vec<bool>,
     /// Windows on end in which it idled.
-    idled: Vec<u64>,
-    looks: usize,
-    told: Figures,
+    idle_windows: Vec<u64>,
+    samples: usize,
+    figures: Figures,
 }
 
 impl Loads {
     pub(super) fn new(members: usize, servers: usize) -> Self {
         Self {
             members,
-            sent: vec![0.0; servers],
+            sent_work: vec![0.0; servers],
             window: vec![(0.0, 0.0); servers],
-            whole: vec![true; servers],
+            in_service: vec![true; servers],
             warm: vec![true; servers],
-            idled: vec![0; servers],
-            looks: 0,
-            told: Figures::default(),
+            idle_windows: vec![0; servers],
+            samples: 0,
+            figures: Figures::default(),
         }
     }
 
-    pub(super) fn sent(&mut self, to: u32, work: Span) {
-        self.sent[to as usize] += work.0 as f64;
+    pub(super) fn record_send(&mut self, to: u32, work: Span) {
+        self.sent_work[to as usize] += work.0 as f64;
     }
 
     /// Looks at what was sent since the last look.
-    pub(super) fn look(&mut self, counts: bool, now: Time, members: &[Member]) {
-        for (at, of) in members.iter().enumerate() {
-            let up = of.server.state() == ServerState::Up && of.listed;
-            self.whole[at] &= up;
-            self.warm[at] &= of.server.warmth(now) >= 1.0 && !of.errs;
-            self.window[at].0 += self.sent[at];
-            self.window[at].1 += of.server.capacity(now) / of.server.slowdown * LOOK.0 as f64;
+    pub(super) fn sample(&mut self, counted: bool, now: Time, members: &[Member]) {
+        for (index, member) in members.iter().enumerate() {
+            let up = member.server.state() == ServerState::Up && member.listed;
+            self.in_service[index] &= up;
+            self.warm[index] &= member.server.warmth(now) >= 1.0 && !member.returns_errors;
+            self.window[index].0 += self.sent_work[index];
+            self.window[index].1 +=
+                member.server.capacity(now) / member.server.slowdown * SAMPLE_INTERVAL.0 as f64;
         }
-        if counts {
+        if counted {
             for begin in (0..members.len()).step_by(self.members) {
                 let replicas = begin + 1..begin + self.members;
-                let capacity = |at: usize| members[at].server.capacity(now) / members[at].server.slowdown;
-                let up: Vec<usize> = replicas.filter(|at| self.whole[*at]).collect();
-                let work: f64 = up.iter().map(|at| self.sent[*at]).sum();
-                let mean = work / up.iter().map(|at| capacity(*at)).sum::<f64>();
-                for at in up.into_iter().filter(|at| self.warm[*at]) {
-                    let load = self.sent[at] / capacity(at) / mean.max(f64::EPSILON);
-                    self.told.max_interval_load = self.told.max_interval_load.max(load);
-                    self.told.herd_events += u64::from(load > HERD_FACTOR);
+                let capacity =
+                    |index: usize| members[index].server.capacity(now) / members[index].server.slowdown;
+                let up: Vec<usize> = replicas.filter(|index| self.in_service[*index]).collect();
+                let work: f64 = up.iter().map(|index| self.sent_work[*index]).sum();
+                let mean = work / up.iter().map(|index| capacity(*index)).sum::<f64>();
+                for index in up.into_iter().filter(|index| self.warm[*index]) {
+                    let load = self.sent_work[index] / capacity(index) / mean.max(f64::EPSILON);
+                    self.figures.max_interval_load = self.figures.max_interval_load.max(load);
+                    self.figures.herd_events += u64::from(load > HERD_FACTOR);
                 }
             }
         }
-        self.sent.fill(0.0);
-        self.looks += 1;
-        if self.looks % WINDOW == 0 {
-            if counts {
-                self.close();
+        self.sent_work.fill(0.0);
+        self.samples += 1;
+        if self.samples % SAMPLES_PER_WINDOW == 0 {
+            if counted {
+                self.close_window();
             }
             self.window.fill((0.0, 0.0));
-            self.whole.fill(true);
+            self.in_service.fill(true);
             self.warm.fill(true);
         }
     }
 
     /// A window is over.
-    fn close(&mut self) {
+    fn close_window(&mut self) {
         let mut peak: f64 = 0.0;
         for begin in (0..self.window.len()).step_by(self.members) {
-            let up = (begin + 1..begin + self.members).filter(|at| self.whole[*at]);
+            let up = (begin + 1..begin + self.members).filter(|index| self.in_service[*index]);
             let up: Vec<usize> = up.collect();
-            let (work, capacity) = up.iter().fold((0.0, 0.0), |sum: (f64, f64), at| {
-                (sum.0 + self.window[*at].0, sum.1 + self.window[*at].1)
+            let (work, capacity) = up.iter().fold((0.0, 0.0), |sum: (f64, f64), index| {
+                (sum.0 + self.window[*index].0, sum.1 + self.window[*index].1)
             });
             let mean = work / capacity;
-            for at in up {
-                let load = self.window[at].0 / self.window[at].1 / mean.max(f64::EPSILON);
+            for index in up {
+                let load = self.window[index].0 / self.window[index].1 / mean.max(f64::EPSILON);
                 peak = peak.max(load);
-                self.told.loads.saturating_record((load * 1_000.0) as u64 + 1);
-                let idles = load < IDLE && self.warm[at];
-                self.idled[at] = if idles { self.idled[at] + 1 } else { 0 };
+                self.figures.loads.saturating_record((load * 1_000.0) as u64 + 1);
+                let idle = load < IDLE_SHARE && self.warm[index];
+                self.idle_windows[index] = if idle { self.idle_windows[index] + 1 } else { 0 };
                 // The second window shows that the first was no chance.
-                self.told.idle_seconds += match self.idled[at] {
+                self.figures.idle_seconds += match self.idle_windows[index] {
                     0 | 1 => 0,
                     2 => 2,
                     _ => 1,
                 };
             }
         }
-        self.told.peaks.push(peak);
+        self.figures.peaks.push(peak);
     }
 
-    pub(super) fn tell(&mut self, figures: &mut Figures) {
-        figures.loads = self.told.loads.clone();
-        figures.peaks = std::mem::take(&mut self.told.peaks);
-        figures.idle_seconds = self.told.idle_seconds;
-        figures.max_interval_load = self.told.max_interval_load;
-        figures.herd_events = self.told.herd_events;
+    pub(super) fn write_figures(&mut self, figures: &mut Figures) {
+        figures.loads = self.figures.loads.clone();
+        figures.peaks = std::mem::take(&mut self.figures.peaks);
+        figures.idle_seconds = self.figures.idle_seconds;
+        figures.max_interval_load = self.figures.max_interval_load;
+        figures.herd_events = self.figures.herd_events;
     }
 }
--- a/crates/fleet/src/even/scheme.rs
+++ b/crates/fleet/src/even/scheme.rs
@@ -8,18 +8,18 @@
 
 /// As in `choice.rs`.
 const THRESHOLD: f64 = 1.2;
-const LONGEST_WAIT: f64 = 4.0;
+const MAX_AGE_RATIO: f64 = 4.0;
 /// The members that a pooler's ring subset has of each group.
-const APERTURE: usize = 3;
+const SUBSET_SIZE: usize = 3;
 /// Answers that the learned speed remembers.
-const SPEED_MEMORY: f64 = 30.0;
+const SPEED_SMOOTHING: f64 = 30.0;
 /// Probing as Prequal does it: probes sent a request, kept at most, used each at most, too old after, and the quantile above which a
 /// member is hot.
-const PROBES: usize = 2;
-const PROBES_KEPT: usize = 16;
-const PROBE_USES: u32 = 3;
-const PROBE_OLD: Span = Span::millis(1_000);
-const HOT: f64 = 0.84;
+const PROBES_PER_REQUEST: usize = 2;
+const MAX_PROBES: usize = 16;
+const MAX_PROBE_USES: u32 = 3;
+const MAX_PROBE_AGE: Span = Span::millis(1_000);
+const HOT_QUANTILE: f64 = 0.84;
 
 /// Whom two choices are drawn from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -116,22 +116,22 @@
 
 /// What a pooler keeps of a server.
 #[derive(Clone, Copy, Debug, Default)]
-struct Pair {
-    out: u16,
+struct PoolerView {
+    in_flight: u16,
     /// The most that were out at once: connections are kept.
-    most: u16,
+    max_in_flight: u16,
     /// The sum of when what is out was sent.
-    sent: i64,
-    slow: Slowness,
-    speed: f64,
+    sent_at_sum: i64,
+    slowness: Slowness,
+    latency_ratio: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Probe {
-    at: Time,
-    to: u32,
-    held: f64,
-    takes: f64,
+    sent_at: Time,
+    server: u32,
+    jobs: f64,
+    latency: f64,
     uses: u32,
 }
 
@@ -141,11 +141,11 @@
     plan: Plan,
     rng: ChaCha8Rng,
     servers: usize,
-    pairs: Vec<Pair>,
-    pace: Vec<LatencyEstimate>,
+    views: Vec<PoolerView>,
+    latency: Vec<LatencyEstimate>,
     /// What was told last: when, and what each server held.
-    told_at: Time,
-    held: Vec<f64>,
+    published_at: Time,
+    published_jobs: Vec<f64>,
     /// Requests a second that a group gets, in the mean.
     rate: f64,
     probes: Vec<Vec<Probe>>,
@@ -162,10 +162,10 @@
             plan: *plan,
             rng: ChaCha8Rng::seed_from_u64(plan.seed ^ 0xC401CE),
             servers,
-            pairs: vec![Pair { speed: 1.0, ..Pair::default() }; servers * plan.poolers],
-            pace: vec![LatencyEstimate::initial(super::AIM); plan.poolers],
-            told_at: super::BEGIN,
-            held: vec![0.0; servers],
+            views: vec![PoolerView { latency_ratio: 1.0, ..PoolerView::default() }; servers * plan.poolers],
+            latency: vec![LatencyEstimate::initial(super::OBJECTIVE); plan.poolers],
+            published_at: super::BEGIN,
+            published_jobs: vec![0.0; servers],
             rate: rate / plan.groups as f64,
             probes: vec![Vec::new(); probed],
             messages: 0,
@@ -173,12 +173,12 @@
         }
     }
 
-    fn pair(&self, pooler: usize, to: u32) -> &Pair {
-        &self.pairs[pooler * self.servers + to as usize]
+    fn view(&self, pooler: usize, to: u32) -> &PoolerView {
+        &self.views[pooler * self.servers + to as usize]
     }
 
-    fn pair_mut(&mut self, pooler: usize, to: u32) -> &mut Pair {
-        &mut self.pairs[pooler * self.servers + to as usize]
+    fn view_mut(&mut self, pooler: usize, to: u32) -> &mut PoolerView {
+        &mut self.views[pooler * self.servers + to as usize]
     }
 
     pub(super) fn choose(
@@ -189,33 +189,35 @@
         members: &[Member],
     ) -> Option<u32> {
         let draw = self.rng.next_u32() as usize;
-        let all = pool.len();
-        if all == 0 {
+        let count = pool.len();
+        if count == 0 {
             return None;
         }
-        let any = pool[draw % all];
+        let random_member = pool[draw % count];
         Some(match self.scheme {
-            Scheme::Random => any,
-            Scheme::ForwardStep => self.forward(now, pooler, pool, draw % all),
+            Scheme::Random => random_member,
+            Scheme::ForwardStep => self.forward_from(now, pooler, pool, draw % count),
             Scheme::Windows => {
-                let first = subset::first_pick(draw, pooler as u32, self.plan.poolers as u32, all);
-                self.forward(now, pooler, pool, first)
+                let first = subset::first_pick(draw, pooler as u32, self.plan.poolers as u32, count);
+                self.forward_from(now, pooler, pool, first)
+            }
+            Scheme::TwoChoices(choice_pool) => self.two_choices(pooler, pool, choice_pool, members),
+            Scheme::LearnedSpeeds => self.by_learned_speed(pooler, pool),
+            Scheme::LeastPublished => {
+                self.least_loaded(pool, |this, server| this.published_jobs[server as usize])
             }
-            Scheme::TwoChoices(of) => self.two(pooler, pool, of, members),
-            Scheme::LearnedSpeeds => self.speeds(pooler, pool),
-            Scheme::LeastPublished => self.least_loaded(pool, |this, at| this.held[at as usize]),
             Scheme::ForwardPublished => {
-                self.loads = pool.iter().map(|at| 1.0 + self.held[*at as usize]).collect();
-                self.step(pool, draw % all)
+                self.loads = pool.iter().map(|server| 1.0 + self.published_jobs[*server as usize]).collect();
+                self.forward_step(pool, draw % count)
             }
-            Scheme::StaleInterpreted => self.interpreted(now, pool),
-            Scheme::Probes => self.probed(now, pooler, pool, members),
+            Scheme::StaleInterpreted => self.by_interpreted_loads(now, pool),
+            Scheme::Probes => self.by_probes(now, pooler, pool, members),
             Scheme::LeastOfStep => {
-                let first = subset::first_pick(draw, pooler as u32, self.plan.poolers as u32, all);
-                pool[forward::least_loaded(first, all, |at| self.load(now, pooler, pool[at]))]
+                let first = subset::first_pick(draw, pooler as u32, self.plan.poolers as u32, count);
+                pool[forward::least_loaded(first, count, |index| self.load(now, pooler, pool[index]))]
             }
-            Scheme::Central => self.least_loaded(pool, |_, at| {
-                let server = &members[at as usize].server;
+            Scheme::Central => self.least_loaded(pool, |_, server_index| {
+                let server = &members[server_index as usize].server;
                 (server.jobs() + 1) as f64 * server.slowdown / server.capacity(now)
             }),
         })
@@ -223,129 +225,140 @@
 
     /// As `choice.rs` has it.
     fn load(&self, now: Time, pooler: usize, to: u32) -> f64 {
-        let pair = self.pair(pooler, to);
-        let out = f64::from(pair.out);
-        let age = (now.0 as f64 - pair.sent as f64 / out.max(1.0)) / self.pace[pooler].mean.max(1.0);
-        (1.0 + out * age.clamp(1.0, LONGEST_WAIT)) * pair.slow.ratio(now)
+        let view = self.view(pooler, to);
+        let in_flight = f64::from(view.in_flight);
+        let age_ratio = (now.0 as f64 - view.sent_at_sum as f64 / in_flight.max(1.0))
+            / self.latency[pooler].mean.max(1.0);
+        (1.0 + in_flight * age_ratio.clamp(1.0, MAX_AGE_RATIO)) * view.slowness.ratio(now)
     }
 
-    fn forward(&mut self, now: Time, pooler: usize, pool: &[u32], first: usize) -> u32 {
-        self.loads = pool.iter().map(|at| self.load(now, pooler, *at)).collect();
-        self.step(pool, first)
+    fn forward_from(&mut self, now: Time, pooler: usize, pool: &[u32], first: usize) -> u32 {
+        self.loads = pool.iter().map(|server| self.load(now, pooler, *server)).collect();
+        self.forward_step(pool, first)
     }
 
-    fn step(&self, pool: &[u32], first: usize) -> u32 {
-        let valid = THRESHOLD * self.loads.iter().sum::<f64>() / pool.len() as f64;
+    fn forward_step(&self, pool: &[u32], first: usize) -> u32 {
+        let limit = THRESHOLD * self.loads.iter().sum::<f64>() / pool.len() as f64;
         let mut steps =
             (0..=forward::FORWARD_STEPS.min(pool.len() - 1)).map(|step| (first + step) % pool.len());
-        pool[steps.find(|at| self.loads[*at] <= valid).unwrap_or(first)]
+        pool[steps.find(|index| self.loads[*index] <= limit).unwrap_or(first)]
     }
 
     /// The least; of equals one by chance.
     fn least_loaded(&mut self, pool: &[u32], load: impl Fn(&Self, u32) -> f64) -> u32 {
         let begin = self.rng.next_u32() as usize;
-        let order = (0..pool.len()).map(|at| pool[(begin + at) % pool.len()]);
+        let order = (0..pool.len()).map(|index| pool[(begin + index) % pool.len()]);
         let least = order.min_by(|a, b| load(self, *a).total_cmp(&load(self, *b)));
         least.unwrap_or(pool[0])
     }
 
-    fn two(&mut self, pooler: usize, pool: &[u32], of: ChoicePool, members: &[Member]) -> u32 {
-        let mut part: Vec<u32> = match of {
+    fn two_choices(
+        &mut self,
+        pooler: usize,
+        pool: &[u32],
+        choice_pool: ChoicePool,
+        members: &[Member],
+    ) -> u32 {
+        let mut candidates: Vec<u32> = match choice_pool {
             ChoicePool::All => pool.to_vec(),
             ChoicePool::Zone => {
-                let near = |at: &&u32| members[**at as usize].zone == pooler % ZONES;
+                let near = |server: &&u32| members[**server as usize].zone == pooler % ZONES;
                 pool.iter().filter(near).copied().collect()
             }
             ChoicePool::Ring | ChoicePool::RingPublished => {
                 let begin = pooler * pool.len() / self.plan.poolers;
-                (0..APERTURE.min(pool.len())).map(|at| pool[(begin + at) % pool.len()]).collect()
+                (0..SUBSET_SIZE.min(pool.len())).map(|index| pool[(begin + index) % pool.len()]).collect()
             }
         };
-        if part.is_empty() {
-            part.extend(pool);
+        if candidates.is_empty() {
+            candidates.extend(pool);
         }
-        let first = part.swap_remove(self.rng.random_range(0..part.len()));
-        if part.is_empty() {
+        let first = candidates.swap_remove(self.rng.random_range(0..candidates.len()));
+        if candidates.is_empty() {
             return first;
         }
-        let second = part[self.rng.random_range(0..part.len())];
-        let load = |at: u32| match of {
-            ChoicePool::RingPublished => self.held[at as usize],
-            _ => f64::from(self.pair(pooler, at).out),
+        let second = candidates[self.rng.random_range(0..candidates.len())];
+        let load = |server: u32| match choice_pool {
+            ChoicePool::RingPublished => self.published_jobs[server as usize],
+            _ => f64::from(self.view(pooler, server).in_flight),
         };
         if load(second) < load(first) { second } else { first }
     }
 
-    fn speeds(&mut self, pooler: usize, pool: &[u32]) -> u32 {
-        let all: f64 = pool.iter().map(|at| self.pair(pooler, *at).speed.recip()).sum();
-        let mut left = self.rng.random::<f64>() * all;
-        for at in pool {
-            left -= self.pair(pooler, *at).speed.recip();
-            if left < 0.0 {
-                return *at;
+    fn by_learned_speed(&mut self, pooler: usize, pool: &[u32]) -> u32 {
+        let total: f64 = pool.iter().map(|server| self.view(pooler, *server).latency_ratio.recip()).sum();
+        let mut remaining = self.rng.random::<f64>() * total;
+        for server in pool {
+            remaining -= self.view(pooler, *server).latency_ratio.recip();
+            if remaining < 0.0 {
+                return *server;
             }
         }
         pool[0]
     }
 
     /// Each member gets what is left between what it held and a level that all that has come since fills up to.
-    fn interpreted(&mut self, now: Time, pool: &[u32]) -> u32 {
-        let came = (self.rate * (now - self.told_at).0 as f64 / 1e6).max(1.0);
-        let mut held: Vec<f64> = pool.iter().map(|at| self.held[*at as usize]).collect();
-        held.sort_by(f64::total_cmp);
+    fn by_interpreted_loads(&mut self, now: Time, pool: &[u32]) -> u32 {
+        let arrived = (self.rate * (now - self.published_at).0 as f64 / 1e6).max(1.0);
+        let mut jobs: Vec<f64> = pool.iter().map(|server| self.published_jobs[*server as usize]).collect();
+        jobs.sort_by(f64::total_cmp);
         let (mut sum, mut level) = (0.0, 0.0);
-        for (count, one) in held.iter().enumerate() {
-            if count > 0 && level <= *one {
+        for (count, server_jobs) in jobs.iter().enumerate() {
+            if count > 0 && level <= *server_jobs {
                 break;
             }
-            sum += one;
-            level = (sum + came) / (count + 1) as f64;
+            sum += server_jobs;
+            level = (sum + arrived) / (count + 1) as f64;
         }
-        let mut left = self.rng.random::<f64>() * came;
-        for at in pool {
-            left -= (level - self.held[*at as usize]).max(0.0);
-            if left < 0.0 {
-                return *at;
+        let mut remaining = self.rng.random::<f64>() * arrived;
+        for server in pool {
+            remaining -= (level - self.published_jobs[*server as usize]).max(0.0);
+            if remaining < 0.0 {
+                return *server;
             }
         }
         pool[0]
     }
 
-    fn probed(&mut self, now: Time, pooler: usize, pool: &[u32], members: &[Member]) -> u32 {
+    fn by_probes(&mut self, now: Time, pooler: usize, pool: &[u32], members: &[Member]) -> u32 {
         let slot = pooler * self.plan.groups + pool[0] as usize / self.plan.members;
         let mut kept = std::mem::take(&mut self.probes[slot]);
-        kept.retain(|of| now - of.at < PROBE_OLD && of.uses < PROBE_USES);
-        let mut rifs: Vec<f64> = kept.iter().map(|of| of.held).collect();
-        rifs.sort_by(f64::total_cmp);
-        let hot = rifs.get((rifs.len() as f64 * HOT) as usize).copied().unwrap_or(f64::INFINITY);
-        let usable = |of: &&mut Probe| pool.contains(&of.to);
-        let cold = kept.iter_mut().filter(usable).filter(|of| of.held < hot);
-        let cold = cold.min_by(|a, b| a.takes.total_cmp(&b.takes));
+        kept.retain(|probe| now - probe.sent_at < MAX_PROBE_AGE && probe.uses < MAX_PROBE_USES);
+        let mut job_counts: Vec<f64> = kept.iter().map(|probe| probe.jobs).collect();
+        job_counts.sort_by(f64::total_cmp);
+        let hot = job_counts
+            .get((job_counts.len() as f64 * HOT_QUANTILE) as usize)
+            .copied()
+            .unwrap_or(f64::INFINITY);
+        let usable = |probe: &&mut Probe| pool.contains(&probe.server);
+        let cold = kept.iter_mut().filter(usable).filter(|probe| probe.jobs < hot);
+        let cold = cold.min_by(|a, b| a.latency.total_cmp(&b.latency));
         let best = match cold {
             Some(best) => Some(best),
-            None => kept.iter_mut().filter(usable).min_by(|a, b| a.held.total_cmp(&b.held)),
+            None => kept.iter_mut().filter(usable).min_by(|a, b| a.jobs.total_cmp(&b.jobs)),
         };
         let pick = match best {
             Some(best) => {
                 best.uses += 1;
-                best.held += 1.0;
-                best.to
+                best.jobs += 1.0;
+                best.server
             }
             None => pool[self.rng.random_range(0..pool.len())],
         };
         // They come back after the choice, and serve the next ones.
-        for _ in 0..PROBES {
-            let to = pool[self.rng.random_range(0..pool.len())];
-            let of = &members[to as usize];
-            if of.server.state() != crate::server::ServerState::Up {
+        for _ in 0..PROBES_PER_REQUEST {
+            let server = pool[self.rng.random_range(0..pool.len())];
+            let member = &members[server as usize];
+            if member.server.state() != crate::server::ServerState::Up {
                 continue;
             }
-            let held = of.server.jobs() as f64;
-            let takes = (held / of.config.cores as f64).max(1.0) * of.server.slowdown / of.config.speed;
-            if kept.len() == PROBES_KEPT {
+            let jobs = member.server.jobs() as f64;
+            let latency =
+                (jobs / member.config.cores as f64).max(1.0) * member.server.slowdown / member.config.speed;
+            if kept.len() == MAX_PROBES {
                 kept.remove(0);
             }
-            kept.push(Probe { at: now, to, held, takes, uses: 0 });
+            kept.push(Probe { sent_at: now, server, jobs, latency, uses: 0 });
             self.messages += 1;
         }
         self.probes[slot] = kept;
@@ -353,46 +366,46 @@
     }
 
     /// One is about to be sent; gives whether it needs a new connection.
-    pub(super) fn connects(&mut self, pooler: usize, to: u32) -> bool {
-        let pair = self.pair_mut(pooler, to);
-        let new = pair.out >= pair.most;
-        pair.most = pair.most.max(pair.out + 1);
+    pub(super) fn opens_connection(&mut self, pooler: usize, to: u32) -> bool {
+        let view = self.view_mut(pooler, to);
+        let new = view.in_flight >= view.max_in_flight;
+        view.max_in_flight = view.max_in_flight.max(view.in_flight + 1);
         new
     }
 
-    pub(super) fn sent(&mut self, now: Time, pooler: usize, to: u32) {
-        let pair = self.pair_mut(pooler, to);
-        pair.out += 1;
-        pair.sent += now.0;
+    pub(super) fn record_send(&mut self, now: Time, pooler: usize, to: u32) {
+        let view = self.view_mut(pooler, to);
+        view.in_flight += 1;
+        view.sent_at_sum += now.0;
     }
 
-    pub(super) fn lost(&mut self, pooler: usize, to: u32, sent: Time) {
-        let pair = self.pair_mut(pooler, to);
-        pair.out = pair.out.saturating_sub(1);
-        pair.sent -= sent.0;
+    pub(super) fn forget(&mut self, pooler: usize, to: u32, sent: Time) {
+        let view = self.view_mut(pooler, to);
+        view.in_flight = view.in_flight.saturating_sub(1);
+        view.sent_at_sum -= sent.0;
     }
 
-    pub(super) fn answered(&mut self, now: Time, pooler: usize, to: u32, sent: Time, took: Span) {
-        self.lost(pooler, to, sent);
-        let ratio = took.0 as f64 / self.pace[pooler].mean.max(1.0);
-        let pair = self.pair_mut(pooler, to);
-        pair.slow.observe(now, 1, ratio);
-        pair.speed += (ratio.clamp(0.1, 10.0) - pair.speed) / SPEED_MEMORY;
-        self.pace[pooler].observe(took.0 as f64);
+    pub(super) fn record_answer(&mut self, now: Time, pooler: usize, to: u32, sent: Time, took: Span) {
+        self.forget(pooler, to, sent);
+        let ratio = took.0 as f64 / self.latency[pooler].mean.max(1.0);
+        let view = self.view_mut(pooler, to);
+        view.slowness.observe(now, 1, ratio);
+        view.latency_ratio += (ratio.clamp(0.1, 10.0) - view.latency_ratio) / SPEED_SMOOTHING;
+        self.latency[pooler].observe(took.0 as f64);
     }
 
-    pub(super) fn told(&mut self, now: Time, members: &[Member]) {
-        self.told_at = now;
-        for (held, of) in self.held.iter_mut().zip(members) {
-            *held = of.server.jobs() as f64;
+    pub(super) fn publish(&mut self, now: Time, members: &[Member]) {
+        self.published_at = now;
+        for (jobs, member) in self.published_jobs.iter_mut().zip(members) {
+            *jobs = member.server.jobs() as f64;
         }
         if self.scheme.uses_published_loads() {
             self.messages += (self.plan.poolers * (self.plan.poolers - 1)) as u64;
         }
     }
 
-    pub(super) fn tell(&self, figures: &mut Figures) {
-        figures.connections = self.pairs.iter().map(|of| u64::from(of.most)).sum();
+    pub(super) fn write_figures(&self, figures: &mut Figures) {
+        figures.connections = self.views.iter().map(|view| u64::from(view.max_in_flight)).sum();
         figures.messages = self.messages;
     }
 }
--- a/crates/fleet/src/event_queue.rs
+++ b/crates/fleet/src/event_queue.rs
@@ -5,61 +5,61 @@
 use std::collections::BinaryHeap;
 
 #[derive(Clone, Debug)]
-struct Due<E> {
+struct Scheduled<E> {
     at: Time,
-    number: u64,
+    sequence: u64,
     event: E,
 }
 
-impl<E> PartialEq for Due<E> {
+impl<E> PartialEq for Scheduled<E> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl<E> Eq for Due<E> {}
+impl<E> Eq for Scheduled<E> {}
 
-impl<E> PartialOrd for Due<E> {
+impl<E> PartialOrd for Scheduled<E> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<E> Ord for Due<E> {
+impl<E> Ord for Scheduled<E> {
     /// The earliest is the greatest; of equal times the one that was entered first.
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.number).cmp(&(self.at, self.number))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
 /// Events that are due.
 #[derive(Clone, Debug)]
 pub struct EventQueue<E> {
-    due: BinaryHeap<Due<E>>,
-    number: u64,
+    heap: BinaryHeap<Scheduled<E>>,
+    last_sequence: u64,
 }
 
 impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        Self { due: BinaryHeap::new(), number: 0 }
+        Self { heap: BinaryHeap::new(), last_sequence: 0 }
     }
 }
 
 impl<E> EventQueue<E> {
     /// Enters one.
     pub fn schedule(&mut self, at: Time, event: E) {
-        self.number += 1;
-        self.due.push(Due { at, number: self.number, event });
+        self.last_sequence += 1;
+        self.heap.push(Scheduled { at, sequence: self.last_sequence, event });
     }
 
     /// When the next is due.
     #[must_use]
     pub fn next_time(&self) -> Option<Time> {
-        self.due.peek().map(|due| due.at)
+        self.heap.peek().map(|next| next.at)
     }
 
     /// Takes the next.
     pub fn pop(&mut self) -> Option<(Time, E)> {
-        self.due.pop().map(|due| (due.at, due.event))
+        self.heap.pop().map(|next| (next.at, next.event))
     }
 }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 
 /// The shortest change without a plan, as a part of the usual.
-pub const LEAST_CHANGE: f64 = 0.75;
+pub const MIN_CHANGE_FACTOR: f64 = 0.75;
 
 /// What happens to boxes by themselves or by plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// A trouble of the scenario begins.
     TroubleStarts {
         /// Its number.
-        at: usize,
+        trouble: usize,
     },
     /// It befalls a box.
     TroubleHits {
@@ -124,7 +124,7 @@
     /// The latest report, and when it was made.
     report: (Time, [f64; 3]),
     /// When the list tells of its latest change.
-    noticed: Time,
+    list_visible_at: Time,
 }
 
 /// What becomes of a request that has come to a box.
@@ -152,12 +152,12 @@
 /// All boxes.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    plan: Scenario,
+    scenario: Scenario,
     begin: Time,
     /// In the order of groups.
     pub hosts: Vec<Host>,
     groups: Vec<Group>,
-    epochs: Vec<u32>,
+    election_epochs: Vec<u32>,
     /// What the list has said so far.
     pub changes: Vec<ListChange>,
     /// When boxes took over as primaries.
@@ -165,14 +165,14 @@
     /// Boxes that fell.
     pub collapsed: u64,
     /// How much further behind the list runs than usual.
-    behind: Span,
+    extra_list_delay: Span,
 }
 
 impl Fleet {
     /// The boxes of a scenario that begins then.
     #[must_use]
-    pub fn new(plan: &Scenario, begin: Time, rng: &mut ChaCha8Rng) -> Self {
-        let (boxes, fleet) = (&plan.boxes, &plan.fleet);
+    pub fn new(scenario: &Scenario, begin: Time, rng: &mut ChaCha8Rng) -> Self {
+        let (boxes, fleet) = (&scenario.boxes, &scenario.fleet);
         let timing = ReplicationTiming {
             ship: boxes.ship,
             apply: boxes.apply,
@@ -201,7 +201,7 @@
                     incarnation: 0,
                     hangs: false,
                     report: (Time(0), [0.0; 3]),
-                    noticed: begin,
+                    list_visible_at: begin,
                 });
             }
         }
@@ -209,33 +209,36 @@
             begin,
             hosts,
             groups: vec![Group::new(timing, fleet.members, begin); fleet.groups],
-            epochs: vec![0; fleet.groups],
+            election_epochs: vec![0; fleet.groups],
             changes: Vec::new(),
             promotions: Vec::new(),
             collapsed: 0,
-            behind: Span(0),
-            plan: plan.clone(),
+            extra_list_delay: Span(0),
+            scenario: scenario.clone(),
         }
     }
 
     /// How long changes of primary take, planned and not, as an operator would tell poolers.
     #[must_use]
-    pub fn expected(plan: &Scenario) -> [Option<Expected>; 2] {
-        let boxes = &plan.boxes;
+    pub fn expected(scenario: &Scenario) -> [Option<Expected>; 2] {
+        let boxes = &scenario.boxes;
         [boxes.switch, Span(boxes.detect.0 + boxes.elect.0)].map(|usual| {
-            let least = usual.times(LEAST_CHANGE);
-            plan.fleet.expected.then_some(Expected { least, usual })
+            let least = usual.times(MIN_CHANGE_FACTOR);
+            scenario.fleet.expected.then_some(Expected { least, usual })
         })
     }
 
     /// What was planned of troubles, to be scheduled at the beginning.
-    pub fn schedule_troubles(&self, out: &mut Vec<FleetAction>) {
-        for (at, trouble) in self.plan.troubles.iter().enumerate() {
-            out.push(FleetAction::Schedule(self.begin + trouble.at, FleetEvent::TroubleStarts { at }));
+    pub fn schedule_troubles(&self, actions: &mut Vec<FleetAction>) {
+        for (index, trouble) in self.scenario.troubles.iter().enumerate() {
+            actions.push(FleetAction::Schedule(
+                self.begin + trouble.at,
+                FleetEvent::TroubleStarts { trouble: index },
+            ));
         }
     }
 
-    fn place(&self, server: u32) -> (usize, usize) {
+    fn location(&self, server: u32) -> (usize, usize) {
         let host = &self.hosts[server as usize];
         (host.group as usize, host.member as usize)
     }
@@ -243,20 +246,20 @@
     /// Whether it is its group's primary.
     #[must_use]
     pub fn is_primary(&self, server: u32) -> bool {
-        let (group, member) = self.place(server);
+        let (group, member) = self.location(server);
         self.groups[group].primary() == Some(member)
     }
 
     /// Up to where it has applied the log.
     pub fn position(&mut self, server: u32, now: Time) -> Time {
-        let (group, member) = self.place(server);
+        let (group, member) = self.location(server);
         self.groups[group].position(member, now)
     }
 
     /// How long a commit takes to a replica.
     #[must_use]
     pub fn ship(&self) -> Span {
-        self.plan.boxes.ship
+        self.scenario.boxes.ship
     }
 
     /// A request has come to a box whole.
@@ -267,7 +270,7 @@
         job: Job,
         write: bool,
         rng: &mut ChaCha8Rng,
-        out: &mut Vec<FleetAction>,
+        actions: &mut Vec<FleetAction>,
     ) -> Delivery {
         let state = self.hosts[server as usize].server.state();
         if matches!(state, ServerState::Dead | ServerState::Collapsed) {
@@ -275,20 +278,20 @@
         }
         if write && state == ServerState::Up && !self.is_primary(server) {
             let note = self.note(server, now);
-            let drains = self.hosts[server as usize].server.draining;
-            return Delivery::Answered(if drains { Verdict::Full } else { Verdict::Miss }, note);
+            let draining = self.hosts[server as usize].server.draining;
+            return Delivery::Answered(if draining { Verdict::Full } else { Verdict::Miss }, note);
         }
         match self.hosts[server as usize].server.admit(now, job) {
-            Admission::Started(ends) => {
-                out.push(FleetAction::Schedule(ends, FleetEvent::JobDone { server, id: job.id }))
+            Admission::Started(ends_at) => {
+                actions.push(FleetAction::Schedule(ends_at, FleetEvent::JobDone { server, id: job.id }))
             }
             Admission::Queued => {}
             Admission::Rejected => return Delivery::Answered(Verdict::Full, self.note(server, now)),
             Admission::Down => return Delivery::ConnectionLost,
             Admission::Collapsed => {
                 self.collapsed += 1;
-                out.push(FleetAction::Record(RecordKind::Fell, server, 0, 0));
-                self.dies(now, server, rng, out);
+                actions.push(FleetAction::Record(RecordKind::Fell, server, 0, 0));
+                self.kill_box(now, server, rng, actions);
                 return Delivery::ConnectionLost;
             }
         }
@@ -311,7 +314,7 @@
         if !self.is_primary(server) {
             return JobResult::RoleLost(self.note(server, now));
         }
-        let (group, _) = self.place(server);
+        let (group, _) = self.location(server);
         self.groups[group].commit(now);
         JobResult::Committed(now)
     }
@@ -325,105 +328,117 @@
             ServerState::Paused(_) if host.hangs => {}
             _ => return None,
         }
-        if now - host.report.0 >= self.plan.boxes.report {
+        if now - host.report.0 >= self.scenario.boxes.report {
             let primary = self.is_primary(server);
             let position = self.position(server, now);
-            let waits = self.hosts[server as usize].server.queued() as f64;
-            let report = [(position - self.begin).0 as f64 / 1e6, f64::from(u8::from(primary)), waits];
+            let queued = self.hosts[server as usize].server.queued() as f64;
+            let report = [(position - self.begin).0 as f64 / 1e6, f64::from(u8::from(primary)), queued];
             self.hosts[server as usize].report = (now, report);
         }
         Some(self.hosts[server as usize].report.1)
     }
 
     /// Something happens.
-    pub fn handle(&mut self, now: Time, what: FleetEvent, rng: &mut ChaCha8Rng, out: &mut Vec<FleetAction>) {
-        match what {
+    pub fn handle(
+        &mut self,
+        now: Time,
+        event: FleetEvent,
+        rng: &mut ChaCha8Rng,
+        actions: &mut Vec<FleetAction>,
+    ) {
+        match event {
             FleetEvent::JobDone { server, id } => {
                 if let Some(next) = self.hosts[server as usize].server.complete(now, id) {
-                    if let Some((id, ends)) = next {
-                        out.push(FleetAction::Schedule(ends, FleetEvent::JobDone { server, id }));
+                    if let Some((id, ends_at)) = next {
+                        actions.push(FleetAction::Schedule(ends_at, FleetEvent::JobDone { server, id }));
                     }
-                    out.push(FleetAction::JobDone(server, id));
+                    actions.push(FleetAction::JobDone(server, id));
                 }
             }
-            FleetEvent::TroubleStarts { at } => self.trouble(now, at, rng, out),
-            FleetEvent::TroubleHits { trouble, server } => self.befalls(now, trouble, server, rng, out),
+            FleetEvent::TroubleStarts { trouble } => self.start_trouble(now, trouble, rng, actions),
+            FleetEvent::TroubleHits { trouble, server } => {
+                self.apply_trouble(now, trouble, server, rng, actions)
+            }
             FleetEvent::TroubleEnds { trouble, server, incarnation } => {
-                self.ends_trouble(now, trouble, server, incarnation, rng, out)
+                self.end_trouble(now, trouble, server, incarnation, rng, actions)
             }
             FleetEvent::SuccessorStarts { server, incarnation } => {
-                self.starts(now, server, incarnation, rng, out)
+                self.start_box(now, server, incarnation, rng, actions)
             }
-            FleetEvent::Elect { group, epoch } => self.elect(now, group, epoch, out),
+            FleetEvent::Elect { group, epoch } => self.elect(now, group, epoch, actions),
             FleetEvent::Promote { group, epoch, member } => {
-                self.promote(now, (group, epoch, member), rng, out)
+                self.promote(now, (group, epoch, member), rng, actions)
             }
         }
     }
 
     /// The list says something from now on; those who follow it hear of it in their own time.
-    fn list(
+    fn change_list(
         &mut self,
         now: Time,
         server: u32,
         state: ListState,
         (started, primary): (Option<Time>, bool),
         rng: &mut ChaCha8Rng,
-        out: &mut Vec<FleetAction>,
+        actions: &mut Vec<FleetAction>,
     ) {
         let number = self.changes.len() as i64 + 1;
         self.changes.push(ListChange { server, state, started, primary, number });
-        let (least, most) = (self.plan.network.list_least.0, self.plan.network.list_most.0);
-        let notice = now + Span(rng.random_range(least..=most)) + self.behind;
+        let (min_delay, max_delay) = (self.scenario.network.list_least.0, self.scenario.network.list_most.0);
+        let visible_at = now + Span(rng.random_range(min_delay..=max_delay)) + self.extra_list_delay;
         // What it says of one box it says in order.
         let host = &mut self.hosts[server as usize];
-        host.noticed = host.noticed.max(notice);
-        out.push(FleetAction::ListChanged(self.changes.len() - 1, host.noticed));
+        host.list_visible_at = host.list_visible_at.max(visible_at);
+        actions.push(FleetAction::ListChanged(self.changes.len() - 1, host.list_visible_at));
     }
 
     /// What a box held is lost with it, and its group may need another primary.
-    fn dies(&mut self, now: Time, server: u32, rng: &mut ChaCha8Rng, out: &mut Vec<FleetAction>) {
+    fn kill_box(&mut self, now: Time, server: u32, rng: &mut ChaCha8Rng, actions: &mut Vec<FleetAction>) {
         let lost = self.hosts[server as usize].server.die();
         self.hosts[server as usize].incarnation += 1;
-        out.extend(lost.into_iter().map(FleetAction::JobLost));
-        out.push(FleetAction::StateChanged(server));
-        self.list(now, server, ListState::Gone, (None, false), rng, out);
-        self.leaves(now, server, rng, out);
+        actions.extend(lost.into_iter().map(FleetAction::JobLost));
+        actions.push(FleetAction::StateChanged(server));
+        self.change_list(now, server, ListState::Gone, (None, false), rng, actions);
+        self.leave_group(now, server, rng, actions);
     }
 
-    fn leaves(&mut self, now: Time, server: u32, rng: &mut ChaCha8Rng, out: &mut Vec<FleetAction>) {
-        let (group, member) = self.place(server);
+    fn leave_group(&mut self, now: Time, server: u32, rng: &mut ChaCha8Rng, actions: &mut Vec<FleetAction>) {
+        let (group, member) = self.location(server);
         if self.groups[group].leave(member, now) {
-            let takes = Span(self.plan.boxes.detect.0 + self.plan.boxes.elect.0);
-            self.seeks(group, now + takes.times(LEAST_CHANGE + 0.5 * rng.random::<f64>()), out);
+            let usual = Span(self.scenario.boxes.detect.0 + self.scenario.boxes.elect.0);
+            self.schedule_election(
+                group,
+                now + usual.times(MIN_CHANGE_FACTOR + 0.5 * rng.random::<f64>()),
+                actions,
+            );
         }
     }
 
-    fn seeks(&mut self, group: usize, at: Time, out: &mut Vec<FleetAction>) {
-        self.epochs[group] += 1;
-        out.push(FleetAction::Schedule(
+    fn schedule_election(&mut self, group: usize, at: Time, actions: &mut Vec<FleetAction>) {
+        self.election_epochs[group] += 1;
+        actions.push(FleetAction::Schedule(
             at,
-            FleetEvent::Elect { group: group as u32, epoch: self.epochs[group] },
+            FleetEvent::Elect { group: group as u32, epoch: self.election_epochs[group] },
         ));
     }
 
-    fn elect(&mut self, now: Time, group: u32, epoch: u32, out: &mut Vec<FleetAction>) {
-        if self.epochs[group as usize] != epoch || self.groups[group as usize].primary().is_some() {
+    fn elect(&mut self, now: Time, group: u32, epoch: u32, actions: &mut Vec<FleetAction>) {
+        if self.election_epochs[group as usize] != epoch || self.groups[group as usize].primary().is_some() {
             return;
         }
-        let first = group as usize * self.plan.fleet.members;
+        let first = group as usize * self.scenario.fleet.members;
         let hosts = &self.hosts;
-        let may = |at: usize| {
-            let server = &hosts[first + at].server;
+        let eligible = |member: usize| {
+            let server = &hosts[first + member].server;
             server.state() == ServerState::Up && !server.draining
         };
-        let next = match self.groups[group as usize].successor(now, may) {
+        let next = match self.groups[group as usize].successor(now, eligible) {
             Some((member, at)) => {
                 FleetAction::Schedule(at, FleetEvent::Promote { group, epoch, member: member as u32 })
             }
             None => FleetAction::Schedule(now + Span::millis(200), FleetEvent::Elect { group, epoch }),
         };
-        out.push(next);
+        actions.push(next);
     }
 
     fn promote(
@@ -431,24 +446,24 @@
         now: Time,
         (group, epoch, member): (u32, u32, u32),
         rng: &mut ChaCha8Rng,
-        out: &mut Vec<FleetAction>,
+        actions: &mut Vec<FleetAction>,
     ) {
-        if self.epochs[group as usize] != epoch || self.groups[group as usize].primary().is_some() {
+        if self.election_epochs[group as usize] != epoch || self.groups[group as usize].primary().is_some() {
             return;
         }
-        let server = group as usize * self.plan.fleet.members + member as usize;
+        let server = group as usize * self.scenario.fleet.members + member as usize;
         if self.hosts[server].server.state() != ServerState::Up {
-            return self.elect(now, group, epoch, out);
+            return self.elect(now, group, epoch, actions);
         }
         self.groups[group as usize].promote(member as usize, now);
         self.promotions.push((now, server as u32));
         let started = self.hosts[server].server.started();
-        self.list(now, server as u32, ListState::Healthy, (started, true), rng, out);
+        self.change_list(now, server as u32, ListState::Healthy, (started, true), rng, actions);
     }
 
     /// Whom a trouble befalls, in the order in which it does.
-    fn befallen(&self, trouble: &Trouble, rng: &mut ChaCha8Rng) -> Vec<u32> {
-        let members = self.plan.fleet.members;
+    fn affected(&self, trouble: &Trouble, rng: &mut ChaCha8Rng) -> Vec<u32> {
+        let members = self.scenario.fleet.members;
         match trouble.who {
             Target::Primary => (0..trouble.groups)
                 .filter_map(|group| Some((group * members + self.groups[group].primary()?) as u32))
@@ -456,131 +471,138 @@
             Target::Replica(number) => (0..trouble.groups)
                 .filter_map(|group| {
                     let primary = self.groups[group].primary();
-                    let mut replicas = (0..members).filter(|at| Some(*at) != primary);
-                    replicas.nth(number).map(|at| (group * members + at) as u32)
+                    let mut replicas = (0..members).filter(|member| Some(*member) != primary);
+                    replicas.nth(number).map(|member| (group * members + member) as u32)
                 })
                 .collect(),
-            Target::Boxes(share) => some(self.hosts.len(), share, rng),
-            Target::Poolers(share) => some(self.plan.fleet.poolers, share, rng),
+            Target::Boxes(share) => random_share(self.hosts.len(), share, rng),
+            Target::Poolers(share) => random_share(self.scenario.fleet.poolers, share, rng),
             Target::List => Vec::new(),
         }
     }
 
-    fn trouble(&mut self, now: Time, at: usize, rng: &mut ChaCha8Rng, out: &mut Vec<FleetAction>) {
-        let trouble = &self.plan.troubles[at];
+    fn start_trouble(
+        &mut self,
+        now: Time,
+        index: usize,
+        rng: &mut ChaCha8Rng,
+        actions: &mut Vec<FleetAction>,
+    ) {
+        let trouble = &self.scenario.troubles[index];
         if matches!(trouble.what, TroubleKind::Surge | TroubleKind::Stale | TroubleKind::Overbook) {
             match trouble.what {
-                TroubleKind::Stale => self.behind = Span::millis(1_000).times(trouble.factor),
-                TroubleKind::Overbook => out.push(FleetAction::ListOverbooked(trouble.factor)),
-                _ => out.push(FleetAction::SetSurge(trouble.factor)),
+                TroubleKind::Stale => self.extra_list_delay = Span::millis(1_000).times(trouble.factor),
+                TroubleKind::Overbook => actions.push(FleetAction::ListOverbooked(trouble.factor)),
+                _ => actions.push(FleetAction::SetSurge(trouble.factor)),
             }
-            out.push(FleetAction::Record(RecordKind::Trouble, 0, 0, trouble.what as i64));
+            actions.push(FleetAction::Record(RecordKind::Trouble, 0, 0, trouble.what as i64));
             if let Some(lasts) = trouble.lasts {
-                out.push(FleetAction::Schedule(
+                actions.push(FleetAction::Schedule(
                     now + lasts,
-                    FleetEvent::TroubleEnds { trouble: at, server: 0, incarnation: 0 },
+                    FleetEvent::TroubleEnds { trouble: index, server: 0, incarnation: 0 },
                 ));
             }
             return;
         }
         let poolers = matches!(trouble.who, Target::Poolers(_));
-        for (place, one) in self.befallen(trouble, rng).into_iter().enumerate() {
-            let when = now + trouble.apart.times(place as f64);
-            out.push(if poolers {
-                FleetAction::KillPooler(when, at, one)
+        for (position, target) in self.affected(trouble, rng).into_iter().enumerate() {
+            let when = now + trouble.apart.times(position as f64);
+            actions.push(if poolers {
+                FleetAction::KillPooler(when, index, target)
             } else {
-                FleetAction::Schedule(when, FleetEvent::TroubleHits { trouble: at, server: one })
+                FleetAction::Schedule(when, FleetEvent::TroubleHits { trouble: index, server: target })
             });
         }
     }
 
-    fn befalls(
+    fn apply_trouble(
         &mut self,
         now: Time,
-        at: usize,
+        index: usize,
         server: u32,
         rng: &mut ChaCha8Rng,
-        out: &mut Vec<FleetAction>,
+        actions: &mut Vec<FleetAction>,
     ) {
         let (what, factor, lasts) = {
-            let trouble = &self.plan.troubles[at];
+            let trouble = &self.scenario.troubles[index];
             (trouble.what, trouble.factor, trouble.lasts)
         };
-        out.push(FleetAction::Record(RecordKind::Trouble, server, 0, what as i64));
-        let (group, member) = self.place(server);
-        let model = &mut self.hosts[server as usize].server;
-        if what == TroubleKind::Deploy && matches!(model.state(), ServerState::Dead | ServerState::Collapsed)
+        actions.push(FleetAction::Record(RecordKind::Trouble, server, 0, what as i64));
+        let (group, member) = self.location(server);
+        let server_model = &mut self.hosts[server as usize].server;
+        if what == TroubleKind::Deploy
+            && matches!(server_model.state(), ServerState::Dead | ServerState::Collapsed)
         {
             return;
         }
         match what {
             TroubleKind::Crash => {
-                if matches!(model.state(), ServerState::Up | ServerState::Paused(_)) {
-                    self.dies(now, server, rng, out);
+                if matches!(server_model.state(), ServerState::Up | ServerState::Paused(_)) {
+                    self.kill_box(now, server, rng, actions);
                 }
             }
             TroubleKind::Pause | TroubleKind::Hang => {
-                model.pause(now);
+                server_model.pause(now);
                 self.hosts[server as usize].hangs = what == TroubleKind::Hang;
-                out.push(FleetAction::StateChanged(server));
-                self.leaves(now, server, rng, out);
+                actions.push(FleetAction::StateChanged(server));
+                self.leave_group(now, server, rng, actions);
             }
-            TroubleKind::Slow => model.slowdown = factor,
+            TroubleKind::Slow => server_model.slowdown = factor,
             TroubleKind::Lag => self.groups[group].set_apply_factor(member, factor),
             TroubleKind::Drain | TroubleKind::Deploy => {
-                model.draining = true;
-                self.list(now, server, ListState::Draining, (None, false), rng, out);
+                server_model.draining = true;
+                self.change_list(now, server, ListState::Draining, (None, false), rng, actions);
                 if self.groups[group].primary() == Some(member) {
                     self.groups[group].hand_over(now);
-                    self.seeks(group, now + self.plan.boxes.switch, out);
+                    self.schedule_election(group, now + self.scenario.boxes.switch, actions);
                 }
             }
             TroubleKind::Surge | TroubleKind::Stale | TroubleKind::Overbook => {}
         }
         if let Some(lasts) = lasts {
             let incarnation = self.hosts[server as usize].incarnation;
-            out.push(FleetAction::Schedule(
+            actions.push(FleetAction::Schedule(
                 now + lasts,
-                FleetEvent::TroubleEnds { trouble: at, server, incarnation },
+                FleetEvent::TroubleEnds { trouble: index, server, incarnation },
             ));
         }
     }
 
-    fn ends_trouble(
+    fn end_trouble(
         &mut self,
         now: Time,
-        at: usize,
+        index: usize,
         server: u32,
         incarnation: u32,
         rng: &mut ChaCha8Rng,
-        out: &mut Vec<FleetAction>,
+        actions: &mut Vec<FleetAction>,
     ) {
-        let what = self.plan.troubles[at].what;
-        let (group, member) = self.place(server);
+        let what = self.scenario.troubles[index].what;
+        let (group, member) = self.location(server);
         let host = &mut self.hosts[server as usize];
         match what {
-            TroubleKind::Surge => out.push(FleetAction::SetSurge(1.0)),
-            TroubleKind::Stale => self.behind = Span(0),
-            TroubleKind::Overbook => out.push(FleetAction::ListOverbooked(1.0)),
-            TroubleKind::Crash => self.starts(now, server, incarnation, rng, out),
+            TroubleKind::Surge => actions.push(FleetAction::SetSurge(1.0)),
+            TroubleKind::Stale => self.extra_list_delay = Span(0),
+            TroubleKind::Overbook => actions.push(FleetAction::ListOverbooked(1.0)),
+            TroubleKind::Crash => self.start_box(now, server, incarnation, rng, actions),
             TroubleKind::Deploy => {
                 if host.incarnation == incarnation
                     && matches!(host.server.state(), ServerState::Up | ServerState::Paused(_))
                 {
-                    self.dies(now, server, rng, out);
+                    self.kill_box(now, server, rng, actions);
                     let next = FleetEvent::SuccessorStarts { server, incarnation: incarnation + 1 };
-                    out.push(FleetAction::Schedule(now + self.plan.troubles[at].away, next));
+                    actions.push(FleetAction::Schedule(now + self.scenario.troubles[index].away, next));
                 }
             }
             TroubleKind::Pause | TroubleKind::Hang => {
                 host.hangs = false;
                 let running = host.server.resume(now);
-                out.extend(
-                    running
-                        .into_iter()
-                        .map(|(id, ends)| FleetAction::Schedule(ends, FleetEvent::JobDone { server, id })),
+                actions.extend(
+                    running.into_iter().map(|(id, ends_at)| {
+                        FleetAction::Schedule(ends_at, FleetEvent::JobDone { server, id })
+                    }),
                 );
-                out.push(FleetAction::StateChanged(server));
+                actions.push(FleetAction::StateChanged(server));
                 // One that died meanwhile gets the log again when it starts.
                 if self.hosts[server as usize].server.state() == ServerState::Up {
                     self.groups[group].join(member, now);
@@ -590,43 +612,43 @@
             TroubleKind::Lag => self.groups[group].set_apply_factor(member, 1.0),
             TroubleKind::Drain => {
                 host.server.draining = false;
-                self.list(now, server, ListState::Healthy, (None, false), rng, out);
+                self.change_list(now, server, ListState::Healthy, (None, false), rng, actions);
             }
         }
     }
 
     /// A box starts, cold, unless it has had another life meanwhile.
-    fn starts(
+    fn start_box(
         &mut self,
         now: Time,
         server: u32,
         incarnation: u32,
         rng: &mut ChaCha8Rng,
-        out: &mut Vec<FleetAction>,
+        actions: &mut Vec<FleetAction>,
     ) {
-        let (group, member) = self.place(server);
+        let (group, member) = self.location(server);
         let host = &mut self.hosts[server as usize];
         if host.incarnation == incarnation && host.server.start(now) {
-            let capacity = host.server.capacity(now + self.plan.boxes.cold_in);
-            out.push(FleetAction::Record(RecordKind::Started, server, 0, (capacity * 1e6) as i64));
-            out.push(FleetAction::StateChanged(server));
+            let capacity = host.server.capacity(now + self.scenario.boxes.cold_in);
+            actions.push(FleetAction::Record(RecordKind::Started, server, 0, (capacity * 1e6) as i64));
+            actions.push(FleetAction::StateChanged(server));
             self.groups[group].join(member, now);
-            self.list(now, server, ListState::Healthy, (Some(now), false), rng, out);
+            self.change_list(now, server, ListState::Healthy, (Some(now), false), rng, actions);
         }
     }
 
     /// How long a pooler that a trouble killed stays away; for ever without.
     #[must_use]
-    pub fn away(&self, trouble: usize) -> Option<Span> {
-        self.plan.troubles[trouble].lasts
+    pub fn pooler_downtime(&self, trouble: usize) -> Option<Span> {
+        self.scenario.troubles[trouble].lasts
     }
 }
 
 /// A share of so many, by chance.
-fn some(count: usize, share: f64, rng: &mut ChaCha8Rng) -> Vec<u32> {
+fn random_share(count: usize, share: f64, rng: &mut ChaCha8Rng) -> Vec<u32> {
     let mut all: Vec<u32> = (0..count as u32).collect();
-    for at in (1..all.len()).rev() {
-        all.swap(at, rng.random_range(0..=at));
+    for index in (1..all.len()).rev() {
+        all.swap(index, rng.random_range(0..=index));
     }
     all.truncate((count as f64 * share).round() as usize);
     all
--- a/crates/fleet/src/group.rs
+++ b/crates/fleet/src/group.rs
@@ -30,7 +30,7 @@
     /// How much slower than usual it applies.
     apply_factor: f64,
     /// It gets the log.
-    alive: bool,
+    connected: bool,
 }
 
 /// A group.
@@ -40,7 +40,7 @@
     replicas: Vec<Replica>,
     primary: Option<usize>,
     /// Since when there is none; positions stand still.
-    lost: Option<Time>,
+    lost_since: Option<Time>,
     log: VecDeque<Time>,
 }
 
@@ -48,8 +48,14 @@
     /// A group of so many, the first of them the primary; all have applied all.
     #[must_use]
     pub fn new(timing: ReplicationTiming, members: usize, now: Time) -> Self {
-        let replica = Replica { applied: now, queue: VecDeque::new(), apply_factor: 1.0, alive: true };
-        Self { timing, replicas: vec![replica; members], primary: Some(0), lost: None, log: VecDeque::new() }
+        let replica = Replica { applied: now, queue: VecDeque::new(), apply_factor: 1.0, connected: true };
+        Self {
+            timing,
+            replicas: vec![replica; members],
+            primary: Some(0),
+            lost_since: None,
+            log: VecDeque::new(),
+        }
     }
 
     /// The primary, if there is one.
@@ -71,44 +77,44 @@
         }
         self.log.push_back(now);
         let (primary, timing) = (self.primary, self.timing);
-        for (at, replica) in self.replicas.iter_mut().enumerate() {
-            if Some(at) != primary && replica.alive {
+        for (index, replica) in self.replicas.iter_mut().enumerate() {
+            if Some(index) != primary && replica.connected {
                 replica.receive(now + timing.ship, now, timing.apply);
             }
         }
     }
 
     /// Up to where a member has applied the log.
-    pub fn position(&mut self, at: usize, now: Time) -> Time {
-        if self.primary == Some(at) {
+    pub fn position(&mut self, member: usize, now: Time) -> Time {
+        if self.primary == Some(member) {
             return now;
         }
-        let seen = self.lost.map_or(now, |lost| lost.min(now)) - self.timing.ship;
-        let replica = &mut self.replicas[at];
+        let shipped_up_to = self.lost_since.map_or(now, |lost_since| lost_since.min(now)) - self.timing.ship;
+        let replica = &mut self.replicas[member];
         while let Some((_, commit)) = replica.queue.front().copied().filter(|(done, _)| *done <= now) {
             replica.applied = replica.applied.max(commit);
             replica.queue.pop_front();
         }
         // Who has nothing left to apply has all that was shipped.
-        if replica.queue.is_empty() && replica.alive {
-            replica.applied = replica.applied.max(seen);
+        if replica.queue.is_empty() && replica.connected {
+            replica.applied = replica.applied.max(shipped_up_to);
         }
         replica.applied
     }
 
     /// A replica applies so much more slowly from now on.
-    pub fn set_apply_factor(&mut self, at: usize, factor: f64) {
-        self.replicas[at].apply_factor = factor;
+    pub fn set_apply_factor(&mut self, member: usize, factor: f64) {
+        self.replicas[member].apply_factor = factor;
     }
 
     /// A member gets nothing any more. Gives whether it was the primary: then another has to take over.
-    pub fn leave(&mut self, at: usize, now: Time) -> bool {
-        let replica = &mut self.replicas[at];
-        replica.alive = false;
+    pub fn leave(&mut self, member: usize, now: Time) -> bool {
+        let replica = &mut self.replicas[member];
+        replica.connected = false;
         // What it had received it has still; what it had not applied it applies when it is back.
-        if self.primary == Some(at) {
-            (self.primary, self.lost) = (None, Some(now));
-            self.replicas[at].applied = now;
+        if self.primary == Some(member) {
+            (self.primary, self.lost_since) = (None, Some(now));
+            self.replicas[member].applied = now;
             return true;
         }
         false
@@ -117,23 +123,25 @@
     /// The primary stops taking writes, for another to take over.
     pub fn hand_over(&mut self, now: Time) -> Option<usize> {
         let primary = self.primary.take()?;
-        self.lost = Some(now);
+        self.lost_since = Some(now);
         self.replicas[primary].applied = now;
         Some(primary)
     }
 
     /// A member gets the log again, and goes on from where it stood.
-    pub fn join(&mut self, at: usize, now: Time) {
-        let (timing, lost) = (self.timing, self.lost);
-        let replica = &mut self.replicas[at];
-        if replica.alive {
+    pub fn join(&mut self, member: usize, now: Time) {
+        let (timing, lost_since) = (self.timing, self.lost_since);
+        let replica = &mut self.replicas[member];
+        if replica.connected {
             return;
         }
-        replica.alive = true;
+        replica.connected = true;
         replica.queue.clear();
-        let from = replica.applied;
-        for commit in
-            self.log.iter().filter(|commit| **commit > from && lost.is_none_or(|lost| **commit <= lost))
+        let applied = replica.applied;
+        for commit in self
+            .log
+            .iter()
+            .filter(|commit| **commit > applied && lost_since.is_none_or(|lost_since| **commit <= lost_since))
         {
             replica.receive(now + timing.ship, *commit, timing.apply);
         }
@@ -141,29 +149,35 @@
 
     /// Who takes over: of those that may, the one that has received most; gives it and when it has applied that.
     #[must_use]
-    pub fn successor(&self, now: Time, may: impl Fn(usize) -> bool) -> Option<(usize, Time)> {
-        let able = self.replicas.iter().enumerate().filter(|(at, replica)| replica.alive && may(*at));
-        let has = |replica: &Replica| replica.queue.back().map_or(replica.applied, |(_, commit)| *commit);
-        let (at, replica) = able.max_by_key(|(at, replica)| (has(replica), std::cmp::Reverse(*at)))?;
-        Some((at, replica.queue.back().map_or(now, |(done, _)| (*done).max(now))))
+    pub fn successor(&self, now: Time, eligible: impl Fn(usize) -> bool) -> Option<(usize, Time)> {
+        let candidates = self
+            .replicas
+            .iter()
+            .enumerate()
+            .filter(|(member, replica)| replica.connected && eligible(*member));
+        let received =
+            |replica: &Replica| replica.queue.back().map_or(replica.applied, |(_, commit)| *commit);
+        let (member, replica) =
+            candidates.max_by_key(|(member, replica)| (received(replica), std::cmp::Reverse(*member)))?;
+        Some((member, replica.queue.back().map_or(now, |(done, _)| (*done).max(now))))
     }
 
     /// A member has taken over. Commits that no replica had are gone with the old primary.
-    pub fn promote(&mut self, at: usize, now: Time) {
-        let replica = &mut self.replicas[at];
+    pub fn promote(&mut self, member: usize, now: Time) {
+        let replica = &mut self.replicas[member];
         let kept = replica.queue.back().map_or(replica.applied, |(_, commit)| *commit);
         replica.queue.clear();
         replica.applied = now;
         while self.log.back().is_some_and(|commit| *commit > kept) {
             self.log.pop_back();
         }
-        (self.primary, self.lost) = (Some(at), None);
+        (self.primary, self.lost_since) = (Some(member), None);
     }
 }
 
 impl Replica {
-    fn receive(&mut self, arrives: Time, commit: Time, apply: Span) {
-        let free = self.queue.back().map_or(arrives, |(done, _)| (*done).max(arrives));
-        self.queue.push_back((free + apply.times(self.apply_factor), commit));
+    fn receive(&mut self, arrives: Time, commit: Time, apply_time: Span) {
+        let start = self.queue.back().map_or(arrives, |(done, _)| (*done).max(arrives));
+        self.queue.push_back((start + apply_time.times(self.apply_factor), commit));
     }
 }
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Running {
     id: u64,
-    ends: Time,
+    ends_at: Time,
 }
 
 /// A box.
@@ -81,8 +81,8 @@
     /// Work of probes and handshakes that is done by what runs next.
     overhead: Span,
     /// What came in the last while of a cold start: when, and how much work.
-    sent: VecDeque<(Time, f64)>,
-    sent_work: f64,
+    recent_arrivals: VecDeque<(Time, f64)>,
+    recent_work: f64,
 }
 
 impl Server {
@@ -98,8 +98,8 @@
             running: Vec::with_capacity(config.cores),
             waiting: VecDeque::new(),
             overhead: Span(0),
-            sent: VecDeque::new(),
-            sent_work: 0.0,
+            recent_arrivals: VecDeque::new(),
+            recent_work: 0.0,
         }
     }
 
@@ -118,9 +118,9 @@
     /// The part of its capacity that it has.
     #[must_use]
     pub fn warmth(&self, now: Time) -> f64 {
-        let (share, span) = self.config.cold;
+        let (share, warm_up) = self.config.cold;
         let Some(started) = self.started else { return 1.0 };
-        (share + (1.0 - share) * (now - started).0 as f64 / span.0.max(1) as f64).clamp(share, 1.0)
+        (share + (1.0 - share) * (now - started).0 as f64 / warm_up.0.max(1) as f64).clamp(share, 1.0)
     }
 
     /// Work on standard cores that it can do in a microsecond, now.
@@ -168,34 +168,36 @@
     fn run(&mut self, now: Time, job: Job) -> Time {
         let queue_factor = 1.0
             + self.config.queue_slowdown * self.waiting.len() as f64 / self.config.queue_limit.max(1) as f64;
-        let (from, most) = self.config.thrash;
-        let thrash =
-            1.0 + most * (self.jobs() as f64 / self.config.cores as f64 / from - 1.0).clamp(0.0, 1.0);
+        let (threshold, max_slowdown) = self.config.thrash;
+        let thrash_factor = 1.0
+            + max_slowdown
+                * (self.jobs() as f64 / self.config.cores as f64 / threshold - 1.0).clamp(0.0, 1.0);
         let work = Span(job.work.0 + std::mem::take(&mut self.overhead).0);
-        let takes =
-            work.times(self.slowdown * queue_factor * thrash / (self.config.speed * self.warmth(now)));
-        let ends = now + takes.max(Span(1));
-        self.running.push(Running { id: job.id, ends });
-        ends
+        let duration =
+            work.times(self.slowdown * queue_factor * thrash_factor / (self.config.speed * self.warmth(now)));
+        let ends_at = now + duration.max(Span(1));
+        self.running.push(Running { id: job.id, ends_at });
+        ends_at
     }
 
     /// Counts what a cold box is sent, what it turns away included.
     fn is_overloaded_cold(&mut self, now: Time, work: Span) -> bool {
-        let (multiple, span) = self.config.fall;
+        let (multiple, window) = self.config.fall;
         if self.warmth(now) >= 1.0 {
-            self.sent.clear();
-            self.sent_work = 0.0;
+            self.recent_arrivals.clear();
+            self.recent_work = 0.0;
             return false;
         }
-        self.sent.push_back((now, work.0 as f64));
-        self.sent_work += work.0 as f64;
-        while let Some((_, work)) = self.sent.front().copied().filter(|(at, _)| now - *at > span) {
-            self.sent_work -= work;
-            self.sent.pop_front();
+        self.recent_arrivals.push_back((now, work.0 as f64));
+        self.recent_work += work.0 as f64;
+        while let Some((_, work)) = self.recent_arrivals.front().copied().filter(|(at, _)| now - *at > window)
+        {
+            self.recent_work -= work;
+            self.recent_arrivals.pop_front();
         }
-        let began = self.sent.front().map_or(now, |(at, _)| *at);
-        let mean = (self.capacity(began) + self.capacity(now)) / 2.0;
-        self.sent_work > multiple * mean * span.0 as f64
+        let window_start = self.recent_arrivals.front().map_or(now, |(at, _)| *at);
+        let mean_capacity = (self.capacity(window_start) + self.capacity(now)) / 2.0;
+        self.recent_work > multiple * mean_capacity * window.0 as f64
     }
 
     /// The work of this number is through, if it is now that it ends. Gives what runs in its place, and until when.
@@ -203,8 +205,8 @@
         if self.state != ServerState::Up {
             return None;
         }
-        let at = self.running.iter().position(|of| of.id == id && of.ends <= now)?;
-        self.running.swap_remove(at);
+        let index = self.running.iter().position(|job| job.id == id && job.ends_at <= now)?;
+        self.running.swap_remove(index);
         Some(self.next(now))
     }
 
@@ -224,11 +226,11 @@
     pub fn resume(&mut self, now: Time) -> Vec<(u64, Time)> {
         let ServerState::Paused(since) = self.state else { return Vec::new() };
         self.state = ServerState::Up;
-        for of in &mut self.running {
-            of.ends = of.ends + (now - since);
+        for job in &mut self.running {
+            job.ends_at = job.ends_at + (now - since);
         }
         while self.running.len() < self.config.cores && self.next(now).is_some() {}
-        self.running.iter().map(|of| (of.id, of.ends)).collect()
+        self.running.iter().map(|job| (job.id, job.ends_at)).collect()
     }
 
     /// Its process ends; gives what it held.
@@ -240,7 +242,7 @@
     }
 
     fn take_jobs(&mut self) -> Vec<u64> {
-        let running = std::mem::take(&mut self.running).into_iter().map(|of| of.id);
+        let running = std::mem::take(&mut self.running).into_iter().map(|job| job.id);
         running.chain(std::mem::take(&mut self.waiting).into_iter().map(|job| job.id)).collect()
     }
 
--- a/crates/fleet/src/service_level.rs
+++ b/crates/fleet/src/service_level.rs
@@ -6,9 +6,9 @@
 use linnetdeal_core::{Span, Time};
 
 /// Windows of so many seconds are looked at for the worst one.
-const WINDOW: usize = 10;
+const WINDOW_SECONDS: usize = 10;
 /// What a tenant may ask at once, in seconds of its share.
-const BURST: f64 = 1.0;
+const BURST_SECONDS: f64 = 1.0;
 
 /// Worth served, and asked for.
 pub type Worth = [f64; 2];
@@ -21,7 +21,7 @@
     quotas: Vec<f64>,
     over_share: f64,
     /// What is left of each tenant's share, and when that was so.
-    left: Vec<(f64, Time)>,
+    remaining: Vec<(f64, Time)>,
     /// By second, tenant, whether it is within the share, and class.
     cells: Vec<Worth>,
 }
@@ -32,13 +32,13 @@
     pub fn new(scenario: &Scenario, plans: &[ClassPlan], quotas: &[f64], begin: Time) -> Self {
         let seconds = (scenario.traffic.lasts.0 / 1_000_000) as usize + 2;
         let tenants = quotas.len().max(1);
-        let classes = plans.iter().map(|of| (of.class.aim, of.class.worth, of.class.late_worth));
+        let classes = plans.iter().map(|plan| (plan.class.aim, plan.class.worth, plan.class.late_worth));
         Self {
             begin,
             classes: classes.collect(),
             quotas: quotas.to_vec(),
             over_share: scenario.traffic.over_share,
-            left: quotas.iter().map(|quota| (quota * BURST, begin)).collect(),
+            remaining: quotas.iter().map(|quota| (quota * BURST_SECONDS, begin)).collect(),
             cells: vec![[0.0; 2]; seconds * tenants * 2 * plans.len()],
         }
     }
@@ -47,28 +47,28 @@
         self.quotas.len().max(1)
     }
 
-    fn cell(&self, at: Time, tenant: Option<usize>, within: bool, class: usize) -> usize {
+    fn cell_index(&self, at: Time, tenant: Option<usize>, within: bool, class: usize) -> usize {
         let second = ((at - self.begin).0.max(0) / 1_000_000) as usize;
         ((second * self.tenants() + tenant.unwrap_or(0)) * 2 + usize::from(within)) * self.classes.len()
             + class
     }
 
-    fn worth(&self, class: usize, within: bool) -> f64 {
+    fn full_worth(&self, class: usize, within: bool) -> f64 {
         self.classes[class].1 * if within { 1.0 } else { self.over_share }
     }
 
     /// A client asks for the first time; gives whether that is within its tenant's share.
     pub fn record_request(&mut self, now: Time, tenant: Option<usize>, class: usize) -> bool {
         let within = tenant.is_none_or(|tenant| {
-            let (quota, (left, since)) = (self.quotas[tenant], self.left[tenant]);
-            let left = (left + quota * (now - since).0 as f64 / 1e6).min(quota * BURST);
-            let within = left >= 1.0;
-            self.left[tenant] = (left - f64::from(u8::from(within)), now);
+            let (quota, (remaining, since)) = (self.quotas[tenant], self.remaining[tenant]);
+            let remaining = (remaining + quota * (now - since).0 as f64 / 1e6).min(quota * BURST_SECONDS);
+            let within = remaining >= 1.0;
+            self.remaining[tenant] = (remaining - f64::from(u8::from(within)), now);
             within
         });
-        let (cell, worth) = (self.cell(now, tenant, within, class), self.worth(class, within));
-        if let Some(of) = self.cells.get_mut(cell) {
-            of[1] += worth;
+        let (cell, worth) = (self.cell_index(now, tenant, within, class), self.full_worth(class, within));
+        if let Some(entry) = self.cells.get_mut(cell) {
+            entry[1] += worth;
         }
         within
     }
@@ -84,20 +84,20 @@
     ) {
         let (aim, _, late) = self.classes[class];
         let part = if took <= aim { 1.0 } else { late };
-        let (cell, worth) = (self.cell(asked, tenant, within, class), self.worth(class, within));
-        if let Some(of) = self.cells.get_mut(cell) {
-            of[0] += worth * part;
+        let (cell, worth) = (self.cell_index(asked, tenant, within, class), self.full_worth(class, within));
+        if let Some(entry) = self.cells.get_mut(cell) {
+            entry[0] += worth * part;
         }
     }
 
     /// The sum over the cells of these places: second, tenant, whether within the share, and class.
-    fn sum(&self, of: impl Fn(usize, usize, bool, usize) -> bool) -> Worth {
+    fn sum_cells(&self, include: impl Fn(usize, usize, bool, usize) -> bool) -> Worth {
         let (classes, tenants) = (self.classes.len(), self.tenants());
         let mut sum = [0.0; 2];
-        for (at, cell) in self.cells.iter().enumerate() {
-            let (class, rest) = (at % classes, at / classes);
+        for (index, cell) in self.cells.iter().enumerate() {
+            let (class, rest) = (index % classes, index / classes);
             let (within, rest) = (rest % 2 == 1, rest / 2);
-            if of(rest / tenants, rest % tenants, within, class) {
+            if include(rest / tenants, rest % tenants, within, class) {
                 sum = [sum[0] + cell[0], sum[1] + cell[1]];
             }
         }
@@ -107,43 +107,53 @@
     /// The whole run's share.
     #[must_use]
     pub fn overall(&self) -> f64 {
-        share(self.sum(|_, _, _, _| true))
+        share(self.sum_cells(|_, _, _, _| true))
     }
 
     /// The second in which the worst window of 10 s begins, and its share; windows without a request don't count.
     #[must_use]
     pub fn worst_window(&self) -> (usize, f64) {
-        self.worst_of(|_, _, _| true)
+        self.worst_window_of(|_, _, _| true)
     }
 
-    fn worst_of(&self, of: impl Fn(usize, bool, usize) -> bool) -> (usize, f64) {
+    fn worst_window_of(&self, include: impl Fn(usize, bool, usize) -> bool) -> (usize, f64) {
         let seconds = self.cells.len() / (self.tenants() * 2 * self.classes.len());
-        let by: Vec<Worth> = (0..seconds)
-            .map(|second| self.sum(|at, tenant, within, class| at == second && of(tenant, within, class)))
+        let by_second: Vec<Worth> = (0..seconds)
+            .map(|second| {
+                self.sum_cells(|cell_second, tenant, within, class| {
+                    cell_second == second && include(tenant, within, class)
+                })
+            })
             .collect();
-        let asked: Vec<usize> = (0..seconds).filter(|at| by[*at][1] > 0.0).collect();
+        let asked: Vec<usize> = (0..seconds).filter(|second| by_second[*second][1] > 0.0).collect();
         let (Some(first), Some(last)) = (asked.first().copied(), asked.last().copied()) else {
             return (0, 1.0);
         };
         let window = |from: usize| {
-            let part = &by[from..(from + WINDOW).min(last + 1)];
-            (from, share(part.iter().fold([0.0; 2], |sum, of| [sum[0] + of[0], sum[1] + of[1]])))
+            let part = &by_second[from..(from + WINDOW_SECONDS).min(last + 1)];
+            (from, share(part.iter().fold([0.0; 2], |sum, worth| [sum[0] + worth[0], sum[1] + worth[1]])))
         };
-        let starts = first..=(last + 1).saturating_sub(WINDOW).max(first);
+        let starts = first..=(last + 1).saturating_sub(WINDOW_SECONDS).max(first);
         starts.map(window).min_by(|a, b| a.1.total_cmp(&b.1)).unwrap_or((0, 1.0))
     }
 
     /// A class's share in the whole run and in its worst window.
     #[must_use]
     pub fn class_shares(&self, class: usize) -> [f64; 2] {
-        [share(self.sum(|_, _, _, of| of == class)), self.worst_of(|_, _, of| of == class).1]
+        [
+            share(self.sum_cells(|_, _, _, other| other == class)),
+            self.worst_window_of(|_, _, other| other == class).1,
+        ]
     }
 
     /// A tenant's share, in the whole run and in its worst window, of what it asked within its part.
     #[must_use]
     pub fn tenant_shares(&self, tenant: usize) -> [f64; 2] {
-        let of = |at: usize, within: bool| at == tenant && within;
-        [share(self.sum(|_, at, within, _| of(at, within))), self.worst_of(|at, within, _| of(at, within)).1]
+        let include = |other: usize, within: bool| other == tenant && within;
+        [
+            share(self.sum_cells(|_, other, within, _| include(other, within))),
+            self.worst_window_of(|other, within, _| include(other, within)).1,
+        ]
     }
 }
 
