--- a/crates/fleet/src/sim.rs
+++ b/crates/fleet/src/sim.rs
@@ -21,19 +21,19 @@
 
 /// When a run begins; the positions' zero, too.
 pub const BEGIN: Time = Time(1_000_000_000_000);
-const SLACK: Span = Span::millis(20);
-const DIAL: Span = Span::millis(250);
+const ANSWER_SLACK: Span = Span::millis(20);
+const CONNECT_TIMEOUT: Span = Span::millis(250);
 /// A router without a watch that has not asked for so long counts as told of what was listed that long before.
-const ASK_EVERY: Span = Span::millis(10_000);
+const POLL_INTERVAL: Span = Span::millis(10_000);
 /// A wake-up that is due already comes after so long.
-const TICK: Span = Span::millis(1);
+const MIN_WAKE_DELAY: Span = Span::millis(1);
 /// After the last request has come, a run goes on for so long at the most.
-const AFTER: Span = Span::millis(8_000);
+const MAX_RUN_ON: Span = Span::millis(8_000);
 
 /// The rules that a scenario's run is to be held to.
 #[must_use]
 pub fn rules(scenario: &Scenario) -> Rules {
-    let law = |plan: &ClassPlan| ClassRules {
+    let class_rules = |plan: &ClassPlan| ClassRules {
         run_once: plan.class.effect == Effect::Unsafe,
         write: plan.class.need == Need::Write,
         freshness: match plan.class.need {
@@ -46,14 +46,14 @@
     };
     let boxes = &scenario.boxes;
     Rules {
-        classes: class_plans(scenario).iter().map(law).collect(),
+        classes: class_plans(scenario).iter().map(class_rules).collect(),
         drain_grace: scenario.fleet.grace,
-        answer_slack: SLACK,
+        answer_slack: ANSWER_SLACK,
         cold: boxes.cold(),
         fall: boxes.fall(),
         second_copies: scenario.fleet.second_copies,
         tokens_carried: scenario.traffic.tokens_carried,
-        poll_interval: scenario.list.asked.then_some(ASK_EVERY),
+        poll_interval: scenario.list.asked.then_some(POLL_INTERVAL),
         full: (scenario.audit == AuditLevel::Full).then_some(FullRules {
             retries: scenario.traffic.retries,
             cores: boxes.cores,
@@ -63,48 +63,48 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Event {
-    Arrive,
-    Again {
+enum SimEvent {
+    ClientArrives,
+    Retry {
         router: u32,
-        try_of: u32,
+        client: u32,
     },
-    Reach {
+    RequestArrives {
         attempt: usize,
         dialed: bool,
     },
     Fleet(FleetEvent),
-    Shipped {
+    Replicated {
         attempt: usize,
         incarnation: u32,
     },
-    Back {
+    AnswerArrives {
         attempt: usize,
         verdict: Verdict,
         note: Option<Note>,
     },
-    Late {
+    AttemptTimeout {
         attempt: usize,
         request: u64,
-        number: u32,
+        attempt_number: u32,
     },
     Wake {
         router: u32,
         incarnation: u32,
     },
-    Ask {
+    ProbeArrives {
         router: u32,
         incarnation: u32,
         server: u32,
     },
-    Tell {
+    ProbeAnswered {
         router: u32,
         incarnation: u32,
         server: u32,
         report: Option<[f64; 3]>,
         verdict: Verdict,
     },
-    Told {
+    ListUpdate {
         router: u32,
         change: usize,
     },
@@ -112,11 +112,11 @@
     Publish {
         change: usize,
     },
-    News {
+    WatchUpdate {
         router: u32,
         incarnation: u32,
     },
-    Watch {
+    ListCallEnds {
         router: u32,
         incarnation: u32,
         failed: bool,
@@ -125,13 +125,13 @@
     Cancelled {
         attempt: usize,
         request: u64,
-        number: u32,
+        attempt_number: u32,
     },
-    Kill {
+    KillPooler {
         trouble: usize,
         router: u32,
     },
-    Start {
+    StartPooler {
         router: u32,
     },
 }
@@ -142,13 +142,13 @@
     members: Membership,
     zone: usize,
     incarnation: u32,
-    wake: Option<Time>,
+    next_wake: Option<Time>,
     /// Idle connections by box, and the life of the box that they are to.
-    idle: HashMap<u32, (u32, u32)>,
-    open: HashMap<u64, u32>,
+    idle_connections: HashMap<u32, (u32, u32)>,
+    open_requests: HashMap<u64, u32>,
     /// Where the list is asked: whether a watch is open, and how much of what was published it has brought.
-    watch: bool,
-    seen: usize,
+    watching: bool,
+    changes_seen: usize,
 }
 
 /// A client's request over all its tries.
@@ -157,15 +157,15 @@
     class: usize,
     session: u64,
     group: u32,
-    asked: Time,
-    tries: u32,
+    first_try_at: Time,
+    retries: u32,
     work: Span,
-    number: u64,
+    id: u64,
     tenant: Option<usize>,
     /// Within its tenant's share.
-    within: bool,
+    within_quota: bool,
     /// It heeds a retry-after.
-    heeds: bool,
+    heeds_retry_after: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -178,11 +178,11 @@
     server_incarnation: u32,
     class: usize,
     work: Span,
-    sent: Time,
-    commit: Time,
+    sent_at: Time,
+    position: Time,
     /// A read must see what was committed by then.
-    need: Time,
-    over: bool,
+    min_position: Time,
+    ended: bool,
 }
 
 /// What came out of a run, by the model's own count.
@@ -251,32 +251,32 @@
 
 /// The host.
 struct Sim<'s, S> {
-    plan: &'s Scenario,
-    plans: Vec<ClassPlan>,
+    scenario: &'s Scenario,
+    classes: Vec<ClassPlan>,
     settings: Settings,
     sink: &'s mut S,
     rng: ChaCha8Rng,
     traffic: Traffic,
     now: Time,
-    queue: EventQueue<Event>,
+    queue: EventQueue<SimEvent>,
     fleet: Fleet,
     poolers: Vec<Pooler>,
-    names: Vec<MemberId>,
+    member_ids: Vec<MemberId>,
     attempts: Vec<Attempt>,
-    free: Vec<usize>,
+    free_attempts: Vec<usize>,
     clients: Vec<Client>,
     free_clients: Vec<u32>,
-    effects: Vec<FleetAction>,
+    fleet_actions: Vec<FleetAction>,
     next_request: u64,
     next_client: u64,
     surge: f64,
     discovery: DiscoveryService,
     published: Vec<usize>,
     /// The latest commits of sessions, as their clients know them.
-    tokens: HashMap<u64, Time>,
+    session_commits: HashMap<u64, Time>,
     /// Attempts that may be called off, by request and number.
-    out: HashMap<(u64, u32), usize>,
-    until: Time,
+    cancellable: HashMap<(u64, u32), usize>,
+    arrivals_end: Time,
     outcome: RunOutcome,
     actions: Vec<Action>,
 }
@@ -286,35 +286,35 @@
     let mut sim = Sim::new(scenario, sink);
     sim.begin();
     while let Some((at, event)) = sim.queue.pop() {
-        if at > sim.until + AFTER {
+        if at > sim.arrivals_end + MAX_RUN_ON {
             break;
         }
         sim.now = at;
         sim.outcome.events += 1;
-        sim.happens(event);
+        sim.handle(event);
     }
-    sim.outcome.end = sim.until + AFTER;
+    sim.outcome.end = sim.arrivals_end + MAX_RUN_ON;
     (sim.outcome.promotions, sim.outcome.collapsed) = (sim.fleet.promotions, sim.fleet.collapsed);
     sim.outcome.calls = sim.discovery.calls;
     sim.outcome
 }
 
 impl<'s, S: Sink> Sim<'s, S> {
-    fn new(plan: &'s Scenario, sink: &'s mut S) -> Self {
-        let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
-        let traffic = Traffic::new(plan);
-        let plans = class_plans(plan);
-        let tenant = |(of, quota): (&TenantSpec, &f64)| Tenant { name: of.name.clone(), quota: *quota };
-        let fields = if plan.boxes.report_queue { &["x0", "x1", "queue"][..] } else { &["x0", "x1"] };
+    fn new(scenario: &'s Scenario, sink: &'s mut S) -> Self {
+        let mut rng = ChaCha8Rng::seed_from_u64(scenario.seed);
+        let traffic = Traffic::new(scenario);
+        let classes = class_plans(scenario);
+        let tenant = |(spec, quota): (&TenantSpec, &f64)| Tenant { name: spec.name.clone(), quota: *quota };
+        let fields = if scenario.boxes.report_queue { &["x0", "x1", "queue"][..] } else { &["x0", "x1"] };
         let settings = Settings {
-            tenants: plan.tenants.iter().zip(&traffic.quotas).map(tenant).collect(),
-            over_share_worth: plan.traffic.over_share,
-            discovery: if plan.list.asked { Discovery::Ask } else { Discovery::Push },
-            second_copies: plan.fleet.second_copies,
-            classes: plans.iter().map(|plan| plan.class.clone()).collect(),
+            tenants: scenario.tenants.iter().zip(&traffic.quotas).map(tenant).collect(),
+            over_share_worth: scenario.traffic.over_share,
+            discovery: if scenario.list.asked { Discovery::Ask } else { Discovery::Push },
+            second_copies: scenario.fleet.second_copies,
+            classes: classes.iter().map(|plan| plan.class.clone()).collect(),
             fleet: traffic.poolers_per_group(),
-            checks: if plan.boxes.checks { Checks::Refuse } else { Checks::None },
-            tokens: if plan.traffic.tokens_carried { Tokens::Carried } else { Tokens::Remembered },
+            checks: if scenario.boxes.checks { Checks::Refuse } else { Checks::None },
+            tokens: if scenario.traffic.tokens_carried { Tokens::Carried } else { Tokens::Remembered },
             zero: BEGIN,
             report: fields.iter().map(|name| Field::named(name)).collect(),
             max_attempts: 10,
@@ -322,85 +322,86 @@
             cancels: true,
             retry_after: true,
             max_retry_after: Span::millis(2_000),
-            drain_grace: plan.fleet.grace,
-            cold_share: plan.boxes.cold_from,
-            cold_span: plan.boxes.cold_in,
-            fall_multiple: plan.boxes.fall_multiple,
-            fall_span: plan.boxes.fall_for,
+            drain_grace: scenario.fleet.grace,
+            cold_share: scenario.boxes.cold_from,
+            cold_span: scenario.boxes.cold_in,
+            fall_multiple: scenario.boxes.fall_multiple,
+            fall_span: scenario.boxes.fall_for,
             goal: Goal { whole: 0.6, worst_class: 0.2 },
-            changes: Fleet::expected(plan),
+            changes: Fleet::expected(scenario),
             ..Settings::default()
         };
-        let fleet = &plan.fleet;
-        let boxes_of = Fleet::new(plan, BEGIN, &mut rng);
-        let names = (0..boxes_of.hosts.len()).map(|at| MemberId(Arc::from(format!("b-{at:06}")))).collect();
+        let fleet = &scenario.fleet;
+        let box_fleet = Fleet::new(scenario, BEGIN, &mut rng);
+        let member_ids =
+            (0..box_fleet.hosts.len()).map(|index| MemberId(Arc::from(format!("b-{index:06}")))).collect();
         let poolers = (0..fleet.poolers)
-            .map(|at| Pooler {
+            .map(|index| Pooler {
                 router: None,
                 members: Membership::new(Span::millis(900_000), 16_384),
-                zone: at % fleet.zones,
+                zone: index % fleet.zones,
                 incarnation: 0,
-                wake: None,
-                idle: HashMap::new(),
-                open: HashMap::new(),
-                watch: false,
-                seen: 0,
+                next_wake: None,
+                idle_connections: HashMap::new(),
+                open_requests: HashMap::new(),
+                watching: false,
+                changes_seen: 0,
             })
             .collect();
         let histogram = || Histogram::new_with_bounds(1, 100_000_000, 3).expect("bounds that are in order");
         let outcome = RunOutcome {
             events: 0,
-            requests: vec![0; plans.len()],
-            served: vec![0; plans.len()],
-            latency: plans.iter().map(|_| histogram()).collect(),
-            by_second: vec![(0, 0); (plan.traffic.lasts.0 / 1_000_000) as usize + 2],
+            requests: vec![0; classes.len()],
+            served: vec![0; classes.len()],
+            latency: classes.iter().map(|_| histogram()).collect(),
+            by_second: vec![(0, 0); (scenario.traffic.lasts.0 / 1_000_000) as usize + 2],
             attempts: 0,
             probes: 0,
             max_open: 0,
             collapsed: 0,
             end: BEGIN,
             promotions: Vec::new(),
-            service: ServiceLevel::new(plan, &plans, &traffic.quotas, BEGIN),
+            service: ServiceLevel::new(scenario, &classes, &traffic.quotas, BEGIN),
             tries: 0,
             pooler_down: 0,
             calls: (0, 0),
         };
         Self {
-            fleet: boxes_of,
-            until: BEGIN + plan.traffic.lasts,
+            fleet: box_fleet,
+            arrivals_end: BEGIN + scenario.traffic.lasts,
             now: BEGIN,
             queue: EventQueue::default(),
             attempts: Vec::new(),
-            free: Vec::new(),
+            free_attempts: Vec::new(),
             clients: Vec::new(),
             free_clients: Vec::new(),
-            effects: Vec::new(),
+            fleet_actions: Vec::new(),
             next_request: 1,
             next_client: 0,
             surge: 1.0,
-            discovery: DiscoveryService::new(&plan.list),
+            discovery: DiscoveryService::new(&scenario.list),
             published: Vec::new(),
-            tokens: HashMap::new(),
-            out: HashMap::new(),
+            session_commits: HashMap::new(),
+            cancellable: HashMap::new(),
             actions: Vec::new(),
-            plan,
-            plans,
+            scenario,
+            classes,
             settings,
             sink,
             rng,
             traffic,
             poolers,
-            names,
+            member_ids,
             outcome,
         }
     }
 
-    fn at(&mut self, at: Time, event: Event) {
+    fn schedule(&mut self, at: Time, event: SimEvent) {
         self.queue.schedule(at, event);
     }
 
-    fn after(&mut self, span: Span, event: Event) {
-        self.at(self.now + span, event);
+    fn schedule_after(&mut self, span: Span, event: SimEvent) {
+        self.schedule(self.now + span, event);
     }
 
     fn record(&mut self, what: RecordKind, a: u32, b: u32, request: u64, x: i64, y: i64) {
@@ -409,20 +410,20 @@
 
     fn begin(&mut self) {
         for router in 0..self.poolers.len() {
-            self.start(router as u32);
+            self.start_pooler(router as u32);
         }
-        let first = Span(1_000_000);
-        self.after(first, Event::Arrive);
-        let mut effects = Vec::new();
-        self.fleet.schedule_troubles(&mut effects);
-        self.effects = effects;
-        self.follow();
+        let first_arrival = Span(1_000_000);
+        self.schedule_after(first_arrival, SimEvent::ClientArrives);
+        let mut actions = Vec::new();
+        self.fleet.schedule_troubles(&mut actions);
+        self.fleet_actions = actions;
+        self.apply_fleet_actions();
     }
 
     /// A pooler starts with its list: as it was last told, roles included.
-    fn start(&mut self, router: u32) {
+    fn start_pooler(&mut self, router: u32) {
         let incarnation = self.poolers[router as usize].incarnation;
-        let seed = self.plan.seed ^ (u64::from(router) << 20) ^ (u64::from(incarnation) << 52);
+        let seed = self.scenario.seed ^ (u64::from(router) << 20) ^ (u64::from(incarnation) << 52);
         let mut claims = Vec::new();
         for server in 0..self.fleet.hosts.len() as u32 {
             if self.traffic.serves(router, self.fleet.hosts[server as usize].group) {
@@ -438,21 +439,21 @@
         }
         let mut members = Membership::new(Span::millis(900_000), 16_384);
         members.set_shrink_policy(SourceId(0), ShrinkPolicy::ACCEPT_ALL);
-        let taken = members.apply_update(self.now, SourceId(0), SourceUpdate::Full { claims, view: 0 });
+        let update = members.apply_update(self.now, SourceId(0), SourceUpdate::Full { claims, view: 0 });
         let pooler = &mut self.poolers[router as usize];
         pooler.members = members;
-        (pooler.watch, pooler.seen) = (false, 0);
+        (pooler.watching, pooler.changes_seen) = (false, 0);
         pooler.router = Some(Box::new(Router::new(seed, self.settings.clone())));
-        self.feed(router, linnetdeal_core::Event::List(Listing::Full(taken.changed)));
+        self.handle_router_event(router, linnetdeal_core::Event::List(Listing::Full(update.changed)));
         // What was told before, and it has missed: a watch brings it at once, or once it is open.
-        if self.plan.list.asked {
+        if self.scenario.list.asked {
             return;
         }
         for change in 0..self.fleet.changes.len() {
             if self.traffic.serves(router, self.fleet.hosts[self.fleet.changes[change].server as usize].group)
                 && incarnation > 0
             {
-                self.after(Span::millis(50), Event::Told { router, change });
+                self.schedule_after(Span::millis(50), SimEvent::ListUpdate { router, change });
             }
         }
     }
@@ -460,12 +461,12 @@
     fn claim(&self, change: ListChange) -> Claim {
         let host = &self.fleet.hosts[change.server as usize];
         Claim {
-            member: self.names[change.server as usize].clone(),
+            member: self.member_ids[change.server as usize].clone(),
             address: None,
             group: Some(GroupId(i64::from(host.group))),
             zone: String::new(),
             machine: String::new(),
-            primary: change.primary && self.plan.list.roles,
+            primary: change.primary && self.scenario.list.roles,
             started: change.started,
             state: change.state,
             version: ClaimVersion { stamp: change.number, ..ClaimVersion::default() },
@@ -473,13 +474,13 @@
     }
 
     /// One way between a pooler and a box.
-    fn way(&mut self, router: u32, server: u32) -> Span {
+    fn network_delay(&mut self, router: u32, server: u32) -> Span {
         let same = self.poolers[router as usize].zone == self.fleet.hosts[server as usize].zone;
-        let way = if same { self.plan.network.same } else { self.plan.network.cross };
-        way.times(0.85 + 0.3 * self.rng.random::<f64>())
+        let delay = if same { self.scenario.network.same } else { self.scenario.network.cross };
+        delay.times(0.85 + 0.3 * self.rng.random::<f64>())
     }
 
-    fn feed(&mut self, router: u32, event: linnetdeal_core::Event) {
+    fn handle_router_event(&mut self, router: u32, event: linnetdeal_core::Event) {
         let pooler = &mut self.poolers[router as usize];
         let Some(core) = pooler.router.as_mut() else { return };
         let mut actions = std::mem::take(&mut self.actions);
@@ -488,28 +489,31 @@
             match action {
                 Action::Send { request, member, timeout } => self.send(router, request.0, &member, timeout),
                 Action::Refuse { request, retry_after } => {
-                    let back = retry_after.unwrap_or_default();
-                    self.record(RecordKind::Refused, router, 0, request.0, back.0, 0);
-                    self.ended(router, request.0, Some(back));
+                    let wait = retry_after.unwrap_or_default();
+                    self.record(RecordKind::Refused, router, 0, request.0, wait.0, 0);
+                    self.finish_try(router, request.0, Some(wait));
                 }
                 Action::Fail { request } => {
                     self.record(RecordKind::Failed, router, 0, request.0, 0, 0);
-                    self.ended(router, request.0, None);
+                    self.finish_try(router, request.0, None);
                 }
                 Action::Probe { member } => self.probe(router, &member),
                 Action::Wake { at } => {
                     let pooler = &mut self.poolers[router as usize];
                     // One that is due by now must not come before time goes on: no clock of a host stands still.
-                    let at = if at > self.now { at } else { self.now + TICK };
-                    pooler.wake = Some(at);
+                    let at = if at > self.now { at } else { self.now + MIN_WAKE_DELAY };
+                    pooler.next_wake = Some(at);
                     let incarnation = pooler.incarnation;
-                    self.at(at, Event::Wake { router, incarnation });
+                    self.schedule(at, SimEvent::Wake { router, incarnation });
                 }
-                Action::Subscribe if self.plan.list.asked => self.subscribe(router),
-                Action::Cancel { request, attempt } if self.plan.fleet.cancels => {
-                    let (request, number) = (request.0, attempt.0);
-                    if let Some(attempt) = self.out.get(&(request, number)).copied() {
-                        self.after(Span(0), Event::Cancelled { attempt, request, number });
+                Action::Subscribe if self.scenario.list.asked => self.subscribe(router),
+                Action::Cancel { request, attempt } if self.scenario.fleet.cancels => {
+                    let (request, attempt_number) = (request.0, attempt.0);
+                    if let Some(attempt) = self.cancellable.get(&(request, attempt_number)).copied() {
+                        self.schedule_after(
+                            Span(0),
+                            SimEvent::Cancelled { attempt, request, attempt_number },
+                        );
                     }
                 }
                 // Else time-outs end attempts here.
@@ -519,27 +523,30 @@
         self.actions = actions;
     }
 
-    fn number_of(member: &MemberId) -> u32 {
+    fn server_index(member: &MemberId) -> u32 {
         member.0[2..].parse().unwrap_or(0)
     }
 
     fn send(&mut self, router: u32, request: u64, member: &MemberId, timeout: Span) {
-        let server = Self::number_of(member);
+        let server = Self::server_index(member);
         let pooler = &mut self.poolers[router as usize];
-        let Some(client) = pooler.open.get(&request).copied() else { return };
+        let Some(client) = pooler.open_requests.get(&request).copied() else { return };
         let client = self.clients[client as usize];
         let (incarnation, server_incarnation) =
             (pooler.incarnation, self.fleet.hosts[server as usize].incarnation);
-        let idle = pooler.idle.get_mut(&server).filter(|(count, of)| *count > 0 && *of == server_incarnation);
+        let idle = pooler
+            .idle_connections
+            .get_mut(&server)
+            .filter(|(count, connected_to)| *count > 0 && *connected_to == server_incarnation);
         let dialed = idle.map(|(count, _)| *count -= 1).is_none();
         // Attempts are numbered by request; a request has no two out, so that its own count does.
-        let number = self.attempts_of(router, request);
+        let number = self.next_attempt_number(router, request);
         self.record(RecordKind::Sent, router, server, request, i64::from(number), 0);
         self.outcome.attempts += 1;
-        let way = self.way(router, server);
-        let need = match self.plans[client.class].class.need {
+        let delay = self.network_delay(router, server);
+        let min_position = match self.classes[client.class].class.need {
             Need::Bounded(bound) => self.now - bound,
-            Need::Session => self.tokens.get(&client.session).copied().unwrap_or_default(),
+            Need::Session => self.session_commits.get(&client.session).copied().unwrap_or_default(),
             Need::Any | Need::Write | Need::Fresh => Time(0),
         };
         let attempt = Attempt {
@@ -551,139 +558,163 @@
             server_incarnation,
             class: client.class,
             work: client.work,
-            sent: self.now,
-            commit: self.now,
-            need,
-            over: false,
+            sent_at: self.now,
+            position: self.now,
+            min_position,
+            ended: false,
         };
-        let at = match self.free.pop() {
-            Some(at) => {
-                self.attempts[at] = attempt;
-                at
+        let index = match self.free_attempts.pop() {
+            Some(index) => {
+                self.attempts[index] = attempt;
+                index
             }
             None => {
                 self.attempts.push(attempt);
                 self.attempts.len() - 1
             }
         };
-        let takes = if dialed { Span(3 * way.0 + self.plan.boxes.handshake.0) } else { way };
-        if self.plan.fleet.cancels {
-            self.out.insert((request, number), at);
+        let arrival_delay = if dialed { Span(3 * delay.0 + self.scenario.boxes.handshake.0) } else { delay };
+        if self.scenario.fleet.cancels {
+            self.cancellable.insert((request, number), index);
         }
-        self.after(takes, Event::Reach { attempt: at, dialed });
-        self.after(timeout.max(Span(1)), Event::Late { attempt: at, request, number });
+        self.schedule_after(arrival_delay, SimEvent::RequestArrives { attempt: index, dialed });
+        self.schedule_after(
+            timeout.max(Span(1)),
+            SimEvent::AttemptTimeout { attempt: index, request, attempt_number: number },
+        );
     }
 
-    fn attempts_of(&mut self, router: u32, request: u64) -> u32 {
-        let count = self.poolers[router as usize].open.get(&(request | COUNT)).copied().unwrap_or(0);
-        self.poolers[router as usize].open.insert(request | COUNT, count + 1);
+    fn next_attempt_number(&mut self, router: u32, request: u64) -> u32 {
+        let count = self.poolers[router as usize]
+            .open_requests
+            .get(&(request | ATTEMPT_COUNT_BIT))
+            .copied()
+            .unwrap_or(0);
+        self.poolers[router as usize].open_requests.insert(request | ATTEMPT_COUNT_BIT, count + 1);
         count
     }
 
     fn probe(&mut self, router: u32, member: &MemberId) {
-        let (server, incarnation) = (Self::number_of(member), self.poolers[router as usize].incarnation);
+        let (server, incarnation) = (Self::server_index(member), self.poolers[router as usize].incarnation);
         self.outcome.probes += 1;
-        let way = self.way(router, server);
-        self.after(way, Event::Ask { router, incarnation, server });
+        let delay = self.network_delay(router, server);
+        self.schedule_after(delay, SimEvent::ProbeArrives { router, incarnation, server });
     }
 
-    fn asked(&mut self, router: u32, client: u32) {
-        let of = self.clients[client as usize];
-        let (full, patience) = (self.plans[of.class].deadline, self.plan.clients.patience);
-        let mut deadline = of.asked + full;
+    fn submit(&mut self, router: u32, client: u32) {
+        let state = self.clients[client as usize];
+        let (full_deadline, patience) = (self.classes[state.class].deadline, self.scenario.clients.patience);
+        let mut deadline = state.first_try_at + full_deadline;
         if patience < 1.0 {
-            deadline = deadline.min(self.now + full.times(self.rng.random_range(patience..=1.0)));
+            deadline = deadline.min(self.now + full_deadline.times(self.rng.random_range(patience..=1.0)));
         }
         if self.poolers[router as usize].router.is_none() || deadline <= self.now {
-            self.outcome.pooler_down += u64::from(of.tries == 0);
-            self.over(client, None);
+            self.outcome.pooler_down += u64::from(state.retries == 0);
+            self.finish_client(client, None);
             return;
         }
         let request = self.next_request;
         self.next_request += 1;
-        let b = of.class as u32 + 256 * of.group;
+        let class_and_group = state.class as u32 + 256 * state.group;
         self.outcome.tries += 1;
-        if self.plan.audit == AuditLevel::Full {
-            self.record(RecordKind::Try, router, 0, request, of.number as i64, i64::from(of.tries));
+        if self.scenario.audit == AuditLevel::Full {
+            self.record(RecordKind::Try, router, 0, request, state.id as i64, i64::from(state.retries));
         }
-        self.record(RecordKind::Asked, router, b, request, deadline.0, of.session as i64);
+        self.record(RecordKind::Asked, router, class_and_group, request, deadline.0, state.session as i64);
         let pooler = &mut self.poolers[router as usize];
-        pooler.open.insert(request, client);
+        pooler.open_requests.insert(request, client);
         self.outcome.max_open = self.outcome.max_open.max(self.clients.len() - self.free_clients.len());
-        let need = self.plans[of.class].class.need;
+        let need = self.classes[state.class].class.need;
         let session = matches!(need, Need::Write | Need::Session);
-        let wrote = self.tokens.get(&of.session).filter(|_| need == Need::Session);
-        let last_write = wrote.map(|at| self.now - *at);
-        self.feed(
+        let last_commit = self.session_commits.get(&state.session).filter(|_| need == Need::Session);
+        let last_write = last_commit.map(|at| self.now - *at);
+        self.handle_router_event(
             router,
             linnetdeal_core::Event::Request(Request {
                 id: RequestId(request),
-                class: ClassId(of.class),
-                tenant: of.tenant.map(TenantId),
-                session: session.then_some(SessionKey(of.session)),
+                class: ClassId(state.class),
+                tenant: state.tenant.map(TenantId),
+                session: session.then_some(SessionKey(state.session)),
                 left: deadline - self.now,
-                group: GroupId(i64::from(of.group)),
+                group: GroupId(i64::from(state.group)),
                 last_write,
                 cost: None,
-                retry: self.plan.clients.marks && of.tries > 0,
+                retry: self.scenario.clients.marks && state.retries > 0,
             }),
         );
     }
 
     /// A request has its final answer, and no value. A client may come back, with what time it has.
-    fn ended(&mut self, router: u32, request: u64, refused: Option<Span>) {
+    fn finish_try(&mut self, router: u32, request: u64, refused: Option<Span>) {
         let pooler = &mut self.poolers[router as usize];
-        pooler.open.remove(&(request | COUNT));
-        let Some(client) = pooler.open.remove(&request) else { return };
-        let of = &mut self.clients[client as usize];
-        let safe = self.plans[of.class].class.effect == Effect::Safe;
-        if of.tries >= self.plan.traffic.retries || (refused.is_none() && !safe) {
-            self.over(client, None);
+        pooler.open_requests.remove(&(request | ATTEMPT_COUNT_BIT));
+        let Some(client) = pooler.open_requests.remove(&request) else { return };
+        let state = &mut self.clients[client as usize];
+        let safe = self.classes[state.class].class.effect == Effect::Safe;
+        if state.retries >= self.scenario.traffic.retries || (refused.is_none() && !safe) {
+            self.finish_client(client, None);
             return;
         }
-        of.tries += 1;
-        let (clients, heeds) = (&self.plan.clients, of.heeds);
-        let longer = if clients.wait == RetryWait::Exponential { 1 << (of.tries - 1).min(16) } else { 1 };
-        let ms = |of: Span| of.0 / 1_000;
-        let most = ms(clients.wait_most).max(ms(clients.wait_least) + 1);
-        let drawn = Span::millis(self.rng.random_range(ms(clients.wait_least)..most) * longer);
+        state.retries += 1;
+        let (clients, heeds) = (&self.scenario.clients, state.heeds_retry_after);
+        let backoff =
+            if clients.wait == RetryWait::Exponential { 1 << (state.retries - 1).min(16) } else { 1 };
+        let ms = |span: Span| span.0 / 1_000;
+        let max_wait = ms(clients.wait_most).max(ms(clients.wait_least) + 1);
+        let drawn = Span::millis(self.rng.random_range(ms(clients.wait_least)..max_wait) * backoff);
         let wait = drawn.max(refused.filter(|_| heeds).unwrap_or_default());
-        self.after(wait, Event::Again { router, try_of: client });
+        self.schedule_after(wait, SimEvent::Retry { router, client });
     }
 
     /// A client is done.
-    fn over(&mut self, client: u32, served: Option<Time>) {
-        let of = self.clients[client as usize];
+    fn finish_client(&mut self, client: u32, served: Option<Time>) {
+        let state = self.clients[client as usize];
         if let Some(at) = served {
-            self.outcome.served[of.class] += 1;
-            self.outcome.service.record_served(of.asked, at - of.asked, of.tenant, of.within, of.class);
-            let took = (at - of.asked).0.max(1).unsigned_abs();
-            self.outcome.latency[of.class].saturating_record(took);
-            let second = ((of.asked - BEGIN).0 / 1_000_000) as usize;
-            if let Some(of) = self.outcome.by_second.get_mut(second) {
-                of.1 += 1;
+            self.outcome.served[state.class] += 1;
+            self.outcome.service.record_served(
+                state.first_try_at,
+                at - state.first_try_at,
+                state.tenant,
+                state.within_quota,
+                state.class,
+            );
+            let took = (at - state.first_try_at).0.max(1).unsigned_abs();
+            self.outcome.latency[state.class].saturating_record(took);
+            let second = ((state.first_try_at - BEGIN).0 / 1_000_000) as usize;
+            if let Some(counts) = self.outcome.by_second.get_mut(second) {
+                counts.1 += 1;
             }
         }
         self.free_clients.push(client);
     }
 
-    fn arrive(&mut self) {
+    fn client_arrives(&mut self) {
         let gap = self.traffic.gap(self.surge, &mut self.rng);
-        if self.now + gap < self.until {
-            self.after(gap, Event::Arrive);
+        if self.now + gap < self.arrivals_end {
+            self.schedule_after(gap, SimEvent::ClientArrives);
         }
         let ClientRequest { class, session, group, router, work, tenant } = self.traffic.draw(&mut self.rng);
-        let share = self.plan.clients.heeds;
-        let heeds = share >= 1.0 || self.rng.random::<f64>() < share;
-        let within = self.outcome.service.record_request(self.now, tenant, class);
+        let share = self.scenario.clients.heeds;
+        let heeds_retry_after = share >= 1.0 || self.rng.random::<f64>() < share;
+        let within_quota = self.outcome.service.record_request(self.now, tenant, class);
         self.next_client += 1;
-        let number = self.next_client;
-        let client =
-            Client { class, session, group, asked: self.now, tries: 0, work, number, tenant, within, heeds };
-        let at = match self.free_clients.pop() {
-            Some(at) => {
-                self.clients[at as usize] = client;
-                at
+        let id = self.next_client;
+        let client = Client {
+            class,
+            session,
+            group,
+            first_try_at: self.now,
+            retries: 0,
+            work,
+            id,
+            tenant,
+            within_quota,
+            heeds_retry_after,
+        };
+        let index = match self.free_clients.pop() {
+            Some(index) => {
+                self.clients[index as usize] = client;
+                index
             }
             None => {
                 self.clients.push(client);
@@ -692,116 +723,124 @@
         };
         self.outcome.requests[class] += 1;
         let second = ((self.now - BEGIN).0 / 1_000_000) as usize;
-        if let Some(of) = self.outcome.by_second.get_mut(second) {
-            of.0 += 1;
+        if let Some(counts) = self.outcome.by_second.get_mut(second) {
+            counts.0 += 1;
         }
-        self.asked(router, at);
+        self.submit(router, index);
     }
 
     /// An attempt's end is on its way to the pooler.
-    fn answer(&mut self, attempt: usize, verdict: Verdict, note: Option<Note>) {
+    fn send_answer(&mut self, attempt: usize, verdict: Verdict, note: Option<Note>) {
         let Attempt { router, server, .. } = self.attempts[attempt];
-        let way = self.way(router, server);
-        self.after(way, Event::Back { attempt, verdict, note });
+        let delay = self.network_delay(router, server);
+        self.schedule_after(delay, SimEvent::AnswerArrives { attempt, verdict, note });
     }
 
-    fn reach(&mut self, at: usize, dialed: bool) {
-        let of = self.attempts[at];
-        let host = &self.fleet.hosts[of.server as usize];
+    fn request_arrives(&mut self, index: usize, dialed: bool) {
+        let attempt = self.attempts[index];
+        let host = &self.fleet.hosts[attempt.server as usize];
         match host.server.state() {
             ServerState::Dead | ServerState::Collapsed => {
                 let verdict = if dialed { Verdict::ConnectFailed } else { Verdict::Reset };
-                return self.answer(at, verdict, None);
+                return self.send_answer(index, verdict, None);
             }
             ServerState::Paused(_) if dialed && !host.hangs => {
-                self.after(DIAL, Event::Back { attempt: at, verdict: Verdict::Unreachable, note: None });
+                self.schedule_after(
+                    CONNECT_TIMEOUT,
+                    SimEvent::AnswerArrives { attempt: index, verdict: Verdict::Unreachable, note: None },
+                );
                 return;
             }
-            _ if !dialed && host.incarnation != of.server_incarnation => {
-                return self.answer(at, Verdict::Reset, None);
+            _ if !dialed && host.incarnation != attempt.server_incarnation => {
+                return self.send_answer(index, Verdict::Reset, None);
             }
             _ => {}
         }
-        self.attempts[at].server_incarnation = host.incarnation;
-        self.record(RecordKind::Came, of.router, of.server, of.request, of.work.0, 0);
+        self.attempts[index].server_incarnation = host.incarnation;
+        self.record(RecordKind::Came, attempt.router, attempt.server, attempt.request, attempt.work.0, 0);
         if dialed {
-            self.fleet.hosts[of.server as usize].server.add_overhead(self.plan.boxes.handshake_work);
+            self.fleet.hosts[attempt.server as usize].server.add_overhead(self.scenario.boxes.handshake_work);
         }
-        if self.behind(&of) && self.fleet.hosts[of.server as usize].server.state() == ServerState::Up {
-            let note = self.fleet.note(of.server, self.now);
-            return self.answer(at, Verdict::Miss, Some(note));
+        if self.is_too_stale(&attempt)
+            && self.fleet.hosts[attempt.server as usize].server.state() == ServerState::Up
+        {
+            let note = self.fleet.note(attempt.server, self.now);
+            return self.send_answer(index, Verdict::Miss, Some(note));
         }
-        let (job, write) = (Job { id: at as u64, work: of.work }, self.is_write(of.class));
-        let came = self.fleet.deliver(self.now, of.server, job, write, &mut self.rng, &mut self.effects);
-        match came {
-            Delivery::Accepted => self.record_job(RecordKind::Took, &of, of.work.0),
-            Delivery::Answered(verdict, note) => self.answer(at, verdict, Some(note)),
-            Delivery::ConnectionLost => self.answer(at, Verdict::Reset, None),
+        let (job, write) = (Job { id: index as u64, work: attempt.work }, self.is_write(attempt.class));
+        let delivery =
+            self.fleet.deliver(self.now, attempt.server, job, write, &mut self.rng, &mut self.fleet_actions);
+        match delivery {
+            Delivery::Accepted => self.record_job(RecordKind::Took, &attempt, attempt.work.0),
+            Delivery::Answered(verdict, note) => self.send_answer(index, verdict, Some(note)),
+            Delivery::ConnectionLost => self.send_answer(index, Verdict::Reset, None),
         }
-        self.follow();
+        self.apply_fleet_actions();
     }
 
     /// Whether a box that checks its reads is too far behind for this one.
-    fn behind(&mut self, of: &Attempt) -> bool {
-        self.plan.boxes.checks
-            && !self.is_write(of.class)
-            && self.fleet.position(of.server, self.now) < of.need
+    fn is_too_stale(&mut self, attempt: &Attempt) -> bool {
+        self.scenario.boxes.checks
+            && !self.is_write(attempt.class)
+            && self.fleet.position(attempt.server, self.now) < attempt.min_position
     }
 
-    fn record_job(&mut self, what: RecordKind, of: &Attempt, x: i64) {
-        if self.plan.audit == AuditLevel::Full {
-            self.record(what, of.router, of.server, of.request, x, i64::from(of.number));
+    fn record_job(&mut self, what: RecordKind, attempt: &Attempt, x: i64) {
+        if self.scenario.audit == AuditLevel::Full {
+            self.record(what, attempt.router, attempt.server, attempt.request, x, i64::from(attempt.number));
         }
     }
 
     fn is_write(&self, class: usize) -> bool {
-        self.plans[class].class.need == Need::Write
+        self.classes[class].class.need == Need::Write
     }
 
     /// Sees to what follows from what happened to the boxes.
-    fn follow(&mut self) {
-        let mut effects = std::mem::take(&mut self.effects);
-        for effect in effects.drain(..) {
-            match effect {
-                FleetAction::Schedule(at, what) => self.at(at, Event::Fleet(what)),
+    fn apply_fleet_actions(&mut self) {
+        let mut actions = std::mem::take(&mut self.fleet_actions);
+        for action in actions.drain(..) {
+            match action {
+                FleetAction::Schedule(at, what) => self.schedule(at, SimEvent::Fleet(what)),
                 FleetAction::Record(what, server, request, x) => self.record(what, 0, server, request, x, 0),
                 FleetAction::JobLost(id) => {
-                    let of = self.attempts[id as usize];
-                    self.record_job(RecordKind::Lost, &of, 0);
-                    self.answer(id as usize, Verdict::Reset, None);
+                    let attempt = self.attempts[id as usize];
+                    self.record_job(RecordKind::Lost, &attempt, 0);
+                    self.send_answer(id as usize, Verdict::Reset, None);
                 }
-                FleetAction::JobDone(server, id) => self.through(server, id as usize),
-                FleetAction::ListChanged(change, noticed) => self.listed(change, noticed),
+                FleetAction::JobDone(server, id) => self.job_done(server, id as usize),
+                FleetAction::ListChanged(change, noticed) => self.list_changed(change, noticed),
                 // Its connections are told from those of its earlier life, and what it holds waits in the model.
                 FleetAction::StateChanged(_) => {}
-                FleetAction::KillPooler(at, trouble, router) => self.at(at, Event::Kill { trouble, router }),
+                FleetAction::KillPooler(at, trouble, router) => {
+                    self.schedule(at, SimEvent::KillPooler { trouble, router })
+                }
                 FleetAction::SetSurge(factor) => self.surge = factor,
-                FleetAction::ListOverbooked(factor) => self.overbooked(factor),
+                FleetAction::ListOverbooked(factor) => self.set_list_overbooked(factor),
             }
         }
-        self.effects = effects;
+        self.fleet_actions = actions;
     }
 
-    fn through(&mut self, server: u32, at: usize) {
-        let of = self.attempts[at];
-        self.record_job(RecordKind::Through, &of, 0);
+    fn job_done(&mut self, server: u32, index: usize) {
+        let attempt = self.attempts[index];
+        self.record_job(RecordKind::Through, &attempt, 0);
         // It came while the box stood still, and could not be turned away.
-        if self.behind(&of) {
-            let note = self.fleet.note(of.server, self.now);
-            return self.answer(at, Verdict::Miss, Some(note));
+        if self.is_too_stale(&attempt) {
+            let note = self.fleet.note(attempt.server, self.now);
+            return self.send_answer(index, Verdict::Miss, Some(note));
         }
-        match self.fleet.finish(self.now, server, self.is_write(of.class)) {
+        match self.fleet.finish(self.now, server, self.is_write(attempt.class)) {
             JobResult::Read(note, position) => {
-                self.attempts[at].commit = position;
-                self.answer(at, Verdict::Ok, Some(note));
+                self.attempts[index].position = position;
+                self.send_answer(index, Verdict::Ok, Some(note));
             }
             // It lost its role while it held the write.
-            JobResult::RoleLost(note) => self.answer(at, Verdict::Error, Some(note)),
+            JobResult::RoleLost(note) => self.send_answer(index, Verdict::Error, Some(note)),
             JobResult::Committed(commit) => {
-                self.attempts[at].commit = commit;
-                self.record(RecordKind::Ran, of.router, server, of.request, commit.0, 0);
+                self.attempts[index].position = commit;
+                self.record(RecordKind::Ran, attempt.router, server, attempt.request, commit.0, 0);
                 let incarnation = self.fleet.hosts[server as usize].incarnation;
-                self.after(self.fleet.ship(), Event::Shipped { attempt: at, incarnation });
+                self.schedule_after(self.fleet.ship(), SimEvent::Replicated { attempt: index, incarnation });
             }
         }
     }
@@ -814,180 +853,213 @@
             CallOutcome::Answered(at) => (at, false),
             CallOutcome::Failed(at) => (at, true),
         };
-        self.at(at, Event::Watch { router, incarnation, failed });
+        self.schedule(at, SimEvent::ListCallEnds { router, incarnation, failed });
     }
 
-    fn watch(&mut self, router: u32, incarnation: u32, failed: bool) {
+    fn list_call_ends(&mut self, router: u32, incarnation: u32, failed: bool) {
         if self.poolers[router as usize].incarnation != incarnation
             || self.poolers[router as usize].router.is_none()
         {
             return;
         }
-        self.poolers[router as usize].watch = !failed;
+        self.poolers[router as usize].watching = !failed;
         self.record(RecordKind::Watching, router, 0, 0, if failed { -1 } else { 1 }, 0);
         let answer = if failed { Listing::Failed } else { Listing::Changes(Vec::new()) };
-        self.feed(router, linnetdeal_core::Event::List(answer));
-        self.news(router, incarnation);
+        self.handle_router_event(router, linnetdeal_core::Event::List(answer));
+        self.deliver_changes(router, incarnation);
     }
 
     /// A watch brings what was published since it last did.
-    fn news(&mut self, router: u32, incarnation: u32) {
+    fn deliver_changes(&mut self, router: u32, incarnation: u32) {
         let pooler = &self.poolers[router as usize];
-        if pooler.incarnation != incarnation || !pooler.watch {
+        if pooler.incarnation != incarnation || !pooler.watching {
             return;
         }
-        while let Some(change) = self.published.get(self.poolers[router as usize].seen).copied() {
-            self.poolers[router as usize].seen += 1;
+        while let Some(change) = self.published.get(self.poolers[router as usize].changes_seen).copied() {
+            self.poolers[router as usize].changes_seen += 1;
             let group = self.fleet.hosts[self.fleet.changes[change].server as usize].group;
             if self.traffic.serves(router, group) {
-                self.told(router, change);
+                self.deliver_change(router, change);
             }
         }
     }
 
     fn publish(&mut self, change: usize) {
-        let of = self.fleet.changes[change];
-        let up = i64::from(of.state == ListState::Healthy);
-        self.record(RecordKind::Published, 0, of.server, 0, up, 0);
+        let list_change = self.fleet.changes[change];
+        let up = i64::from(list_change.state == ListState::Healthy);
+        self.record(RecordKind::Published, 0, list_change.server, 0, up, 0);
         self.published.push(change);
-        let out = self.discovery.next_notification(self.now);
+        let notified_at = self.discovery.next_notification(self.now);
         for router in 0..self.poolers.len() as u32 {
             let incarnation = self.poolers[router as usize].incarnation;
-            if self.poolers[router as usize].watch {
-                self.at(out + self.traffic.list_delay(router), Event::News { router, incarnation });
+            if self.poolers[router as usize].watching {
+                self.schedule(
+                    notified_at + self.traffic.list_delay(router),
+                    SimEvent::WatchUpdate { router, incarnation },
+                );
             }
         }
     }
 
     /// All watches end, and calls take so many times as long; or it is over.
-    fn overbooked(&mut self, factor: f64) {
+    fn set_list_overbooked(&mut self, factor: f64) {
         self.discovery.slowdown = factor;
         for router in 0..self.poolers.len() as u32 {
-            if factor > 1.0 && std::mem::take(&mut self.poolers[router as usize].watch) {
+            if factor > 1.0 && std::mem::take(&mut self.poolers[router as usize].watching) {
                 self.record(RecordKind::Watching, router, 0, 0, 0, 0);
-                self.feed(router, linnetdeal_core::Event::List(Listing::Failed));
+                self.handle_router_event(router, linnetdeal_core::Event::List(Listing::Failed));
             }
         }
     }
 
-    fn listed(&mut self, change: usize, noticed: Time) {
-        if self.plan.list.asked {
-            return self.at(noticed, Event::Publish { change });
+    fn list_changed(&mut self, change: usize, noticed: Time) {
+        if self.scenario.list.asked {
+            return self.schedule(noticed, SimEvent::Publish { change });
         }
         let group = self.fleet.hosts[self.fleet.changes[change].server as usize].group;
         for router in 0..self.poolers.len() as u32 {
             if self.traffic.serves(router, group) {
-                self.at(noticed + self.traffic.list_delay(router), Event::Told { router, change });
+                self.schedule(
+                    noticed + self.traffic.list_delay(router),
+                    SimEvent::ListUpdate { router, change },
+                );
             }
         }
     }
 
-    fn shipped(&mut self, at: usize, incarnation: u32) {
-        let of = self.attempts[at];
-        if self.fleet.hosts[of.server as usize].incarnation != incarnation {
-            return self.answer(at, Verdict::Reset, None);
+    fn replicated(&mut self, index: usize, incarnation: u32) {
+        let attempt = self.attempts[index];
+        if self.fleet.hosts[attempt.server as usize].incarnation != incarnation {
+            return self.send_answer(index, Verdict::Reset, None);
         }
-        self.record(RecordKind::Kept, of.router, of.server, of.request, of.commit.0, 0);
-        let commit = Time(of.commit.0.div_euclid(1_000) * 1_000 + 1_000);
-        self.answer(at, Verdict::Ok, Some(Note { role: Some(Role::Primary), position: Some(commit) }));
+        self.record(RecordKind::Kept, attempt.router, attempt.server, attempt.request, attempt.position.0, 0);
+        let commit = Time(attempt.position.0.div_euclid(1_000) * 1_000 + 1_000);
+        self.send_answer(
+            index,
+            Verdict::Ok,
+            Some(Note { role: Some(Role::Primary), position: Some(commit) }),
+        );
     }
 
     /// A pooler hears of the end of an attempt. What it has given up before is of no use to it any more.
-    fn back(&mut self, at: usize, verdict: Verdict, note: Option<Note>) {
-        let of = self.attempts[at];
-        self.free.push(at);
-        if std::mem::replace(&mut self.attempts[at].over, true) {
+    fn answer_arrives(&mut self, index: usize, verdict: Verdict, note: Option<Note>) {
+        let attempt = self.attempts[index];
+        self.free_attempts.push(index);
+        if std::mem::replace(&mut self.attempts[index].ended, true) {
             return;
         }
-        if self.poolers[of.router as usize].incarnation != of.incarnation {
+        if self.poolers[attempt.router as usize].incarnation != attempt.incarnation {
             return;
         }
         let kept = !matches!(verdict, Verdict::ConnectFailed | Verdict::Unreachable | Verdict::Reset);
-        if kept && self.fleet.hosts[of.server as usize].incarnation == of.server_incarnation {
-            let idle =
-                self.poolers[of.router as usize].idle.entry(of.server).or_insert((0, of.server_incarnation));
-            *idle = if idle.1 == of.server_incarnation {
+        if kept && self.fleet.hosts[attempt.server as usize].incarnation == attempt.server_incarnation {
+            let idle = self.poolers[attempt.router as usize]
+                .idle_connections
+                .entry(attempt.server)
+                .or_insert((0, attempt.server_incarnation));
+            *idle = if idle.1 == attempt.server_incarnation {
                 (idle.0 + 1, idle.1)
             } else {
-                (1, of.server_incarnation)
+                (1, attempt.server_incarnation)
             };
         }
-        self.ends(of, verdict, note);
+        self.end_attempt(attempt, verdict, note);
     }
 
-    fn ends(&mut self, of: Attempt, verdict: Verdict, note: Option<Note>) {
-        self.record(RecordKind::Over, of.router, of.server, of.request, i64::from(of.number), 0);
-        self.out.remove(&(of.request, of.number));
-        let client = self.poolers[of.router as usize].open.get(&of.request).copied();
+    fn end_attempt(&mut self, attempt: Attempt, verdict: Verdict, note: Option<Note>) {
+        self.record(
+            RecordKind::Over,
+            attempt.router,
+            attempt.server,
+            attempt.request,
+            i64::from(attempt.number),
+            0,
+        );
+        self.cancellable.remove(&(attempt.request, attempt.number));
+        let client = self.poolers[attempt.router as usize].open_requests.get(&attempt.request).copied();
         let served = verdict == Verdict::Ok && client.is_some();
         if let Some(client) = client.filter(|_| served) {
             // The commit of a write, the position that a read was answered from: as they are, not as a note rounds them.
-            self.record(RecordKind::Served, of.router, of.server, of.request, of.commit.0, 0);
-            if self.plan.traffic.tokens_carried && self.is_write(of.class) {
-                let token = self.tokens.entry(self.clients[client as usize].session).or_insert(of.commit);
-                *token = of.commit.max(*token);
+            self.record(
+                RecordKind::Served,
+                attempt.router,
+                attempt.server,
+                attempt.request,
+                attempt.position.0,
+                0,
+            );
+            if self.scenario.traffic.tokens_carried && self.is_write(attempt.class) {
+                let token = self
+                    .session_commits
+                    .entry(self.clients[client as usize].session)
+                    .or_insert(attempt.position);
+                *token = attempt.position.max(*token);
             }
-            let pooler = &mut self.poolers[of.router as usize];
-            pooler.open.remove(&of.request);
-            pooler.open.remove(&(of.request | COUNT));
-            self.over(client, Some(self.now));
+            let pooler = &mut self.poolers[attempt.router as usize];
+            pooler.open_requests.remove(&attempt.request);
+            pooler.open_requests.remove(&(attempt.request | ATTEMPT_COUNT_BIT));
+            self.finish_client(client, Some(self.now));
         }
-        self.feed(
-            of.router,
+        self.handle_router_event(
+            attempt.router,
             linnetdeal_core::Event::Outcome(linnetdeal_core::Outcome {
-                request: RequestId(of.request),
-                attempt: AttemptNo(of.number),
-                member: self.names[of.server as usize].clone(),
+                request: RequestId(attempt.request),
+                attempt: AttemptNo(attempt.number),
+                member: self.member_ids[attempt.server as usize].clone(),
                 verdict,
                 note,
-                took: self.now - of.sent,
+                took: self.now - attempt.sent_at,
                 closed: served,
                 report: None,
             }),
         );
     }
 
-    fn late(&mut self, at: usize, request: u64, number: u32) {
-        let of = self.attempts[at];
+    fn attempt_timed_out(&mut self, index: usize, request: u64, attempt_number: u32) {
+        let attempt = self.attempts[index];
         // Its place may be another's by now.
-        let same = (of.request, of.number) == (request, number);
-        if of.over || !same || self.poolers[of.router as usize].incarnation != of.incarnation {
+        let same = (attempt.request, attempt.number) == (request, attempt_number);
+        if attempt.ended || !same || self.poolers[attempt.router as usize].incarnation != attempt.incarnation
+        {
             return;
         }
-        self.attempts[at].over = true;
-        self.ends(of, Verdict::Timeout, None);
+        self.attempts[index].ended = true;
+        self.end_attempt(attempt, Verdict::Timeout, None);
     }
 
     /// What was called off has ended for its router; a box that has it works on.
-    fn cancelled(&mut self, at: usize, request: u64, number: u32) {
-        let of = self.attempts[at];
-        if of.over || (of.request, of.number) != (request, number) {
+    fn attempt_cancelled(&mut self, index: usize, request: u64, attempt_number: u32) {
+        let attempt = self.attempts[index];
+        if attempt.ended || (attempt.request, attempt.number) != (request, attempt_number) {
             return;
         }
-        self.attempts[at].over = true;
-        if self.poolers[of.router as usize].incarnation == of.incarnation {
-            self.ends(of, Verdict::Cancelled, None);
+        self.attempts[index].ended = true;
+        if self.poolers[attempt.router as usize].incarnation == attempt.incarnation {
+            self.end_attempt(attempt, Verdict::Cancelled, None);
         }
     }
 
-    fn ask(&mut self, router: u32, incarnation: u32, server: u32) {
+    fn probe_arrives(&mut self, router: u32, incarnation: u32, server: u32) {
         let (verdict, report) = match self.fleet.hosts[server as usize].server.state() {
             ServerState::Dead | ServerState::Collapsed => (Verdict::ConnectFailed, None),
             ServerState::Paused(_) if !self.fleet.hosts[server as usize].hangs => {
                 let verdict = Verdict::Unreachable;
-                self.after(DIAL, Event::Tell { router, incarnation, server, report: None, verdict });
+                self.schedule_after(
+                    CONNECT_TIMEOUT,
+                    SimEvent::ProbeAnswered { router, incarnation, server, report: None, verdict },
+                );
                 return;
             }
             ServerState::Up | ServerState::Paused(_) => {
-                self.fleet.hosts[server as usize].server.add_overhead(self.plan.boxes.probe_work);
+                self.fleet.hosts[server as usize].server.add_overhead(self.scenario.boxes.probe_work);
                 (Verdict::Ok, self.fleet.report(server, self.now))
             }
         };
-        let way = self.way(router, server);
-        self.after(way, Event::Tell { router, incarnation, server, report, verdict });
+        let delay = self.network_delay(router, server);
+        self.schedule_after(delay, SimEvent::ProbeAnswered { router, incarnation, server, report, verdict });
     }
 
-    fn told(&mut self, router: u32, change: usize) {
+    fn deliver_change(&mut self, router: u32, change: usize) {
         if self.poolers[router as usize].router.is_none() {
             return;
         }
@@ -996,75 +1068,86 @@
         self.record(RecordKind::Told, router, change.server, 0, i64::from(up), started.0);
         let claim = self.claim(change);
         let now = self.now;
-        let taken = self.poolers[router as usize].members.apply_update(
+        let update = self.poolers[router as usize].members.apply_update(
             now,
             SourceId(0),
             SourceUpdate::Changes(vec![claim]),
         );
-        if !taken.changed.is_empty() {
-            self.feed(router, linnetdeal_core::Event::List(Listing::Changes(taken.changed)));
+        if !update.changed.is_empty() {
+            self.handle_router_event(router, linnetdeal_core::Event::List(Listing::Changes(update.changed)));
         }
     }
 
-    fn kill(&mut self, at: usize, router: u32) {
+    fn kill_pooler(&mut self, trouble: usize, router: u32) {
         let pooler = &mut self.poolers[router as usize];
         if pooler.router.take().is_none() {
             return;
         }
         pooler.incarnation += 1;
-        (pooler.wake, pooler.idle, pooler.watch) = (None, HashMap::new(), false);
-        let mut open: Vec<(u64, u32)> = std::mem::take(&mut pooler.open).into_iter().collect();
+        (pooler.next_wake, pooler.idle_connections, pooler.watching) = (None, HashMap::new(), false);
+        let mut open: Vec<(u64, u32)> = std::mem::take(&mut pooler.open_requests).into_iter().collect();
         open.sort_unstable();
         self.record(RecordKind::Killed, router, 0, 0, 0, 0);
         for (request, client) in open {
-            if request & COUNT == 0 {
-                self.over(client, None);
+            if request & ATTEMPT_COUNT_BIT == 0 {
+                self.finish_client(client, None);
             }
         }
-        if let Some(lasts) = self.fleet.away(at) {
-            self.after(lasts, Event::Start { router });
+        if let Some(downtime) = self.fleet.pooler_downtime(trouble) {
+            self.schedule_after(downtime, SimEvent::StartPooler { router });
         }
     }
 
-    fn happens(&mut self, event: Event) {
+    fn handle(&mut self, event: SimEvent) {
         match event {
-            Event::Arrive => self.arrive(),
-            Event::Again { router, try_of } => self.asked(router, try_of),
-            Event::Reach { attempt, dialed } => self.reach(attempt, dialed),
-            Event::Fleet(what) => {
-                self.fleet.handle(self.now, what, &mut self.rng, &mut self.effects);
-                self.follow();
+            SimEvent::ClientArrives => self.client_arrives(),
+            SimEvent::Retry { router, client } => self.submit(router, client),
+            SimEvent::RequestArrives { attempt, dialed } => self.request_arrives(attempt, dialed),
+            SimEvent::Fleet(what) => {
+                self.fleet.handle(self.now, what, &mut self.rng, &mut self.fleet_actions);
+                self.apply_fleet_actions();
+            }
+            SimEvent::Replicated { attempt, incarnation } => self.replicated(attempt, incarnation),
+            SimEvent::AnswerArrives { attempt, verdict, note } => self.answer_arrives(attempt, verdict, note),
+            SimEvent::AttemptTimeout { attempt, request, attempt_number } => {
+                self.attempt_timed_out(attempt, request, attempt_number)
             }
-            Event::Shipped { attempt, incarnation } => self.shipped(attempt, incarnation),
-            Event::Back { attempt, verdict, note } => self.back(attempt, verdict, note),
-            Event::Late { attempt, request, number } => self.late(attempt, request, number),
-            Event::Wake { router, incarnation } => {
+            SimEvent::Wake { router, incarnation } => {
                 let pooler = &mut self.poolers[router as usize];
-                if pooler.incarnation == incarnation && pooler.wake == Some(self.now) {
-                    pooler.wake = None;
-                    self.feed(router, linnetdeal_core::Event::Wake);
+                if pooler.incarnation == incarnation && pooler.next_wake == Some(self.now) {
+                    pooler.next_wake = None;
+                    self.handle_router_event(router, linnetdeal_core::Event::Wake);
                 }
             }
-            Event::Ask { router, incarnation, server } => self.ask(router, incarnation, server),
-            Event::Tell { router, incarnation, server, report, verdict } => {
+            SimEvent::ProbeArrives { router, incarnation, server } => {
+                self.probe_arrives(router, incarnation, server)
+            }
+            SimEvent::ProbeAnswered { router, incarnation, server, report, verdict } => {
                 if self.poolers[router as usize].incarnation == incarnation {
-                    let member = self.names[server as usize].clone();
+                    let member = self.member_ids[server as usize].clone();
                     let fields = self.settings.report.len();
                     let report = report.map(|report| report[..fields].to_vec());
                     let took = Span(1_000);
-                    self.feed(router, linnetdeal_core::Event::Probed { member, verdict, took, report });
+                    self.handle_router_event(
+                        router,
+                        linnetdeal_core::Event::Probed { member, verdict, took, report },
+                    );
                 }
             }
-            Event::Told { router, change } => self.told(router, change),
-            Event::Publish { change } => self.publish(change),
-            Event::News { router, incarnation } => self.news(router, incarnation),
-            Event::Watch { router, incarnation, failed } => self.watch(router, incarnation, failed),
-            Event::Cancelled { attempt, request, number } => self.cancelled(attempt, request, number),
-            Event::Kill { trouble, router } => self.kill(trouble, router),
-            Event::Start { router } => self.start(router),
+            SimEvent::ListUpdate { router, change } => self.deliver_change(router, change),
+            SimEvent::Publish { change } => self.publish(change),
+            SimEvent::WatchUpdate { router, incarnation } => self.deliver_changes(router, incarnation),
+            SimEvent::ListCallEnds { router, incarnation, failed } => {
+                self.list_call_ends(router, incarnation, failed)
+            }
+            SimEvent::Cancelled { attempt, request, attempt_number } => {
+                self.attempt_cancelled(attempt, request, attempt_number)
+            }
+            SimEvent::KillPooler { trouble, router } => self.kill_pooler(trouble, router),
+            SimEvent::StartPooler { router } => self.start_pooler(router),
         }
     }
 }
 
 /// Beside a request's client, its count of attempts is kept under its number with this bit.
-const COUNT: u64 = 1 << 63;
+const ATTEMPT_COUNT_BIT: u64 = 1 << 63;
--- a/crates/fleet/src/traffic.rs
+++ b/crates/fleet/src/traffic.rs
@@ -10,9 +10,9 @@
 pub const RETRY_WAIT_MS: std::ops::Range<i64> = 10..80;
 
 /// No request has more work than this multiple of its class's mean.
-const MOST_WORK: f64 = 20.0;
+const MAX_WORK_FACTOR: f64 = 20.0;
 /// Sessions of different tenants differ by so much at the least.
-const SESSIONS_OF_A_TENANT: u64 = 1 << 40;
+const SESSION_IDS_PER_TENANT: u64 = 1 << 40;
 
 /// The work of a class's requests on a standard core, in us.
 #[derive(Clone, Debug)]
@@ -26,11 +26,11 @@
 }
 
 impl Work {
-    fn of(class: &ClassSpec) -> Self {
+    fn from_class(class: &ClassSpec) -> Self {
         let mean = class.work.0 as f64;
         let variance = (1.0 + class.cv * class.cv).ln();
         match (class.spread, LogNormal::new(mean.ln() - variance / 2.0, variance.sqrt())) {
-            (WorkDistribution::Lognormal, Ok(of)) => Self::Lognormal(mean, of),
+            (WorkDistribution::Lognormal, Ok(distribution)) => Self::Lognormal(mean, distribution),
             _ => Self::Exponential(mean),
         }
     }
@@ -46,14 +46,14 @@
 
     /// That of one request.
     pub fn draw(&self, rng: &mut ChaCha8Rng) -> Span {
-        let most = |drawn: f64, mean: f64| Span((drawn.min(MOST_WORK * mean) as i64).max(1));
+        let bounded = |drawn: f64, mean: f64| Span((drawn.min(MAX_WORK_FACTOR * mean) as i64).max(1));
         match self {
             Self::Between(range) => Span(rng.random_range(range.clone())),
             Self::Exponential(mean) => {
                 let drawn: f64 = Exp1.sample(rng);
-                most(drawn * mean, *mean)
+                bounded(drawn * mean, *mean)
             }
-            Self::Lognormal(mean, of) => most(of.sample(rng), *mean),
+            Self::Lognormal(mean, distribution) => bounded(distribution.sample(rng), *mean),
         }
     }
 }
@@ -77,26 +77,26 @@
     if scenario.classes.is_empty() {
         return portal();
     }
-    let all: f64 = scenario.classes.iter().map(|of| of.share).sum();
-    let plan = |of: &ClassSpec| ClassPlan {
+    let all: f64 = scenario.classes.iter().map(|class| class.share).sum();
+    let plan = |class: &ClassSpec| ClassPlan {
         class: Class {
-            name: of.name.clone(),
-            effect: if of.once { Effect::Unsafe } else { Effect::Safe },
-            need: match of.need {
+            name: class.name.clone(),
+            effect: if class.once { Effect::Unsafe } else { Effect::Safe },
+            need: match class.need {
                 DataNeed::Any => Need::Any,
-                DataNeed::Bounded => Need::Bounded(of.bound),
+                DataNeed::Bounded => Need::Bounded(class.bound),
                 DataNeed::Session => Need::Session,
                 DataNeed::Fresh => Need::Fresh,
                 DataNeed::Write => Need::Write,
             },
-            aim: of.aim,
+            aim: class.aim,
             aim_stretch: 0.0,
-            worth: of.worth,
-            late_worth: of.late_worth,
+            worth: class.worth,
+            late_worth: class.late_worth,
         },
-        share: of.share / all,
-        work: Work::of(of),
-        deadline: of.deadline,
+        share: class.share / all,
+        work: Work::from_class(class),
+        deadline: class.deadline,
     };
     scenario.classes.iter().map(plan).collect()
 }
@@ -104,7 +104,7 @@
 /// The classes of a scenario that names none.
 #[must_use]
 pub fn portal() -> Vec<ClassPlan> {
-    let plan = |name: &str, need, effect, share, aim, deadline, worth, late, work| ClassPlan {
+    let plan = |name: &str, need, effect, share, aim, deadline, worth, late_worth, work| ClassPlan {
         class: Class {
             name: name.into(),
             effect,
@@ -112,7 +112,7 @@
             aim: Span::millis(aim),
             aim_stretch: 0.0,
             worth,
-            late_worth: late,
+            late_worth,
         },
         share,
         work: Work::Between(work),
@@ -156,7 +156,7 @@
     /// What each tenant may ask in a second.
     pub quotas: Vec<f64>,
     /// The part of all requests that is each tenant's.
-    asks: Vec<f64>,
+    request_shares: Vec<f64>,
     /// Poolers come in so many sets, each of which serves its own groups.
     pub pooler_sets: usize,
     zipf: Option<Zipf<f64>>,
@@ -168,27 +168,34 @@
 impl Traffic {
     /// That of a scenario.
     #[must_use]
-    pub fn new(plan: &Scenario) -> Self {
-        let (boxes, fleet, plans) = (&plan.boxes, &plan.fleet, class_plans(plan));
-        let mean = |of: &dyn Fn(&ClassPlan) -> bool| -> f64 {
-            plans.iter().filter(|plan| of(plan)).map(|plan| plan.share * plan.work.mean()).sum()
+    pub fn new(scenario: &Scenario) -> Self {
+        let (boxes, fleet, plans) = (&scenario.boxes, &scenario.fleet, class_plans(scenario));
+        let mean = |include: &dyn Fn(&ClassPlan) -> bool| -> f64 {
+            plans.iter().filter(|plan| include(plan)).map(|plan| plan.share * plan.work.mean()).sum()
         };
-        let one = boxes.cores as f64 * boxes.speed;
-        let primary = mean(&|plan| matches!(plan.class.need, Need::Write | Need::Fresh));
-        let able = (one * fleet.members as f64 / mean(&|_| true)).min(one / primary) * fleet.groups as f64;
-        let rate = if plan.traffic.rate > 0.0 { plan.traffic.rate } else { able * plan.traffic.load };
-        let zipf = (plan.traffic.zipf > 0.0)
-            .then(|| Zipf::new(plan.traffic.sessions as f64, plan.traffic.zipf).ok())
+        let box_capacity = boxes.cores as f64 * boxes.speed;
+        let primary_work = mean(&|plan| matches!(plan.class.need, Need::Write | Need::Fresh));
+        let max_rate = (box_capacity * fleet.members as f64 / mean(&|_| true))
+            .min(box_capacity / primary_work)
+            * fleet.groups as f64;
+        let rate = if scenario.traffic.rate > 0.0 {
+            scenario.traffic.rate
+        } else {
+            max_rate * scenario.traffic.load
+        };
+        let zipf = (scenario.traffic.zipf > 0.0)
+            .then(|| Zipf::new(scenario.traffic.sessions as f64, scenario.traffic.zipf).ok())
             .flatten();
         let reach = if fleet.reach == 0 { fleet.groups } else { fleet.reach };
         let pooler_sets = fleet.groups.div_ceil(reach).clamp(1, fleet.poolers);
-        let (sessions, groups, poolers) = (plan.traffic.sessions, fleet.groups, fleet.poolers);
-        let shares: f64 = plan.tenants.iter().map(|of| of.share).sum();
-        let quota = |share: f64| able * plan.traffic.quota * share / shares;
-        let quotas = plan.tenants.iter().map(|of| quota(of.share)).collect();
-        let usage: f64 = plan.tenants.iter().map(|of| of.share * of.usage).sum();
-        let asks = plan.tenants.iter().map(|of| of.share * of.usage / usage).collect();
-        Self { plans, rate, quotas, asks, pooler_sets, zipf, sessions, groups, poolers }
+        let (sessions, groups, poolers) = (scenario.traffic.sessions, fleet.groups, fleet.poolers);
+        let shares: f64 = scenario.tenants.iter().map(|tenant| tenant.share).sum();
+        let quota = |share: f64| max_rate * scenario.traffic.quota * share / shares;
+        let quotas = scenario.tenants.iter().map(|tenant| quota(tenant.share)).collect();
+        let usage: f64 = scenario.tenants.iter().map(|tenant| tenant.share * tenant.usage).sum();
+        let request_shares =
+            scenario.tenants.iter().map(|tenant| tenant.share * tenant.usage / usage).collect();
+        Self { plans, rate, quotas, request_shares, pooler_sets, zipf, sessions, groups, poolers }
     }
 
     /// How many poolers share a group.
@@ -217,24 +224,24 @@
 
     /// What is asked.
     pub fn draw(&self, rng: &mut ChaCha8Rng) -> ClientRequest {
-        let tenant = (!self.asks.is_empty()).then(|| pick(&self.asks, rng));
+        let tenant = (!self.request_shares.is_empty()).then(|| weighted_index(&self.request_shares, rng));
         let session = match &self.zipf {
             Some(zipf) => zipf.sample(rng) as u64,
             None => rng.random_range(1..=self.sessions),
         };
-        let session = session + tenant.unwrap_or(0) as u64 * SESSIONS_OF_A_TENANT;
+        let session = session + tenant.unwrap_or(0) as u64 * SESSION_IDS_PER_TENANT;
         let mixed = session.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let group = ((mixed >> 33) % self.groups as u64) as u32;
         let set = group as usize % self.pooler_sets;
         let of_set = (self.poolers - set).div_ceil(self.pooler_sets);
         let router = (set + ((mixed >> 13) as usize % of_set) * self.pooler_sets) as u32;
-        let mut dice = rng.random::<f64>();
+        let mut remaining = rng.random::<f64>();
         let class = self
             .plans
             .iter()
             .position(|plan| {
-                dice -= plan.share;
-                dice < 0.0
+                remaining -= plan.share;
+                remaining < 0.0
             })
             .unwrap_or(0);
         let work = self.plans[class].work.draw(rng);
@@ -243,11 +250,11 @@
 }
 
 /// One of these, by their parts of 1.
-fn pick(parts: &[f64], rng: &mut ChaCha8Rng) -> usize {
-    let mut dice = rng.random::<f64>();
-    let at = parts.iter().position(|part| {
-        dice -= part;
-        dice < 0.0
+fn weighted_index(parts: &[f64], rng: &mut ChaCha8Rng) -> usize {
+    let mut remaining = rng.random::<f64>();
+    let index = parts.iter().position(|part| {
+        remaining -= part;
+        remaining < 0.0
     });
-    at.unwrap_or(0)
+    index.unwrap_or(0)
 }
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -24,15 +24,15 @@
         let mut rng = ChaCha8Rng::seed_from_u64(3);
         let fleet = Fleet::new(&plan, BEGIN, &mut rng);
         let mut world = Self { fleet, rng, due: Vec::new(), seen: Vec::new() };
-        let mut out = Vec::new();
-        world.fleet.schedule_troubles(&mut out);
-        world.follow(BEGIN, out);
+        let mut actions = Vec::new();
+        world.fleet.schedule_troubles(&mut actions);
+        world.follow(BEGIN, actions);
         world
     }
 
-    fn follow(&mut self, now: Time, out: Vec<FleetAction>) {
-        for of in out {
-            match of {
+    fn follow(&mut self, now: Time, actions: Vec<FleetAction>) {
+        for action in actions {
+            match action {
                 FleetAction::Schedule(at, what) => self.due.push((at, what)),
                 other => self.seen.push((now, other)),
             }
@@ -45,21 +45,21 @@
                 return;
             }
             let (now, what) = self.due.remove(next);
-            let mut out = Vec::new();
-            self.fleet.handle(now, what, &mut self.rng, &mut out);
-            self.follow(now, out);
+            let mut actions = Vec::new();
+            self.fleet.handle(now, what, &mut self.rng, &mut actions);
+            self.follow(now, actions);
         }
     }
 
     fn deliver(&mut self, now: Time, server: u32, id: u64, write: bool) -> Delivery {
-        let (job, mut out) = (Job { id, work: Span::millis(50) }, Vec::new());
-        let delivery = self.fleet.deliver(now, server, job, write, &mut self.rng, &mut out);
-        self.follow(now, out);
+        let (job, mut actions) = (Job { id, work: Span::millis(50) }, Vec::new());
+        let delivery = self.fleet.deliver(now, server, job, write, &mut self.rng, &mut actions);
+        self.follow(now, actions);
         delivery
     }
 
     fn through(&self) -> Vec<u64> {
-        let through = self.seen.iter().filter_map(|(_, of)| match of {
+        let through = self.seen.iter().filter_map(|(_, action)| match action {
             FleetAction::JobDone(_, id) => Some(*id),
             _ => None,
         });
@@ -67,7 +67,7 @@
     }
 
     fn listed(&self) -> Vec<(u32, ListState, bool)> {
-        self.fleet.changes.iter().map(|of| (of.server, of.state, of.primary)).collect()
+        self.fleet.changes.iter().map(|change| (change.server, change.state, change.primary)).collect()
     }
 }
 
@@ -81,7 +81,7 @@
     world.until(at(990));
     assert_eq!(world.deliver(at(990), 0, 7, true), Delivery::Accepted);
     world.until(at(1_000));
-    assert!(world.seen.iter().any(|(_, of)| *of == FleetAction::JobLost(7)));
+    assert!(world.seen.iter().any(|(_, action)| *action == FleetAction::JobLost(7)));
     assert_eq!(world.deliver(at(1_001), 0, 8, true), Delivery::ConnectionLost);
     assert!(matches!(world.deliver(at(1_001), 1, 9, true), Delivery::Answered(Verdict::Miss, _)));
     world.until(at(19_000));
--- a/crates/lab/src/rehearsal.rs
+++ b/crates/lab/src/rehearsal.rs
@@ -601,7 +601,7 @@
                     self.watches[router as usize].clear();
                     drop(pooler);
                     self.record(RecordKind::Killed, (router, 0), 0, 0, 0);
-                    if let Some(away) = self.fleet.away(trouble) {
+                    if let Some(away) = self.fleet.pooler_downtime(trouble) {
                         self.at(self.shared.clock.now() + away, Event::Start { router });
                     }
                 }
