--- a/crates/fleet/src/audit.rs
+++ b/crates/fleet/src/audit.rs
@@ -1,17 +1,17 @@
-//! Holds what happened to the rules, on the records alone and with nothing of the pooler's own code.
+//! Checks a run against the rules, by its records alone and without any of the pooler's own code.
 
 use crate::record::{Record, RecordKind, Sink};
 use linnetdeal_core::{Span, Time};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// A class as the rules see it.
+/// What the rules require of a class of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassRules {
-    /// It must not run twice.
+    /// A request must not run twice.
     pub run_once: bool,
-    /// It is a write.
+    /// Requests are writes.
     pub write: bool,
-    /// A read's data.
+    /// How current a read's data must be.
     pub freshness: Freshness,
     /// How long a client waits, over all its tries.
     pub deadline: Span,
@@ -20,73 +20,73 @@
 /// How current a read's data must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// As it comes.
+    /// No requirement.
     Any,
-    /// No older than this when it was sent.
+    /// No older than this when the read was sent.
     Bounded(Span),
-    /// All that its session wrote and was told of by this router.
+    /// Everything that its session wrote and that this router was told of.
     Session,
-    /// All that was committed and answered before it was asked.
+    /// Everything that was committed and answered before the read was requested.
     All,
 }
 
-/// The figures of the rules.
+/// The parameters of the rules.
 #[derive(Clone, Debug)]
 pub struct Rules {
     /// By class.
     pub classes: Vec<ClassRules>,
-    /// Nothing new to a box later than this after its drain was told.
+    /// A box receives nothing new later than this after the router was told of its drain.
     pub drain_grace: Span,
-    /// How long past the deadline an answer may come.
+    /// How long after the deadline an answer may come.
     pub answer_slack: Span,
-    /// A cold box's share, and when it is warm.
+    /// The share of its capacity that a box has at its start, and the time after which it has all of it.
     pub cold: (f64, Span),
-    /// It must not be sent more than this multiple of its capacity for so long.
+    /// A cold box must not be sent more than this multiple of its capacity for that long.
     pub fall: (f64, Span),
-    /// Whether what may run twice may have two attempts out.
+    /// Whether a request that may run twice may have two attempts in flight.
     pub second_copies: bool,
-    /// Whether clients say when their sessions last wrote; else a router need only know of what it was told itself.
+    /// Whether clients say when their sessions last wrote; otherwise a router needs to know only of the commits that it was told of.
     pub tokens_carried: bool,
-    /// Where the list has to be asked: a router without a watch that has not asked for so long, four times that after a call
-    /// that failed, counts as told of what was published that long before.
+    /// Where the list has to be polled: a router without a watch that has not asked for this long, or for four times as long after a
+    /// failed call, is expected to know what was published that long before.
     pub poll_interval: Option<Span>,
-    /// What the full records are held to.
+    /// The checks that need the full records.
     pub full: Option<FullRules>,
 }
 
-/// What clients' tries and the way of jobs through boxes are held to.
+/// Limits for the checks of clients' tries and of jobs in boxes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FullRules {
     /// Tries of a client after the first.
     pub retries: u32,
-    /// How much a box runs at once, first come, first served.
+    /// How many jobs a box runs at once, in the order of their arrival.
     pub cores: usize,
-    /// The speed of the quickest box's cores.
+    /// The speed of the fastest box's cores.
     pub max_core_speed: f64,
 }
 
-/// A rule.
+/// A rule. The names of the variants are printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// One final answer in time.
+    /// Each request has one final answer, in time.
     Answered,
-    /// No repeated effect.
+    /// What must not run twice ran at most once, and not at all if it was refused.
     Once,
-    /// One attempt at a time.
+    /// A request has one attempt in flight at a time, or two where second copies are allowed.
     OneOut,
-    /// Nothing new to who drains.
+    /// A box that drains is sent nothing new.
     Drain,
-    /// No cold box pushed over.
+    /// No cold box is overloaded.
     Cold,
-    /// No stale read.
+    /// No read is stale.
     Stale,
-    /// What was served ran.
+    /// A write that was served has run.
     Honest,
-    /// A client's tries belong to its first one, one after another, no more of them and no later than it may.
+    /// A client's tries follow one another, and keep to the number of retries and to the deadline of the first.
     Tries,
-    /// What a box took it works through, in its turn and no quicker than it can, whoever still waits for it.
+    /// A box works through all that it took, in order and no faster than it can, whether or not anybody still waits for it.
     Works,
-    /// The run's own count of first tries is what the records hold.
+    /// The run's own count of first tries equals that of the records.
     Counted,
 }
 
@@ -101,11 +101,11 @@
     last_sent: Time,
     in_flight: u32,
     executions: u32,
-    /// What a session's or a fresh read must have seen.
+    /// The position that the answer to a session read or a fresh read must have reached.
     min_position: Time,
 }
 
-/// Boxes' windows of the latest work.
+/// The work that a cold box received within the latest window.
 #[derive(Clone, Debug)]
 struct ColdBox {
     started: Time,
@@ -114,26 +114,26 @@
     arrived_work: f64,
 }
 
-/// A client over its tries.
+/// A client's latest try.
 #[derive(Clone, Copy, Debug)]
 struct ClientTries {
     last_try: i64,
     last_request: u64,
-    /// When it must have its answer.
+    /// When the client must have its answer.
     deadline: Time,
 }
 
-/// A job that a box has.
+/// A job that a box holds.
 #[derive(Clone, Copy, Debug)]
 struct Job {
     request: u64,
     attempt: i64,
     work: f64,
-    /// When it was among the first, as many as there are cores.
+    /// When it was first among the oldest jobs, as many as the box has cores.
     started: Option<Time>,
 }
 
-/// What a router has of a list that is asked.
+/// A router's watch of a list that is polled.
 #[derive(Clone, Copy, Debug)]
 struct ListWatch {
     open: bool,
@@ -141,22 +141,23 @@
     failed: bool,
 }
 
-/// The auditor.
+/// Checks records as they come in and counts violations.
 pub struct Auditor {
     rules: Rules,
     open_requests: HashMap<u64, OpenRequest>,
-    /// Requests that were refused and that were not to run after that: their ids, for as long as attempts may linger.
+    /// Requests with a final answer, kept for as long as attempts may still end: whether they must not run any more, and when they
+    /// were answered.
     ended: HashMap<u64, (bool, Time)>,
     known_drains: HashMap<(u32, u32), Time>,
     session_commits: HashMap<(u32, i64), Time>,
     group_commits: HashMap<u32, Time>,
     cold_boxes: BTreeMap<u32, ColdBox>,
     clients: HashMap<i64, ClientTries>,
-    /// The client and the try's number of a request that is about to be asked.
+    /// The request, client and number of a try whose request is recorded next.
     announced_try: Option<(u64, i64, i64)>,
     jobs: HashMap<u32, VecDeque<Job>>,
     watches: HashMap<u32, ListWatch>,
-    /// Since when the list has said that a box is out of service.
+    /// Since when the published list has a box out of service.
     unavailable_since: HashMap<u32, Time>,
     first_tries: u64,
     violations: BTreeMap<Rule, u64>,
@@ -166,17 +167,17 @@
     last_expiry: Time,
 }
 
-/// Stands for the router where clients carry what their sessions wrote.
+/// Stands for the router where clients carry their sessions' last commits.
 const ANY_ROUTER: u32 = u32::MAX;
-/// After a call that failed a router may wait so many times as long for the next.
+/// After a failed call a router may wait this many times as long before the next.
 const FAILED_CALL_FACTOR: f64 = 4.0;
-/// Ends of work are whole microseconds.
+/// Allowance in µs, as jobs end at whole microseconds.
 const ROUNDING_US: f64 = 4.0;
-/// Ended requests are looked at for this long: longer than any attempt lasts.
+/// Answered requests are kept for this long, which is longer than any attempt lasts.
 const ENDED_RETENTION: Span = Span::millis(20_000);
 
 impl Auditor {
-    /// One by these rules.
+    /// An auditor that applies these rules.
     #[must_use]
     pub fn new(rules: Rules) -> Self {
         Self {
@@ -201,7 +202,7 @@
         }
     }
 
-    /// How often each rule was broken, once the run has ended; what has no answer by then is unanswered.
+    /// Ends the audit: counts requests that are past their deadline without an answer, and returns the report.
     #[must_use]
     pub fn finish(mut self, end: Time) -> AuditReport {
         let unanswered =
@@ -271,7 +272,7 @@
         }
     }
 
-    /// A try begins: the first of a client that nobody knows, or the next of one whose latest was answered.
+    /// Checks a try: it is the first of an unknown client, or the next of a client whose latest try was answered.
     fn check_try(&mut self, record: &Record, class: usize) {
         let (Some(full), Some((request, client, number))) = (self.rules.full, self.announced_try.take())
         else {
@@ -295,7 +296,7 @@
         }
     }
 
-    /// A box has taken a job, or is through with it. Of what it holds as many as it has cores are worked at.
+    /// Checks the acceptance or the end of a job. A box works on as many of its oldest jobs as it has cores.
     fn check_job(&mut self, record: &Record) {
         let Some(full) = self.rules.full else { return };
         let jobs = self.jobs.entry(record.b).or_default();
@@ -319,7 +320,7 @@
         }
     }
 
-    /// Whether a router counts as told that a box is out of service, by what it could have asked long enough ago.
+    /// Whether a router is expected to know that a box is out of service, as it could have polled the list long enough ago.
     fn should_know_of_drain(&self, record: &Record) -> bool {
         let Some(poll_interval) = self.rules.poll_interval else { return false };
         let watch = self.watches.get(&record.a).copied();
@@ -331,7 +332,7 @@
             && since.is_some_and(|since| record.at - since > Span(max_age.0 + self.rules.drain_grace.0))
     }
 
-    /// Work has come to a box that may be cold.
+    /// Checks the work that a box, if it is cold, received within the window.
     fn check_cold_load(&mut self, record: &Record) {
         let (share, warm_up) = self.rules.cold;
         let (multiple, window) = self.rules.fall;
@@ -464,23 +465,23 @@
     }
 }
 
-/// What an audit found.
+/// The result of an audit.
 #[derive(Clone, Debug)]
 pub struct AuditReport {
-    /// Requests asked.
+    /// Requests.
     pub requests: u64,
-    /// Those that were clients' first tries, where the records tell.
+    /// Those that were first tries of clients, where this is recorded.
     pub first_tries: u64,
-    /// How often each rule was broken.
+    /// Violations by rule.
     pub violations: BTreeMap<Rule, u64>,
-    /// The first time.
+    /// The first violation.
     pub first_violation: Option<(Rule, Record)>,
-    /// The most that a cold box was sent, as a part of its budget.
+    /// The most that a cold box was sent, as a share of what it may be sent.
     pub cold_peak: f64,
 }
 
 impl AuditReport {
-    /// Holds the run's own count of first tries to the records, where these tell which are first.
+    /// Compares the run's own count of first tries with that of the records, where these contain tries.
     #[must_use]
     pub fn check_first_tries(mut self, rules: &Rules, first_tries: u64) -> Self {
         if rules.full.is_some() && self.first_tries != first_tries {
--- a/crates/fleet/src/discovery.rs
+++ b/crates/fleet/src/discovery.rs
@@ -1,36 +1,37 @@
-//! The service that has the list, where it has to be asked: one for all poolers, which sees to one call after another. A call that
-//! has waited too long by the time it is seen to has failed, and has cost the service as much as any. Time is handed in.
+//! The discovery service, where the list of servers has to be polled: one service for all poolers, which handles one call after
+//! another. A call that has waited too long by its turn has failed, and takes as much of the service's time as any. The caller
+//! passes the current time in.
 
 use crate::scenario::List;
 use linnetdeal_core::{Span, Time};
 
-/// Calls that would wait for more than this multiple of the longest wait are turned away unseen.
+/// A call that would wait for more than this multiple of the longest wait is rejected and takes none of the service's time.
 const MAX_QUEUED_WAITS: f64 = 8.0;
 
-/// The service.
+/// The discovery service.
 #[derive(Clone, Debug)]
 pub struct DiscoveryService {
     call_time: Span,
     max_wait: Span,
     notify_interval: Span,
-    /// How much longer than usual a call takes.
+    /// How many times as long as usual a call takes.
     pub slowdown: f64,
     busy_until: Time,
-    /// Calls, and those that failed.
+    /// Number of calls, and of those that failed.
     pub calls: (u64, u64),
 }
 
-/// What becomes of a call.
+/// The result of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It is answered then.
+    /// Answered at this time.
     Answered(Time),
-    /// It fails then.
+    /// Failed at this time.
     Failed(Time),
 }
 
 impl DiscoveryService {
-    /// One that nobody has asked yet.
+    /// A service that has received no calls.
     #[must_use]
     pub fn new(list: &List) -> Self {
         Self {
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Somebody asks.
+    /// A pooler calls for the list.
     pub fn call(&mut self, now: Time) -> CallOutcome {
         self.calls.0 += 1;
         let starts_at = self.busy_until.max(now);
@@ -55,7 +56,7 @@
         if failed { CallOutcome::Failed(now + self.max_wait) } else { CallOutcome::Answered(self.busy_until) }
     }
 
-    /// When news of this moment go out to those who watch.
+    /// When changes that are published now are sent to the watches.
     #[must_use]
     pub fn next_notification(&self, now: Time) -> Time {
         let interval = self.notify_interval.0.max(1);
--- a/crates/fleet/src/even.rs
+++ b/crates/fleet/src/even.rs
@@ -1,8 +1,8 @@
-//! Many poolers over few servers, in virtual time: how evenly a choice spreads work, when each pooler sees little of it.
+//! Many poolers and few servers in virtual time: how evenly a scheme of choosing members spreads work when each pooler sees little of it.
 //!
-//! Smaller than [`crate::sim`], which plays the whole of a pooler: here a request is a choice of a member, its answer, and at most two
-//! more choices. So 2,000 poolers over 400 servers take seconds, and [`Scheme`]s that the program does not have can be compared on the
-//! same arrivals. Boxes are those of [`crate::server`]. What is left out stands in `docs/design/even-load.md`.
+//! Smaller than [`crate::sim`], which simulates a whole pooler: here a request is the choice of a member, its answer, and at most two
+//! more choices. So 2,000 poolers with 400 servers take seconds, and [`Scheme`]s that the program does not have can be compared on the
+//! same arrivals. Servers are those of [`crate::server`]. `docs/design/even-load.md` says what is left out.
 
 mod figures;
 pub mod forward;
@@ -20,84 +20,84 @@
 use rand_distr::{Distribution, Exp1};
 use scheme::Chooser;
 
-/// The mean work of a request on a standard core; its answer earns its full worth within the aim.
+/// The mean work of a request on a standard core; an answer within [`OBJECTIVE`] earns the request's full worth.
 pub const MEAN_WORK: Span = Span::millis(20);
-/// See [`WORK`].
+/// The latency objective; see [`MEAN_WORK`].
 pub const OBJECTIVE: Span = Span::millis(150);
-/// What the network adds, in the same zone and between zones.
+/// Network delay of a request with its answer, within a zone and between zones.
 const SAME_ZONE_DELAY: Span = Span(250);
 const CROSS_ZONE_DELAY: Span = Span(850);
-/// What a new connection costs its server.
+/// Work that a new connection causes at its server.
 const HANDSHAKE_WORK: Span = Span::millis(2);
-/// A request is sent so often at most.
+/// The most attempts of a request.
 const MAX_ATTEMPTS: usize = 3;
-/// Work that a primary has, as a part of what a replica has.
+/// A primary's load, as a share of a replica's.
 const PRIMARY_LOAD: f64 = 0.8;
-/// Reads that need what their session wrote, and how long ago that was, in the mean.
+/// Share of reads that must see what their session wrote, and how long ago that was, on average.
 const SESSION_READ_SHARE: f64 = 0.1;
 const MEAN_WRITE_AGE: Span = Span::millis(150);
-/// How far behind replicas are, and how far one in six is.
+/// How far replicas lag, in ms, and how far one in six does.
 const REPLICA_LAG_MS: std::ops::Range<i64> = 5..60;
 const SLOW_REPLICA_LAG: Span = Span::millis(250);
-/// Zones, what clients in each ask, and after the shift.
+/// Number of zones, and the share of requests that come from each, before and after the shift.
 const ZONES: usize = 3;
 const ZONE_SHARES: [[f64; ZONES]; 2] = [[0.5, 0.3, 0.2], [0.2, 0.3, 0.5]];
-/// Poolers with more traffic than the mean: one in so many, and how much more. The first has most.
+/// One in this many poolers has more traffic than the others, by the factor that follows; the first pooler has the most.
 const HEAVY_EVERY: usize = 20;
 const HEAVY_FACTOR: f64 = 4.0;
 const HEAVIEST_FACTOR: f64 = 10.0;
-/// Until then nothing counts.
+/// Seconds at the beginning that are not counted.
 pub const WARM_UP_SECONDS: i64 = 2;
 const BEGIN: Time = Time(1_000_000_000_000);
 
-/// What makes load uneven; each can be taken away.
+/// Sources of uneven load; each can be turned off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sources {
-    /// Requests come and take by chance; else evenly, and all the same.
+    /// Arrivals and work are random; otherwise requests arrive evenly and are all alike.
     pub chance: bool,
-    /// Cores are 0.85 to 1.7 times the standard; else all alike.
+    /// Cores are 0.85 to 1.7 times as fast as the standard; otherwise all are alike.
     pub speed: bool,
-    /// Groups have primaries with writes; else replicas only.
+    /// Groups have primaries that take writes; otherwise they consist of replicas only.
     pub writes: bool,
-    /// Some reads may go to some replicas only.
+    /// Some reads can be answered by some of the replicas only.
     pub sessions: bool,
-    /// Poolers' clients differ by zone; else all poolers ask the same.
+    /// Traffic differs by the poolers' zones; otherwise all poolers have the same.
     pub zones: bool,
-    /// A few poolers have several times the mean.
+    /// A few poolers have several times the mean traffic.
     pub heavy: bool,
 }
 
 impl Sources {
-    /// All of them.
+    /// All sources.
     pub const ALL: Self =
         Self { chance: true, speed: true, writes: true, sessions: true, zones: true, heavy: true };
 }
 
-/// What is played.
+/// What is simulated.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// For all that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Poolers.
+    /// Number of poolers.
     pub poolers: usize,
-    /// Groups, and members of each: the first is the primary.
+    /// Number of groups, and of members of each; the first member is the primary.
     pub groups: usize,
     /// See `groups`.
     pub members: usize,
-    /// Work asked, as a part of what servers can do.
+    /// Requested work, as a share of the servers' capacity.
     pub load: f64,
-    /// How long.
+    /// Duration in seconds.
     pub seconds: i64,
-    /// How often what is told is told anew, to all at one moment.
+    /// The interval at which servers' loads are published, to all poolers at the same time.
     pub publish_interval: Span,
-    /// What makes load uneven.
+    /// Sources of uneven load.
     pub sources: Sources,
-    /// A step, slow servers, a restart, errors and a shift between zones, see [`troubles`].
+    /// Whether load steps up, servers slow down, restart and fail, and traffic shifts between zones; see [`trouble_times`].
     pub troubles: bool,
 }
 
 impl Plan {
-    /// The usual one for so many poolers: a server for each two to five of them, in groups as large as the fleets of the bench have them.
+    /// The usual plan for a number of poolers: a server for every two to five of them, in groups as large as those of the bench.
     #[must_use]
     pub fn for_poolers(poolers: usize) -> Self {
         let (groups, members) = match poolers {
@@ -119,18 +119,18 @@
         }
     }
 
-    /// Servers.
+    /// Number of servers.
     #[must_use]
     pub fn servers(&self) -> usize {
         self.groups * self.members
     }
 
-    /// What clients ask at that second, as a multiple of the usual.
+    /// The request rate at this second, as a multiple of the usual.
     fn load_factor(&self, second: f64) -> f64 {
         if self.troubles && LOAD_STEP.contains(&second) { 1.4 } else { 1.0 }
     }
 
-    /// Which of [`ASKED`] holds then.
+    /// Which of [`ZONE_SHARES`] applies at this time.
     fn zone_share_index(&self, at: Time) -> usize {
         usize::from(self.troubles && at >= time_at(ZONE_SHIFT))
     }
@@ -140,25 +140,25 @@
     BEGIN + Span::millis(seconds * 1_000)
 }
 
-/// What befalls each of the servers that are hit: the third of each group.
+/// What happens to the affected servers: the third of each group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Trouble {
-    /// New work runs so many times as long, in percent.
+    /// New work takes this many percent of the usual time.
     Slow(i64),
-    /// Its process ends, and that is told.
+    /// The process ends, and poolers notice at once.
     Crashes,
     Unlisted,
-    /// It starts anew, cold, and that is told.
+    /// The process starts again, cold.
     Returns,
     Listed,
-    /// All that it is sent ends with an error at once; or no more.
+    /// Whether all requests are answered with an error at once.
     Errors(bool),
 }
 
-/// When clients ask more, and from when zones change places, in seconds.
+/// When clients send more, and from when zones have exchanged their shares, in seconds.
 const LOAD_STEP: std::ops::Range<f64> = 6.0..10.0;
 const ZONE_SHIFT: i64 = 23;
-/// The troubles: when in ms, and what.
+/// When servers are affected, in ms, and how.
 const TROUBLES: [(i64, Trouble); 8] = [
     (11_000, Trouble::Slow(200)),
     (14_000, Trouble::Slow(100)),
@@ -170,39 +170,39 @@
     (22_000, Trouble::Errors(false)),
 ];
 
-/// When troubles begin and end, in seconds: the step, what befalls servers, the shift.
+/// When troubles begin and end, in seconds: the step, the changes of servers, the shift.
 #[must_use]
 pub fn trouble_times() -> Vec<f64> {
     let servers = TROUBLES.iter().map(|(ms, _)| *ms as f64 / 1_000.0);
     [LOAD_STEP.start, LOAD_STEP.end].into_iter().chain(servers).chain([ZONE_SHIFT as f64]).collect()
 }
 
-/// A request, as its client asks it: the same for every scheme.
+/// A request as its client sends it: the same for every scheme.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     at: Time,
     pooler: u32,
     group: u32,
     write: bool,
-    /// Its session wrote so long ago.
+    /// How long ago its session wrote.
     wrote: Option<Span>,
     work: Span,
 }
 
-/// Arrivals in their order, drawn from a generator of their own.
+/// The arrivals in order, drawn from their own generator.
 struct Arrivals {
     plan: Plan,
     rng: ChaCha8Rng,
     at: Time,
-    /// Requests a microsecond.
+    /// Requests per microsecond.
     rate: f64,
-    /// Sums over groups and, before and after the shift, over poolers.
+    /// Running sums of weights over groups and, before and after the shift, over poolers.
     groups: Vec<f64>,
     poolers: [Vec<f64>; 2],
     write_share: f64,
 }
 
-/// Where a draw falls in sums that end with the whole.
+/// The index at which a draw from 0 to 1 falls, in proportion to the weights of these running sums.
 fn weighted_index(sums: &[f64], draw: f64) -> usize {
     let total = sums.last().copied().unwrap_or(0.0);
     sums.partition_point(|sum| *sum <= draw * total).min(sums.len() - 1)
@@ -275,7 +275,7 @@
     }
 }
 
-/// A server, and what is known of it without asking.
+/// A server, and what poolers know of it from the list and from reported positions.
 #[derive(Clone, Debug)]
 struct Member {
     config: ServerConfig,
@@ -320,24 +320,24 @@
         slot: usize,
     },
     Trouble(usize),
-    /// What is told is told anew.
+    /// The servers' loads are published.
     PublishLoads,
-    /// Loads are looked at.
+    /// The loads of the latest interval are recorded.
     SampleLoads,
 }
 
-/// A request that has no final answer.
+/// A request without a final answer.
 #[derive(Clone, Copy, Debug)]
 struct OpenRequest {
     arrival: Arrival,
     tried: [u32; MAX_ATTEMPTS],
     attempts: usize,
     sent_at: Time,
-    /// Whether a member that may answer had a free core as it was sent last.
+    /// Whether an eligible member had a free core when it was last sent.
     idle_member_available: bool,
 }
 
-/// A play.
+/// The state of a simulation.
 struct Simulation {
     plan: Plan,
     members: Vec<Member>,
@@ -351,13 +351,14 @@
     rng: ChaCha8Rng,
 }
 
-/// Plays a scheme.
+/// Simulates a scheme.
 #[must_use]
 pub fn run(plan: &Plan, scheme: Scheme) -> Figures {
     play(plan, scheme).figures
 }
 
-/// Plays a scheme, and gives with its figures what takes one more decision as it stood at the end, for who measures what one costs.
+/// Simulates a scheme, and returns with its figures a function that makes one more decision in the final state, to measure the cost
+/// of a decision.
 pub fn run_with_chooser(plan: &Plan, scheme: Scheme) -> (Figures, impl FnMut(usize) -> Option<u32>) {
     let mut simulation = play(plan, scheme);
     let figures = simulation.figures.clone();
@@ -434,7 +435,7 @@
         self.send(arrival.at, slot);
     }
 
-    /// Members that may answer it; those tried only where nobody else is left.
+    /// Fills the pool with the members that may answer the request; it omits those that were tried.
     fn fill_pool(&mut self, now: Time, open: &OpenRequest) {
         let begin = open.arrival.group as usize * self.plan.members;
         let primary = self.plan.sources.writes;
@@ -447,7 +448,7 @@
         for index in range {
             let member = &self.members[index];
             let fresh = open.arrival.wrote.is_none_or(|ago| member.lag <= ago);
-            // A cold one is sent a part of what it would be warm, by every scheme: the budget of cold members is another matter.
+            // With every scheme a cold member is considered in proportion to its warmth; the send credit of cold members is not modelled here.
             let warmth = member.server.warmth(now);
             let warm = warmth >= 1.0 || self.rng.random_bool(warmth);
             if member.listed && fresh && warm && !open.tried.contains(&(index as u32)) {
@@ -455,7 +456,7 @@
             }
         }
         if self.pool.is_empty() {
-            // Nobody is fresh enough or left: the primary is.
+            // No replica is fresh enough or left; the primary always is.
             self.pool.push(begin as u32);
         }
     }
@@ -488,7 +489,7 @@
                 member.server.add_overhead(HANDSHAKE_WORK);
             }
             self.loads.record_send(to, open.arrival.work);
-            // An error, as a refusal, teaches nothing: it must not look like a quick answer.
+            // Errors and refusals are not recorded as answers: they must not look like fast ones.
             if member.returns_errors {
                 continue;
             }
@@ -503,7 +504,7 @@
         }
     }
 
-    /// The final outcome: answered then, or never.
+    /// Counts a request that was answered after this time, or never.
     fn finish(&mut self, open: &OpenRequest, took: Option<Span>) {
         if open.arrival.at < time_at(WARM_UP_SECONDS) {
             return;
@@ -522,7 +523,7 @@
         match event {
             Event::JobDone { server, slot } => {
                 let member = &mut self.members[server as usize];
-                // The box has died since, and the slot may have been given to another request.
+                // The server has died meanwhile, and the slot may belong to another request.
                 let Some(next) = member.server.complete(now, slot as u64) else { return };
                 if let Some((id, ends_at)) = next {
                     self.queue.schedule(ends_at, Event::JobDone { server, slot: id as usize });
--- a/crates/fleet/src/even/figures.rs
+++ b/crates/fleet/src/even/figures.rs
@@ -1,47 +1,48 @@
-//! What is counted of a play, at the servers.
+//! The measurements of a simulation, taken at the servers.
 
 use super::Member;
 use crate::server::ServerState;
 use hdrhistogram::Histogram;
 use linnetdeal_core::{Span, Time};
 
-/// How often loads are looked at; four looks are a window of a second.
+/// The interval of load samples; four of them are a window of one second.
 pub(super) const SAMPLE_INTERVAL: Span = Span::millis(250);
 const SAMPLES_PER_WINDOW: usize = 4;
-/// A server that gets more than so many times the mean of its group in a look is in a herd.
+/// A server that receives more than this multiple of its group's mean within an interval is hit by a herd.
 pub const HERD_FACTOR: f64 = 4.0;
-/// A server with less than this part of its group's mean idles.
+/// A server with less than this share of its group's mean is idle.
 const IDLE_SHARE: f64 = 0.5;
 
-/// What came out. Loads are work sent against capacity, as a multiple of the mean over the replicas of the same group.
+/// The results of a simulation. A load is the work sent against the capacity, as a multiple of the mean over the replicas of the group.
 #[derive(Clone, Debug)]
 pub struct Figures {
-    /// Requests, and how they ended: refused, or answered after the aim; and either of them though a member that might have answered
-    /// had a free core as it was sent.
+    /// Requests. Of these, `refused` were refused, `late` were answered after the latency objective, and `failed_beside_idle` were one or
+    /// the other although an eligible member had a free core when they were sent.
     pub requests: u64,
-    /// See `asked`.
+    /// See `requests`.
     pub refused: u64,
-    /// See `asked`.
+    /// See `requests`.
     pub late: u64,
-    /// See `asked`.
+    /// See `requests`.
     pub failed_beside_idle: u64,
-    /// Attempts.
+    /// Number of attempts.
     pub attempts: u64,
-    /// How long reads took that were answered, in microseconds.
+    /// Latencies of reads that were answered, in microseconds.
     pub latencies: Histogram<u64>,
     /// Loads in windows of 1 s, in thousandths.
     pub loads: Histogram<u64>,
-    /// By second: the greatest load.
+    /// The greatest load, by second.
     pub peaks: Vec<f64>,
-    /// Seconds of servers that had less than half of the mean for two windows on end, warm and in service.
+    /// Seconds in which a server had less than half of the mean for at least two windows in a row, while warm and in service; summed over
+    /// servers.
     pub idle_seconds: u64,
-    /// The greatest load within 250 ms, and how often one was over `HERD`, 4 times the mean.
+    /// The greatest load within 250 ms; `herd_events` counts the loads above [`HERD_FACTOR`].
     pub max_interval_load: f64,
-    /// See `swing`.
+    /// See `max_interval_load`.
     pub herd_events: u64,
-    /// Connections that poolers hold at the end; as many handshakes were made.
+    /// Connections that poolers hold at the end; each took one handshake.
     pub connections: u64,
-    /// What was told, by poolers or in answer to probes.
+    /// Messages between poolers, and answers to probes.
     pub messages: u64,
 }
 
@@ -67,54 +68,54 @@
 }
 
 impl Figures {
-    /// Peak to mean: the load that one in a hundred windows of servers is over.
+    /// Peak to mean: the 99th percentile of the loads of servers in windows.
     #[must_use]
     pub fn peak_to_mean(&self) -> f64 {
         self.loads.value_at_quantile(0.99) as f64 / 1_000.0
     }
 
-    /// The time that one read in a hundred is over, in ms.
+    /// The 99th percentile of the latency of reads, in ms.
     #[must_use]
     pub fn p99_ms(&self) -> f64 {
         self.latencies.value_at_quantile(0.99) as f64 / 1_000.0
     }
 
-    /// The mean time of reads, in ms.
+    /// The mean latency of reads, in ms.
     #[must_use]
     pub fn mean_ms(&self) -> f64 {
         self.latencies.mean() / 1_000.0
     }
 
-    /// The part of requests that were refused or late.
+    /// The share of requests that were refused or late.
     #[must_use]
     pub fn failed_share(&self) -> f64 {
         (self.refused + self.late) as f64 / self.requests.max(1) as f64
     }
 
-    /// The part that was so beside an idle server.
+    /// The share of requests that were refused or late although a server was idle.
     #[must_use]
     pub fn failed_share_beside_idle(&self) -> f64 {
         self.failed_beside_idle as f64 / self.requests.max(1) as f64
     }
 
-    /// Messages for each request.
+    /// Messages per request.
     #[must_use]
     pub fn messages_per_request(&self) -> f64 {
         self.messages as f64 / self.requests.max(1) as f64
     }
 }
 
-/// Loads as they come in.
+/// Accumulates the loads of servers.
 #[derive(Debug)]
 pub(super) struct Loads {
     members: usize,
-    /// Work sent since the last look, and in the window so far with the capacity of that time.
+    /// Work sent since the last sample; and work sent and capacity in the current window.
     sent_work: Vec<f64>,
     window: Vec<(f64, f64)>,
-    /// Whether it served all the time, and warm.
+    /// Whether the server was in service, and whether it was warm, throughout the window.
     in_service: Vec<bool>,
     warm: Vec<bool>,
-    /// Windows on end in which it idled.
+    /// Number of consecutive windows in which the server was idle.
     idle_windows: Vec<u64>,
     samples: usize,
     figures: Figures,
@@ -138,7 +139,7 @@
         self.sent_work[to as usize] += work.0 as f64;
     }
 
-    /// Looks at what was sent since the last look.
+    /// Records the loads since the last sample.
     pub(super) fn sample(&mut self, counted: bool, now: Time, members: &[Member]) {
         for (index, member) in members.iter().enumerate() {
             let up = member.server.state() == ServerState::Up && member.listed;
@@ -175,7 +176,7 @@
         }
     }
 
-    /// A window is over.
+    /// Evaluates a completed window.
     fn close_window(&mut self) {
         let mut peak: f64 = 0.0;
         for begin in (0..self.window.len()).step_by(self.members) {
@@ -191,7 +192,7 @@
                 self.figures.loads.saturating_record((load * 1_000.0) as u64 + 1);
                 let idle = load < IDLE_SHARE && self.warm[index];
                 self.idle_windows[index] = if idle { self.idle_windows[index] + 1 } else { 0 };
-                // The second window shows that the first was no chance.
+                // A single idle window may be chance: the first counts only once a second one follows.
                 self.figures.idle_seconds += match self.idle_windows[index] {
                     0 | 1 => 0,
                     2 => 2,
--- a/crates/fleet/src/even/scheme.rs
+++ b/crates/fleet/src/even/scheme.rs
@@ -1,4 +1,4 @@
-//! The schemes: how a pooler chooses a member.
+//! The schemes by which a pooler chooses a member.
 
 use super::forward;
 use super::{Figures, Member, Plan, ZONES};
@@ -6,63 +6,63 @@
 use rand::{Rng, RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// As in `choice.rs`.
+/// As in `choice.rs`: the threshold over the mean load, and the limit of the age of requests in flight as a multiple of the usual latency.
 const THRESHOLD: f64 = 1.2;
 const MAX_AGE_RATIO: f64 = 4.0;
-/// The members that a pooler's ring subset has of each group.
+/// Number of members of each group in a pooler's subset on the ring.
 const SUBSET_SIZE: usize = 3;
-/// Answers that the learned speed remembers.
+/// Smoothing of the learned speeds, as a number of answers.
 const SPEED_SMOOTHING: f64 = 30.0;
-/// Probing as Prequal does it: probes sent a request, kept at most, used each at most, too old after, and the quantile above which a
-/// member is hot.
+/// Probing as in Prequal: probes sent for each request, the most that are kept, the most uses of each, the greatest age, and the quantile
+/// of job counts from which a member is hot.
 const PROBES_PER_REQUEST: usize = 2;
 const MAX_PROBES: usize = 16;
 const MAX_PROBE_USES: u32 = 3;
 const MAX_PROBE_AGE: Span = Span::millis(1_000);
 const HOT_QUANTILE: f64 = 0.84;
 
-/// Whom two choices are drawn from.
+/// The members from which two choices are drawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChoicePool {
-    /// All that may answer.
+    /// All eligible members.
     All,
-    /// A part of the ring of members, by rank.
+    /// A subset of the ring of members, by the pooler's rank.
     Ring,
-    /// The same, and counts of all poolers are told.
+    /// The same, compared by published loads.
     RingPublished,
-    /// Members of the own zone.
+    /// Members of the pooler's zone.
     Zone,
 }
 
-/// A way to choose.
+/// A scheme of choosing a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scheme {
-    /// Any.
+    /// A random member.
     Random,
-    /// The random pick with the forward step, as it was before windows.
+    /// The random pick with the forward step and a threshold.
     ForwardStep,
-    /// The same in windows: the program's choice on 2026-12-02.
+    /// The same, with the random pick in the router's window: the choice of the program.
     Windows,
-    /// The lesser of two by own counts.
+    /// The less loaded of two random members, by the pooler's own counts.
     TwoChoices(ChoicePool),
-    /// At random, by weights that are learned speeds.
+    /// A random member, weighted by learned speeds.
     LearnedSpeeds,
-    /// The least of all by the counts that are told.
+    /// The least loaded member by the published loads.
     LeastPublished,
-    /// The random pick with the forward step, by the counts that are told.
+    /// The random pick with the forward step, by the published loads.
     ForwardPublished,
-    /// Counts that are told, and what must have come since (Dahlin).
+    /// The published loads, corrected by the requests that must have arrived since (Dahlin).
     StaleInterpreted,
-    /// Probes, kept and used a few times (Prequal's hot and cold).
+    /// Probes that are kept and used a few times (Prequal's hot and cold members).
     Probes,
-    /// The least of the random pick in its window and of those after it, by what the pooler knows by itself: `forward.rs` beside this.
+    /// The least loaded of the random pick in its window and the members after it, by what the pooler knows itself: see [`forward`].
     LeastOfStep,
-    /// Knows all at each moment.
+    /// A central choice with full and current knowledge.
     Central,
 }
 
 impl Scheme {
-    /// All of them, in the order of the table.
+    /// All schemes, in the order of the table.
     pub const ALL: [Self; 14] = [
         Self::Random,
         Self::ForwardStep,
@@ -80,7 +80,7 @@
         Self::Central,
     ];
 
-    /// As the table has it.
+    /// The name in the table.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Whether poolers tell each other counts for it.
+    /// Whether the scheme depends on loads that are published at intervals.
     #[must_use]
     pub fn uses_published_loads(self) -> bool {
         matches!(
@@ -114,13 +114,13 @@
     }
 }
 
-/// What a pooler keeps of a server.
+/// What a pooler knows of a server.
 #[derive(Clone, Copy, Debug, Default)]
 struct PoolerView {
     in_flight: u16,
-    /// The most that were out at once: connections are kept.
+    /// The most requests that were in flight at once; as many connections are kept.
     max_in_flight: u16,
-    /// The sum of when what is out was sent.
+    /// The sum of the send times of the requests in flight.
     sent_at_sum: i64,
     slowness: Slowness,
     latency_ratio: f64,
@@ -135,7 +135,7 @@
     uses: u32,
 }
 
-/// The choices of all poolers.
+/// Makes the choices of all poolers.
 pub(super) struct Chooser {
     scheme: Scheme,
     plan: Plan,
@@ -143,10 +143,10 @@
     servers: usize,
     views: Vec<PoolerView>,
     latency: Vec<LatencyEstimate>,
-    /// What was told last: when, and what each server held.
+    /// The last publication: its time, and the number of jobs of each server.
     published_at: Time,
     published_jobs: Vec<f64>,
-    /// Requests a second that a group gets, in the mean.
+    /// Mean requests per second of a group.
     rate: f64,
     probes: Vec<Vec<Probe>>,
     messages: u64,
@@ -223,7 +223,7 @@
         })
     }
 
-    /// As `choice.rs` has it.
+    /// The load of a member by the pooler's own sends and answers, as in `choice.rs`.
     fn load(&self, now: Time, pooler: usize, to: u32) -> f64 {
         let view = self.view(pooler, to);
         let in_flight = f64::from(view.in_flight);
@@ -244,7 +244,7 @@
         pool[steps.find(|index| self.loads[*index] <= limit).unwrap_or(first)]
     }
 
-    /// The least; of equals one by chance.
+    /// The least loaded member; a random one of equals.
     fn least_loaded(&mut self, pool: &[u32], load: impl Fn(&Self, u32) -> f64) -> u32 {
         let begin = self.rng.next_u32() as usize;
         let order = (0..pool.len()).map(|index| pool[(begin + index) % pool.len()]);
@@ -297,7 +297,8 @@
         pool[0]
     }
 
-    /// Each member gets what is left between what it held and a level that all that has come since fills up to.
+    /// Draws a member in proportion to the difference between its published number of jobs and the level to which the requests that have
+    /// arrived since would fill all members.
     fn by_interpreted_loads(&mut self, now: Time, pool: &[u32]) -> u32 {
         let arrived = (self.rate * (now - self.published_at).0 as f64 / 1e6).max(1.0);
         let mut jobs: Vec<f64> = pool.iter().map(|server| self.published_jobs[*server as usize]).collect();
@@ -345,7 +346,7 @@
             }
             None => pool[self.rng.random_range(0..pool.len())],
         };
-        // They come back after the choice, and serve the next ones.
+        // The answers arrive after this choice, and are used for the next ones.
         for _ in 0..PROBES_PER_REQUEST {
             let server = pool[self.rng.random_range(0..pool.len())];
             let member = &members[server as usize];
@@ -365,7 +366,7 @@
         pick
     }
 
-    /// One is about to be sent; gives whether it needs a new connection.
+    /// Prepares a send; returns whether it needs a new connection.
     pub(super) fn opens_connection(&mut self, pooler: usize, to: u32) -> bool {
         let view = self.view_mut(pooler, to);
         let new = view.in_flight >= view.max_in_flight;
--- a/crates/fleet/src/event_queue.rs
+++ b/crates/fleet/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! What is due when: in the order of times, and of entering where these are equal.
+//! A priority queue of events in virtual time, ordered by due time and, for equal times, by order of insertion.
 
 use linnetdeal_core::Time;
 use std::cmp::Ordering;
@@ -26,13 +26,13 @@
 }
 
 impl<E> Ord for Scheduled<E> {
-    /// The earliest is the greatest; of equal times the one that was entered first.
+    /// Reversed for the max-heap: the earliest event is the greatest; of equal times the one that was inserted first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// Events that are due.
+/// Scheduled events, earliest first.
 #[derive(Clone, Debug)]
 pub struct EventQueue<E> {
     heap: BinaryHeap<Scheduled<E>>,
@@ -46,19 +46,19 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Enters one.
+    /// Schedules an event.
     pub fn schedule(&mut self, at: Time, event: E) {
         self.last_sequence += 1;
         self.heap.push(Scheduled { at, sequence: self.last_sequence, event });
     }
 
-    /// When the next is due.
+    /// The time of the next event.
     #[must_use]
     pub fn next_time(&self) -> Option<Time> {
         self.heap.peek().map(|next| next.at)
     }
 
-    /// Takes the next.
+    /// Removes the next event and returns it with its time.
     pub fn pop(&mut self) -> Option<(Time, E)> {
         self.heap.pop().map(|next| (next.at, next.event))
     }
--- a/crates/fleet/src/faults.rs
+++ b/crates/fleet/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults put into the records of a clean run, each of which an auditor has to find.
+//! Faults that are inserted into the records of a correct run, to check that the auditor finds each of them.
 
 use crate::audit::{Freshness, Rule, Rules};
 use crate::record::{Record, RecordKind};
@@ -7,48 +7,48 @@
 /// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A write runs once more.
+    /// A write runs twice.
     DoubledWrite,
     /// A write that ran is refused.
     RefusedThatRan,
     /// A request has no answer.
     Unanswered,
-    /// It has two.
+    /// A request has two answers.
     AnsweredTwice,
-    /// It has one too late.
+    /// A request is answered too late.
     AnsweredLate,
-    /// Two attempts are out at once.
+    /// Two attempts are in flight at once.
     TwoOut,
-    /// A send goes to who was told to drain.
+    /// A request is sent to a box that is known to drain.
     AfterDrain,
-    /// A cold box gets a hundred times as much.
+    /// A cold box receives a hundred times as much.
     PushedOver,
-    /// A session's read does not see what it wrote.
+    /// A session's read does not see the session's own write.
     StaleSession,
-    /// A fresh read misses what was committed.
+    /// A fresh read misses a committed write.
     StaleFresh,
     /// A bounded read is older than its bound.
     StaleBounded,
     /// A write is served that never ran.
     ServedWithoutRow,
-    /// A client's retry is called a first try of the same client.
+    /// A client's retry is recorded as a first try of the same client.
     RetryAsFirst,
-    /// It is called a first try of another client.
+    /// A client's retry is recorded as a first try of another client.
     RetryAsAnother,
-    /// It is given more time than is left of the first try's.
+    /// A retry is given more time than is left of the first try's deadline.
     RetryWithNewTime,
-    /// A box ends a job when its router has given it up.
+    /// A box ends a job at the moment at which its router gives it up.
     CancelFrees,
-    /// It never comes to the end of it.
+    /// A box never ends a job that its router gave up.
     CancelDrops,
-    /// A request that may run twice has three attempts out.
+    /// A request that may run twice has three attempts in flight.
     ThirdCopy,
-    /// A router that has long asked nobody sends to a box that was published as gone meanwhile.
+    /// A router that has not polled the list for long sends to a box that was meanwhile published as out of service.
     UnaskedDrain,
 }
 
 impl Fault {
-    /// All.
+    /// Faults that the usual records can hold.
     pub const ALL: [Self; 12] = [
         Self::DoubledWrite,
         Self::RefusedThatRan,
@@ -64,7 +64,7 @@
         Self::ServedWithoutRow,
     ];
 
-    /// Those that need the full records, and a list that is asked.
+    /// Faults that need the full records or a list that is polled.
     pub const FULL_AUDIT: [Self; 7] = [
         Self::RetryAsFirst,
         Self::RetryAsAnother,
@@ -75,7 +75,7 @@
         Self::UnaskedDrain,
     ];
 
-    /// The rule that it breaks.
+    /// The rule that it violates.
     #[must_use]
     pub fn rule(self) -> Rule {
         match self {
@@ -92,74 +92,78 @@
         }
     }
 
-    /// Puts it into the records, somewhere past their middle. `None` where they hold nothing that it could befall.
+    /// Inserts the fault into a copy of the records, at or after their middle. `None` if they contain no place for it.
     #[must_use]
     pub fn inject(self, records: &[Record], rules: &Rules) -> Option<Vec<Record>> {
         let mut all = records.to_vec();
         let middle = all.len() / 2;
         let asked: std::collections::HashMap<u64, (usize, i64)> = all
             .iter()
-            .filter(|of| of.what == RecordKind::Asked)
-            .map(|of| (of.request, ((of.b % 256) as usize, of.y)))
+            .filter(|record| record.what == RecordKind::Asked)
+            .map(|record| (record.request, ((record.b % 256) as usize, record.y)))
             .collect();
-        let law = |of: &Record| asked.get(&of.request).map(|(class, _)| rules.classes[*class]);
-        let find = |what: RecordKind, may: &dyn Fn(&Record) -> bool| {
-            (middle..records.len()).find(|at| records[*at].what == what && may(&records[*at]))
+        let class_of = |record: &Record| asked.get(&record.request).map(|(class, _)| rules.classes[*class]);
+        let find = |what: RecordKind, eligible: &dyn Fn(&Record) -> bool| {
+            (middle..records.len()).find(|index| records[*index].what == what && eligible(&records[*index]))
         };
         match self {
             Self::DoubledWrite => {
-                let at = find(RecordKind::Ran, &|of| law(of).is_some_and(|law| law.run_once))?;
-                all.insert(at + 1, all[at]);
+                let index =
+                    find(RecordKind::Ran, &|record| class_of(record).is_some_and(|class| class.run_once))?;
+                all.insert(index + 1, all[index]);
             }
             Self::RefusedThatRan => {
-                let at = find(RecordKind::Served, &|of| law(of).is_some_and(|law| law.run_once))?;
-                all[at].what = RecordKind::Refused;
+                let index =
+                    find(RecordKind::Served, &|record| class_of(record).is_some_and(|class| class.run_once))?;
+                all[index].what = RecordKind::Refused;
             }
             Self::Unanswered => {
-                let at = find(RecordKind::Served, &|_| true)?;
-                all.remove(at);
+                let index = find(RecordKind::Served, &|_| true)?;
+                all.remove(index);
             }
             Self::AnsweredTwice => {
-                let at = find(RecordKind::Served, &|_| true)?;
-                all.insert(at + 1, all[at]);
+                let index = find(RecordKind::Served, &|_| true)?;
+                all.insert(index + 1, all[index]);
             }
             Self::AnsweredLate => {
-                let at = find(RecordKind::Served, &|_| true)?;
-                let mut late = all.remove(at);
+                let index = find(RecordKind::Served, &|_| true)?;
+                let mut late = all.remove(index);
                 late.at = late.at + Span::millis(10_000);
-                let to = all.iter().position(|of| of.at > late.at).unwrap_or(all.len());
-                all.insert(to, late);
+                let position = all.iter().position(|record| record.at > late.at).unwrap_or(all.len());
+                all.insert(position, late);
             }
             Self::TwoOut => {
-                // Where second copies are allowed, of what must not run twice.
-                let may = |of: &Record| !rules.second_copies || law(of).is_some_and(|law| law.run_once);
-                let at = find(RecordKind::Sent, &may)?;
-                all.insert(at + 1, all[at]);
+                // Where second copies are allowed, a request that must not run twice.
+                let eligible = |record: &Record| {
+                    !rules.second_copies || class_of(record).is_some_and(|class| class.run_once)
+                };
+                let index = find(RecordKind::Sent, &eligible)?;
+                all.insert(index + 1, all[index]);
             }
             Self::AfterDrain => {
-                // Not where it was told to be back in the meantime: then the send would be right.
-                let back = |of: &Record| {
-                    let since = of.at - rules.drain_grace - Span::millis(1);
+                // Not if the box was reported to be back in the meantime: the send would then be correct.
+                let reported_again = |record: &Record| {
+                    let since = record.at - rules.drain_grace - Span::millis(1);
                     records.iter().any(|told| {
                         told.what == RecordKind::Told
-                            && (told.a, told.b) == (of.a, of.b)
-                            && (since..=of.at).contains(&told.at)
+                            && (told.a, told.b) == (record.a, record.b)
+                            && (since..=record.at).contains(&told.at)
                     })
                 };
-                let at = find(RecordKind::Sent, &|of| !back(of))?;
-                let mut told = Record { what: RecordKind::Told, x: 0, ..all[at] };
+                let index = find(RecordKind::Sent, &|record| !reported_again(record))?;
+                let mut told = Record { what: RecordKind::Told, x: 0, ..all[index] };
                 told.at = told.at - rules.drain_grace - Span::millis(1);
-                let to = all.iter().position(|of| of.at > told.at)?;
-                all.insert(to, told);
+                let position = all.iter().position(|record| record.at > told.at)?;
+                all.insert(position, told);
             }
             Self::PushedOver => {
-                let start = all.iter().position(|of| of.what == RecordKind::Started)?;
+                let start = all.iter().position(|record| record.what == RecordKind::Started)?;
                 let (cold, began) = (all[start].b, all[start].at);
-                let at =
-                    (start..all.len()).find(|at| all[*at].what == RecordKind::Came && all[*at].b == cold)?;
-                let near = all[at].at - began < rules.cold.1;
-                all[at].x = all[at].x.saturating_mul(100_000);
-                return near.then_some(all);
+                let index = (start..all.len())
+                    .find(|index| all[*index].what == RecordKind::Came && all[*index].b == cold)?;
+                let still_cold = all[index].at - began < rules.cold.1;
+                all[index].x = all[index].x.saturating_mul(100_000);
+                return still_cold.then_some(all);
             }
             Self::StaleSession | Self::StaleFresh | Self::StaleBounded => {
                 let wanted = |fresh: Freshness| match self {
@@ -167,71 +171,78 @@
                     Self::StaleFresh => fresh == Freshness::All,
                     _ => matches!(fresh, Freshness::Bounded(_)),
                 };
-                // A session's read has something to see only if that session was served a write there before.
-                let wrote = |of: &Record| {
-                    records.iter().take_while(|other| other.at < of.at - Span::millis(2_000)).any(|other| {
-                        other.what == RecordKind::Served
-                            && other.a == of.a
-                            && law(other).is_some_and(|law| law.write)
-                            && asked.get(&other.request).map(|asked| asked.1)
-                                == asked.get(&of.request).map(|asked| asked.1)
-                    })
+                // A session read has something to miss only if the session's earlier write was served there.
+                let wrote = |record: &Record| {
+                    records.iter().take_while(|other| other.at < record.at - Span::millis(2_000)).any(
+                        |other| {
+                            other.what == RecordKind::Served
+                                && other.a == record.a
+                                && class_of(other).is_some_and(|class| class.write)
+                                && asked.get(&other.request).map(|asked| asked.1)
+                                    == asked.get(&record.request).map(|asked| asked.1)
+                        },
+                    )
                 };
-                let may = |of: &Record| {
-                    law(of).is_some_and(|law| !law.write && wanted(law.freshness))
-                        && (self != Self::StaleSession || wrote(of))
+                let eligible = |record: &Record| {
+                    class_of(record).is_some_and(|class| !class.write && wanted(class.freshness))
+                        && (self != Self::StaleSession || wrote(record))
                 };
-                let at = find(RecordKind::Served, &may)?;
-                all[at].x = all[0].at.0 - 60_000_000;
+                let index = find(RecordKind::Served, &eligible)?;
+                all[index].x = all[0].at.0 - 60_000_000;
             }
             Self::ServedWithoutRow => {
-                let at = find(RecordKind::Served, &|of| law(of).is_some_and(|law| law.write))?;
-                let id = all[at].request;
-                all.retain(|of| of.request != id || of.what != RecordKind::Ran);
+                let index =
+                    find(RecordKind::Served, &|record| class_of(record).is_some_and(|class| class.write))?;
+                let id = all[index].request;
+                all.retain(|record| record.request != id || record.what != RecordKind::Ran);
             }
-            Self::RetryAsFirst => all[find(RecordKind::Try, &|of| of.y > 0)?].y = 0,
+            Self::RetryAsFirst => all[find(RecordKind::Try, &|record| record.y > 0)?].y = 0,
             Self::RetryAsAnother => {
-                let at = find(RecordKind::Try, &|of| of.y > 0)?;
-                // The last of its client, or the next would be out of order, too.
-                let client = all[at].x;
-                let at = all.iter().rposition(|of| of.what == RecordKind::Try && of.x == client)?;
-                (all[at].x, all[at].y) = (i64::MAX, 0);
+                let index = find(RecordKind::Try, &|record| record.y > 0)?;
+                // The last try of this client, as otherwise the next one would be out of order, too.
+                let client = all[index].x;
+                let index =
+                    all.iter().rposition(|record| record.what == RecordKind::Try && record.x == client)?;
+                (all[index].x, all[index].y) = (i64::MAX, 0);
             }
             Self::RetryWithNewTime => {
-                let at = find(RecordKind::Try, &|of| of.y > 0)?;
-                let request = all[at].request;
-                let at = all.iter().position(|of| of.what == RecordKind::Asked && of.request == request)?;
-                all[at].x += 10_000_000;
+                let index = find(RecordKind::Try, &|record| record.y > 0)?;
+                let request = all[index].request;
+                let index = all
+                    .iter()
+                    .position(|record| record.what == RecordKind::Asked && record.request == request)?;
+                all[index].x += 10_000_000;
             }
             Self::CancelFrees => {
-                let (at, over) = self.given_up(&all, middle, true)?;
-                let mut through = all.remove(at);
-                through.at = all[over].at;
-                all.insert(over + 1, through);
+                let (index, given_up) = self.find_given_up_job(&all, middle, true)?;
+                let mut completion = all.remove(index);
+                completion.at = all[given_up].at;
+                all.insert(given_up + 1, completion);
             }
             Self::CancelDrops => {
-                let (at, _) = self.given_up(&all, middle, false)?;
-                all.remove(at);
+                let (index, _) = self.find_given_up_job(&all, middle, false)?;
+                all.remove(index);
             }
             Self::ThirdCopy => {
-                let at = find(RecordKind::Sent, &|of| law(of).is_some_and(|law| !law.run_once))?;
-                all.insert(at + 1, all[at]);
-                all.insert(at + 1, all[at]);
+                let index =
+                    find(RecordKind::Sent, &|record| class_of(record).is_some_and(|class| !class.run_once))?;
+                all.insert(index + 1, all[index]);
+                all.insert(index + 1, all[index]);
             }
             Self::UnaskedDrain => {
-                let every = rules.poll_interval?;
-                let at = all.iter().rposition(|of| of.what == RecordKind::Sent)?;
-                let sent = all[at];
-                let since = sent.at - every - rules.drain_grace - Span::millis(1);
-                let own = |of: &Record| {
-                    of.a == sent.a && matches!(of.what, RecordKind::Called | RecordKind::Watching)
+                let poll_interval = rules.poll_interval?;
+                let index = all.iter().rposition(|record| record.what == RecordKind::Sent)?;
+                let sent = all[index];
+                let since = sent.at - poll_interval - rules.drain_grace - Span::millis(1);
+                let own = |record: &Record| {
+                    record.a == sent.a && matches!(record.what, RecordKind::Called | RecordKind::Watching)
                 };
-                let told = |of: &Record| of.b == sent.b && of.what == RecordKind::Published;
-                all.retain(|of| of.at <= since || !(own(of) || told(of)));
-                let to = all.iter().position(|of| of.at > since)?;
+                let listed = |record: &Record| record.b == sent.b && record.what == RecordKind::Published;
+                all.retain(|record| record.at <= since || !(own(record) || listed(record)));
+                let position = all.iter().position(|record| record.at > since)?;
                 let ended = Record { at: since, what: RecordKind::Watching, x: 0, ..sent };
-                all.insert(to, ended);
-                all.insert(to, Record { what: RecordKind::Published, ..ended });
+                all.insert(position, ended);
+                all.insert(position, Record { what: RecordKind::Published, ..ended });
             }
         }
         Some(all)
@@ -239,21 +250,23 @@
 }
 
 impl Fault {
-    /// Where a job is through that its router had given up before, and where that was; if need be before it can have been
-    /// worked at for as long as it takes.
-    fn given_up(self, all: &[Record], from: usize, early: bool) -> Option<(usize, usize)> {
+    /// The index of the end of a job that its router had given up earlier, and the index of the giving up. With `early`, one that
+    /// was given up before the box can have worked on it for as long as it takes.
+    fn find_given_up_job(self, all: &[Record], from: usize, early: bool) -> Option<(usize, usize)> {
         let mut took = std::collections::HashMap::new();
-        let mut over = std::collections::HashMap::new();
-        for (at, of) in all.iter().enumerate() {
-            match of.what {
-                RecordKind::Took => drop(took.insert((of.request, of.y), *of)),
-                RecordKind::Over => drop(over.insert((of.request, of.x), at)),
-                RecordKind::Through if at >= from => {
-                    let of = (of.request, of.y);
-                    let Some((took, over)) = took.get(&of).zip(over.get(&of)) else { continue };
-                    // No core is twice as quick as the standard.
-                    if !early || (all[*over].at - took.at).0 < took.x / 2 {
-                        return Some((at, *over));
+        let mut given_up = std::collections::HashMap::new();
+        for (index, record) in all.iter().enumerate() {
+            match record.what {
+                RecordKind::Took => drop(took.insert((record.request, record.y), *record)),
+                RecordKind::Over => drop(given_up.insert((record.request, record.x), index)),
+                RecordKind::Through if index >= from => {
+                    let attempt = (record.request, record.y);
+                    let Some((took, given_up)) = took.get(&attempt).zip(given_up.get(&attempt)) else {
+                        continue;
+                    };
+                    // No core is twice as fast as the standard one.
+                    if !early || (all[*given_up].at - took.at).0 < took.x / 2 {
+                        return Some((index, *given_up));
                     }
                 }
                 _ => {}
@@ -263,8 +276,8 @@
     }
 }
 
-/// The end of records that were changed: later than all in them.
+/// An end of the run for changed records: later than all of them.
 #[must_use]
 pub fn audit_end(records: &[Record]) -> Time {
-    records.iter().map(|of| of.at).max().unwrap_or_default() + Span::millis(60_000)
+    records.iter().map(|record| record.at).max().unwrap_or_default() + Span::millis(60_000)
 }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The boxes of a fleet with their groups and the list that tells of them, and what befalls them by a scenario. The same for
-//! every host: time is handed in, and what follows comes back as consequences for the host to see to.
+//! The boxes of a fleet with their groups and the list of them, and the troubles of a scenario. It is independent of what drives it: the
+//! current time is passed in, and the resulting actions are returned for the caller to carry out.
 
 use crate::group::{Group, ReplicationTiming};
 use crate::record::RecordKind;
@@ -9,13 +9,13 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// The shortest change without a plan, as a part of the usual.
+/// The shortest unplanned change of primary, as a share of the usual duration.
 pub const MIN_CHANGE_FACTOR: f64 = 0.75;
 
-/// What happens to boxes by themselves or by plan.
+/// An event of the fleet, to be passed to [`Fleet::handle`] when it is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetEvent {
-    /// Work may be through.
+    /// A job may be completed.
     JobDone {
         /// The box.
         server: u32,
@@ -24,152 +24,152 @@
     },
     /// A trouble of the scenario begins.
     TroubleStarts {
-        /// Its number.
+        /// The trouble's index.
         trouble: usize,
     },
-    /// It befalls a box.
+    /// A trouble affects a box.
     TroubleHits {
-        /// The trouble's number.
+        /// The trouble's index.
         trouble: usize,
         /// The box.
         server: u32,
     },
-    /// It is over for the box, if that still has the life it had.
+    /// A trouble of a box ends, if the box still has the same incarnation.
     TroubleEnds {
-        /// The trouble's number.
+        /// The trouble's index.
         trouble: usize,
         /// The box.
         server: u32,
-        /// Its life then.
+        /// The box's incarnation when the trouble began.
         incarnation: u32,
     },
-    /// What was deployed there starts, if the box still has that life.
+    /// The successor of a deployed process starts, if the box still has this incarnation.
     SuccessorStarts {
         /// The box.
         server: u32,
-        /// Its life then.
+        /// The incarnation that was expected.
         incarnation: u32,
     },
-    /// A group looks for a primary.
+    /// A group elects a primary.
     Elect {
         /// The group.
         group: u32,
-        /// Of which search this is part.
+        /// The number of the election; outdated ones are ignored.
         epoch: u32,
     },
-    /// A member takes over.
+    /// A member takes over as primary.
     Promote {
         /// The group.
         group: u32,
-        /// Of which search this is part.
+        /// The number of the election; outdated ones are ignored.
         epoch: u32,
         /// The member.
         member: u32,
     },
 }
 
-/// What follows from it, for the host to see to.
+/// An action that the caller has to carry out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FleetAction {
-    /// This happens then.
+    /// Pass this event to [`Fleet::handle`] at this time.
     Schedule(Time, FleetEvent),
-    /// For the records: what, pooler, box, request, and two numbers.
+    /// Record this: kind, box, request, and `x`.
     Record(RecordKind, u32, u64, i64),
-    /// A box has died with this job on it.
+    /// This job was lost with its box.
     JobLost(u64),
-    /// A job is through; see [`Fleet::finish`].
+    /// This box has completed this job; see [`Fleet::finish`].
     JobDone(u32, u64),
-    /// The list says something new of a box, by the change of this number, and is heard from then on.
+    /// The change of this index was made to the list, and becomes visible at this time.
     ListChanged(usize, Time),
-    /// A box has died, stands still, goes on or has started.
+    /// A box has died, has been paused or resumed, or has started.
     StateChanged(u32),
-    /// A pooler is killed then, by the trouble of this number.
+    /// Kill a pooler at this time, because of the trouble of this index.
     KillPooler(Time, usize, u32),
-    /// Clients ask so many times as much.
+    /// Clients send this multiple of the usual requests.
     SetSurge(f64),
-    /// The service that has the list ends all watches, and takes so many times as long for each call.
+    /// The discovery service ends all watches, and takes this multiple of the usual time for each call.
     ListOverbooked(f64),
 }
 
-/// A change of the list: what it says from then on.
+/// A change of a box's entry in the list.
 #[derive(Clone, Copy, Debug)]
 pub struct ListChange {
     /// The box.
     pub server: u32,
-    /// Its state.
+    /// Its new state.
     pub state: ListState,
     /// When it started, if that was not long ago.
     pub started: Option<Time>,
-    /// Whether it is listed as primary.
+    /// Whether it is listed as the primary.
     pub primary: bool,
-    /// Later ones have greater numbers.
+    /// Later changes have greater numbers.
     pub number: i64,
 }
 
-/// A box in a fleet: the model, and what is round it.
+/// A box in the fleet.
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// The model.
+    /// The model of the server.
     pub server: Server,
     /// Its group.
     pub group: u32,
-    /// Its place there.
+    /// Its index in the group.
     pub member: u32,
     /// Its zone.
     pub zone: usize,
-    /// How often it has died: connections of an earlier life are gone.
+    /// How often it has died; connections to an earlier incarnation are lost.
     pub incarnation: u32,
-    /// It stands still, but connections and probes are taken.
+    /// It is paused, but accepts connections and answers probes.
     pub hangs: bool,
-    /// The latest report, and when it was made.
+    /// When the latest report was made, and the report.
     report: (Time, [f64; 3]),
-    /// When the list tells of its latest change.
+    /// When the latest change of its list entry becomes visible.
     list_visible_at: Time,
 }
 
-/// What becomes of a request that has come to a box.
+/// The result of delivering a request to a box.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Delivery {
-    /// It runs or waits; [`Consequence::Through`] or [`Consequence::Lost`] tell of its end.
+    /// It runs or waits; [`FleetAction::JobDone`] or [`FleetAction::JobLost`] follows.
     Accepted,
-    /// It is answered at once, and has not run.
+    /// It was answered immediately and has not run.
     Answered(Verdict, Note),
-    /// Its connection breaks.
+    /// The connection is lost.
     ConnectionLost,
 }
 
-/// What a job gave that is through.
+/// The result of a completed job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum JobResult {
-    /// A read, from what the box had: its exact position beside what a note tells.
+    /// A read: the status note of the box, and its exact position.
     Read(Note, Time),
-    /// A write, committed now; a replica has it a little later.
+    /// A write that is committed now; replicas receive it a little later.
     Committed(Time),
-    /// A write at a box that lost its role while it held it: nothing was committed.
+    /// A write at a box that lost its role meanwhile: nothing was committed.
     RoleLost(Note),
 }
 
-/// All boxes.
+/// All boxes of a scenario.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     scenario: Scenario,
     begin: Time,
-    /// In the order of groups.
+    /// The boxes, in the order of groups.
     pub hosts: Vec<Host>,
     groups: Vec<Group>,
     election_epochs: Vec<u32>,
-    /// What the list has said so far.
+    /// All changes of the list so far.
     pub changes: Vec<ListChange>,
     /// When boxes took over as primaries.
     pub promotions: Vec<(Time, u32)>,
-    /// Boxes that fell.
+    /// Number of boxes that collapsed.
     pub collapsed: u64,
-    /// How much further behind the list runs than usual.
+    /// Additional delay of the list.
     extra_list_delay: Span,
 }
 
 impl Fleet {
-    /// The boxes of a scenario that begins then.
+    /// The boxes of a scenario that begins at this time.
     #[must_use]
     pub fn new(scenario: &Scenario, begin: Time, rng: &mut ChaCha8Rng) -> Self {
         let (boxes, fleet) = (&scenario.boxes, &scenario.fleet);
@@ -218,7 +218,7 @@
         }
     }
 
-    /// How long changes of primary take, planned and not, as an operator would tell poolers.
+    /// The durations of planned and unplanned changes of primary, as an operator would configure them.
     #[must_use]
     pub fn expected(scenario: &Scenario) -> [Option<Expected>; 2] {
         let boxes = &scenario.boxes;
@@ -228,7 +228,7 @@
         })
     }
 
-    /// What was planned of troubles, to be scheduled at the beginning.
+    /// Schedules the troubles of the scenario.
     pub fn schedule_troubles(&self, actions: &mut Vec<FleetAction>) {
         for (index, trouble) in self.scenario.troubles.iter().enumerate() {
             actions.push(FleetAction::Schedule(
@@ -243,26 +243,26 @@
         (host.group as usize, host.member as usize)
     }
 
-    /// Whether it is its group's primary.
+    /// Whether a box is the primary of its group.
     #[must_use]
     pub fn is_primary(&self, server: u32) -> bool {
         let (group, member) = self.location(server);
         self.groups[group].primary() == Some(member)
     }
 
-    /// Up to where it has applied the log.
+    /// The position up to which a box has applied the log.
     pub fn position(&mut self, server: u32, now: Time) -> Time {
         let (group, member) = self.location(server);
         self.groups[group].position(member, now)
     }
 
-    /// How long a commit takes to a replica.
+    /// How long a commit takes to reach a replica.
     #[must_use]
     pub fn ship(&self) -> Span {
         self.scenario.boxes.ship
     }
 
-    /// A request has come to a box whole.
+    /// Delivers a complete request to a box.
     pub fn deliver(
         &mut self,
         now: Time,
@@ -298,7 +298,7 @@
         Delivery::Accepted
     }
 
-    /// What a box says of itself.
+    /// The role and position that a box reports with an answer.
     pub fn note(&mut self, server: u32, now: Time) -> Note {
         let role = if self.is_primary(server) { Role::Primary } else { Role::Replica };
         let position = self.position(server, now);
@@ -306,7 +306,7 @@
         Note { role: Some(role), position: Some(Time(position.0.div_euclid(1_000) * 1_000)) }
     }
 
-    /// What a job gave that is through.
+    /// Completes a job at a box, and returns its result.
     pub fn finish(&mut self, now: Time, server: u32, write: bool) -> JobResult {
         if !write {
             return JobResult::Read(self.note(server, now), self.position(server, now));
@@ -319,8 +319,8 @@
         JobResult::Committed(now)
     }
 
-    /// What it answers to a probe: its position in seconds since the beginning, whether it is primary, and how many requests
-    /// wait. `None` while nobody answers; one that hangs answers, as a probe passes beside its queue.
+    /// A box's answer to a probe: its position in seconds since the beginning, whether it is the primary, and the number of waiting
+    /// requests. `None` if the box does not answer; one that hangs does, as probes bypass its queue.
     pub fn report(&mut self, server: u32, now: Time) -> Option<[f64; 3]> {
         let host = &self.hosts[server as usize];
         match host.server.state() {
@@ -338,7 +338,7 @@
         Some(self.hosts[server as usize].report.1)
     }
 
-    /// Something happens.
+    /// Handles an event that is due.
     pub fn handle(
         &mut self,
         now: Time,
@@ -372,7 +372,7 @@
         }
     }
 
-    /// The list says something from now on; those who follow it hear of it in their own time.
+    /// Changes an entry of the list. The change becomes visible after a random delay.
     fn change_list(
         &mut self,
         now: Time,
@@ -386,13 +386,13 @@
         self.changes.push(ListChange { server, state, started, primary, number });
         let (min_delay, max_delay) = (self.scenario.network.list_least.0, self.scenario.network.list_most.0);
         let visible_at = now + Span(rng.random_range(min_delay..=max_delay)) + self.extra_list_delay;
-        // What it says of one box it says in order.
+        // Changes of one entry become visible in order.
         let host = &mut self.hosts[server as usize];
         host.list_visible_at = host.list_visible_at.max(visible_at);
         actions.push(FleetAction::ListChanged(self.changes.len() - 1, host.list_visible_at));
     }
 
-    /// What a box held is lost with it, and its group may need another primary.
+    /// Ends a box's process: its jobs are lost, and its group may need another primary.
     fn kill_box(&mut self, now: Time, server: u32, rng: &mut ChaCha8Rng, actions: &mut Vec<FleetAction>) {
         let lost = self.hosts[server as usize].server.die();
         self.hosts[server as usize].incarnation += 1;
@@ -461,7 +461,7 @@
         self.change_list(now, server as u32, ListState::Healthy, (started, true), rng, actions);
     }
 
-    /// Whom a trouble befalls, in the order in which it does.
+    /// The boxes or poolers that a trouble affects, in the order in which it does.
     fn affected(&self, trouble: &Trouble, rng: &mut ChaCha8Rng) -> Vec<u32> {
         let members = self.scenario.fleet.members;
         match trouble.who {
@@ -603,7 +603,7 @@
                     }),
                 );
                 actions.push(FleetAction::StateChanged(server));
-                // One that died meanwhile gets the log again when it starts.
+                // A box that died meanwhile receives the log again when it starts.
                 if self.hosts[server as usize].server.state() == ServerState::Up {
                     self.groups[group].join(member, now);
                 }
@@ -617,7 +617,7 @@
         }
     }
 
-    /// A box starts, cold, unless it has had another life meanwhile.
+    /// Starts a box, cold, unless it has another incarnation by now.
     fn start_box(
         &mut self,
         now: Time,
@@ -637,14 +637,14 @@
         }
     }
 
-    /// How long a pooler that a trouble killed stays away; for ever without.
+    /// How long a pooler that a trouble killed stays down; `None` means for good.
     #[must_use]
     pub fn pooler_downtime(&self, trouble: usize) -> Option<Span> {
         self.scenario.troubles[trouble].lasts
     }
 }
 
-/// A share of so many, by chance.
+/// A random selection of this share of `count`, in random order.
 fn random_share(count: usize, share: f64, rng: &mut ChaCha8Rng) -> Vec<u32> {
     let mut all: Vec<u32> = (0..count as u32).collect();
     for index in (1..all.len()).rev() {
--- a/crates/fleet/src/group.rs
+++ b/crates/fleet/src/group.rs
@@ -1,51 +1,52 @@
-//! A group: one primary, a log, and replicas that get it late and apply it on one thread each. Time is handed in.
+//! A group: a primary with a log, and replicas that receive it with a delay and apply it on one thread each. The caller passes the
+//! current time in.
 
 use linnetdeal_core::{Span, Time};
 use std::collections::VecDeque;
 
-/// So much of the log is kept for who comes back; who was away for longer starts from a copy.
+/// Length of the log that is kept for members that reconnect; one that was away for longer starts from a copy.
 const MAX_LOG_LEN: usize = 65_536;
 
-/// How a group replicates and changes its primary.
+/// How long a group takes to replicate and to change its primary.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicationTiming {
-    /// From a commit until a replica has it.
+    /// From a commit until a replica has received it.
     pub ship: Span,
-    /// What applying one commit takes a replica.
+    /// Time that a replica needs to apply one commit.
     pub apply: Span,
-    /// From the death of a primary until it is given up.
+    /// From the death of a primary until it is declared dead.
     pub detect: Span,
     /// From then until a replica has taken over.
     pub elect: Span,
-    /// From a drain of a primary until another has taken over.
+    /// From the drain of a primary until another has taken over.
     pub switch: Span,
 }
 
 #[derive(Clone, Debug)]
 struct Replica {
-    /// It has applied all commits up to here.
+    /// The commit up to which it has applied the log.
     applied: Time,
-    /// What it has received and not applied: when each will be, and its commit.
+    /// Commits that it has received but not applied: when each will be applied, and the commit.
     queue: VecDeque<(Time, Time)>,
-    /// How much slower than usual it applies.
+    /// How many times as long as usual it takes to apply a commit.
     apply_factor: f64,
-    /// It gets the log.
+    /// Whether it receives the log.
     connected: bool,
 }
 
-/// A group.
+/// A group of replicas.
 #[derive(Clone, Debug)]
 pub struct Group {
     timing: ReplicationTiming,
     replicas: Vec<Replica>,
     primary: Option<usize>,
-    /// Since when there is none; positions stand still.
+    /// Since when the group has no primary; positions do not advance meanwhile.
     lost_since: Option<Time>,
     log: VecDeque<Time>,
 }
 
 impl Group {
-    /// A group of so many, the first of them the primary; all have applied all.
+    /// A group of this many members, all of them up to date; the first is the primary.
     #[must_use]
     pub fn new(timing: ReplicationTiming, members: usize, now: Time) -> Self {
         let replica = Replica { applied: now, queue: VecDeque::new(), apply_factor: 1.0, connected: true };
@@ -64,13 +65,13 @@
         self.primary
     }
 
-    /// How it works.
+    /// How long replication and changes of primary take.
     #[must_use]
     pub fn timing(&self) -> ReplicationTiming {
         self.timing
     }
 
-    /// A commit of the primary.
+    /// The primary commits a write.
     pub fn commit(&mut self, now: Time) {
         if self.log.len() == MAX_LOG_LEN {
             self.log.pop_front();
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Up to where a member has applied the log.
+    /// The position up to which a member has applied the log.
     pub fn position(&mut self, member: usize, now: Time) -> Time {
         if self.primary == Some(member) {
             return now;
@@ -95,23 +96,23 @@
             replica.applied = replica.applied.max(commit);
             replica.queue.pop_front();
         }
-        // Who has nothing left to apply has all that was shipped.
+        // A replica with nothing left to apply has everything that was shipped.
         if replica.queue.is_empty() && replica.connected {
             replica.applied = replica.applied.max(shipped_up_to);
         }
         replica.applied
     }
 
-    /// A replica applies so much more slowly from now on.
+    /// Sets how many times as long as usual a replica takes to apply a commit from now on.
     pub fn set_apply_factor(&mut self, member: usize, factor: f64) {
         self.replicas[member].apply_factor = factor;
     }
 
-    /// A member gets nothing any more. Gives whether it was the primary: then another has to take over.
+    /// Disconnects a member from the log. Returns whether it was the primary, so that another has to take over.
     pub fn leave(&mut self, member: usize, now: Time) -> bool {
         let replica = &mut self.replicas[member];
         replica.connected = false;
-        // What it had received it has still; what it had not applied it applies when it is back.
+        // It keeps what it had received, and applies the rest of it when it is back.
         if self.primary == Some(member) {
             (self.primary, self.lost_since) = (None, Some(now));
             self.replicas[member].applied = now;
@@ -120,7 +121,7 @@
         false
     }
 
-    /// The primary stops taking writes, for another to take over.
+    /// The primary stops accepting writes, so that another can take over.
     pub fn hand_over(&mut self, now: Time) -> Option<usize> {
         let primary = self.primary.take()?;
         self.lost_since = Some(now);
@@ -128,7 +129,7 @@
         Some(primary)
     }
 
-    /// A member gets the log again, and goes on from where it stood.
+    /// Connects a member to the log again; it continues from its position.
     pub fn join(&mut self, member: usize, now: Time) {
         let (timing, lost_since) = (self.timing, self.lost_since);
         let replica = &mut self.replicas[member];
@@ -147,7 +148,8 @@
         }
     }
 
-    /// Who takes over: of those that may, the one that has received most; gives it and when it has applied that.
+    /// The member to take over: of the eligible ones the one that has received most. Returned with the time by which it has applied
+    /// all that it received.
     #[must_use]
     pub fn successor(&self, now: Time, eligible: impl Fn(usize) -> bool) -> Option<(usize, Time)> {
         let candidates = self
@@ -162,7 +164,7 @@
         Some((member, replica.queue.back().map_or(now, |(done, _)| (*done).max(now))))
     }
 
-    /// A member has taken over. Commits that no replica had are gone with the old primary.
+    /// Makes a member the primary. Commits that no replica had received are lost with the old primary.
     pub fn promote(&mut self, member: usize, now: Time) {
         let replica = &mut self.replicas[member];
         let kept = replica.queue.back().map_or(replica.applied, |(_, commit)| *commit);
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -1,77 +1,77 @@
-//! What happened in a run, in fixed records: small, ordered, and the same bytes from the same seed.
+//! The log of a run: small records of fixed size, in order; the same seed gives the same bytes.
 
 use linnetdeal_core::Time;
 use xxhash_rust::xxh3::Xxh3;
 
-/// What happened.
+/// The kind of a record. The numbers are part of the log's bytes, and the names of the variants are printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[repr(u8)]
 pub enum RecordKind {
-    /// A router was told that a box is in service (`x` 1) or not (0). `y` is when it started, 0 for long ago.
+    /// A router was told that a box is in service (`x` is 1) or not (0). `y` is when the box started, or 0 if that was long ago.
     Told = 1,
-    /// A client asked a router. `x` is its deadline, `y` its session; `b` is class + 256 × group.
+    /// A client sent a request to a router. `x` is its deadline, `y` its session, `b` the class + 256 × the group.
     Asked,
-    /// A router sent a request to a box: the first byte. `x` is the attempt.
+    /// A router sent the first byte of a request to a box. `x` is the attempt.
     Sent,
-    /// All of it has come to the box. `x` is the work in µs.
+    /// A box has received all of a request. `x` is the work in µs.
     Came,
-    /// The attempt is over for the router; nothing of it is out any more. `x` is the attempt.
+    /// An attempt has ended for the router. `x` is the attempt.
     Over,
     /// A write ran and was committed. `x` is the commit.
     Ran,
-    /// The write is on a replica too.
+    /// The write has reached a replica.
     Kept,
-    /// The request was served. `x` is the commit of a write, or the position that a read was answered from.
+    /// The request was served. `x` is the commit of a write, or the position at which a read was answered.
     Served,
-    /// It was refused. `x` is when to come back, in µs.
+    /// The request was refused. `x` is the retry-after in µs.
     Refused,
-    /// It failed.
+    /// The request failed.
     Failed,
-    /// The router was killed, and with it what it held.
+    /// The router was killed, and its state is lost.
     Killed,
     /// A box started. `x` is its full capacity in work per second.
     Started,
-    /// A box fell.
+    /// A cold box collapsed from overload.
     Fell,
-    /// A box died, paused, or handed over: a mark for plots. `x` is the kind of trouble.
+    /// A trouble began, for plots. `x` is its kind.
     Trouble,
-    /// Before [`What::Asked`]: the try of a client. `x` is the client, `y` the try's number from 0.
+    /// A client's try, recorded before its [`RecordKind::Asked`]. `x` is the client, `y` the number of the try from 0.
     Try,
-    /// A job is in a box's hands. `x` is its work in µs, `y` the attempt.
+    /// A box accepted a job. `x` is its work in µs, `y` the attempt.
     Took,
-    /// It is through there. `y` is the attempt.
+    /// The box has completed the job. `y` is the attempt.
     Through,
-    /// It is lost there, with the box. `y` is the attempt.
+    /// The job was lost with the box. `y` is the attempt.
     Lost,
-    /// The list, where it has to be asked, says from now on that a box is in service (`x` 1) or not (0).
+    /// Where the list has to be polled: it now has a box in service (`x` is 1) or not (0).
     Published,
-    /// A router asked for the list.
+    /// A router called for the list.
     Called,
-    /// Its watch is open (`x` 1), was ended (0), or the call failed (-1).
+    /// A router's watch was opened (`x` is 1) or ended (0), or the call failed (-1).
     Watching,
 }
 
-/// A record.
+/// An event of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// When.
+    /// When it happened.
     pub at: Time,
-    /// What.
+    /// What happened.
     pub what: RecordKind,
     /// The router.
     pub a: u32,
-    /// The box, or see [`What`].
+    /// The box, or as described at [`RecordKind`].
     pub b: u32,
     /// The request.
     pub request: u64,
-    /// See [`What`].
+    /// As described at [`RecordKind`].
     pub x: i64,
-    /// See [`What`].
+    /// As described at [`RecordKind`].
     pub y: i64,
 }
 
 impl Record {
-    /// Its bytes, little end first.
+    /// The record's bytes, little-endian.
     #[must_use]
     pub fn bytes(&self) -> [u8; 41] {
         let mut bytes = [0; 41];
@@ -86,13 +86,13 @@
     }
 }
 
-/// Takes records as they happen.
+/// Receives records as they happen.
 pub trait Sink {
-    /// One more.
+    /// Receives the next record.
     fn record(&mut self, record: Record);
 }
 
-/// A log: its digest and its length, and the records if they are kept.
+/// A log of records: their digest and number, and the records themselves if they are kept.
 #[derive(Default)]
 pub struct Log {
     hash: Xxh3,
@@ -101,31 +101,31 @@
 }
 
 impl Log {
-    /// One that keeps its records.
+    /// A log that keeps its records.
     #[must_use]
     pub fn with_records() -> Self {
         Self { records: Some(Vec::new()), ..Self::default() }
     }
 
-    /// A digest of all records' bytes.
+    /// The digest of all records' bytes.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.hash.digest()
     }
 
-    /// How many there are.
+    /// Number of records.
     #[must_use]
     pub fn len(&self) -> u64 {
         self.len
     }
 
-    /// Whether there is none.
+    /// Whether there are no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// The records, where they were kept.
+    /// The records, if they were kept.
     #[must_use]
     pub fn into_records(self) -> Vec<Record> {
         self.records.unwrap_or_default()
--- a/crates/fleet/src/scenario.rs
+++ b/crates/fleet/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios as files: typed records in the operator's form, each fault with its place.
+//! Scenario files: typed records in the operator's format; errors are reported with their place in the file.
 
 use linnetdeal_core::Span;
 use linnetdeal_operator::{Diagnostic, Diagnostics, Tree, unify};
@@ -6,16 +6,16 @@
 
 /// The schema of scenarios.
 pub const SCHEMA: &str = include_str!("schema.cue");
-/// The most boxes and the most poolers times the boxes that each knows, as memory is.
-const MOST_BOXES: usize = 100_000;
-const MOST_KNOWN: usize = 30_000_000;
-/// Charts have a line for each class, and service is counted by second, tenant and class.
-const MOST_CLASSES: usize = 5;
-const MOST_TENANTS: usize = 64;
+/// Limits of memory: the most boxes, and the most poolers times the boxes that each knows.
+const MAX_BOXES: usize = 100_000;
+const MAX_KNOWN_BOXES: usize = 30_000_000;
+/// Charts have a line for each class, and service levels are kept by second, tenant and class.
+const MAX_CLASSES: usize = 5;
+const MAX_TENANTS: usize = 64;
 
-fn span<'de, D: Deserializer<'de>>(from: D) -> Result<Span, D::Error> {
-    let text = String::deserialize(from)?;
-    let unit = text.find(|letter: char| !letter.is_ascii_digit()).unwrap_or(text.len());
+fn span<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Span, D::Error> {
+    let text = String::deserialize(deserializer)?;
+    let unit = text.find(|character: char| !character.is_ascii_digit()).unwrap_or(text.len());
     let number: i64 = text[..unit].parse().map_err(serde::de::Error::custom)?;
     let us = match &text[unit..] {
         "us" => 1,
@@ -26,16 +26,16 @@
     Ok(Span(number.saturating_mul(us)))
 }
 
-fn maybe<'de, D: Deserializer<'de>>(from: D) -> Result<Option<Span>, D::Error> {
-    span(from).map(Some)
+fn maybe<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<Span>, D::Error> {
+    span(deserializer).map(Some)
 }
 
-/// Whom a trouble befalls.
+/// The targets of a trouble.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Target {
-    /// A group's primary at that moment.
+    /// A group's primary at that time.
     Primary,
-    /// A group's replica of this number at that moment.
+    /// A group's replica of this number at that time.
     Replica(usize),
     /// A share of all boxes.
     Boxes(f64),
@@ -46,65 +46,65 @@
 }
 
 impl<'de> Deserialize<'de> for Target {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        let text = String::deserialize(from)?;
-        let (what, number) = text.split_once(' ').unwrap_or((&text, "0"));
-        let wrong = || serde::de::Error::custom(format!("nobody is called '{text}'"));
-        match what {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let text = String::deserialize(deserializer)?;
+        let (kind, number) = text.split_once(' ').unwrap_or((&text, "0"));
+        let unknown = || serde::de::Error::custom(format!("unknown target '{text}'"));
+        match kind {
             "primary" => Ok(Self::Primary),
-            "replica" => number.parse().map(Self::Replica).map_err(|_| wrong()),
-            "boxes" => number.parse().map(Self::Boxes).map_err(|_| wrong()),
-            "poolers" => number.parse().map(Self::Poolers).map_err(|_| wrong()),
+            "replica" => number.parse().map(Self::Replica).map_err(|_| unknown()),
+            "boxes" => number.parse().map(Self::Boxes).map_err(|_| unknown()),
+            "poolers" => number.parse().map(Self::Poolers).map_err(|_| unknown()),
             "list" => Ok(Self::List),
-            _ => Err(wrong()),
+            _ => Err(unknown()),
         }
     }
 }
 
-/// What goes wrong, or is done.
+/// The kind of a trouble. The numbers are recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TroubleKind {
-    /// The process ends; a box comes back cold and goes on from where it stood.
+    /// The process ends; when it starts again a box is cold and continues from its position in the log.
     Crash,
-    /// It stands still, with its connections open.
+    /// The process is paused, with its connections open.
     Pause,
     /// New work takes longer.
     Slow,
     /// The log is applied more slowly.
     Lag,
-    /// The primary hands over by plan, or a replica takes nothing new.
+    /// A planned handover of a primary, or a replica that takes no new requests.
     Drain,
-    /// Clients ask more.
+    /// Clients send more requests.
     Surge,
-    /// It stands still, and goes on taking connections, requests and probes; only probes are answered.
+    /// The process is paused, but connections, requests and probes are accepted; only probes are answered.
     Hang,
-    /// It drains, its process ends, and a successor starts cold.
+    /// The box drains, its process ends, and a successor starts cold.
     Deploy,
-    /// The list runs further behind.
+    /// The list has an additional delay.
     Stale,
-    /// The service that has the list ends all watches, and each call takes it longer.
+    /// The discovery service ends all watches, and each call takes longer.
     Overbook,
 }
 
 /// A trouble.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Trouble {
-    /// When.
+    /// When it begins.
     #[serde(deserialize_with = "span")]
     pub at: Span,
-    /// What.
+    /// What happens.
     pub what: TroubleKind,
-    /// Whom.
+    /// Whom it affects.
     pub who: Target,
-    /// The first so many groups.
+    /// With a primary or a replica as the target: the number of groups affected, from the first.
     pub groups: usize,
-    /// For how long.
+    /// How long it lasts.
     #[serde(default, deserialize_with = "maybe")]
     pub lasts: Option<Span>,
     /// By how much.
     pub factor: f64,
-    /// How far apart those are that are befallen.
+    /// The time between one target and the next.
     #[serde(deserialize_with = "span")]
     pub apart: Span,
     /// From the end of a process until its successor runs.
@@ -112,66 +112,66 @@
     pub away: Span,
 }
 
-/// How large the fleet is.
+/// The size and the configuration of the fleet.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Fleet {
-    /// Groups.
+    /// Number of groups.
     pub groups: usize,
-    /// Boxes in each.
+    /// Boxes in each group.
     pub members: usize,
-    /// Poolers.
+    /// Number of poolers.
     pub poolers: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Groups that a pooler serves; 0 for all.
+    /// Number of groups that a pooler serves; 0 for all.
     pub reach: usize,
-    /// Whether an operator told poolers how long changes of primary take.
+    /// Whether poolers are configured with the usual durations of changes of primary.
     pub expected: bool,
-    /// Whether a request may have two attempts out.
+    /// Whether a request may have two attempts in flight.
     pub second_copies: bool,
-    /// Whether poolers are told of the end of what they call off.
+    /// Whether a router learns that an attempt which it cancels has ended.
     pub cancels: bool,
-    /// The grace of drains.
+    /// The grace period of drains.
     #[serde(deserialize_with = "span")]
     pub grace: Span,
 }
 
-/// What boxes are like.
+/// The properties of boxes.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Boxes {
-    /// Cores of each.
+    /// Number of cores.
     pub cores: usize,
-    /// Of a core.
+    /// Speed of a core.
     pub speed: f64,
-    /// How much may wait.
+    /// Number of requests that may wait.
     pub room: usize,
-    /// How much longer work takes in a full room.
+    /// How much longer work takes when the queue is full.
     pub crowding: f64,
-    /// How much they differ in speed.
+    /// How much boxes differ in speed.
     pub spread: f64,
-    /// Until a replica has a commit.
+    /// Time until a replica has received a commit.
     #[serde(deserialize_with = "span")]
     pub ship: Span,
-    /// What applying one takes.
+    /// Time to apply a commit.
     #[serde(deserialize_with = "span")]
     pub apply: Span,
-    /// Until a dead primary is given up.
+    /// Time until a dead primary is declared dead.
     #[serde(deserialize_with = "span")]
     pub detect: Span,
-    /// Until another has taken over.
+    /// Time from then until another has taken over.
     #[serde(deserialize_with = "span")]
     pub elect: Span,
-    /// What a planned change takes.
+    /// Duration of a planned change of primary.
     #[serde(deserialize_with = "span")]
     pub switch: Span,
-    /// How old a report gets.
+    /// The age at which a report is renewed.
     #[serde(deserialize_with = "span")]
     pub report: Span,
-    /// Whether reports tell how many requests wait.
+    /// Whether reports contain the number of waiting requests.
     pub report_queue: bool,
-    /// Beyond so many held for each core work takes longer,
+    /// With more than this many requests for each core work takes longer,
     pub thrash_at: f64,
-    /// by this part of itself from twice as many on.
+    /// by this share, reached at twice as many.
     pub thrash: f64,
     /// Work of a probe.
     #[serde(deserialize_with = "span")]
@@ -179,113 +179,113 @@
     /// Work of a handshake.
     #[serde(deserialize_with = "span")]
     pub handshake_work: Span,
-    /// What a handshake takes beside its round trips.
+    /// Duration of a handshake in addition to its round trips.
     #[serde(deserialize_with = "span")]
     pub handshake: Span,
-    /// Whether a box turns away a read that it is too far behind for.
+    /// Whether a box rejects reads that need a later position than its own.
     pub checks: bool,
-    /// The share of its capacity that a box starts with.
+    /// The share of its capacity that a box has at its start.
     pub cold_from: f64,
-    /// When it is warm.
+    /// The time after which a box is warm.
     #[serde(deserialize_with = "span")]
     pub cold_in: Span,
-    /// Cold, it falls when it is sent more than so many times its capacity
+    /// A cold box collapses when it receives more than this multiple of its capacity
     pub fall_multiple: f64,
-    /// for so long.
+    /// for this long.
     #[serde(deserialize_with = "span")]
     pub fall_for: Span,
 }
 
 impl Boxes {
-    /// A cold box's share of its capacity, and when it has all.
+    /// The share of its capacity that a box has at its start, and the time after which it has all of it.
     #[must_use]
     pub fn cold(&self) -> (f64, Span) {
         (self.cold_from, self.cold_in)
     }
 
-    /// The multiple of its capacity at which a cold box falls, and after how long.
+    /// The multiple of its capacity at which a cold box collapses, and after how long.
     #[must_use]
     pub fn fall(&self) -> (f64, Span) {
         (self.fall_multiple, self.fall_for)
     }
 }
 
-/// What is asked.
+/// The requests of clients.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Traffic {
-    /// Requests a second; 0 for what keeps the fleet at `load`.
+    /// Requests per second; 0 for the rate that gives `load`.
     pub rate: f64,
-    /// The part of what primaries or boxes can do, whichever binds.
+    /// The load, as a share of the capacity of primaries or of all boxes, whichever is the bottleneck.
     pub load: f64,
-    /// For how long.
+    /// How long requests arrive.
     #[serde(deserialize_with = "span")]
     pub lasts: Span,
-    /// Sessions.
+    /// Number of sessions.
     pub sessions: u64,
-    /// How uneven they are.
+    /// Exponent of the Zipf distribution of sessions.
     pub zipf: f64,
-    /// Retries.
+    /// Retries of a request.
     pub retries: u32,
-    /// Whether a session's read says when its last write was committed.
+    /// Whether reads carry the time of their session's last commit.
     pub tokens_carried: bool,
-    /// The worth of what is beyond its tenant's share, as a part of the usual.
+    /// The worth of requests beyond a tenant's share, as a share of the usual worth.
     pub over_share: f64,
-    /// What all shares are together, as a part of what the fleet can do.
+    /// The sum of the tenants' shares, as a share of the fleet's capacity.
     pub quota: f64,
 }
 
-/// How a client's waits between its tries go on.
+/// How a client's waits between tries develop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RetryWait {
-    /// Each is drawn alike.
+    /// All are drawn from the same range.
     Fixed,
-    /// Each is drawn from twice as much as the one before.
+    /// The range doubles with each wait.
     Exponential,
 }
 
-/// What clients do that are refused, failed or not answered.
+/// The behaviour of clients that are refused, fail or get no answer.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Clients {
-    /// How they wait.
+    /// How the waits develop.
     pub wait: RetryWait,
     /// The least and
     #[serde(deserialize_with = "span")]
     pub wait_least: Span,
-    /// the most of the first wait.
+    /// the greatest first wait.
     #[serde(deserialize_with = "span")]
     pub wait_most: Span,
-    /// The share of those who heed a retry-after.
+    /// The share of clients that wait for a retry-after.
     pub heeds: f64,
-    /// The least part of the deadline that a try lasts; 1 for all of it.
+    /// The least share of the deadline after which a try may be abandoned; 1 for none earlier than the deadline.
     pub patience: f64,
-    /// Whether they mark their retries.
+    /// Whether clients mark their retries.
     pub marks: bool,
 }
 
-/// What data a class needs.
+/// The data that a class needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DataNeed {
-    /// Any member's.
+    /// The data of any member.
     Any,
-    /// No older than its bound.
+    /// Data that is no older than the bound.
     Bounded,
-    /// All that its session wrote.
+    /// Everything that the session wrote.
     Session,
-    /// All that was committed.
+    /// Everything that was committed.
     Fresh,
-    /// It is a write.
+    /// The class is a write.
     Write,
 }
 
-/// How the work of a class is spread.
+/// The distribution of a class's work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WorkDistribution {
-    /// Exponentially.
+    /// Exponential.
     Exponential,
-    /// Lognormally.
+    /// Lognormal.
     Lognormal,
 }
 
@@ -294,100 +294,100 @@
 pub struct ClassSpec {
     /// Its name.
     pub name: String,
-    /// What data it needs.
+    /// The data that it needs.
     pub need: DataNeed,
-    /// How old that may be.
+    /// The greatest age of that data.
     #[serde(deserialize_with = "span")]
     pub bound: Span,
-    /// Its part of all requests, beside those of the others.
+    /// Its weight among all requests.
     pub share: f64,
     /// The mean work.
     #[serde(deserialize_with = "span")]
     pub work: Span,
-    /// How that is spread.
+    /// The distribution of the work.
     pub spread: WorkDistribution,
-    /// The deviation as a part of the mean.
+    /// The coefficient of variation.
     pub cv: f64,
-    /// Answered within this it has its full worth.
+    /// The latency objective: a request that is answered within this time has its full worth.
     #[serde(deserialize_with = "span")]
     pub aim: Span,
     /// How long a client waits, over all tries.
     #[serde(deserialize_with = "span")]
     pub deadline: Span,
-    /// What one is worth.
+    /// The worth of a request.
     pub worth: f64,
-    /// The part of that which it has after the aim.
+    /// The share of the worth that remains after the latency objective.
     pub late_worth: f64,
-    /// Whether it must never run twice.
+    /// Whether a request must never run twice.
     pub once: bool,
 }
 
-/// A customer.
+/// A tenant.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct TenantSpec {
     /// Its name.
     pub name: String,
-    /// Its part of what all may ask.
+    /// Its share of the quota.
     pub share: f64,
-    /// What it asks, as a multiple of that.
+    /// What it requests, as a multiple of its share.
     pub usage: f64,
 }
 
-/// How poolers come by the list.
+/// How poolers receive the list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct List {
-    /// Whether it has to be asked.
+    /// Whether it has to be polled.
     pub asked: bool,
-    /// What a call takes the service.
+    /// How long the service takes for a call.
     #[serde(deserialize_with = "span")]
     pub call: Span,
-    /// A call fails that has waited longer.
+    /// A call that has waited longer fails.
     #[serde(deserialize_with = "span")]
     pub wait: Span,
-    /// News go out so often.
+    /// The interval at which changes are sent to watches.
     #[serde(deserialize_with = "span")]
     pub every: Span,
-    /// Whether it shows who is primary.
+    /// Whether the list shows which box is the primary.
     pub roles: bool,
 }
 
-/// What a run records, and is held to.
+/// What a run records and which rules are checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum AuditLevel {
     /// Requests and attempts.
     Usual,
-    /// Clients' tries and the way of jobs through boxes, too.
+    /// Also the tries of clients and the jobs of boxes.
     Full,
 }
 
-/// The network and the list.
+/// The network and the delay of the list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Network {
-    /// One way in a zone.
+    /// Delay in one direction within a zone.
     #[serde(deserialize_with = "span")]
     pub same: Span,
-    /// One way between zones.
+    /// Delay in one direction between zones.
     #[serde(deserialize_with = "span")]
     pub cross: Span,
-    /// The list is late by this at the least,
+    /// The least and
     #[serde(deserialize_with = "span")]
     pub list_least: Span,
-    /// and by this at the most.
+    /// the greatest delay of the list.
     #[serde(deserialize_with = "span")]
     pub list_most: Span,
 }
 
-/// What has to come out.
+/// Thresholds that a run has to reach.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Checks {
     /// The share of first tries that were served.
     pub served: f64,
-    /// The same of writes.
+    /// The same, of writes.
     pub writes: f64,
-    /// The worth served within the aims, of what was asked for.
+    /// The share of the requested worth that was served within the latency objectives.
     pub service: f64,
-    /// The same in the worst 10 s.
+    /// The same, in the worst 10 s.
     pub worst: f64,
 }
 
@@ -396,164 +396,175 @@
 pub struct Scenario {
     /// Its name.
     pub name: String,
-    /// What all chance in it comes from.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// How large the fleet is.
+    /// The size and the configuration of the fleet.
     pub fleet: Fleet,
-    /// What boxes are like.
+    /// The properties of boxes.
     #[serde(rename = "box")]
     pub boxes: Boxes,
-    /// What is asked.
+    /// The requests of clients.
     pub traffic: Traffic,
-    /// The network and the list.
+    /// The network and the delay of the list.
     pub network: Network,
-    /// What clients do.
+    /// The behaviour of clients.
     pub clients: Clients,
-    /// How poolers come by the list.
+    /// How poolers receive the list.
     pub list: List,
-    /// Classes; none for those of [`crate::traffic::portal`].
+    /// The classes; if there are none, those of [`crate::traffic::portal`].
     #[serde(default)]
     pub classes: Vec<ClassSpec>,
-    /// Customers; none where nobody counts them.
+    /// The tenants; none if they are not distinguished.
     #[serde(default)]
     pub tenants: Vec<TenantSpec>,
     /// What is recorded.
     pub audit: AuditLevel,
-    /// What goes wrong.
+    /// The troubles.
     #[serde(default)]
     pub troubles: Vec<Trouble>,
-    /// What has to come out.
+    /// Thresholds that a run has to reach.
     pub checks: Checks,
 }
 
 impl Scenario {
-    /// Decodes a file's text; `name` is the file's, for its faults.
+    /// Decodes the text of a file; `name` is used in error messages.
     ///
     /// # Errors
     ///
-    /// When something in it is wrong.
+    /// When the text violates the schema or the further checks.
     pub fn decode(name: &str, bytes: &[u8]) -> Result<Self, Diagnostics> {
         Self::decode_in("", name, bytes)
     }
 
-    /// The same of a file that may use the definitions of `world`, a file of the same package beside it.
+    /// The same for a file that may use the definitions of `world`, a file of the same package in the same folder.
     ///
     /// # Errors
     ///
-    /// When something in either is wrong.
+    /// When either text violates the schema or the further checks.
     pub fn decode_in(world: &str, name: &str, bytes: &[u8]) -> Result<Self, Diagnostics> {
         let shared: Vec<&str> = world.lines().filter(|line| !line.starts_with("package ")).collect();
         let tree = unify(&format!("{SCHEMA}\n{}\n", shared.join("\n")), name, bytes)?;
-        let faults = |faults: Vec<Diagnostic>| Diagnostics { file: name.to_owned(), diagnostics: faults };
-        let scenario: Self = tree.decode().map_err(|fault| faults(vec![fault]))?;
-        let wrong = scenario.check(&tree);
-        if wrong.is_empty() { Ok(scenario) } else { Err(faults(wrong)) }
+        let report = |diagnostics: Vec<Diagnostic>| Diagnostics { file: name.to_owned(), diagnostics };
+        let scenario: Self = tree.decode().map_err(|diagnostic| report(vec![diagnostic]))?;
+        let diagnostics = scenario.check(&tree);
+        if diagnostics.is_empty() { Ok(scenario) } else { Err(report(diagnostics)) }
     }
 
-    /// What in it only virtual time has, if anything.
+    /// The first feature used by the scenario that exists in virtual time only, if any.
     #[must_use]
     pub fn unsupported_on_sockets(&self) -> Option<&'static str> {
-        let troubles = |of: &Trouble| {
+        let unsupported = |trouble: &Trouble| {
             matches!(
-                of.what,
+                trouble.what,
                 TroubleKind::Hang | TroubleKind::Deploy | TroubleKind::Stale | TroubleKind::Overbook
             )
         };
         let (boxes, traffic, clients) = (&self.boxes, &self.traffic, &self.clients);
-        let all = [
-            (!self.classes.is_empty(), "own classes"),
+        let features = [
+            (!self.classes.is_empty(), "its own classes"),
             (!self.tenants.is_empty(), "tenants"),
-            (self.list.asked || !self.list.roles, "a list that is asked, or shows no roles"),
-            (self.fleet.second_copies || self.fleet.cancels, "second copies and cancels"),
+            (self.list.asked || !self.list.roles, "a list that is polled or shows no roles"),
+            (self.fleet.second_copies || self.fleet.cancels, "second copies or cancelled attempts"),
             (
                 boxes.checks || boxes.report_queue || traffic.tokens_carried,
-                "checks, queues and carried tokens",
+                "checked reads, reported queues or carried tokens",
+            ),
+            (
+                clients.heeds < 1.0 || clients.patience < 1.0,
+                "clients that ignore retry-after or abandon tries early",
             ),
-            (clients.heeds < 1.0 || clients.patience < 1.0, "clients that don't heed or wait"),
-            (clients.marks, "marks of retries"),
+            (clients.marks, "marked retries"),
             (self.audit == AuditLevel::Full, "the full audit"),
-            (self.troubles.iter().any(troubles), "such a trouble"),
+            (self.troubles.iter().any(unsupported), "one of its troubles"),
         ];
-        all.into_iter().find(|(is, _)| *is).map(|(_, what)| what)
+        features.into_iter().find(|(used, _)| *used).map(|(_, feature)| feature)
     }
 
-    /// What no schema can check.
+    /// Checks what the schema can't express.
     fn check(&self, tree: &Tree) -> Vec<Diagnostic> {
-        let mut wrong = Vec::new();
-        let mut fault = |path: &str, what: String| wrong.push(tree.diagnostic(path, what));
+        let mut diagnostics = Vec::new();
+        let mut report = |path: &str, message: String| diagnostics.push(tree.diagnostic(path, message));
         let Fleet { groups, members, poolers, reach, .. } = self.fleet;
         let boxes = groups * members;
-        if boxes > MOST_BOXES {
-            fault(
+        if boxes > MAX_BOXES {
+            report(
                 "fleet.groups",
-                format!("{groups} groups of {members} are {boxes} boxes, and {MOST_BOXES} can be"),
+                format!("{groups} groups of {members} are {boxes} boxes, and {MAX_BOXES} can be"),
             );
         }
         let known = poolers * members * if reach == 0 { groups } else { reach.min(groups) };
-        if known > MOST_KNOWN {
-            fault(
+        if known > MAX_KNOWN_BOXES {
+            report(
                 "fleet.poolers",
-                format!("they would know {known} boxes, and {MOST_KNOWN} can be; set 'reach'"),
+                format!(
+                    "the poolers would know {known} boxes in total, and the limit is {MAX_KNOWN_BOXES}; set 'reach'"
+                ),
             );
         }
         if reach > groups {
-            fault("fleet.reach", format!("there are only {groups} groups"));
+            report("fleet.reach", format!("there are only {groups} groups"));
         }
         if self.network.list_least > self.network.list_most {
-            fault("network.list_most", "it is less than 'list_least'".into());
+            report("network.list_most", "it must not be less than 'list_least'".into());
         }
         if self.traffic.lasts.0 == 0 {
-            fault("traffic.lasts", "nobody would ask anything".into());
+            report("traffic.lasts", "it must be longer than 0".into());
         }
-        for (at, trouble) in self.troubles.iter().enumerate() {
-            let path = format!("troubles[{at}]");
+        for (index, trouble) in self.troubles.iter().enumerate() {
+            let path = format!("troubles[{index}]");
             if trouble.groups > groups {
-                fault(&format!("{path}.groups"), format!("there are only {groups}"));
+                report(&format!("{path}.groups"), format!("there are only {groups}"));
             }
             if matches!(trouble.who, Target::Replica(number) if number + 1 >= members) {
-                fault(&format!("{path}.who"), format!("a group has {} replicas, from 0", members - 1));
+                report(&format!("{path}.who"), format!("a group has {} replicas, from 0", members - 1));
             }
             if trouble.at >= self.traffic.lasts {
-                fault(&format!("{path}.at"), "nobody asks any more by then".into());
+                report(&format!("{path}.at"), "no requests arrive any more by then".into());
             }
-            let poolers = matches!(trouble.who, Target::Poolers(_));
-            if poolers && !matches!(trouble.what, TroubleKind::Crash | TroubleKind::Surge) {
-                fault(&format!("{path}.what"), "poolers can crash, and nothing else".into());
+            let targets_poolers = matches!(trouble.who, Target::Poolers(_));
+            if targets_poolers && !matches!(trouble.what, TroubleKind::Crash | TroubleKind::Surge) {
+                report(&format!("{path}.what"), "the only trouble of poolers is 'crash'".into());
             }
-            let lists = matches!(trouble.what, TroubleKind::Stale | TroubleKind::Overbook);
-            if lists != (trouble.who == Target::List) {
-                fault(
+            let list_trouble = matches!(trouble.what, TroubleKind::Stale | TroubleKind::Overbook);
+            if list_trouble != (trouble.who == Target::List) {
+                report(
                     &format!("{path}.who"),
-                    "'stale' and 'overbook' befall the list, and nothing else does".into(),
+                    "'stale' and 'overbook' affect the list, and other troubles don't".into(),
                 );
             }
             if trouble.what == TroubleKind::Overbook && !self.list.asked {
-                fault(&format!("{path}.what"), "nobody asks this list".into());
+                report(&format!("{path}.what"), "nobody asks this list".into());
             }
             if trouble.what == TroubleKind::Deploy && trouble.lasts.is_none() {
-                fault(&path, "a deploy needs 'lasts', which is how long a box drains".into());
+                report(&path, "a deploy needs 'lasts', which is how long a box drains".into());
             }
         }
         if self.clients.wait_least > self.clients.wait_most {
-            fault("clients.wait_most", "it is less than 'wait_least'".into());
+            report("clients.wait_most", "it must not be less than 'wait_least'".into());
         }
         if self.list.asked && (self.list.call.0 == 0 || self.list.every.0 == 0) {
-            fault("list", "'call' and 'every' take some time".into());
+            report("list", "'call' and 'every' must be longer than 0".into());
         }
-        if self.classes.len() > MOST_CLASSES || self.classes.len() == 1 {
-            fault("classes", format!("there can be from 2 to {MOST_CLASSES}, or none"));
+        if self.classes.len() > MAX_CLASSES || self.classes.len() == 1 {
+            report("classes", format!("there can be from 2 to {MAX_CLASSES}, or none"));
         }
-        for (at, class) in self.classes.iter().enumerate() {
-            if (class.need == DataNeed::Write) != (at + 1 == self.classes.len()) {
-                fault(&format!("classes[{at}].need"), "the last class takes writes, and no other".into());
+        for (index, class) in self.classes.iter().enumerate() {
+            if (class.need == DataNeed::Write) != (index + 1 == self.classes.len()) {
+                report(
+                    &format!("classes[{index}].need"),
+                    "the last class must be the one of writes, and no other".into(),
+                );
             }
             if class.aim > class.deadline || class.work.0 == 0 {
-                fault(&format!("classes[{at}]"), "it has work, and a deadline no sooner than its aim".into());
+                report(
+                    &format!("classes[{index}]"),
+                    "'work' must be longer than 0, and 'deadline' no shorter than 'aim'".into(),
+                );
             }
         }
-        if self.tenants.len() > MOST_TENANTS {
-            fault("tenants", format!("there can be {MOST_TENANTS}"));
+        if self.tenants.len() > MAX_TENANTS {
+            report("tenants", format!("there can be {MAX_TENANTS}"));
         }
-        wrong
+        diagnostics
     }
 }
--- a/crates/fleet/src/schema.cue
+++ b/crates/fleet/src/schema.cue
@@ -1,24 +1,24 @@
-// What may stand in a scenario. Records are closed: a field that is not named here is an error.
+// The schema of scenarios. Records are closed: a field that is not named here is an error.
 package scenario
 
 #Duration: =~"^[0-9]{1,9}(us|ms|s|m)$"
-// Whom a trouble befalls: the primary, a replica by number, a share of all boxes, a share of the poolers, or the list.
+// The target of a trouble: the primary, a replica by number, a share of all boxes, a share of the poolers, or the list.
 #Whom: =~"^(primary|replica [0-9]{1,3}|boxes 0\\.[0-9]{1,3}|boxes 1|poolers 0\\.[0-9]{1,3}|poolers 1|list)$"
 
-// Something that goes wrong, or is done.
+// A trouble.
 #Trouble: {
 	at!:   #Duration
 	what!: "crash" | "pause" | "hang" | "slow" | "lag" | "drain" | "deploy" | "surge" | "stale" | "overbook"
 	who!:  #Whom
-	// The groups, where a primary or a replica is named: the first so many.
+	// With a primary or a replica as the target: the number of groups affected, from the first.
 	groups: int & >=1 & <=100000 | *1
-	// After that it is over: the process is back, the pause ends. Left out: it lasts.
+	// When the trouble ends: the process is back, the pause is over. Without it the trouble lasts.
 	lasts?: #Duration
-	// How much slower, how much more is asked, or by how many seconds the list runs further behind.
+	// How many times slower, how many times more requests, or by how many seconds the list is further behind.
 	factor: number & >=1 & <=1000 | *10
-	// One after the other, this far apart.
+	// The time between one target and the next.
 	apart: #Duration | *"0ms"
-	// A deploy: from the end of a process until its successor runs.
+	// For a deploy: from the end of a process until its successor runs.
 	away: #Duration | *"1s"
 }
 
@@ -27,15 +27,15 @@
 	members: int & >=1 & <=64 | *6
 	poolers: int & >=1 & <=10000 | *4
 	zones:   int & >=1 & <=64 | *3
-	// How many groups a pooler serves; 0 is all.
+	// Number of groups that a pooler serves; 0 for all.
 	reach: int & >=0 & <=10000 | *0
-	// Whether an operator told poolers how long changes of primary take.
+	// Whether poolers are configured with the usual durations of changes of primary.
 	expected: bool | *false
-	// Whether a second copy may be sent while the first runs, and whether what poolers call off is told to have ended. Boxes
-	// work on in either case.
+	// Whether a second copy may be sent while the first runs, and whether a router learns that an attempt which it cancels has ended.
+	// Boxes continue with the work in either case.
 	second_copies: bool | *false
 	cancels:       bool | *false
-	// Nothing new to a box later than this after its drain was told.
+	// A box receives nothing new later than this after its drain was reported.
 	grace: #Duration | *"250ms"
 }
 
@@ -52,19 +52,19 @@
 	elect:  #Duration | *"2s"
 	switch: #Duration | *"600ms"
 	report: #Duration | *"150ms"
-	// Whether reports tell how many requests wait, too.
+	// Whether reports contain the number of waiting requests.
 	report_queue: bool | *false
-	// Beyond so many held for each core work takes longer; by this part of itself from twice as many on.
+	// With more than this many requests for each core work takes longer, by this share, reached at twice as many.
 	thrash_at: number & >=0.1 & <=1000 | *4
 	thrash:    number & >=0 & <=10 | *0
-	// What a probe and a handshake cost the box in work, and how long a handshake takes beside its round trips.
+	// The work that a probe and a handshake cause at the box, and the duration of a handshake in addition to its round trips.
 	probe_work:     #Duration | *"0ms"
 	handshake_work: #Duration | *"0ms"
 	handshake:      #Duration | *"2ms"
-	// Whether a box turns away a read that it is too far behind for.
+	// Whether a box rejects a read that needs a later position than its own.
 	checks: bool | *false
-	// The share of its capacity that a box starts with, and when it is warm; it falls when it is sent more than so many
-	// times its capacity for so long.
+	// The share of its capacity that a box has at its start, and when it is warm; cold, it collapses when it is sent more than this
+	// multiple of its capacity for this long.
 	cold_from:     number & >=0.01 & <=1 | *0.16
 	cold_in:       #Duration | *"16s"
 	fall_multiple: number & >=1 & <=100 | *2.5
@@ -72,47 +72,47 @@
 }
 
 #Traffic: {
-	// Requests a second, all together; 0 is what keeps the fleet at 'load'.
+	// Requests per second in total; 0 for the rate that gives 'load'.
 	rate: number & >=0 & <=10000000 | *0
 	load: number & >=0.01 & <=10 | *0.6
-	// How long clients ask.
+	// How long requests arrive.
 	lasts:    #Duration | *"40s"
 	sessions: int & >=1 & <=100000000 | *2000
-	// How uneven sessions are: the exponent of a Zipf distribution.
+	// The exponent of the Zipf distribution of sessions.
 	zipf: number & >=0 & <=5 | *0.9
-	// Retries of a refused or failed request that may be asked again.
+	// Retries of a refused or failed request that may be repeated.
 	retries: int & >=0 & <=5 | *1
-	// A session's read says when its last write was committed; without it poolers remember.
+	// Whether a session's read says when its last write was committed; without it poolers remember.
 	tokens_carried: bool | *false
-	// What is beyond its tenant's share is worth this part of the usual; all shares together are this part of what the
-	// fleet can do.
+	// The worth of requests beyond their tenant's share, as a share of the usual worth; and the sum of all shares, as a share of the
+	// fleet's capacity.
 	over_share: number & >=0 & <=1 | *1
 	quota:      number & >=0.01 & <=10 | *0.85
 }
 
-// What clients do that are refused, failed or not answered.
+// The behaviour of clients that are refused, fail or get no answer.
 #Clients: {
-	// They wait as long each time, or twice as long each time: between these.
+	// Waits are drawn from 'wait_least' to 'wait_most'; with 'exponential' the range doubles with each try.
 	wait:       "fixed" | "exponential" | *"fixed"
 	wait_least: #Duration | *"10ms"
 	wait_most:  #Duration | *"80ms"
-	// The share of clients that stay away for as long as they are told to.
+	// The share of clients that wait for a retry-after.
 	heeds: number & >=0 & <=1 | *1
-	// A try is given up after this part of the class's deadline at the least, and after all of it at the most.
+	// A try is abandoned after at least this share of the class's deadline, and after the whole deadline at the latest.
 	patience: number & >=0.05 & <=1 | *1
-	// Whether they mark their retries.
+	// Whether clients mark their retries.
 	marks: bool | *false
 }
 
-// A class of requests. The last of a scenario's is the one of writes.
+// A class of requests. The last class of a scenario is the one of writes.
 #Class: {
 	name!: =~"^[a-z0-9-]{1,64}$"
 	need!: "any" | "bounded" | "session" | "fresh" | "write"
 	// For 'bounded': no older than this when it is sent.
 	bound: #Duration | *"1s"
-	// Its part of all requests, beside those of the others.
+	// Its weight among all requests.
 	share!: number & >0 & <=1000
-	// The mean work on a standard core, how it is spread, and for 'lognormal' the deviation as a part of the mean.
+	// The mean work on a standard core, its distribution, and for 'lognormal' the coefficient of variation.
 	work!:  #Duration
 	spread: "exponential" | "lognormal" | *"exponential"
 	cv:     number & >0 & <=5 | *1
@@ -120,11 +120,11 @@
 	deadline!: #Duration
 	worth:      number & >=0 & <=1000 | *1
 	late_worth: number & >=0 & <=1 | *0
-	// It must never run twice.
+	// Whether a request must never run twice.
 	once: bool | *false
 }
 
-// A customer: its part of what all may ask, and what it asks as a multiple of that.
+// A tenant: its share of the quota, and what it requests as a multiple of its share.
 #Tenant: {
 	name!:  =~"^[a-z0-9-]{1,64}$"
 	share!: number & >0 & <=1
@@ -133,29 +133,29 @@
 
 // The list of boxes.
 #List: {
-	// One service for all poolers that has to be asked; else it tells unasked.
+	// Whether it has to be polled at one service for all poolers; otherwise changes are pushed.
 	asked: bool | *false
-	// What a call takes it, one after another; a call fails that has waited longer; news go out so often.
+	// How long the service takes for a call, one after another; a call that has waited longer fails; and the interval of notifications.
 	call:  #Duration | *"300ms"
 	wait:  #Duration | *"2s"
 	every: #Duration | *"500ms"
-	// Whether it shows who is primary.
+	// Whether the list shows which box is the primary.
 	roles: bool | *true
 }
 
 #Network: {
 	same:  #Duration | *"200us"
 	cross: #Duration | *"1ms"
-	// The list tells of a change after this at the least and at the most.
+	// The least and the greatest delay of a change of the list.
 	list_least: #Duration | *"800ms"
 	list_most:  #Duration | *"4600ms"
 }
 
-// What has to come out.
+// Thresholds that a run has to reach.
 #Checks: {
 	served: number & >=0 & <=1 | *0
 	writes: number & >=0 & <=1 | *0
-	// Worth served within the aims, of what was asked for: in the whole run, and in its worst 10 s.
+	// The share of the requested worth that was served within the latency objectives: in the whole run, and in its worst 10 s.
 	service: number & >=0 & <=1 | *0
 	worst:   number & >=0 & <=1 | *0
 }
@@ -168,10 +168,10 @@
 network: #Network
 clients: #Clients
 list:    #List
-// Left out: five classes of a portal.
+// Without classes, the five classes of a portal are used.
 classes: [...#Class]
 tenants: [...#Tenant]
-// 'full' records the tries of each client and the way of each job through its box, too, and holds them to more rules.
+// 'full' also records the tries of clients and the jobs of boxes, and checks more rules.
 audit: "usual" | "full" | *"usual"
 troubles: [...#Trouble]
 checks:  #Checks
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -1,62 +1,62 @@
-//! A box: cores that run what came first, a waiting room, a cold start, pauses, and the fall of one that is sent too much while
-//! it is cold. Time is handed in.
+//! The model of a server ("box"): cores that run jobs in the order of arrival, a queue, a cold start, pauses, and the collapse of a cold
+//! server that is sent too much. The caller passes the current time in.
 
 use linnetdeal_core::{Span, Time};
 use std::collections::VecDeque;
 
-/// What a box is.
+/// The properties of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerConfig {
-    /// How much runs at once.
+    /// The number of jobs that run at the same time.
     pub cores: usize,
-    /// Of a core, as a multiple of the standard.
+    /// The speed of a core, as a multiple of the standard.
     pub speed: f64,
-    /// How much may wait.
+    /// The number of jobs that may wait.
     pub queue_limit: usize,
-    /// How much longer work takes when the room is full, as a part of itself.
+    /// How much longer work takes when the queue is full, as a share of its usual time.
     pub queue_slowdown: f64,
-    /// Beyond so many held for each core work takes longer, by this part of itself from twice as many on.
+    /// Above the first value of jobs for each core, work takes longer, by up to the second as a share, reached at twice as many jobs.
     pub thrash: (f64, f64),
-    /// The share of its capacity that it starts with, and when it has all.
+    /// The share of its capacity that the server has at its start, and the time after which it has all of it.
     pub cold: (f64, Span),
-    /// Cold, it falls when it is sent more than this multiple of its capacity for so long.
+    /// When cold it collapses if it is sent more than this multiple of its capacity for this long.
     pub fall: (f64, Span),
 }
 
-/// Work that a box is sent.
+/// A piece of work for a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Job {
-    /// Its number, for its sender.
+    /// Its number, chosen by the sender.
     pub id: u64,
-    /// On a standard core.
+    /// The work, as the time on a standard core.
     pub work: Span,
 }
 
-/// How a box lives.
+/// The state of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
     /// It works.
     Up,
-    /// It stands still, since then; connections stay open.
+    /// Paused since then; connections stay open.
     Paused(Time),
-    /// Its process is gone.
+    /// The process has ended.
     Dead,
     /// It was sent too much while it was cold, and stays down.
     Collapsed,
 }
 
-/// What becomes of what is sent to a box.
+/// The result of sending a job to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs, until then.
+    /// The job runs, until this time.
     Started(Time),
-    /// It waits its turn.
+    /// The job waits.
     Queued,
-    /// The room is full, or the box drains: it never runs.
+    /// The queue is full or the server drains: the job never runs.
     Rejected,
-    /// Nobody is there.
+    /// The server is down.
     Down,
-    /// The box has fallen by it; all that it held is lost, and is told by [`Server::die`].
+    /// The server collapses; all its jobs are lost, and [`Server::die`] returns them.
     Collapsed,
 }
 
@@ -66,27 +66,27 @@
     ends_at: Time,
 }
 
-/// A box.
+/// A server.
 #[derive(Clone, Debug)]
 pub struct Server {
     config: ServerConfig,
     state: ServerState,
-    /// Nothing new is taken.
+    /// Whether it accepts no new jobs.
     pub draining: bool,
     started: Option<Time>,
-    /// How much slower than usual new work runs.
+    /// How many times as long as usual new jobs take.
     pub slowdown: f64,
     running: Vec<Running>,
     waiting: VecDeque<Job>,
-    /// Work of probes and handshakes that is done by what runs next.
+    /// Work of probes and handshakes that delays the next job.
     overhead: Span,
-    /// What came in the last while of a cold start: when, and how much work.
+    /// Time and work of what was received during the latest window of a cold start.
     recent_arrivals: VecDeque<(Time, f64)>,
     recent_work: f64,
 }
 
 impl Server {
-    /// A warm box.
+    /// A warm server.
     #[must_use]
     pub fn new(config: ServerConfig) -> Self {
         Self {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// How it lives.
+    /// Its state.
     #[must_use]
     pub fn state(&self) -> ServerState {
         self.state
@@ -115,7 +115,7 @@
         self.started
     }
 
-    /// The part of its capacity that it has.
+    /// The share of its capacity that is available.
     #[must_use]
     pub fn warmth(&self, now: Time) -> f64 {
         let (share, warm_up) = self.config.cold;
@@ -123,30 +123,30 @@
         (share + (1.0 - share) * (now - started).0 as f64 / warm_up.0.max(1) as f64).clamp(share, 1.0)
     }
 
-    /// Work on standard cores that it can do in a microsecond, now.
+    /// Its capacity now, as work on standard cores per microsecond.
     #[must_use]
     pub fn capacity(&self, now: Time) -> f64 {
         self.config.cores as f64 * self.config.speed * self.warmth(now)
     }
 
-    /// How much it holds.
+    /// Number of jobs that run or wait.
     #[must_use]
     pub fn jobs(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// How much of that waits.
+    /// Number of jobs that wait.
     #[must_use]
     pub fn queued(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Work beside requests, as of a probe or a handshake: what runs next takes so much longer.
+    /// Adds work that is not a request, such as a probe or a handshake; it delays the next job to start.
     pub fn add_overhead(&mut self, work: Span) {
         self.overhead = Span(self.overhead.0.saturating_add(work.0));
     }
 
-    /// Work arrives.
+    /// Accepts or rejects a job.
     pub fn admit(&mut self, now: Time, job: Job) -> Admission {
         if matches!(self.state, ServerState::Dead | ServerState::Collapsed) {
             return Admission::Down;
@@ -180,7 +180,7 @@
         ends_at
     }
 
-    /// Counts what a cold box is sent, what it turns away included.
+    /// Counts the work that a cold server receives, rejected work included. Returns whether it is too much.
     fn is_overloaded_cold(&mut self, now: Time, work: Span) -> bool {
         let (multiple, window) = self.config.fall;
         if self.warmth(now) >= 1.0 {
@@ -200,7 +200,7 @@
         self.recent_work > multiple * mean_capacity * window.0 as f64
     }
 
-    /// The work of this number is through, if it is now that it ends. Gives what runs in its place, and until when.
+    /// Completes the job of this number, if it is due. Returns the job that starts in its place, with the time of its end.
     pub fn complete(&mut self, now: Time, id: u64) -> Option<Option<(u64, Time)>> {
         if self.state != ServerState::Up {
             return None;
@@ -215,14 +215,14 @@
         Some((job.id, self.run(now, job)))
     }
 
-    /// It stands still.
+    /// Pauses the server.
     pub fn pause(&mut self, now: Time) {
         if self.state == ServerState::Up {
             self.state = ServerState::Paused(now);
         }
     }
 
-    /// It goes on; gives what runs now, and until when.
+    /// Resumes the server. Returns the jobs that run now, with the times of their end.
     pub fn resume(&mut self, now: Time) -> Vec<(u64, Time)> {
         let ServerState::Paused(since) = self.state else { return Vec::new() };
         self.state = ServerState::Up;
@@ -233,7 +233,7 @@
         self.running.iter().map(|job| (job.id, job.ends_at)).collect()
     }
 
-    /// Its process ends; gives what it held.
+    /// Ends the process. Returns the jobs that are lost.
     pub fn die(&mut self) -> Vec<u64> {
         if self.state != ServerState::Collapsed {
             self.state = ServerState::Dead;
@@ -246,7 +246,7 @@
         running.chain(std::mem::take(&mut self.waiting).into_iter().map(|job| job.id)).collect()
     }
 
-    /// It starts anew, cold; one that has fallen stays down.
+    /// Starts the process, cold. Returns whether it did: a server that has collapsed stays down.
     pub fn start(&mut self, now: Time) -> bool {
         if self.state != ServerState::Dead {
             return false;
--- a/crates/fleet/src/service_level.rs
+++ b/crates/fleet/src/service_level.rs
@@ -1,33 +1,33 @@
-//! What clients got, as operators count it: worth that was answered within the aims, of the worth that was asked for, with all
-//! tries of a client folded into the first; by second, tenant and class. What is beyond a tenant's share counts less.
+//! The service level as operators count it: the worth that was answered within the latency objectives, as a share of the worth that was
+//! requested; all tries of a client count as one request. Kept by second, tenant and class. Requests beyond a tenant's share count less.
 
 use crate::scenario::Scenario;
 use crate::traffic::ClassPlan;
 use linnetdeal_core::{Span, Time};
 
-/// Windows of so many seconds are looked at for the worst one.
+/// Length of the window of which the worst one is reported, in seconds.
 const WINDOW_SECONDS: usize = 10;
-/// What a tenant may ask at once, in seconds of its share.
+/// What a tenant may request in a burst, in seconds of its share.
 const BURST_SECONDS: f64 = 1.0;
 
-/// Worth served, and asked for.
+/// Worth that was served, and worth that was requested.
 pub type Worth = [f64; 2];
 
-/// The accounting of a run.
+/// The service level of a run.
 #[derive(Clone, Debug)]
 pub struct ServiceLevel {
     begin: Time,
     classes: Vec<(Span, f64, f64)>,
     quotas: Vec<f64>,
     over_share: f64,
-    /// What is left of each tenant's share, and when that was so.
+    /// What remains of each tenant's share, and at which time.
     remaining: Vec<(f64, Time)>,
-    /// By second, tenant, whether it is within the share, and class.
+    /// Worth by second, tenant, whether it was within the share, and class.
     cells: Vec<Worth>,
 }
 
 impl ServiceLevel {
-    /// The accounting of a scenario that begins then.
+    /// The accounting of a scenario that begins at this time.
     #[must_use]
     pub fn new(scenario: &Scenario, plans: &[ClassPlan], quotas: &[f64], begin: Time) -> Self {
         let seconds = (scenario.traffic.lasts.0 / 1_000_000) as usize + 2;
@@ -57,7 +57,7 @@
         self.classes[class].1 * if within { 1.0 } else { self.over_share }
     }
 
-    /// A client asks for the first time; gives whether that is within its tenant's share.
+    /// Counts a client's first try; returns whether it is within its tenant's share.
     pub fn record_request(&mut self, now: Time, tenant: Option<usize>, class: usize) -> bool {
         let within = tenant.is_none_or(|tenant| {
             let (quota, (remaining, since)) = (self.quotas[tenant], self.remaining[tenant]);
@@ -73,7 +73,7 @@
         within
     }
 
-    /// It was answered, so long after it had first asked.
+    /// Counts an answer that took this long since the first try.
     pub fn record_served(
         &mut self,
         asked: Time,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The sum over the cells of these places: second, tenant, whether within the share, and class.
+    /// The sum over the cells that `include` selects by second, tenant, whether within the share, and class.
     fn sum_cells(&self, include: impl Fn(usize, usize, bool, usize) -> bool) -> Worth {
         let (classes, tenants) = (self.classes.len(), self.tenants());
         let mut sum = [0.0; 2];
@@ -104,13 +104,13 @@
         sum
     }
 
-    /// The whole run's share.
+    /// The share that was served in the whole run.
     #[must_use]
     pub fn overall(&self) -> f64 {
         share(self.sum_cells(|_, _, _, _| true))
     }
 
-    /// The second in which the worst window of 10 s begins, and its share; windows without a request don't count.
+    /// The second in which the worst window of 10 s begins, and the share that was served in it; windows without requests don't count.
     #[must_use]
     pub fn worst_window(&self) -> (usize, f64) {
         self.worst_window_of(|_, _, _| true)
@@ -146,7 +146,7 @@
         ]
     }
 
-    /// A tenant's share, in the whole run and in its worst window, of what it asked within its part.
+    /// A tenant's share, in the whole run and in its worst window, counting only what it requested within its share.
     #[must_use]
     pub fn tenant_shares(&self, tenant: usize) -> [f64; 2] {
         let include = |other: usize, within: bool| other == tenant && within;
@@ -157,7 +157,7 @@
     }
 }
 
-/// Nothing asked for is all served.
+/// 1 if nothing was requested.
 fn share([served, asked]: Worth) -> f64 {
     if asked > 0.0 { served / asked } else { 1.0 }
 }
--- a/crates/fleet/src/sim.rs
+++ b/crates/fleet/src/sim.rs
@@ -1,5 +1,5 @@
-//! The host in virtual time: events in the order of their times, and of their making where these are equal. It drives the same
-//! router and membership as the daemon and decides nothing for them.
+//! The simulation in virtual time: events are handled in the order of their times and, for equal times, of their scheduling. It drives
+//! the same router and membership as the daemon and takes no decisions of its own.
 
 use crate::audit::{ClassRules, Freshness, FullRules, Rules};
 use crate::discovery::{CallOutcome, DiscoveryService};
@@ -19,18 +19,18 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// When a run begins; the positions' zero, too.
+/// When a run begins, which is also the zero of positions.
 pub const BEGIN: Time = Time(1_000_000_000_000);
 const ANSWER_SLACK: Span = Span::millis(20);
 const CONNECT_TIMEOUT: Span = Span::millis(250);
-/// A router without a watch that has not asked for so long counts as told of what was listed that long before.
+/// A router without a watch that has not polled the list for this long is expected to know what was published that long before.
 const POLL_INTERVAL: Span = Span::millis(10_000);
-/// A wake-up that is due already comes after so long.
+/// The delay of a wake-up that is due already.
 const MIN_WAKE_DELAY: Span = Span::millis(1);
-/// After the last request has come, a run goes on for so long at the most.
+/// A run goes on for at most this long after the last request has arrived.
 const MAX_RUN_ON: Span = Span::millis(8_000);
 
-/// The rules that a scenario's run is to be held to.
+/// The rules by which a scenario's run is audited.
 #[must_use]
 pub fn rules(scenario: &Scenario) -> Rules {
     let class_rules = |plan: &ClassPlan| ClassRules {
@@ -108,7 +108,7 @@
         router: u32,
         change: usize,
     },
-    /// The list that is asked says something new; watches bring it; a call for it has come to its end.
+    /// Where the list is polled: it has a new change, its watches bring changes, or a call for it has ended.
     Publish {
         change: usize,
     },
@@ -121,7 +121,7 @@
         incarnation: u32,
         failed: bool,
     },
-    /// A router called off an attempt.
+    /// A router cancelled an attempt.
     Cancelled {
         attempt: usize,
         request: u64,
@@ -136,17 +136,17 @@
     },
 }
 
-/// A pooler in the host.
+/// A pooler in the simulation.
 struct Pooler {
     router: Option<Box<Router>>,
     members: Membership,
     zone: usize,
     incarnation: u32,
     next_wake: Option<Time>,
-    /// Idle connections by box, and the life of the box that they are to.
+    /// Idle connections by box, and the box's incarnation that they lead to.
     idle_connections: HashMap<u32, (u32, u32)>,
     open_requests: HashMap<u64, u32>,
-    /// Where the list is asked: whether a watch is open, and how much of what was published it has brought.
+    /// Where the list is polled: whether a watch is open, and how many of the published changes it has brought.
     watching: bool,
     changes_seen: usize,
 }
@@ -162,9 +162,9 @@
     work: Span,
     id: u64,
     tenant: Option<usize>,
-    /// Within its tenant's share.
+    /// Whether it is within its tenant's share.
     within_quota: bool,
-    /// It heeds a retry-after.
+    /// Whether the client waits for a retry-after.
     heeds_retry_after: bool,
 }
 
@@ -180,43 +180,43 @@
     work: Span,
     sent_at: Time,
     position: Time,
-    /// A read must see what was committed by then.
+    /// The position that a read must have reached.
     min_position: Time,
     ended: bool,
 }
 
-/// What came out of a run, by the model's own count.
+/// The results of a run, as counted by the simulation.
 #[derive(Clone, Debug)]
 pub struct RunOutcome {
-    /// Events.
+    /// Number of events.
     pub events: u64,
     /// First tries, by class.
     pub requests: Vec<u64>,
-    /// Of these, those that were served before their client gave up, be it at a later try.
+    /// Those of them that were served before their client gave up, including in a later try.
     pub served: Vec<u64>,
     /// From the first try to the answer, in µs, by class.
     pub latency: Vec<Histogram<u64>>,
-    /// First tries and served ones by the second in which they were asked.
+    /// First tries, and those that were served, by the second of the first try.
     pub by_second: Vec<(u64, u64)>,
-    /// Attempts that were sent, and probes.
+    /// Attempts that were sent.
     pub attempts: u64,
-    /// Probes.
+    /// Probes that were sent.
     pub probes: u64,
-    /// The most boxes, poolers and requests that were open at once.
+    /// The most clients with an open request at the same time.
     pub max_open: usize,
-    /// Boxes that fell.
+    /// Number of boxes that collapsed.
     pub collapsed: u64,
-    /// When the last event happened.
+    /// When the run ended.
     pub end: Time,
     /// When boxes took over as primaries.
     pub promotions: Vec<(Time, u32)>,
-    /// Worth served, by second, tenant and class.
+    /// Worth that was served, by second, tenant and class.
     pub service: ServiceLevel,
-    /// Tries of clients, first ones included, that reached a pooler.
+    /// Tries of clients that reached a pooler, first ones included.
     pub tries: u64,
-    /// First tries that found their pooler dead.
+    /// First tries whose pooler was down.
     pub pooler_down: u64,
-    /// Calls for the list where it is asked, and those that failed.
+    /// Calls for the list where it is polled, and those that failed.
     pub calls: (u64, u64),
 }
 
@@ -227,29 +227,29 @@
         self.requests.iter().sum::<u64>() - self.pooler_down
     }
 
-    /// The number of the class of writes.
+    /// The index of the class of writes.
     #[must_use]
     pub fn write_class(&self) -> usize {
         self.requests.len() - 1
     }
 
-    /// The share of all that was served.
+    /// The share of all first tries that were served.
     #[must_use]
     pub fn served_share(&self) -> f64 {
         self.served.iter().sum::<u64>() as f64 / self.requests.iter().sum::<u64>().max(1) as f64
     }
 
-    /// The same of a class.
+    /// The same for a class.
     #[must_use]
     pub fn class_served_share(&self, class: usize) -> f64 {
         self.served[class] as f64 / self.requests[class].max(1) as f64
     }
 }
 
-/// The number of the class of writes where the scenario names none.
+/// The index of the class of writes in scenarios without classes of their own.
 pub const WRITE_CLASS: usize = 4;
 
-/// The host.
+/// The state of a run.
 struct Sim<'s, S> {
     scenario: &'s Scenario,
     classes: Vec<ClassPlan>,
@@ -274,14 +274,14 @@
     published: Vec<usize>,
     /// The latest commits of sessions, as their clients know them.
     session_commits: HashMap<u64, Time>,
-    /// Attempts that may be called off, by request and number.
+    /// Attempts that may be cancelled, by request and number.
     cancellable: HashMap<(u64, u32), usize>,
     arrivals_end: Time,
     outcome: RunOutcome,
     actions: Vec<Action>,
 }
 
-/// Runs a scenario, and tells `sink` all that happens.
+/// Runs a scenario, and passes all records to `sink`.
 pub fn run<S: Sink>(scenario: &Scenario, sink: &mut S) -> RunOutcome {
     let mut sim = Sim::new(scenario, sink);
     sim.begin();
@@ -420,7 +420,7 @@
         self.apply_fleet_actions();
     }
 
-    /// A pooler starts with its list: as it was last told, roles included.
+    /// Starts a pooler with the list as first published, primaries included.
     fn start_pooler(&mut self, router: u32) {
         let incarnation = self.poolers[router as usize].incarnation;
         let seed = self.scenario.seed ^ (u64::from(router) << 20) ^ (u64::from(incarnation) << 52);
@@ -445,7 +445,7 @@
         (pooler.watching, pooler.changes_seen) = (false, 0);
         pooler.router = Some(Box::new(Router::new(seed, self.settings.clone())));
         self.handle_router_event(router, linnetdeal_core::Event::List(Listing::Full(update.changed)));
-        // What was told before, and it has missed: a watch brings it at once, or once it is open.
+        // Earlier changes, which it has missed: where the list is polled its watch brings them once it is open.
         if self.scenario.list.asked {
             return;
         }
@@ -473,7 +473,7 @@
         }
     }
 
-    /// One way between a pooler and a box.
+    /// The network delay in one direction between a pooler and a box.
     fn network_delay(&mut self, router: u32, server: u32) -> Span {
         let same = self.poolers[router as usize].zone == self.fleet.hosts[server as usize].zone;
         let delay = if same { self.scenario.network.same } else { self.scenario.network.cross };
@@ -500,7 +500,7 @@
                 Action::Probe { member } => self.probe(router, &member),
                 Action::Wake { at } => {
                     let pooler = &mut self.poolers[router as usize];
-                    // One that is due by now must not come before time goes on: no clock of a host stands still.
+                    // A wake-up that is due already must not occur at the same time, as no real clock stands still.
                     let at = if at > self.now { at } else { self.now + MIN_WAKE_DELAY };
                     pooler.next_wake = Some(at);
                     let incarnation = pooler.incarnation;
@@ -516,7 +516,7 @@
                         );
                     }
                 }
-                // Else time-outs end attempts here.
+                // Otherwise timeouts end the attempts.
                 Action::Cancel { .. } | Action::Tell { .. } | Action::Subscribe | Action::Log { .. } => {}
             }
         }
@@ -539,7 +539,7 @@
             .get_mut(&server)
             .filter(|(count, connected_to)| *count > 0 && *connected_to == server_incarnation);
         let dialed = idle.map(|(count, _)| *count -= 1).is_none();
-        // Attempts are numbered by request; a request has no two out, so that its own count does.
+        // The count of a request's own attempts gives the same numbers as the router.
         let number = self.next_attempt_number(router, request);
         self.record(RecordKind::Sent, router, server, request, i64::from(number), 0);
         self.outcome.attempts += 1;
@@ -644,7 +644,7 @@
         );
     }
 
-    /// A request has its final answer, and no value. A client may come back, with what time it has.
+    /// Ends a try that was not served. The client may try again within its deadline.
     fn finish_try(&mut self, router: u32, request: u64, refused: Option<Span>) {
         let pooler = &mut self.poolers[router as usize];
         pooler.open_requests.remove(&(request | ATTEMPT_COUNT_BIT));
@@ -666,7 +666,7 @@
         self.schedule_after(wait, SimEvent::Retry { router, client });
     }
 
-    /// A client is done.
+    /// Ends a client's request.
     fn finish_client(&mut self, client: u32, served: Option<Time>) {
         let state = self.clients[client as usize];
         if let Some(at) = served {
@@ -729,7 +729,7 @@
         self.submit(router, index);
     }
 
-    /// An attempt's end is on its way to the pooler.
+    /// Sends an attempt's result back to the pooler.
     fn send_answer(&mut self, attempt: usize, verdict: Verdict, note: Option<Note>) {
         let Attempt { router, server, .. } = self.attempts[attempt];
         let delay = self.network_delay(router, server);
@@ -778,7 +778,7 @@
         self.apply_fleet_actions();
     }
 
-    /// Whether a box that checks its reads is too far behind for this one.
+    /// Whether a box that checks reads is too far behind for this one.
     fn is_too_stale(&mut self, attempt: &Attempt) -> bool {
         self.scenario.boxes.checks
             && !self.is_write(attempt.class)
@@ -795,7 +795,7 @@
         self.classes[class].class.need == Need::Write
     }
 
-    /// Sees to what follows from what happened to the boxes.
+    /// Carries out the actions that the fleet returned.
     fn apply_fleet_actions(&mut self) {
         let mut actions = std::mem::take(&mut self.fleet_actions);
         for action in actions.drain(..) {
@@ -809,7 +809,7 @@
                 }
                 FleetAction::JobDone(server, id) => self.job_done(server, id as usize),
                 FleetAction::ListChanged(change, noticed) => self.list_changed(change, noticed),
-                // Its connections are told from those of its earlier life, and what it holds waits in the model.
+                // Connections to an earlier incarnation are recognised as such, and the model keeps the jobs of a paused box.
                 FleetAction::StateChanged(_) => {}
                 FleetAction::KillPooler(at, trouble, router) => {
                     self.schedule(at, SimEvent::KillPooler { trouble, router })
@@ -824,7 +824,7 @@
     fn job_done(&mut self, server: u32, index: usize) {
         let attempt = self.attempts[index];
         self.record_job(RecordKind::Through, &attempt, 0);
-        // It came while the box stood still, and could not be turned away.
+        // The read arrived while the box was paused, and could not be rejected then.
         if self.is_too_stale(&attempt) {
             let note = self.fleet.note(attempt.server, self.now);
             return self.send_answer(index, Verdict::Miss, Some(note));
@@ -834,7 +834,7 @@
                 self.attempts[index].position = position;
                 self.send_answer(index, Verdict::Ok, Some(note));
             }
-            // It lost its role while it held the write.
+            // The box lost its role while it held the write.
             JobResult::RoleLost(note) => self.send_answer(index, Verdict::Error, Some(note)),
             JobResult::Committed(commit) => {
                 self.attempts[index].position = commit;
@@ -845,7 +845,7 @@
         }
     }
 
-    /// A router asks for the list, and to be told of what changes.
+    /// A router polls the list and asks to watch it.
     fn subscribe(&mut self, router: u32) {
         self.record(RecordKind::Called, router, 0, 0, 0, 0);
         let incarnation = self.poolers[router as usize].incarnation;
@@ -869,7 +869,7 @@
         self.deliver_changes(router, incarnation);
     }
 
-    /// A watch brings what was published since it last did.
+    /// A watch brings the changes that were published since it last did.
     fn deliver_changes(&mut self, router: u32, incarnation: u32) {
         let pooler = &self.poolers[router as usize];
         if pooler.incarnation != incarnation || !pooler.watching {
@@ -901,7 +901,7 @@
         }
     }
 
-    /// All watches end, and calls take so many times as long; or it is over.
+    /// Ends all watches and makes calls take this multiple of the usual time; 1 ends the trouble.
     fn set_list_overbooked(&mut self, factor: f64) {
         self.discovery.slowdown = factor;
         for router in 0..self.poolers.len() as u32 {
@@ -941,7 +941,7 @@
         );
     }
 
-    /// A pooler hears of the end of an attempt. What it has given up before is of no use to it any more.
+    /// A pooler receives the result of an attempt, and ignores it if it has given the attempt up.
     fn answer_arrives(&mut self, index: usize, verdict: Verdict, note: Option<Note>) {
         let attempt = self.attempts[index];
         self.free_attempts.push(index);
@@ -979,7 +979,7 @@
         let client = self.poolers[attempt.router as usize].open_requests.get(&attempt.request).copied();
         let served = verdict == Verdict::Ok && client.is_some();
         if let Some(client) = client.filter(|_| served) {
-            // The commit of a write, the position that a read was answered from: as they are, not as a note rounds them.
+            // The exact commit of a write or position of a read, not as a status note rounds them.
             self.record(
                 RecordKind::Served,
                 attempt.router,
@@ -1017,7 +1017,7 @@
 
     fn attempt_timed_out(&mut self, index: usize, request: u64, attempt_number: u32) {
         let attempt = self.attempts[index];
-        // Its place may be another's by now.
+        // The slot may belong to another attempt by now.
         let same = (attempt.request, attempt.number) == (request, attempt_number);
         if attempt.ended || !same || self.poolers[attempt.router as usize].incarnation != attempt.incarnation
         {
@@ -1027,7 +1027,7 @@
         self.end_attempt(attempt, Verdict::Timeout, None);
     }
 
-    /// What was called off has ended for its router; a box that has it works on.
+    /// A cancelled attempt has ended for its router; the box continues with the job.
     fn attempt_cancelled(&mut self, index: usize, request: u64, attempt_number: u32) {
         let attempt = self.attempts[index];
         if attempt.ended || (attempt.request, attempt.number) != (request, attempt_number) {
@@ -1149,5 +1149,5 @@
     }
 }
 
-/// Beside a request's client, its count of attempts is kept under its number with this bit.
+/// `Pooler::open_requests` also holds the number of a request's attempts, under the request's number with this bit set.
 const ATTEMPT_COUNT_BIT: u64 = 1 << 63;
--- a/crates/fleet/src/traffic.rs
+++ b/crates/fleet/src/traffic.rs
@@ -1,4 +1,4 @@
-//! What clients ask, and of whom: drawn from one generator in a fixed order, so that every host of a scenario has the same.
+//! The requests of clients, drawn from one generator in a fixed order, so that everything that runs a scenario has the same.
 
 use crate::scenario::{ClassSpec, DataNeed, Scenario, WorkDistribution};
 use linnetdeal_core::{Class, Effect, Need, Span};
@@ -6,18 +6,18 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, LogNormal, Zipf};
 
-/// What a client that may ask again waits at the least, in ms.
+/// The shortest wait of a client before a retry, in ms.
 pub const RETRY_WAIT_MS: std::ops::Range<i64> = 10..80;
 
 /// No request has more work than this multiple of its class's mean.
 const MAX_WORK_FACTOR: f64 = 20.0;
-/// Sessions of different tenants differ by so much at the least.
+/// Session ids of different tenants are at least this far apart.
 const SESSION_IDS_PER_TENANT: u64 = 1 << 40;
 
-/// The work of a class's requests on a standard core, in us.
+/// The work of a class's requests on a standard core, in µs.
 #[derive(Clone, Debug)]
 pub enum Work {
-    /// Anything between.
+    /// Uniform within the range.
     Between(std::ops::Range<i64>),
     /// Exponential, with this mean.
     Exponential(f64),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// That of one request.
+    /// Draws the work of a request.
     pub fn draw(&self, rng: &mut ChaCha8Rng) -> Span {
         let bounded = |drawn: f64, mean: f64| Span((drawn.min(MAX_WORK_FACTOR * mean) as i64).max(1));
         match self {
@@ -58,14 +58,14 @@
     }
 }
 
-/// A class of the model: what a client asks of it, and the share of requests that it is.
+/// A class in the model: its settings, and what its clients request.
 #[derive(Clone, Debug)]
 pub struct ClassPlan {
-    /// Its class.
+    /// The class's settings.
     pub class: Class,
-    /// Its share.
+    /// Its share of all requests.
     pub share: f64,
-    /// The work of one.
+    /// The work of a request.
     pub work: Work,
     /// How long a client waits.
     pub deadline: Span,
@@ -101,7 +101,7 @@
     scenario.classes.iter().map(plan).collect()
 }
 
-/// The classes of a scenario that names none.
+/// The classes of a scenario that defines none.
 #[must_use]
 pub fn portal() -> Vec<ClassPlan> {
     let plan = |name: &str, need, effect, share, aim, deadline, worth, late_worth, work| ClassPlan {
@@ -129,35 +129,35 @@
     ]
 }
 
-/// What a client asks.
+/// A client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientRequest {
     /// Its class.
     pub class: usize,
     /// Its session.
     pub session: u64,
-    /// The group that has it.
+    /// The group that holds its data.
     pub group: u32,
-    /// The pooler that it goes to.
+    /// The pooler that it is sent to.
     pub router: u32,
-    /// What a box has to do for it on a standard core.
+    /// The work of it on a standard core.
     pub work: Span,
-    /// Whose it is, where the scenario has tenants.
+    /// The tenant, if the scenario has tenants.
     pub tenant: Option<usize>,
 }
 
 /// The traffic of a scenario.
 #[derive(Clone, Debug)]
 pub struct Traffic {
-    /// Its classes.
+    /// The classes.
     pub plans: Vec<ClassPlan>,
-    /// Requests a second, without a surge.
+    /// Requests per second, without a surge.
     pub rate: f64,
-    /// What each tenant may ask in a second.
+    /// What each tenant may request per second.
     pub quotas: Vec<f64>,
-    /// The part of all requests that is each tenant's.
+    /// Each tenant's share of all requests.
     request_shares: Vec<f64>,
-    /// Poolers come in so many sets, each of which serves its own groups.
+    /// Number of sets of poolers; each set serves its own groups.
     pub pooler_sets: usize,
     zipf: Option<Zipf<f64>>,
     sessions: u64,
@@ -166,7 +166,7 @@
 }
 
 impl Traffic {
-    /// That of a scenario.
+    /// The traffic of a scenario.
     #[must_use]
     pub fn new(scenario: &Scenario) -> Self {
         let (boxes, fleet, plans) = (&scenario.boxes, &scenario.fleet, class_plans(scenario));
@@ -198,13 +198,13 @@
         Self { plans, rate, quotas, request_shares, pooler_sets, zipf, sessions, groups, poolers }
     }
 
-    /// How many poolers share a group.
+    /// Number of poolers that serve the same group.
     #[must_use]
     pub fn poolers_per_group(&self) -> u32 {
         (self.poolers / self.pooler_sets).max(1) as u32
     }
 
-    /// How long after others may hear of it a pooler hears what the list says.
+    /// The delay after which a pooler receives a change of the list, counted from the time at which the change is visible.
     #[must_use]
     pub fn list_delay(&self, router: u32) -> Span {
         Span(35_000 + i64::from(router) * 7_919 % 265_000)
@@ -216,13 +216,13 @@
         router as usize % self.pooler_sets == group as usize % self.pooler_sets
     }
 
-    /// Until the next request is asked.
+    /// The time until the next request.
     pub fn gap(&self, surge: f64, rng: &mut ChaCha8Rng) -> Span {
         let gap: f64 = Exp1.sample(rng);
         Span(((gap / (self.rate * surge)) * 1e6) as i64)
     }
 
-    /// What is asked.
+    /// Draws the next request.
     pub fn draw(&self, rng: &mut ChaCha8Rng) -> ClientRequest {
         let tenant = (!self.request_shares.is_empty()).then(|| weighted_index(&self.request_shares, rng));
         let session = match &self.zipf {
@@ -249,7 +249,7 @@
     }
 }
 
-/// One of these, by their parts of 1.
+/// A random index, weighted by these shares of 1.
 fn weighted_index(parts: &[f64], rng: &mut ChaCha8Rng) -> usize {
     let mut remaining = rng.random::<f64>();
     let index = parts.iter().position(|part| {
--- a/crates/fleet/tests/forward.rs
+++ b/crates/fleet/tests/forward.rs
@@ -1,4 +1,4 @@
-//! The forward step: within its bounds, even where nothing is known, away from the slow, and never a herd.
+//! The forward step without a threshold: it stays within its bounds, works where nothing is known, avoids slow members and causes no herd.
 
 use linnetdeal_core::{Slowness, Span, Time, subset};
 use linnetdeal_fleet::even::forward::{FORWARD_STEPS, least_loaded};
@@ -10,78 +10,78 @@
 
 proptest! {
     #[test]
-    fn it_is_the_least_of_the_pick_and_the_next(first in 0usize..9_000, loads in prop::collection::vec(0.0f64..50.0, 1..40)) {
-        let (members, asked) = (loads.len(), Cell::new(0));
-        let at = least_loaded(first, members, |at| {
-            asked.set(asked.get() + 1);
-            loads[at]
+    fn chooses_the_least_loaded_of_the_pick_and_the_members_after_it(first in 0usize..9_000, loads in prop::collection::vec(0.0f64..50.0, 1..40)) {
+        let (members, calls) = (loads.len(), Cell::new(0));
+        let choice = least_loaded(first, members, |index| {
+            calls.set(calls.get() + 1);
+            loads[index]
         });
-        prop_assert!(asked.get() <= FORWARD_STEPS + 1);
-        let looked: Vec<usize> = (0..=FORWARD_STEPS.min(members - 1)).map(|step| (first + step) % members).collect();
-        prop_assert!(looked.contains(&at));
-        prop_assert!(looked.iter().all(|other| loads[at] <= loads[*other]));
+        prop_assert!(calls.get() <= FORWARD_STEPS + 1);
+        let considered: Vec<usize> = (0..=FORWARD_STEPS.min(members - 1)).map(|step| (first + step) % members).collect();
+        prop_assert!(considered.contains(&choice));
+        prop_assert!(considered.iter().all(|other| loads[choice] <= loads[*other]));
     }
 }
 
 #[test]
-fn the_random_pick_stands_where_nothing_is_known() {
+fn keeps_the_random_pick_when_nothing_is_known() {
     for members in [1, 2, 3, 12, 2_000] {
         for first in 0..members {
             assert_eq!(least_loaded(first, members, |_| 1.0), first);
             assert_eq!(least_loaded(first, members, |_| f64::NAN), first);
         }
     }
-    assert_eq!(least_loaded(1, 3, |at| if at == 1 { f64::NAN } else { 9.0 }), 2);
+    assert_eq!(least_loaded(1, 3, |index| if index == 1 { f64::NAN } else { 9.0 }), 2);
     assert_eq!(least_loaded(5, 0, |_| 1.0), 0);
 }
 
-/// A member of which an attempt is out, or that is a little slower, is passed over: a threshold of 1.2 times the mean let it stand.
+/// Guards against a threshold over the mean: one of 1.2 kept a pick with a request in flight, or one that was a little slower.
 #[test]
-fn one_a_little_slower_than_the_next_is_passed_over() {
+fn passes_over_a_member_that_is_a_little_slower() {
     let loads = [1.1, 1.0, 1.0, 1.0];
-    assert_eq!(least_loaded(0, 4, |at| loads[at]), 1);
-    // Where all that are looked at are loaded, the least of them it is, and not the pick.
+    assert_eq!(least_loaded(0, 4, |index| loads[index]), 1);
+    // Where all considered members are loaded the least loaded of them is chosen, not the pick.
     let loads = [9.0, 8.0, 7.0, 1.0];
-    assert_eq!(least_loaded(0, 4, |at| loads[at]), 2);
+    assert_eq!(least_loaded(0, 4, |index| loads[index]), 2);
 }
 
-/// Routers that see a few answers each, by chance, of members of which one is twice as slow: all together spread their sends, though none
-/// knows what the others do. By what all are told alike they would all go to one.
+/// Each router has a few random answers from members of which one is twice as slow: together the routers spread their requests evenly
+/// although none knows what the others do. With the same information for all they would all choose the same member.
 #[test]
-fn many_routers_that_each_know_little_are_even_together() {
+fn many_routers_with_few_answers_each_spread_load_evenly() {
     const ROUTERS: u32 = 300;
     const MEMBERS: usize = 12;
     let now = Time(1_000_000_000);
     let mut rng = ChaCha8Rng::seed_from_u64(42);
-    let mut got = [0u32; MEMBERS];
+    let mut sends = [0u32; MEMBERS];
     for rank in 0..ROUTERS {
-        let mut slow = [Slowness::default(); MEMBERS];
-        for (at, slow) in slow.iter_mut().enumerate() {
+        let mut slowness = [Slowness::default(); MEMBERS];
+        for (index, slowness) in slowness.iter_mut().enumerate() {
             for _ in 0..8 {
-                let pace = if at == 5 { 2.0 } else { 1.0 };
-                let takes: f64 = Exp1.sample(&mut rng);
-                slow.observe(now, 1, pace * takes);
+                let factor = if index == 5 { 2.0 } else { 1.0 };
+                let latency: f64 = Exp1.sample(&mut rng);
+                slowness.observe(now, 1, factor * latency);
             }
         }
         for _ in 0..20 {
             let first = subset::first_pick(rng.next_u32() as usize, rank, ROUTERS, MEMBERS);
-            got[least_loaded(first, MEMBERS, |at| slow[at].ratio(now))] += 1;
+            sends[least_loaded(first, MEMBERS, |index| slowness[index].ratio(now))] += 1;
         }
     }
-    let even = f64::from(ROUTERS) * 20.0 / MEMBERS as f64;
-    let shares: Vec<f64> = got.iter().map(|got| f64::from(*got) / even).collect();
+    let even_share = f64::from(ROUTERS) * 20.0 / MEMBERS as f64;
+    let shares: Vec<f64> = sends.iter().map(|count| f64::from(*count) / even_share).collect();
     assert!(shares[5] < 0.6, "{shares:.2?}");
-    assert!(shares[5] > 0.03, "a slow one is found well by what it is still sent: {shares:.2?}");
-    // The two after the slow one take its part, half each; the rest is the chance of eight answers.
+    assert!(shares[5] > 0.03, "the slow member must still receive requests: {shares:.2?}");
+    // The two members after the slow one share its part; the rest is the randomness of eight answers.
     assert!(shares.iter().all(|share| *share < 1.6), "{shares:.2?}");
 }
 
-/// A member that was passed over is looked at again: what is known of it is forgotten with time.
+/// A member that was passed over is chosen again, as what is known of it decays with time.
 #[test]
-fn one_that_was_slow_gets_its_picks_back() {
-    let (mut slow, now) = (Slowness::default(), Time(1_000_000_000));
-    (0..20).for_each(|_| slow.observe(now, 1, 5.0));
-    let pick = |now: Time| least_loaded(0, 3, |at| if at == 0 { slow.ratio(now) } else { 1.01 });
+fn a_member_that_was_slow_is_chosen_again_later() {
+    let (mut slowness, now) = (Slowness::default(), Time(1_000_000_000));
+    (0..20).for_each(|_| slowness.observe(now, 1, 5.0));
+    let pick = |now: Time| least_loaded(0, 3, |index| if index == 0 { slowness.ratio(now) } else { 1.01 });
     assert_ne!(pick(now), 0);
     assert_eq!(pick(now + Span::millis(60_000)), 0);
 }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,4 +1,4 @@
-//! The model's parts by themselves, the auditor against seeded faults, and runs that are the same from the same seed.
+//! Parts of the model, the auditor with seeded faults, and the reproducibility of runs.
 
 use linnetdeal_core::{Span, Time};
 use linnetdeal_fleet::audit::{AuditReport, Auditor};
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_box_runs_what_came_first_and_turns_away_what_has_no_room() {
+fn a_box_runs_jobs_in_order_and_rejects_them_when_its_queue_is_full() {
     let mut server = Server::new(CONFIG);
     assert_eq!(server.admit(ms(0), job(1, 10)), Admission::Started(ms(10)));
     assert_eq!(server.admit(ms(0), job(2, 30)), Admission::Started(ms(30)));
@@ -39,14 +39,14 @@
     }
     assert_eq!(server.admit(ms(1), job(6, 10)), Admission::Rejected);
     assert_eq!(server.complete(ms(10), 1), Some(Some((3, ms(20)))));
-    assert_eq!(server.complete(ms(10), 1), None, "it is through already");
-    assert_eq!(server.complete(ms(19), 3), None, "not yet");
+    assert_eq!(server.complete(ms(10), 1), None, "it was completed already");
+    assert_eq!(server.complete(ms(19), 3), None, "it is not due yet");
     assert_eq!(server.die().len(), 4);
     assert_eq!(server.admit(ms(20), job(7, 10)), Admission::Down);
 }
 
 #[test]
-fn a_pause_moves_all_ends_and_a_cold_start_is_slow() {
+fn a_pause_delays_running_jobs_and_a_cold_start_is_slow() {
     let mut server = Server::new(CONFIG);
     server.admit(ms(0), job(1, 10));
     server.pause(ms(4));
@@ -59,15 +59,20 @@
 }
 
 #[test]
-fn a_cold_box_that_is_sent_too_much_falls_and_stays_down() {
+fn an_overloaded_cold_box_collapses_and_stays_down() {
     let mut server = Server::new(CONFIG);
     server.die();
     server.start(ms(0));
-    // 2.5 times some 0.24 of two cores for 3 s are 3.6 s of work; what it turns away counts.
-    let fell = (0..200).position(|at| server.admit(ms(at * 10), job(at as u64, 40)) == Admission::Collapsed);
-    assert!((60..100).contains(&fell.unwrap()), "{fell:?}");
+    // 2.5 times the capacity of two cores at about 0.24 for 3 s is 3.6 s of work; rejected work counts.
+    let collapsed = (0..200)
+        .position(|index| server.admit(ms(index * 10), job(index as u64, 40)) == Admission::Collapsed);
+    assert!((60..100).contains(&collapsed.unwrap()), "{collapsed:?}");
     assert_eq!((server.state(), server.start(ms(60_000))), (ServerState::Collapsed, false));
-    assert_eq!(server.admit(ms(60_000), job(1, 1)), Admission::Down, "though nothing is sent any more");
+    assert_eq!(
+        server.admit(ms(60_000), job(1, 1)),
+        Admission::Down,
+        "it stays down although nothing was sent for a while"
+    );
 }
 
 fn timing() -> ReplicationTiming {
@@ -81,31 +86,31 @@
 }
 
 #[test]
-fn replicas_apply_late_and_one_after_the_other() {
+fn replicas_apply_commits_late_and_one_after_another() {
     let mut group = Group::new(timing(), 3, ms(0));
-    for at in 100..110 {
-        group.commit(ms(at));
+    for offset in 100..110 {
+        group.commit(ms(offset));
     }
     assert_eq!(group.position(0, ms(110)), ms(110));
-    assert_eq!(group.position(1, ms(118)), ms(101), "two are through by then: at 113 and 118");
+    assert_eq!(group.position(1, ms(118)), ms(101), "two are applied by then: at 113 and 118");
     group.set_apply_factor(2, 100.0);
     group.commit(ms(200));
-    assert_eq!(group.position(1, ms(220)), ms(212), "it has nothing to apply any more");
+    assert_eq!(group.position(1, ms(220)), ms(212), "it has nothing left to apply");
     assert!(group.position(2, ms(300)) < ms(200));
 }
 
 #[test]
-fn positions_stand_still_without_a_primary_and_who_has_most_takes_over() {
+fn positions_stop_without_a_primary_and_the_most_advanced_replica_takes_over() {
     let mut group = Group::new(timing(), 3, ms(0));
     group.set_apply_factor(1, 1_000.0);
     group.commit(ms(100));
     assert!(group.leave(0, ms(103)));
     assert_eq!(group.primary(), None);
     assert_eq!(group.position(2, ms(5_000)), ms(100));
-    // Both have received the commit, and the first of them needs 5 s to apply it.
+    // Both replicas have received the commit, and the first needs 5 s to apply it.
     let (successor, at) = group.successor(ms(200), |_| true).unwrap();
     assert_eq!((successor, at), (1, ms(5_108)));
-    let (successor, _) = group.successor(ms(200), |at| at != 1).unwrap();
+    let (successor, _) = group.successor(ms(200), |member| member != 1).unwrap();
     group.promote(successor, ms(300));
     assert_eq!((group.primary(), group.position(2, ms(400))), (Some(2), ms(400)));
     group.commit(ms(500));
@@ -151,12 +156,12 @@
         let threads: Vec<_> = (0..3).map(|_| scope.spawn(|| self::records(&first).1)).collect();
         threads.into_iter().map(|thread| thread.join().unwrap()).collect::<Vec<_>>()
     });
-    assert!(records.len() > 2_000 && again.iter().all(|of| *of == digest), "{again:?}");
+    assert!(records.len() > 2_000 && again.iter().all(|other| *other == digest), "{again:?}");
     assert_ne!(self::records(&other).1, digest);
 }
 
 #[test]
-fn the_auditor_finds_each_seeded_fault_and_none_where_there_is_none() {
+fn the_auditor_finds_each_seeded_fault_and_nothing_in_correct_records() {
     let scenario = scenario(TROUBLED);
     let (records, _) = records(&scenario);
     let clean = audit(&scenario, &records);
@@ -164,19 +169,19 @@
     for fault in Fault::ALL {
         let seeded = fault
             .inject(&records, &sim::rules(&scenario))
-            .unwrap_or_else(|| panic!("{fault:?} finds no place"));
+            .unwrap_or_else(|| panic!("{fault:?} has no place in the records"));
         let verdict = audit(&scenario, &seeded);
         assert!(verdict.violations.contains_key(&fault.rule()), "{fault:?}: {:?}", verdict.violations);
     }
 }
 
 #[test]
-fn what_can_not_be_is_told_with_its_place() {
+fn invalid_scenarios_are_rejected_with_their_place() {
     let cases = [
         ("fleet: {groups: 2, members: 4", "fleet: {groups: 9999, members: 64", "4:"),
         ("replica 1", "replica 3", "'troubles[1].who': a group has 3 replicas"),
         ("groups: 2, lasts: \"2s\"", "groups: 3, lasts: \"2s\"", "'troubles[1].groups': there are only 2"),
-        ("at: \"6s\"", "at: \"60s\"", "'troubles[2].at': nobody asks any more"),
+        ("at: \"6s\"", "at: \"60s\"", "'troubles[2].at': no requests arrive any more"),
         ("\"crash\"", "\"crsh\"", "7:19"),
     ];
     for (from, to, what) in cases {
@@ -189,18 +194,18 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(31), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever comes: what a box holds is bounded, each job is through once or told as lost, and a position never goes back.
+    /// Whatever happens: the number of jobs is bounded, and each accepted job is completed once or returned as lost.
     #[test]
-    fn a_box_loses_nothing(steps in prop::collection::vec((0..4_u8, 1..200_i64), 1..80)) {
+    fn each_job_of_a_box_is_completed_or_lost_once(steps in prop::collection::vec((0..4_u8, 1..200_i64), 1..80)) {
         let (mut server, mut now, mut next) = (Server::new(CONFIG), 0, 0_u64);
         let mut ends: Vec<(Time, u64)> = Vec::new();
-        let (mut taken, mut through) = (0, 0);
+        let (mut taken, mut completed) = (0, 0);
         for (what, after) in steps {
             now += after;
             while let Some(at) = ends.iter().position(|(at, _)| *at <= ms(now)) {
                 let (at, id) = ends.swap_remove(at);
                 if let Some(more) = server.complete(at.max(ms(now)), id) {
-                    through += 1;
+                    completed += 1;
                     ends.extend(more.map(|(id, at)| (at, id)));
                 }
             }
@@ -226,19 +231,19 @@
             }
             prop_assert!(server.jobs() <= CONFIG.cores + CONFIG.queue_limit);
         }
-        prop_assert_eq!(taken, through + server.die().len());
+        prop_assert_eq!(taken, completed + server.die().len());
     }
 
     #[test]
     fn positions_never_go_back(steps in prop::collection::vec((0..6_u8, 0..3_usize, 0..300_i64), 1..80)) {
         let mut group = Group::new(timing(), 3, ms(0));
         let (mut now, mut seen) = (0, [ms(-1_000); 3]);
-        for (what, who, after) in steps {
+        for (what, member, after) in steps {
             now += after;
             match what {
                 0 if group.primary().is_some() => group.commit(ms(now)),
-                1 => drop(group.leave(who, ms(now))),
-                2 => group.join(who, ms(now)),
+                1 => drop(group.leave(member, ms(now))),
+                2 => group.join(member, ms(now)),
                 3 => drop(group.hand_over(ms(now))),
                 4 if group.primary().is_none() => {
                     if let Some((successor, at)) = group.successor(ms(now), |_| true) {
@@ -246,11 +251,11 @@
                         group.promote(successor, ms(now));
                     }
                 }
-                _ => group.set_apply_factor(who, 1.0 + after as f64 / 30.0),
+                _ => group.set_apply_factor(member, 1.0 + after as f64 / 30.0),
             }
-            for (at, seen) in seen.iter_mut().enumerate() {
-                let position = group.position(at, ms(now));
-                prop_assert!(position >= *seen, "{at}: {position:?} after {seen:?}");
+            for (index, seen) in seen.iter_mut().enumerate() {
+                let position = group.position(index, ms(now));
+                prop_assert!(position >= *seen, "{index}: {position:?} after {seen:?}");
                 *seen = position;
             }
         }
