--- a/crates/fleet/src/audit.rs
+++ b/crates/fleet/src/audit.rs
@@ -24,7 +24,7 @@
     Any,
     /// No older than this when the read was sent.
     Bounded(Span),
-    /// Everything that its session wrote and that this router was told of.
+    /// Everything that its session wrote and that this router knows of.
     Session,
     /// Everything that was committed and answered before the read was requested.
     All,
@@ -35,7 +35,7 @@
 pub struct Rules {
     /// By class.
     pub classes: Vec<ClassRules>,
-    /// A box receives nothing new later than this after the router was told of its drain.
+    /// A box receives nothing new later than this after the router received its drain.
     pub drain_grace: Span,
     /// How long after the deadline an answer may come.
     pub answer_slack: Span,
@@ -45,10 +45,11 @@
     pub fall: (f64, Span),
     /// Whether a request that may run twice may have two attempts in flight.
     pub second_copies: bool,
-    /// Whether clients say when their sessions last wrote; otherwise a router needs to know only of the commits that it was told of.
+    /// Whether clients say when their sessions last wrote; otherwise a session's read must only see the commits that
+    /// its router was told of.
     pub tokens_carried: bool,
-    /// Where the list has to be polled: a router without a watch that has not asked for this long, or for four times as long after a
-    /// failed call, is expected to know what was published that long before.
+    /// Where the list has to be polled: a router without a watch that has not polled it for this long, or for four
+    /// times as long after a failed call, is expected to know what was published that long before.
     pub poll_interval: Option<Span>,
     /// The checks that need the full records.
     pub full: Option<FullRules>,
@@ -84,7 +85,8 @@
     Honest,
     /// A client's tries follow one another, and keep to the number of retries and to the deadline of the first.
     Tries,
-    /// A box works through all that it took, in order and no faster than it can, whether or not anybody still waits for it.
+    /// A box works through all that it took, in order and no faster than it can, whether or not anybody still waits
+    /// for it.
     Works,
     /// The run's own count of first tries equals that of the records.
     Counted,
@@ -145,8 +147,8 @@
 pub struct Auditor {
     rules: Rules,
     open_requests: HashMap<u64, OpenRequest>,
-    /// Requests with a final answer, kept for as long as attempts may still end: whether they must not run any more, and when they
-    /// were answered.
+    /// Requests with a final answer, kept for as long as attempts may still end: whether they must not run any
+    /// more, and when they were answered.
     ended: HashMap<u64, (bool, Time)>,
     known_drains: HashMap<(u32, u32), Time>,
     session_commits: HashMap<(u32, i64), Time>,
@@ -251,12 +253,12 @@
                 let commit = self.group_commits.entry(open.group).or_insert(position);
                 *commit = position.max(*commit);
             } else {
-                let need = match class.freshness {
+                let min_position = match class.freshness {
                     Freshness::Any => Time(i64::MIN),
                     Freshness::Bounded(bound) => open.last_sent - bound,
                     Freshness::Session | Freshness::All => open.min_position,
                 };
-                if position < need {
+                if position < min_position {
                     self.record_violation(Rule::Stale, record);
                 }
             }
@@ -320,7 +322,8 @@
         }
     }
 
-    /// Whether a router is expected to know that a box is out of service, as it could have polled the list long enough ago.
+    /// Whether a router is expected to know that a box is out of service, as it could have polled the list long
+    /// enough ago.
     fn should_know_of_drain(&self, record: &Record) -> bool {
         let Some(poll_interval) = self.rules.poll_interval else { return false };
         let watch = self.watches.get(&record.a).copied();
--- a/crates/fleet/src/discovery.rs
+++ b/crates/fleet/src/discovery.rs
@@ -1,11 +1,12 @@
-//! The discovery service, where the list of servers has to be polled: one service for all poolers, which handles one call after
-//! another. A call that has waited too long by its turn has failed, and takes as much of the service's time as any. The caller
-//! passes the current time in.
+//! The discovery service, where the list of servers has to be polled: one service for all poolers, which handles
+//! one call after another. A call that has waited too long by its turn has failed, and takes as much of the
+//! service's time as any. The caller passes the current time in.
 
 use crate::scenario::List;
 use linnetdeal_core::{Span, Time};
 
-/// A call that would wait for more than this multiple of the longest wait is rejected and takes none of the service's time.
+/// A call that would wait for more than this multiple of the longest wait is rejected and takes none of the
+/// service's time.
 const MAX_QUEUED_WAITS: f64 = 8.0;
 
 /// The discovery service.
--- a/crates/fleet/src/even.rs
+++ b/crates/fleet/src/even.rs
@@ -1,8 +1,10 @@
-//! Many poolers and few servers in virtual time: how evenly a scheme of choosing members spreads work when each pooler sees little of it.
+//! Many poolers and few servers in virtual time: how evenly a scheme of choosing members spreads work when each
+//! pooler sees little of it.
 //!
-//! Smaller than [`crate::sim`], which simulates a whole pooler: here a request is the choice of a member, its answer, and at most two
-//! more choices. So 2,000 poolers with 400 servers take seconds, and [`Scheme`]s that the program does not have can be compared on the
-//! same arrivals. Servers are those of [`crate::server`]. `docs/design/even-load.md` says what is left out.
+//! Smaller than [`crate::sim`], which simulates a whole pooler: here a request is the choice of a member, its
+//! answer, and at most two more choices. So 2,000 poolers with 400 servers take seconds, and [`Scheme`]s that the
+//! program does not have can be compared on the same arrivals. Servers are those of [`crate::server`].
+//! `docs/design/even-load.md` says what is left out.
 
 mod figures;
 pub mod forward;
@@ -42,7 +44,8 @@
 /// Number of zones, and the share of requests that come from each, before and after the shift.
 const ZONES: usize = 3;
 const ZONE_SHARES: [[f64; ZONES]; 2] = [[0.5, 0.3, 0.2], [0.2, 0.3, 0.5]];
-/// One in this many poolers has more traffic than the others, by the factor that follows; the first pooler has the most.
+/// One in this many poolers has more traffic than the others, by the factor that follows; the first pooler has the
+/// most.
 const HEAVY_EVERY: usize = 20;
 const HEAVY_FACTOR: f64 = 4.0;
 const HEAVIEST_FACTOR: f64 = 10.0;
@@ -92,12 +95,14 @@
     pub publish_interval: Span,
     /// Sources of uneven load.
     pub sources: Sources,
-    /// Whether load steps up, servers slow down, restart and fail, and traffic shifts between zones; see [`trouble_times`].
+    /// Whether load steps up, servers slow down, restart and fail, and traffic shifts between zones; see
+    /// [`trouble_times`].
     pub troubles: bool,
 }
 
 impl Plan {
-    /// The usual plan for a number of poolers: a server for every two to five of them, in groups as large as those of the bench.
+    /// The usual plan for a number of poolers: a server for every two to five of them, in groups as large as those
+    /// of the bench.
     #[must_use]
     pub fn for_poolers(poolers: usize) -> Self {
         let (groups, members) = match poolers {
@@ -288,7 +293,7 @@
 
 fn servers(plan: &Plan) -> Vec<Member> {
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed ^ 0x5EED);
-    let member = |at: usize| {
+    let member = |index: usize| {
         let speed = rng.random_range(0.85..1.7);
         let config = ServerConfig {
             cores: 4,
@@ -300,11 +305,11 @@
             fall: (f64::INFINITY, Span::millis(1)),
         };
         let near = Span::millis(rng.random_range(REPLICA_LAG_MS));
-        let lag = if at % 6 == 5 { SLOW_REPLICA_LAG } else { near };
+        let lag = if index % 6 == 5 { SLOW_REPLICA_LAG } else { near };
         Member {
             config,
             server: Server::new(config),
-            zone: at % ZONES,
+            zone: index % ZONES,
             lag,
             listed: true,
             returns_errors: false,
@@ -354,13 +359,13 @@
 /// Simulates a scheme.
 #[must_use]
 pub fn run(plan: &Plan, scheme: Scheme) -> Figures {
-    play(plan, scheme).figures
+    simulate(plan, scheme).figures
 }
 
-/// Simulates a scheme, and returns with its figures a function that makes one more decision in the final state, to measure the cost
-/// of a decision.
+/// Simulates a scheme, and returns with its figures a function that makes one more decision in the final state, to
+/// measure the cost of a decision.
 pub fn run_with_chooser(plan: &Plan, scheme: Scheme) -> (Figures, impl FnMut(usize) -> Option<u32>) {
-    let mut simulation = play(plan, scheme);
+    let mut simulation = simulate(plan, scheme);
     let figures = simulation.figures.clone();
     let decide = move |call: usize| {
         let (pooler, group) =
@@ -378,7 +383,7 @@
     (figures, decide)
 }
 
-fn play(plan: &Plan, scheme: Scheme) -> Simulation {
+fn simulate(plan: &Plan, scheme: Scheme) -> Simulation {
     let members = servers(plan);
     let mut arrivals = Arrivals::new(*plan, &members);
     let rate = arrivals.rate * 1e6;
@@ -448,7 +453,8 @@
         for index in range {
             let member = &self.members[index];
             let fresh = open.arrival.wrote.is_none_or(|ago| member.lag <= ago);
-            // With every scheme a cold member is considered in proportion to its warmth; the send credit of cold members is not modelled here.
+            // With every scheme a cold member is considered in proportion to its warmth; the send credit of cold
+            // members is not modelled here.
             let warmth = member.server.warmth(now);
             let warm = warmth >= 1.0 || self.rng.random_bool(warmth);
             if member.listed && fresh && warm && !open.tried.contains(&(index as u32)) {
--- a/crates/fleet/src/even/figures.rs
+++ b/crates/fleet/src/even/figures.rs
@@ -13,11 +13,12 @@
 /// A server with less than this share of its group's mean is idle.
 const IDLE_SHARE: f64 = 0.5;
 
-/// The results of a simulation. A load is the work sent against the capacity, as a multiple of the mean over the replicas of the group.
+/// The results of a simulation. A load is the work sent against the capacity, as a multiple of the mean over the
+/// replicas of the group.
 #[derive(Clone, Debug)]
 pub struct Figures {
-    /// Requests. Of these, `refused` were refused, `late` were answered after the latency objective, and `failed_beside_idle` were one or
-    /// the other although an eligible member had a free core when they were sent.
+    /// Requests. Of these, `refused` were refused, `late` were answered after the latency objective, and
+    /// `failed_beside_idle` were one or the other although an eligible member had a free core when they were sent.
     pub requests: u64,
     /// See `requests`.
     pub refused: u64,
@@ -33,10 +34,10 @@
     pub loads: Histogram<u64>,
     /// The greatest load, by second.
     pub peaks: Vec<f64>,
-    /// Seconds in which a server had less than half of the mean for at least two windows in a row, while warm and in service; summed over
-    /// servers.
+    /// Seconds in which a server had less than half of the mean for at least two windows in a row, while warm and
+    /// in service; summed over servers.
     pub idle_seconds: u64,
-    /// The greatest load within 250 ms; `herd_events` counts the loads above [`HERD_FACTOR`].
+    /// The greatest load within 250 ms; `herd_events` counts the loads above `HERD_FACTOR`, 4 times the mean.
     pub max_interval_load: f64,
     /// See `max_interval_load`.
     pub herd_events: u64,
--- a/crates/fleet/src/even/scheme.rs
+++ b/crates/fleet/src/even/scheme.rs
@@ -6,15 +6,16 @@
 use rand::{Rng, RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// As in `choice.rs`: the threshold over the mean load, and the limit of the age of requests in flight as a multiple of the usual latency.
+/// As in `choice.rs`: the threshold over the mean load, and the limit of the age of requests in flight as a
+/// multiple of the usual latency.
 const THRESHOLD: f64 = 1.2;
 const MAX_AGE_RATIO: f64 = 4.0;
 /// Number of members of each group in a pooler's subset on the ring.
 const SUBSET_SIZE: usize = 3;
 /// Smoothing of the learned speeds, as a number of answers.
 const SPEED_SMOOTHING: f64 = 30.0;
-/// Probing as in Prequal: probes sent for each request, the most that are kept, the most uses of each, the greatest age, and the quantile
-/// of job counts from which a member is hot.
+/// Probing as in Prequal: probes sent for each request, the most that are kept, the most uses of each, the greatest
+/// age, and the quantile of job counts from which a member is hot.
 const PROBES_PER_REQUEST: usize = 2;
 const MAX_PROBES: usize = 16;
 const MAX_PROBE_USES: u32 = 3;
@@ -55,7 +56,8 @@
     StaleInterpreted,
     /// Probes that are kept and used a few times (Prequal's hot and cold members).
     Probes,
-    /// The least loaded of the random pick in its window and the members after it, by what the pooler knows itself: see [`forward`].
+    /// The least loaded of the random pick in its window and the members after it, by what the pooler knows itself:
+    /// see [`forward`].
     LeastOfStep,
     /// A central choice with full and current knowledge.
     Central,
@@ -297,8 +299,8 @@
         pool[0]
     }
 
-    /// Draws a member in proportion to the difference between its published number of jobs and the level to which the requests that have
-    /// arrived since would fill all members.
+    /// Draws a member in proportion to the difference between its published number of jobs and the level to which
+    /// the requests that have arrived since would fill all members.
     fn by_interpreted_loads(&mut self, now: Time, pool: &[u32]) -> u32 {
         let arrived = (self.rate * (now - self.published_at).0 as f64 / 1e6).max(1.0);
         let mut jobs: Vec<f64> = pool.iter().map(|server| self.published_jobs[*server as usize]).collect();
--- a/crates/fleet/src/faults.rs
+++ b/crates/fleet/src/faults.rs
@@ -92,17 +92,19 @@
         }
     }
 
-    /// Inserts the fault into a copy of the records, at or after their middle. `None` if they contain no place for it.
+    /// Inserts the fault into a copy of the records, at or after their middle. `None` if they contain no place for
+    /// it.
     #[must_use]
     pub fn inject(self, records: &[Record], rules: &Rules) -> Option<Vec<Record>> {
         let mut all = records.to_vec();
         let middle = all.len() / 2;
-        let asked: std::collections::HashMap<u64, (usize, i64)> = all
+        let requests: std::collections::HashMap<u64, (usize, i64)> = all
             .iter()
             .filter(|record| record.what == RecordKind::Asked)
             .map(|record| (record.request, ((record.b % 256) as usize, record.y)))
             .collect();
-        let class_of = |record: &Record| asked.get(&record.request).map(|(class, _)| rules.classes[*class]);
+        let class_of =
+            |record: &Record| requests.get(&record.request).map(|(class, _)| rules.classes[*class]);
         let find = |what: RecordKind, eligible: &dyn Fn(&Record) -> bool| {
             (middle..records.len()).find(|index| records[*index].what == what && eligible(&records[*index]))
         };
@@ -144,48 +146,48 @@
                 // Not if the box was reported to be back in the meantime: the send would then be correct.
                 let reported_again = |record: &Record| {
                     let since = record.at - rules.drain_grace - Span::millis(1);
-                    records.iter().any(|told| {
-                        told.what == RecordKind::Told
-                            && (told.a, told.b) == (record.a, record.b)
-                            && (since..=record.at).contains(&told.at)
+                    records.iter().any(|other| {
+                        other.what == RecordKind::Told
+                            && (other.a, other.b) == (record.a, record.b)
+                            && (since..=record.at).contains(&other.at)
                     })
                 };
                 let index = find(RecordKind::Sent, &|record| !reported_again(record))?;
-                let mut told = Record { what: RecordKind::Told, x: 0, ..all[index] };
-                told.at = told.at - rules.drain_grace - Span::millis(1);
-                let position = all.iter().position(|record| record.at > told.at)?;
-                all.insert(position, told);
+                let mut drain_report = Record { what: RecordKind::Told, x: 0, ..all[index] };
+                drain_report.at = drain_report.at - rules.drain_grace - Span::millis(1);
+                let position = all.iter().position(|record| record.at > drain_report.at)?;
+                all.insert(position, drain_report);
             }
             Self::PushedOver => {
                 let start = all.iter().position(|record| record.what == RecordKind::Started)?;
-                let (cold, began) = (all[start].b, all[start].at);
+                let (cold, started) = (all[start].b, all[start].at);
                 let index = (start..all.len())
                     .find(|index| all[*index].what == RecordKind::Came && all[*index].b == cold)?;
-                let still_cold = all[index].at - began < rules.cold.1;
+                let still_cold = all[index].at - started < rules.cold.1;
                 all[index].x = all[index].x.saturating_mul(100_000);
                 return still_cold.then_some(all);
             }
             Self::StaleSession | Self::StaleFresh | Self::StaleBounded => {
-                let wanted = |fresh: Freshness| match self {
+                let matches_fault = |fresh: Freshness| match self {
                     Self::StaleSession => fresh == Freshness::Session,
                     Self::StaleFresh => fresh == Freshness::All,
                     _ => matches!(fresh, Freshness::Bounded(_)),
                 };
                 // A session read has something to miss only if the session's earlier write was served there.
-                let wrote = |record: &Record| {
+                let wrote_before = |record: &Record| {
                     records.iter().take_while(|other| other.at < record.at - Span::millis(2_000)).any(
                         |other| {
                             other.what == RecordKind::Served
                                 && other.a == record.a
                                 && class_of(other).is_some_and(|class| class.write)
-                                && asked.get(&other.request).map(|asked| asked.1)
-                                    == asked.get(&record.request).map(|asked| asked.1)
+                                && requests.get(&other.request).map(|entry| entry.1)
+                                    == requests.get(&record.request).map(|entry| entry.1)
                         },
                     )
                 };
                 let eligible = |record: &Record| {
-                    class_of(record).is_some_and(|class| !class.write && wanted(class.freshness))
-                        && (self != Self::StaleSession || wrote(record))
+                    class_of(record).is_some_and(|class| !class.write && matches_fault(class.freshness))
+                        && (self != Self::StaleSession || wrote_before(record))
                 };
                 let index = find(RecordKind::Served, &eligible)?;
                 all[index].x = all[0].at.0 - 60_000_000;
@@ -234,11 +236,11 @@
                 let index = all.iter().rposition(|record| record.what == RecordKind::Sent)?;
                 let sent = all[index];
                 let since = sent.at - poll_interval - rules.drain_grace - Span::millis(1);
-                let own = |record: &Record| {
+                let from_router = |record: &Record| {
                     record.a == sent.a && matches!(record.what, RecordKind::Called | RecordKind::Watching)
                 };
-                let listed = |record: &Record| record.b == sent.b && record.what == RecordKind::Published;
-                all.retain(|record| record.at <= since || !(own(record) || listed(record)));
+                let of_box = |record: &Record| record.b == sent.b && record.what == RecordKind::Published;
+                all.retain(|record| record.at <= since || !(from_router(record) || of_box(record)));
                 let position = all.iter().position(|record| record.at > since)?;
                 let ended = Record { at: since, what: RecordKind::Watching, x: 0, ..sent };
                 all.insert(position, ended);
@@ -250,8 +252,8 @@
 }
 
 impl Fault {
-    /// The index of the end of a job that its router had given up earlier, and the index of the giving up. With `early`, one that
-    /// was given up before the box can have worked on it for as long as it takes.
+    /// The index of the end of a job that its router had given up earlier, and the index of the giving up. With
+    /// `early`, one that was given up before the box can have worked on it for as long as it takes.
     fn find_given_up_job(self, all: &[Record], from: usize, early: bool) -> Option<(usize, usize)> {
         let mut took = std::collections::HashMap::new();
         let mut given_up = std::collections::HashMap::new();
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,5 +1,6 @@
-//! The boxes of a fleet with their groups and the list of them, and the troubles of a scenario. It is independent of what drives it: the
-//! current time is passed in, and the resulting actions are returned for the caller to carry out.
+//! The boxes of a fleet with their groups and the list of them, and the troubles of a scenario. It is independent
+//! of what drives it: the current time is passed in, and the resulting actions are returned for the caller to carry
+//! out.
 
 use crate::group::{Group, ReplicationTiming};
 use crate::record::RecordKind;
@@ -319,8 +320,9 @@
         JobResult::Committed(now)
     }
 
-    /// A box's answer to a probe: its position in seconds since the beginning, whether it is the primary, and the number of waiting
-    /// requests. `None` if the box does not answer; one that hangs does, as probes bypass its queue.
+    /// A box's answer to a probe: its position in seconds since the beginning, whether it is the primary, and the
+    /// number of waiting requests. `None` if the box does not answer; one that hangs does, as probes bypass its
+    /// queue.
     pub fn report(&mut self, server: u32, now: Time) -> Option<[f64; 3]> {
         let host = &self.hosts[server as usize];
         match host.server.state() {
--- a/crates/fleet/src/group.rs
+++ b/crates/fleet/src/group.rs
@@ -1,5 +1,5 @@
-//! A group: a primary with a log, and replicas that receive it with a delay and apply it on one thread each. The caller passes the
-//! current time in.
+//! A group: a primary with a log, and replicas that receive it with a delay and apply it on one thread each. The
+//! caller passes the current time in.
 
 use linnetdeal_core::{Span, Time};
 use std::collections::VecDeque;
@@ -148,8 +148,8 @@
         }
     }
 
-    /// The member to take over: of the eligible ones the one that has received most. Returned with the time by which it has applied
-    /// all that it received.
+    /// The member to take over: of the eligible ones the one that has received most. Returned with the time by
+    /// which it has applied all that it received.
     #[must_use]
     pub fn successor(&self, now: Time, eligible: impl Fn(usize) -> bool) -> Option<(usize, Time)> {
         let candidates = self
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,10 @@
-//! A model of a fleet in virtual time: boxes with queues, warm-up and pauses; groups with a log that is replicated;
-//! clients, a network and late lists. It drives the same [`linnetdeal_core::Router`] and membership as the daemon does, and
-//! is deterministic from one seed.
+//! A model of a fleet in virtual time: boxes with queues, slow start and pauses; groups with a replicated log;
+//! clients, a network, and lists that arrive late. It drives the same [`linnetdeal_core::Router`] and membership as
+//! the daemon does, and is deterministic for a seed.
 //!
-//! [`server`], [`group`] and the [`fleet`] of them are pure and are handed the time: [`sim`] is their host in virtual time, and
-//! others can have them on sockets. What happened stands in a [`record::Log`], which [`audit`] holds to the rules without any of the pooler's code.
+//! [`server`], [`group`] and [`fleet`] are independent of any clock: the caller passes the current time in. [`sim`]
+//! drives them in virtual time; the lab also drives them on sockets. Everything that happens is recorded in a
+//! [`record::Log`], which [`audit`] checks against the rules without using any of the pooler's code.
 
 pub mod audit;
 pub mod discovery;
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -7,7 +7,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[repr(u8)]
 pub enum RecordKind {
-    /// A router was told that a box is in service (`x` is 1) or not (0). `y` is when the box started, or 0 if that was long ago.
+    /// A router received from the list that a box is in service (`x` is 1) or not (0). `y` is when the box started, or 0 if that
+    /// was long ago.
     Told = 1,
     /// A client sent a request to a router. `x` is its deadline, `y` its session, `b` the class + 256 × the group.
     Asked,
@@ -35,7 +36,8 @@
     Fell,
     /// A trouble began, for plots. `x` is its kind.
     Trouble,
-    /// A client's try, recorded before its [`RecordKind::Asked`]. `x` is the client, `y` the number of the try from 0.
+    /// A client's try, recorded before its [`RecordKind::Asked`]. `x` is the client, `y` the number of the try from
+    /// 0.
     Try,
     /// A box accepted a job. `x` is its work in µs, `y` the attempt.
     Took,
--- a/crates/fleet/src/scenario.rs
+++ b/crates/fleet/src/scenario.rs
@@ -411,7 +411,7 @@
     pub clients: Clients,
     /// How poolers receive the list.
     pub list: List,
-    /// The classes; if there are none, those of [`crate::traffic::portal`].
+    /// The classes; if there are none, those of [`crate::traffic::default_class_plans`].
     #[serde(default)]
     pub classes: Vec<ClassSpec>,
     /// The tenants; none if they are not distinguished.
--- a/crates/fleet/src/schema.cue
+++ b/crates/fleet/src/schema.cue
@@ -2,7 +2,8 @@
 package scenario
 
 #Duration: =~"^[0-9]{1,9}(us|ms|s|m)$"
-// The target of a trouble: the primary, a replica by number, a share of all boxes, a share of the poolers, or the list.
+// The target of a trouble: the primary, a replica by number, a share of all boxes, a share of the poolers, or the
+// list.
 #Whom: =~"^(primary|replica [0-9]{1,3}|boxes 0\\.[0-9]{1,3}|boxes 1|poolers 0\\.[0-9]{1,3}|poolers 1|list)$"
 
 // A trouble.
@@ -31,8 +32,8 @@
 	reach: int & >=0 & <=10000 | *0
 	// Whether poolers are configured with the usual durations of changes of primary.
 	expected: bool | *false
-	// Whether a second copy may be sent while the first runs, and whether a router learns that an attempt which it cancels has ended.
-	// Boxes continue with the work in either case.
+	// Whether a second copy may be sent while the first runs, and whether a router learns that an attempt which it
+	// cancels has ended. Boxes continue with the work in either case.
 	second_copies: bool | *false
 	cancels:       bool | *false
 	// A box receives nothing new later than this after its drain was reported.
@@ -57,14 +58,15 @@
 	// With more than this many requests for each core work takes longer, by this share, reached at twice as many.
 	thrash_at: number & >=0.1 & <=1000 | *4
 	thrash:    number & >=0 & <=10 | *0
-	// The work that a probe and a handshake cause at the box, and the duration of a handshake in addition to its round trips.
+	// The work that a probe and a handshake cause at the box, and the duration of a handshake in addition to its
+	// round trips.
 	probe_work:     #Duration | *"0ms"
 	handshake_work: #Duration | *"0ms"
 	handshake:      #Duration | *"2ms"
 	// Whether a box rejects a read that needs a later position than its own.
 	checks: bool | *false
-	// The share of its capacity that a box has at its start, and when it is warm; cold, it collapses when it is sent more than this
-	// multiple of its capacity for this long.
+	// The share of its capacity that a box has at its start, and when it is warm; cold, it collapses when it is
+	// sent more than this multiple of its capacity for this long.
 	cold_from:     number & >=0.01 & <=1 | *0.16
 	cold_in:       #Duration | *"16s"
 	fall_multiple: number & >=1 & <=100 | *2.5
@@ -84,8 +86,8 @@
 	retries: int & >=0 & <=5 | *1
 	// Whether a session's read says when its last write was committed; without it poolers remember.
 	tokens_carried: bool | *false
-	// The worth of requests beyond their tenant's share, as a share of the usual worth; and the sum of all shares, as a share of the
-	// fleet's capacity.
+	// The worth of requests beyond their tenant's share, as a share of the usual worth; and the sum of all shares,
+	// as a share of the fleet's capacity.
 	over_share: number & >=0 & <=1 | *1
 	quota:      number & >=0.01 & <=10 | *0.85
 }
@@ -98,7 +100,8 @@
 	wait_most:  #Duration | *"80ms"
 	// The share of clients that wait for a retry-after.
 	heeds: number & >=0 & <=1 | *1
-	// A try is abandoned after at least this share of the class's deadline, and after the whole deadline at the latest.
+	// A try is abandoned after at least this share of the class's deadline, and after the whole deadline at the
+	// latest.
 	patience: number & >=0.05 & <=1 | *1
 	// Whether clients mark their retries.
 	marks: bool | *false
@@ -135,7 +138,8 @@
 #List: {
 	// Whether it has to be polled at one service for all poolers; otherwise changes are pushed.
 	asked: bool | *false
-	// How long the service takes for a call, one after another; a call that has waited longer fails; and the interval of notifications.
+	// How long the service takes for a call, one after another; a call that has waited longer fails; and the
+	// interval of notifications.
 	call:  #Duration | *"300ms"
 	wait:  #Duration | *"2s"
 	every: #Duration | *"500ms"
@@ -155,7 +159,8 @@
 #Checks: {
 	served: number & >=0 & <=1 | *0
 	writes: number & >=0 & <=1 | *0
-	// The share of the requested worth that was served within the latency objectives: in the whole run, and in its worst 10 s.
+	// The share of the requested worth that was served within the latency objectives: in the whole run, and in its
+	// worst 10 s.
 	service: number & >=0 & <=1 | *0
 	worst:   number & >=0 & <=1 | *0
 }
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -1,5 +1,5 @@
-//! The model of a server ("box"): cores that run jobs in the order of arrival, a queue, a cold start, pauses, and the collapse of a cold
-//! server that is sent too much. The caller passes the current time in.
+//! The model of a server ("box"): cores that run jobs in the order of arrival, a queue, a cold start, pauses, and
+//! the collapse of a cold server that is sent too much. The caller passes the current time in.
 
 use linnetdeal_core::{Span, Time};
 use std::collections::VecDeque;
@@ -15,7 +15,8 @@
     pub queue_limit: usize,
     /// How much longer work takes when the queue is full, as a share of its usual time.
     pub queue_slowdown: f64,
-    /// Above the first value of jobs for each core, work takes longer, by up to the second as a share, reached at twice as many jobs.
+    /// Above the first value of jobs for each core, work takes longer, by up to the second as a share, reached at
+    /// twice as many jobs.
     pub thrash: (f64, f64),
     /// The share of its capacity that the server has at its start, and the time after which it has all of it.
     pub cold: (f64, Span),
@@ -200,7 +201,8 @@
         self.recent_work > multiple * mean_capacity * window.0 as f64
     }
 
-    /// Completes the job of this number, if it is due. Returns the job that starts in its place, with the time of its end.
+    /// Completes the job of this number, if it is due. Returns the job that starts in its place, with the time of
+    /// its end.
     pub fn complete(&mut self, now: Time, id: u64) -> Option<Option<(u64, Time)>> {
         if self.state != ServerState::Up {
             return None;
--- a/crates/fleet/src/service_level.rs
+++ b/crates/fleet/src/service_level.rs
@@ -1,5 +1,6 @@
-//! The service level as operators count it: the worth that was answered within the latency objectives, as a share of the worth that was
-//! requested; all tries of a client count as one request. Kept by second, tenant and class. Requests beyond a tenant's share count less.
+//! The service level as operators count it: the worth that was answered within the latency objectives, as a share
+//! of the worth that was requested; all tries of a client count as one request. Kept by second, tenant and class.
+//! Requests beyond a tenant's share count less.
 
 use crate::scenario::Scenario;
 use crate::traffic::ClassPlan;
@@ -76,15 +77,16 @@
     /// Counts an answer that took this long since the first try.
     pub fn record_served(
         &mut self,
-        asked: Time,
+        requested_at: Time,
         took: Span,
         tenant: Option<usize>,
         within: bool,
         class: usize,
     ) {
-        let (aim, _, late) = self.classes[class];
-        let part = if took <= aim { 1.0 } else { late };
-        let (cell, worth) = (self.cell_index(asked, tenant, within, class), self.full_worth(class, within));
+        let (aim, _, late_worth) = self.classes[class];
+        let part = if took <= aim { 1.0 } else { late_worth };
+        let (cell, worth) =
+            (self.cell_index(requested_at, tenant, within, class), self.full_worth(class, within));
         if let Some(entry) = self.cells.get_mut(cell) {
             entry[0] += worth * part;
         }
@@ -110,7 +112,8 @@
         share(self.sum_cells(|_, _, _, _| true))
     }
 
-    /// The second in which the worst window of 10 s begins, and the share that was served in it; windows without requests don't count.
+    /// The second in which the worst window of 10 s begins, and the share that was served in it; windows without
+    /// requests don't count.
     #[must_use]
     pub fn worst_window(&self) -> (usize, f64) {
         self.worst_window_of(|_, _, _| true)
@@ -125,8 +128,9 @@
                 })
             })
             .collect();
-        let asked: Vec<usize> = (0..seconds).filter(|second| by_second[*second][1] > 0.0).collect();
-        let (Some(first), Some(last)) = (asked.first().copied(), asked.last().copied()) else {
+        let active_seconds: Vec<usize> = (0..seconds).filter(|second| by_second[*second][1] > 0.0).collect();
+        let (Some(first), Some(last)) = (active_seconds.first().copied(), active_seconds.last().copied())
+        else {
             return (0, 1.0);
         };
         let window = |from: usize| {
@@ -158,6 +162,6 @@
 }
 
 /// 1 if nothing was requested.
-fn share([served, asked]: Worth) -> f64 {
-    if asked > 0.0 { served / asked } else { 1.0 }
+fn share([served, requested]: Worth) -> f64 {
+    if requested > 0.0 { served / requested } else { 1.0 }
 }
--- a/crates/fleet/src/sim.rs
+++ b/crates/fleet/src/sim.rs
@@ -1,5 +1,5 @@
-//! The simulation in virtual time: events are handled in the order of their times and, for equal times, of their scheduling. It drives
-//! the same router and membership as the daemon and takes no decisions of its own.
+//! The simulation in virtual time: events are handled in the order of their times and, for equal times, of their
+//! scheduling. It drives the same router and membership as the daemon and takes no decisions of its own.
 
 use crate::audit::{ClassRules, Freshness, FullRules, Rules};
 use crate::discovery::{CallOutcome, DiscoveryService};
@@ -23,7 +23,8 @@
 pub const BEGIN: Time = Time(1_000_000_000_000);
 const ANSWER_SLACK: Span = Span::millis(20);
 const CONNECT_TIMEOUT: Span = Span::millis(250);
-/// A router without a watch that has not polled the list for this long is expected to know what was published that long before.
+/// A router without a watch that has not polled the list for this long is expected to know what was published that
+/// long before.
 const POLL_INTERVAL: Span = Span::millis(10_000);
 /// The delay of a wake-up that is due already.
 const MIN_WAKE_DELAY: Span = Span::millis(1);
@@ -104,18 +105,21 @@
         report: Option<[f64; 3]>,
         verdict: Verdict,
     },
+    /// Where the list is pushed: a router receives a change.
     ListUpdate {
         router: u32,
         change: usize,
     },
-    /// Where the list is polled: it has a new change, its watches bring changes, or a call for it has ended.
+    /// Where the list is polled: a change is published.
     Publish {
         change: usize,
     },
+    /// Where the list is polled: a router's watch brings the changes that were published.
     WatchUpdate {
         router: u32,
         incarnation: u32,
     },
+    /// Where the list is polled: a router's call has been answered or has failed.
     ListCallEnds {
         router: u32,
         incarnation: u32,
@@ -809,7 +813,8 @@
                 }
                 FleetAction::JobDone(server, id) => self.job_done(server, id as usize),
                 FleetAction::ListChanged(change, noticed) => self.list_changed(change, noticed),
-                // Connections to an earlier incarnation are recognised as such, and the model keeps the jobs of a paused box.
+                // Connections to an earlier incarnation are recognised as such, and the model keeps the jobs of a
+                // paused box.
                 FleetAction::StateChanged(_) => {}
                 FleetAction::KillPooler(at, trouble, router) => {
                     self.schedule(at, SimEvent::KillPooler { trouble, router })
@@ -951,8 +956,8 @@
         if self.poolers[attempt.router as usize].incarnation != attempt.incarnation {
             return;
         }
-        let kept = !matches!(verdict, Verdict::ConnectFailed | Verdict::Unreachable | Verdict::Reset);
-        if kept && self.fleet.hosts[attempt.server as usize].incarnation == attempt.server_incarnation {
+        let reusable = !matches!(verdict, Verdict::ConnectFailed | Verdict::Unreachable | Verdict::Reset);
+        if reusable && self.fleet.hosts[attempt.server as usize].incarnation == attempt.server_incarnation {
             let idle = self.poolers[attempt.router as usize]
                 .idle_connections
                 .entry(attempt.server)
@@ -1149,5 +1154,6 @@
     }
 }
 
-/// `Pooler::open_requests` also holds the number of a request's attempts, under the request's number with this bit set.
+/// `Pooler::open_requests` also holds the number of a request's attempts, under the request's number with this bit
+/// set.
 const ATTEMPT_COUNT_BIT: u64 = 1 << 63;
--- a/crates/fleet/src/traffic.rs
+++ b/crates/fleet/src/traffic.rs
@@ -1,4 +1,5 @@
-//! The requests of clients, drawn from one generator in a fixed order, so that everything that runs a scenario has the same.
+//! The requests of clients, drawn from one generator in a fixed order, so that everything that runs a scenario has
+//! the same.
 
 use crate::scenario::{ClassSpec, DataNeed, Scenario, WorkDistribution};
 use linnetdeal_core::{Class, Effect, Need, Span};
@@ -75,7 +76,7 @@
 #[must_use]
 pub fn class_plans(scenario: &Scenario) -> Vec<ClassPlan> {
     if scenario.classes.is_empty() {
-        return portal();
+        return default_class_plans();
     }
     let all: f64 = scenario.classes.iter().map(|class| class.share).sum();
     let plan = |class: &ClassSpec| ClassPlan {
@@ -103,7 +104,7 @@
 
 /// The classes of a scenario that defines none.
 #[must_use]
-pub fn portal() -> Vec<ClassPlan> {
+pub fn default_class_plans() -> Vec<ClassPlan> {
     let plan = |name: &str, need, effect, share, aim, deadline, worth, late_worth, work| ClassPlan {
         class: Class {
             name: name.into(),
@@ -204,7 +205,8 @@
         (self.poolers / self.pooler_sets).max(1) as u32
     }
 
-    /// The delay after which a pooler receives a change of the list, counted from the time at which the change is visible.
+    /// The delay after which a pooler receives a change of the list, counted from the time at which the change is
+    /// visible.
     #[must_use]
     pub fn list_delay(&self, router: u32) -> Span {
         Span(35_000 + i64::from(router) * 7_919 % 265_000)
@@ -230,11 +232,11 @@
             None => rng.random_range(1..=self.sessions),
         };
         let session = session + tenant.unwrap_or(0) as u64 * SESSION_IDS_PER_TENANT;
-        let mixed = session.wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        let group = ((mixed >> 33) % self.groups as u64) as u32;
+        let session_hash = session.wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        let group = ((session_hash >> 33) % self.groups as u64) as u32;
         let set = group as usize % self.pooler_sets;
-        let of_set = (self.poolers - set).div_ceil(self.pooler_sets);
-        let router = (set + ((mixed >> 13) as usize % of_set) * self.pooler_sets) as u32;
+        let poolers_in_set = (self.poolers - set).div_ceil(self.pooler_sets);
+        let router = (set + ((session_hash >> 13) as usize % poolers_in_set) * self.pooler_sets) as u32;
         let mut remaining = rng.random::<f64>();
         let class = self
             .plans
--- a/crates/fleet/tests/even.rs
+++ b/crates/fleet/tests/even.rs
@@ -1,5 +1,5 @@
-//! The simulation of many poolers, shortened: runs are reproducible, publishing loads causes herds, and choosing the least loaded of the
-//! forward step by the pooler's own answers does better than a threshold.
+//! The simulation of many poolers, shortened: runs are reproducible, publishing loads causes herds, and choosing
+//! the least loaded of the forward step by the pooler's own answers does better than a threshold.
 
 use linnetdeal_core::Span;
 use linnetdeal_fleet::even::{ChoicePool, Figures, Plan, Scheme, Sources, run};
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -162,7 +162,8 @@
     for ms in 0..20 {
         assert!(matches!(driver.fleet.finish(at(2_000 + ms), 0, true), JobResult::Committed(_)));
     }
-    // Twenty commits at half a second each: after three seconds it has applied at most six of them, and the other replicas all.
+    // Twenty commits at half a second each: after three seconds it has applied at most six of them, and the other
+    // replicas all.
     let JobResult::Read(note, exact) = driver.fleet.finish(at(5_000), 1, false) else { panic!("a read") };
     assert!(exact < at(2_006) && note.position.is_some_and(|position| position <= exact), "{exact:?}");
     let JobResult::Read(_, other) = driver.fleet.finish(at(5_000), 2, false) else { panic!("a read") };
--- a/crates/fleet/tests/forward.rs
+++ b/crates/fleet/tests/forward.rs
@@ -1,4 +1,5 @@
-//! The forward step without a threshold: it stays within its bounds, works where nothing is known, avoids slow members and causes no herd.
+//! The forward step without a threshold: it stays within its bounds, works where nothing is known, avoids slow
+//! members and causes no herd.
 
 use linnetdeal_core::{Slowness, Span, Time, subset};
 use linnetdeal_fleet::even::forward::{FORWARD_STEPS, least_loaded};
@@ -35,7 +36,8 @@
     assert_eq!(least_loaded(5, 0, |_| 1.0), 0);
 }
 
-/// Guards against a threshold over the mean: one of 1.2 kept a pick with a request in flight, or one that was a little slower.
+/// Guards against a threshold over the mean: one of 1.2 kept a pick with a request in flight, or one that was a
+/// little slower.
 #[test]
 fn passes_over_a_member_that_is_a_little_slower() {
     let loads = [1.1, 1.0, 1.0, 1.0];
@@ -45,8 +47,9 @@
     assert_eq!(least_loaded(0, 4, |index| loads[index]), 2);
 }
 
-/// Each router has a few random answers from members of which one is twice as slow: together the routers spread their requests evenly
-/// although none knows what the others do. With the same information for all they would all choose the same member.
+/// Each router has a few random answers from members of which one is twice as slow: together the routers spread
+/// their requests evenly although none knows what the others do. With the same information for all they would all
+/// choose the same member.
 #[test]
 fn many_routers_with_few_answers_each_spread_load_evenly() {
     const ROUTERS: u32 = 300;
--- a/crates/fleet/tests/freight.rs
+++ b/crates/fleet/tests/freight.rs
@@ -1,5 +1,5 @@
-//! The second kind of deployment (scenarios/freight): parts of the model, its troubles in short audited runs, and the faults that only
-//! its full records can hold.
+//! The second kind of deployment (scenarios/freight): parts of the model, its troubles in short audited runs, and
+//! the faults that only its full records can hold.
 
 use linnetdeal_core::{Span, Time};
 use linnetdeal_fleet::audit::{AuditReport, Auditor, Rule};
@@ -61,20 +61,20 @@
     ] {
         let plan = scenario(seed, load, &troubles);
         let (outcome, records, digest) = run(&plan);
-        let verdict = audit(&plan, &records, outcome.end, outcome.first_tries());
+        let report = audit(&plan, &records, outcome.end, outcome.first_tries());
         println!(
             "seed {seed}: {troubles}: service {:.3}, {:?}",
             outcome.service.overall(),
-            verdict.violations
+            report.violations
         );
         assert!(
-            verdict.violations.is_empty(),
+            report.violations.is_empty(),
             "seed {seed}: {:?} {:?}",
-            verdict.violations,
-            verdict.first_violation
+            report.violations,
+            report.first_violation
         );
         assert!(
-            outcome.served_share() > 0.5 && verdict.requests > 2_000,
+            outcome.served_share() > 0.5 && report.requests > 2_000,
             "seed {seed}: {:.3}",
             outcome.served_share()
         );
@@ -98,14 +98,14 @@
             fault.inject(&records, &rules).unwrap_or_else(|| panic!("{fault:?} has no place in the records"));
         let mut auditor = Auditor::new(rules.clone());
         changed.iter().for_each(|record| auditor.record(*record));
-        let verdict =
+        let report =
             auditor.finish(faults::audit_end(&changed)).check_first_tries(&rules, outcome.first_tries());
-        assert!(verdict.violations.contains_key(&fault.rule()), "{fault:?}: {:?}", verdict.violations);
+        assert!(report.violations.contains_key(&fault.rule()), "{fault:?}: {:?}", report.violations);
     }
     // The same records violate the rule if clients are allowed one retry less.
     plan.traffic.retries -= 1;
-    let verdict = audit(&plan, &records, outcome.end, outcome.first_tries());
-    assert!(verdict.violations.contains_key(&Rule::Tries), "{:?}", verdict.violations);
+    let report = audit(&plan, &records, outcome.end, outcome.first_tries());
+    assert!(report.violations.contains_key(&Rule::Tries), "{:?}", report.violations);
 }
 
 #[test]
@@ -118,8 +118,10 @@
     };
     assert!(tries(1) > tries(2) && tries(2) > tries(3) && tries(3) > 0 && tries(4) == 0);
     assert_eq!((tries(0) as u64, count(RecordKind::Try) as u64), (outcome.first_tries(), outcome.tries));
-    let asked: u64 = outcome.requests.iter().sum();
-    assert!(outcome.served.iter().sum::<u64>() < asked && outcome.service.overall() < outcome.served_share());
+    let requests: u64 = outcome.requests.iter().sum();
+    assert!(
+        outcome.served.iter().sum::<u64>() < requests && outcome.service.overall() < outcome.served_share()
+    );
 }
 
 #[test]
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -170,8 +170,8 @@
         let seeded = fault
             .inject(&records, &sim::rules(&scenario))
             .unwrap_or_else(|| panic!("{fault:?} has no place in the records"));
-        let verdict = audit(&scenario, &seeded);
-        assert!(verdict.violations.contains_key(&fault.rule()), "{fault:?}: {:?}", verdict.violations);
+        let report = audit(&scenario, &seeded);
+        assert!(report.violations.contains_key(&fault.rule()), "{fault:?}: {:?}", report.violations);
     }
 }
 
