--- a/crates/fleet/src/schema.cue
+++ b/crates/fleet/src/schema.cue
@@ -13,7 +13,7 @@
 	who!:  #Whom
 	// With a primary or a replica as the target: the number of groups affected, from the first.
 	groups: int & >=1 & <=100000 | *1
-	// When the trouble ends: the process is back, the pause is over. Without it the trouble lasts.
+	// How long it lasts, until the process is back or the pause is over. Without it the trouble does not end.
 	lasts?: #Duration
 	// How many times slower, how many times more requests, or by how many seconds the list is further behind.
 	factor: number & >=1 & <=1000 | *10
