--- a/crates/daemon/tests/leases.rs
+++ b/crates/daemon/tests/leases.rs
@@ -5,7 +5,7 @@
 use linnetdeal_lab::leases::script::{Do, Script};
 use linnetdeal_lab::processes::fleet::{Fleet, Spec};
 use linnetdeal_lab::processes::process;
-use linnetdeal_lab::{at_once, lock};
+use linnetdeal_lab::{lock, run_parallel};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -41,7 +41,8 @@
 fn two_holders_never_act_concurrently_whatever_fails() {
     let _guard = lock(&EXCLUSIVE);
     let scripts = scripts();
-    let outcomes = at_once(&scripts, MAX_CONCURRENT, |script| play(script, script.seed, Path::new(PROGRAM)));
+    let outcomes =
+        run_parallel(&scripts, MAX_CONCURRENT, |script| play(script, script.seed, Path::new(PROGRAM)));
     let mut failures = Vec::new();
     for (script, outcome) in scripts.iter().zip(outcomes) {
         let outcome = outcome.expect(&script.name);
--- a/crates/daemon/tests/registry.rs
+++ b/crates/daemon/tests/registry.rs
@@ -3,11 +3,11 @@
 //! applied the previous answer.
 
 use linnetdeal_lab::clients::Client;
-use linnetdeal_lab::eureka::{Manner, Peer};
+use linnetdeal_lab::eureka::{AnswerMode, Peer};
 use linnetdeal_lab::lock;
-use linnetdeal_lab::play::{Stage, wait};
 use linnetdeal_lab::pooler::Pooler;
 use linnetdeal_lab::script::Act;
+use linnetdeal_lab::script_runner::{Testbed, wait_until};
 use serde_json::{Value, json};
 use std::path::Path;
 use std::process::Command;
@@ -20,46 +20,47 @@
 /// A pooler that follows scripted registry peers, with the stage that they and the servers belong to, and a
 /// client.
 struct Fixture {
-    stage: Stage,
+    testbed: Testbed,
     pooler: Pooler,
     client: Client,
 }
 
 /// Starts the pooler and waits until it has read its list.
 fn start_fixture(boxes: usize, peers: usize, operator: &str) -> Fixture {
-    let stage = Stage::new(boxes, peers).unwrap();
+    let testbed = Testbed::new(boxes, peers).unwrap();
     let empty_list = json!({"generation": 0, "reset": true, "instances": []});
-    let mut pooler = Pooler::start(Path::new(PROGRAM), Some(&stage.operator(operator)), &empty_list).unwrap();
+    let mut pooler =
+        Pooler::start(Path::new(PROGRAM), Some(&testbed.operator_file(operator)), &empty_list).unwrap();
     pooler.wait_for_log("instances read").unwrap();
     let client = Client::new(pooler.address, 1, 1);
-    Fixture { stage, pooler, client }
+    Fixture { testbed, pooler, client }
 }
 
 impl Fixture {
     /// Performs an action of a script on the stage.
     fn act(&mut self, act: Act) {
-        self.stage.act(&act, &self.pooler).unwrap();
+        self.testbed.apply(&act, &self.pooler).unwrap();
     }
 
     /// Waits until the pooler has applied all that a peer knows now, which is so once it has polled the peer
     /// twice more.
     fn wait_applied(&self, peer: usize) {
-        let polls = |peer: &Peer| peer.heard().fulls + peer.heard().deltas;
-        let before = polls(&self.stage.peers[peer]);
-        wait("the registry is polled", || polls(&self.stage.peers[peer]) >= before + 2).unwrap();
+        let polls = |peer: &Peer| peer.request_counts().fulls + peer.request_counts().deltas;
+        let before = polls(&self.testbed.peers[peer]);
+        wait_until("the registry is polled", || polls(&self.testbed.peers[peer]) >= before + 2).unwrap();
     }
 
     /// Sends this many reads; returns how many went to each server.
     fn reads(&mut self, count: usize) -> Vec<(String, usize)> {
-        let sends = |stage: &Stage| -> Vec<usize> {
-            stage.boxes.keys().map(|name| lock(&stage.ledger).sends(name)).collect()
+        let sends = |testbed: &Testbed| -> Vec<usize> {
+            testbed.boxes.keys().map(|name| lock(&testbed.recorder).statement_count(name)).collect()
         };
-        let before = sends(&self.stage);
+        let before = sends(&self.testbed);
         for _ in 0..count {
-            assert_eq!(self.client.ask_for(READ, &self.stage.ledger), "served");
+            assert_eq!(self.client.request_class(READ, &self.testbed.recorder), "served");
         }
-        let counts = sends(&self.stage).into_iter().zip(before).map(|(after, before)| after - before);
-        self.stage.boxes.keys().cloned().zip(counts).collect()
+        let counts = sends(&self.testbed).into_iter().zip(before).map(|(after, before)| after - before);
+        self.testbed.boxes.keys().cloned().zip(counts).collect()
     }
 
     /// How many of 60 reads go to this server.
@@ -69,7 +70,7 @@
 
     /// Asserts that no rule was broken and each request was answered.
     fn assert_rules_kept(&self) {
-        let verdict = lock(&self.stage.ledger).verdict();
+        let verdict = lock(&self.testbed.recorder).verdict();
         assert_eq!((verdict.drains_broken, verdict.stale_reads, verdict.writes_doubled), (0, 0, 0));
         assert_eq!((verdict.sends_outside, verdict.answered), (0, verdict.requests));
     }
@@ -78,16 +79,16 @@
 #[test]
 fn a_drain_holds_although_another_registry_peer_still_lists_the_server_as_up() {
     let mut fixture = start_fixture(3, 2, "");
-    fixture.stage.peers[1].set_lag(Duration::from_secs(3_600));
+    fixture.testbed.peers[1].set_lag(Duration::from_secs(3_600));
     assert!(fixture.sent_to("s-2") > 0);
     fixture.act(Act::Drain("s-2".into()));
     fixture.wait_applied(0);
     assert_eq!(fixture.sent_to("s-2"), 0);
-    fixture.act(Act::Behave(0, Manner::Refuse));
+    fixture.act(Act::Behave(0, AnswerMode::Refuse));
     fixture.wait_applied(1);
     assert_eq!(fixture.sent_to("s-2"), 0, "the other peer is older than the drain");
     // The server's own later update, at the peer that no longer lags.
-    fixture.stage.peers[1].set_lag(Duration::ZERO);
+    fixture.testbed.peers[1].set_lag(Duration::ZERO);
     fixture.act(Act::Up("s-2".into()));
     fixture.wait_applied(1);
     assert!(fixture.sent_to("s-2") > 0);
@@ -97,14 +98,14 @@
 #[test]
 fn answers_of_a_faulty_registry_remove_no_server() {
     let manners = [
-        Manner::Empty,
-        Manner::Few(1),
-        Manner::Half,
-        Manner::Noise(1),
-        Manner::Deep(10_000),
-        Manner::Status(500, None),
-        Manner::WrongHash,
-        Manner::LostDelta,
+        AnswerMode::Empty,
+        AnswerMode::Few(1),
+        AnswerMode::Half,
+        AnswerMode::Noise(1),
+        AnswerMode::Deep(10_000),
+        AnswerMode::Status(500, None),
+        AnswerMode::WrongHash,
+        AnswerMode::LostDelta,
     ];
     let mut fixture = start_fixture(4, 1, "");
     for manner in manners {
@@ -113,7 +114,7 @@
         let reads = fixture.reads(60);
         let used = reads.iter().filter(|(_, count)| *count > 0).count();
         assert!(used >= 3, "{manner:?}: {reads:?}");
-        fixture.act(Act::Behave(0, Manner::Well));
+        fixture.act(Act::Behave(0, AnswerMode::Well));
         fixture.wait_applied(0);
     }
     // A registry that has lost its contents and gets them back server by server.
@@ -146,33 +147,35 @@
 #[test]
 fn the_pooler_registers_and_on_sigterm_reports_its_drain_and_deregisters() {
     let mut fixture = start_fixture(2, 1, "register: {app: \"POOLER\", renew: \"1s\", expires: \"3s\"}");
-    let peer = fixture.stage.peers[0].clone();
-    wait("it is up", || peer.heard().own.iter().any(|call| call == "POST POOLER UP")).unwrap();
-    wait("it renews", || peer.heard().own.iter().any(|call| call == "PUT POOLER UP")).unwrap();
+    let peer = fixture.testbed.peers[0].clone();
+    wait_until("it is up", || peer.request_counts().self_reports.iter().any(|call| call == "POST POOLER UP"))
+        .unwrap();
+    wait_until("it renews", || peer.request_counts().self_reports.iter().any(|call| call == "PUT POOLER UP"))
+        .unwrap();
     let id = fixture
-        .stage
-        .world
+        .testbed
+        .registrations
         .ids()
         .into_iter()
         .find(|id| id.contains(&fixture.pooler.address.to_string()))
         .unwrap();
     // The registry loses its entry: it registers again.
-    fixture.stage.world.cancel(&id);
-    wait("it is back", || fixture.stage.world.get(&id).is_some()).unwrap();
-    let before = peer.heard().own.len();
+    fixture.testbed.registrations.cancel(&id);
+    wait_until("it is back", || fixture.testbed.registrations.get(&id).is_some()).unwrap();
+    let before = peer.request_counts().self_reports.len();
     fixture.pooler.signal("TERM").unwrap();
-    wait("it drains", || peer.heard().own.len() > before).unwrap();
+    wait_until("it drains", || peer.request_counts().self_reports.len() > before).unwrap();
     assert!(fixture.pooler.wait_for_exit().unwrap().success());
-    let calls: Vec<String> = peer.heard().own.split_off(before);
+    let calls: Vec<String> = peer.request_counts().self_reports.split_off(before);
     let last: Vec<&str> = calls.iter().map(String::as_str).filter(|call| !call.starts_with("PUT")).collect();
     assert_eq!(last, ["POST POOLER OUT_OF_SERVICE", "DELETE POOLER"]);
-    assert!(fixture.stage.world.get(&id).is_none());
+    assert!(fixture.testbed.registrations.get(&id).is_none());
 }
 
 #[test]
 fn a_silent_registry_delays_neither_requests_nor_termination() {
     let mut fixture = start_fixture(2, 1, "register: {app: \"POOLER\", renew: \"1s\", expires: \"3s\"}");
-    fixture.act(Act::Behave(0, Manner::Silent));
+    fixture.act(Act::Behave(0, AnswerMode::Silent));
     assert_eq!(fixture.reads(20).iter().map(|(_, count)| count).sum::<usize>(), 20);
     fixture.pooler.signal("TERM").unwrap();
     assert!(fixture.pooler.wait_for_exit().unwrap().success());
@@ -210,17 +213,18 @@
 
 #[test]
 fn check_reports_each_error_with_its_position_and_members_lists_the_known_servers() {
-    let stage = Stage::new(2, 1).unwrap();
-    let good = TempFile::new("good.cue", &stage.operator(""));
+    let testbed = Testbed::new(2, 1).unwrap();
+    let good = TempFile::new("good.cue", &testbed.operator_file(""));
     assert_eq!(run(&["check", good.path()]), (Some(0), String::new(), String::new()));
-    let bad = TempFile::new("bad.cue", &stage.operator("interval_s: 5\n\tprimary: 7"));
+    let bad = TempFile::new("bad.cue", &testbed.operator_file("interval_s: 5\n\tprimary: 7"));
     let (code, _, errors) = run(&["check", bad.path()]);
     assert_eq!(code, Some(78));
     let file = bad.path();
     assert!(errors.contains(&format!("{file}:9:2: there is no field 'interval_s' here")), "{errors}");
     assert!(errors.contains(&format!("{file}:10:")) && errors.contains("7 does not fit string"), "{errors}");
     let secret = TempFile::new("password", "x");
-    let readable = stage.operator(&format!("user: {{name: \"n\", password_file: {:?}}}", secret.path()));
+    let readable =
+        testbed.operator_file(&format!("user: {{name: \"n\", password_file: {:?}}}", secret.path()));
     let readable = TempFile::new("open.cue", &readable);
     let (code, _, errors) = run(&["check", readable.path()]);
     assert!(code == Some(78) && errors.contains("others than its owner"), "{errors}");
@@ -240,7 +244,7 @@
         (&rows[0]["member"], &rows[0]["state"], &rows[0]["primary"]),
         (&json!("s-1"), &json!("up"), &json!(true))
     );
-    assert_eq!(rows[1]["address"], json!(stage.boxes["s-2"].address.to_string()));
+    assert_eq!(rows[1]["address"], json!(testbed.boxes["s-2"].address.to_string()));
     let (_, out, _) = run(&["members", "--operator", good.path()]);
     assert!(out.starts_with("MEMBER") && out.lines().count() == 3, "{out}");
 }
--- a/crates/lab/src/boxes.rs
+++ b/crates/lab/src/boxes.rs
@@ -1,7 +1,7 @@
 //! Boxes that speak as much of PostgreSQL as a pooler needs, with a role, a log position and a lag.
 
-use crate::ledger::Ledger;
-use crate::{lock, say};
+use crate::recorder::Recorder;
+use crate::{lock, pg_reply};
 use linnetdeal_net::pg::{self, write};
 use std::io::{Read, Write};
 use std::net::{IpAddr, SocketAddr, TcpListener, TcpStream};
@@ -30,25 +30,25 @@
 }
 
 /// More than so many are not written down: one is too many.
-const MOST_TOUCHES: usize = 1_000;
+const MAX_CONTACTS: usize = 1_000;
 
 /// A box.
 #[derive(Clone)]
-pub struct StandIn {
+pub struct StandInServer {
     /// Its id.
     pub name: String,
     /// Where it listens.
     pub address: SocketAddr,
     primary: Arc<AtomicBool>,
     lag_ms: Arc<AtomicI64>,
-    reached: Arc<AtomicI64>,
+    replayed: Arc<AtomicI64>,
     down: Arc<AtomicBool>,
     /// While somebody works on it: whoever connects or sends is written down.
-    watched: Arc<AtomicBool>,
-    touched: Arc<Mutex<Vec<Instant>>>,
+    record_contacts: Arc<AtomicBool>,
+    contacts: Arc<Mutex<Vec<Instant>>>,
 }
 
-impl StandIn {
+impl StandInServer {
     /// One that listens on a free port of `ip` and answers after `work`.
     ///
     /// # Errors
@@ -60,7 +60,7 @@
         primary: bool,
         work: Duration,
         log: Arc<Log>,
-        ledger: Arc<Mutex<Ledger>>,
+        recorder: Arc<Mutex<Recorder>>,
     ) -> std::io::Result<Self> {
         let listener = TcpListener::bind((ip, 0))?;
         let one = Self {
@@ -69,20 +69,20 @@
             primary: Arc::new(AtomicBool::new(primary)),
             lag_ms: Arc::new(AtomicI64::new(10)),
             down: Arc::default(),
-            watched: Arc::default(),
-            touched: Arc::default(),
-            reached: Arc::default(),
+            record_contacts: Arc::default(),
+            contacts: Arc::default(),
+            replayed: Arc::default(),
         };
-        let door = one.clone();
+        let server = one.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let Ok(stream) = stream else { return };
-                door.touch();
-                if door.down.load(Ordering::SeqCst) {
+                server.record_contact();
+                if server.down.load(Ordering::SeqCst) {
                     continue;
                 }
-                let (one, log, ledger) = (door.clone(), log.clone(), ledger.clone());
-                std::thread::spawn(move || one.serve(stream, work, &log, &ledger));
+                let (one, log, recorder) = (server.clone(), log.clone(), recorder.clone());
+                std::thread::spawn(move || one.serve(stream, work, &log, &recorder));
             }
         });
         Ok(one)
@@ -100,15 +100,15 @@
 
     /// From now on who connects or sends is written down, or no longer; when that was, since it was asked last.
     pub fn watch(&self, on: bool) -> Vec<Instant> {
-        self.watched.store(on, Ordering::SeqCst);
-        std::mem::take(&mut lock(&self.touched))
+        self.record_contacts.store(on, Ordering::SeqCst);
+        std::mem::take(&mut lock(&self.contacts))
     }
 
-    fn touch(&self) {
-        if self.watched.load(Ordering::SeqCst) {
-            let mut touched = lock(&self.touched);
-            if touched.len() < MOST_TOUCHES {
-                touched.push(Instant::now());
+    fn record_contact(&self) {
+        if self.record_contacts.load(Ordering::SeqCst) {
+            let mut contacts = lock(&self.contacts);
+            if contacts.len() < MAX_CONTACTS {
+                contacts.push(Instant::now());
             }
         }
     }
@@ -129,24 +129,24 @@
         if self.primary.load(Ordering::SeqCst) {
             return Log::now().max(log.last.load(Ordering::SeqCst));
         }
-        let reached = Log::now() - self.lag_ms.load(Ordering::SeqCst);
+        let replayed = Log::now() - self.lag_ms.load(Ordering::SeqCst);
         // A position never goes back: who falls behind stands still first.
-        reached.max(self.reached.fetch_max(reached, Ordering::SeqCst))
+        replayed.max(self.replayed.fetch_max(replayed, Ordering::SeqCst))
     }
 
-    fn serve(&self, mut stream: TcpStream, work: Duration, log: &Log, ledger: &Mutex<Ledger>) {
+    fn serve(&self, mut stream: TcpStream, work: Duration, log: &Log, recorder: &Mutex<Recorder>) {
         let _ = stream.set_nodelay(true);
         let mut read = Vec::new();
         let mut bytes = vec![0; 16 * 1024];
-        let mut greeted = false;
-        let mut first = None;
+        let mut session_started = false;
+        let mut first_byte_at = None;
         loop {
             let mut out = Vec::new();
-            if !greeted {
+            if !session_started {
                 if let Ok(Some((_, size))) = pg::startup(&read) {
                     read.drain(..size);
                     write::session_start(&mut out, 1, 1);
-                    greeted = true;
+                    session_started = true;
                 }
             } else if let Ok(Some(message)) = pg::message(&read) {
                 let (tag, size) = (message.tag, message.size);
@@ -157,13 +157,13 @@
                 }
                 self.statement(
                     &statement,
-                    first.take().unwrap_or_else(Instant::now),
+                    first_byte_at.take().unwrap_or_else(Instant::now),
                     work,
                     log,
-                    ledger,
+                    recorder,
                     &mut out,
                 );
-                first = (!read.is_empty()).then(Instant::now);
+                first_byte_at = (!read.is_empty()).then(Instant::now);
             }
             if !out.is_empty() {
                 if self.down.load(Ordering::SeqCst) || stream.write_all(&out).is_err() {
@@ -173,8 +173,8 @@
             }
             match stream.read(&mut bytes) {
                 Ok(count @ 1..) => {
-                    self.touch();
-                    first.get_or_insert_with(Instant::now);
+                    self.record_contact();
+                    first_byte_at.get_or_insert_with(Instant::now);
                     read.extend_from_slice(&bytes[..count]);
                 }
                 _ => return,
@@ -185,10 +185,10 @@
     fn statement(
         &self,
         statement: &str,
-        first: Instant,
+        first_byte_at: Instant,
         work: Duration,
         log: &Log,
-        ledger: &Mutex<Ledger>,
+        recorder: &Mutex<Recorder>,
         out: &mut Vec<u8>,
     ) {
         let primary = self.primary.load(Ordering::SeqCst);
@@ -199,37 +199,42 @@
         }
         if statement.starts_with("SHOW") {
             let (seconds, role) = (self.position(log) as f64 / 1_000.0, u8::from(primary));
-            say::row(out, format!("x0={seconds:.3},x1={role}").as_bytes(), primary, self.position(log));
+            pg_reply::single_row(
+                out,
+                format!("x0={seconds:.3},x1={role}").as_bytes(),
+                primary,
+                self.position(log),
+            );
             write::ready_for_query(out);
             return;
         }
-        lock(ledger).sent(&self.name, first);
-        let id = field(statement, "id").unwrap_or("");
+        lock(recorder).statement_received(&self.name, first_byte_at);
+        let id = comment_field(statement, "id").unwrap_or("");
         if statement.starts_with("INSERT") {
             if !primary {
                 write::error_response(out, write::Severity::Error, "25006", "read only", None);
-                say::notes(out, primary, self.position(log));
+                pg_reply::status_parameters(out, primary, self.position(log));
                 write::ready_for_query(out);
                 return;
             }
             std::thread::sleep(work);
-            lock(ledger).ran(id);
+            lock(recorder).write_executed(id);
             let commit = log.commit();
-            say::row(out, format!("{id} {commit}").as_bytes(), primary, commit);
+            pg_reply::single_row(out, format!("{id} {commit}").as_bytes(), primary, commit);
             write::ready_for_query(out);
             return;
         }
         // What a read sees is what the box has when the read begins.
         let position = self.position(log);
         std::thread::sleep(work);
-        say::row(out, format!("{id} {position}").as_bytes(), primary, position);
+        pg_reply::single_row(out, format!("{id} {position}").as_bytes(), primary, position);
         write::ready_for_query(out);
     }
 }
 
 /// A value of a statement's comment.
 #[must_use]
-pub fn field<'s>(statement: &'s str, name: &str) -> Option<&'s str> {
+pub fn comment_field<'s>(statement: &'s str, name: &str) -> Option<&'s str> {
     let comment = statement.rsplit_once("/*")?.1.split("*/").next()?.trim();
     comment
         .split(',')
--- a/crates/lab/src/changes.rs
+++ b/crates/lab/src/changes.rs
@@ -3,10 +3,10 @@
 
 use crate::clients::Client;
 use crate::family::{Step, Way};
-use crate::ledger::Ledger;
 use crate::lock;
-use crate::pooler::{Pooler, Setup};
+use crate::pooler::{Pooler, PoolerSetup};
 use crate::primary::{Answer, DEADLINE, Stage, Writers, name, quantile};
+use crate::recorder::Recorder;
 use serde_json::json;
 use std::io;
 use std::path::Path;
@@ -174,7 +174,7 @@
 
     fn planned(&self, at: usize) {
         self.family.drain();
-        self.world.alter(&name(at), true, |one| one.status = "OUT_OF_SERVICE".into());
+        self.registrations.update(&name(at), true, |one| one.status = "OUT_OF_SERVICE".into());
     }
 }
 
@@ -185,14 +185,14 @@
 /// When it can't be played.
 pub fn play(course: Course, program: &Path) -> io::Result<Tally> {
     let (setup, poolers) = match course {
-        Course::Thousand => (Setup { sockets: 4_096, ..Setup::default() }, 1),
-        Course::Cold => (Setup { fleet: 4, ..Setup::default() }, 4),
-        _ => (Setup::default(), 1),
+        Course::Thousand => (PoolerSetup { sockets: 4_096, ..PoolerSetup::default() }, 1),
+        Course::Cold => (PoolerSetup { fleet_size: 4, ..PoolerSetup::default() }, 4),
+        _ => (PoolerSetup::default(), 1),
     };
     let mut stage = Stage::set(program, setup, poolers)?;
     let mut crews: Vec<Writers> = Vec::new();
     for (at, pooler) in stage.poolers.iter().enumerate() {
-        let mut writers = Writers::of(pooler.address, &stage.ledger);
+        let mut writers = Writers::of(pooler.address, &stage.recorder);
         writers.first = at * 10_000;
         let deadline = if course == Course::Learning { Duration::from_millis(1_200) } else { DEADLINE };
         // The cold case is about a box that is half busy, the others about as many writes as there can be.
@@ -253,11 +253,11 @@
             stage.poolers.clear();
             excused = Some(Instant::now());
             let known = json!({"generation": 1, "reset": true, "instances": stage.list()});
-            stage.poolers.push(Pooler::start_as(
+            stage.poolers.push(Pooler::start_with_setup(
                 program,
                 Some(&stage.operator),
                 &known,
-                Setup { listen, ..setup },
+                PoolerSetup { listen, ..setup },
             )?);
             wait(PLANNED);
             promoted = Some(stage.promote(1));
@@ -295,13 +295,13 @@
         let stop = Arc::new(AtomicBool::new(false));
         let all = stage.poolers.iter().flat_map(|pooler| (0..of_each).map(|more| (pooler.address, more)));
         let threads = all.enumerate().map(|(at, (address, more))| {
-            let (stop, ledger) = (stop.clone(), stage.ledger.clone());
+            let (stop, recorder) = (stop.clone(), stage.recorder.clone());
             std::thread::spawn(move || {
                 let mut client = Client::new(address, 100_000 + at, 1);
                 let mut asked = 0;
                 while !stop.load(Ordering::SeqCst) {
                     let class = if more % 2 == 0 { 2 } else { [4, 1, 1, 1, 1, 1, 1, 1][asked % 8] };
-                    client.ask_for(class, &ledger);
+                    client.request_class(class, &recorder);
                     asked += 1;
                     wait(pause);
                 }
@@ -324,7 +324,7 @@
     let started = Instant::now();
     stage.family.start_cold(1, COLD.0, Duration::from_secs_f64(COLD.1));
     let ms = crate::clients::now_ms().to_string();
-    stage.world.alter(&name(1), true, |one| drop(one.metadata.insert("startedAtMs".into(), ms)));
+    stage.registrations.update(&name(1), true, |one| drop(one.metadata.insert("startedAtMs".into(), ms)));
     wait(Duration::from_millis(500));
     stage.die(Way::Reset);
     for crew in crews.iter_mut() {
@@ -365,9 +365,9 @@
         let died = Instant::now();
         let next = (at + 1) % stage.family.addresses.len();
         // A client that can't wait for it: what it is told, against how long it took in truth.
-        let ledger = stage.ledger.clone();
+        let recorder = stage.recorder.clone();
         let address = stage.poolers[0].address;
-        let asks = std::thread::spawn(move || hint(address, 500_000 + round, &ledger));
+        let asks = std::thread::spawn(move || hint(address, 500_000 + round, &recorder));
         wait(TAKEOVER.saturating_sub(died.elapsed()));
         let done = stage.promote(next);
         if let Some((told, when)) = asks.join().ok().flatten() {
@@ -387,14 +387,14 @@
 fn hint(
     address: std::net::SocketAddr,
     number: usize,
-    ledger: &std::sync::Mutex<Ledger>,
+    recorder: &std::sync::Mutex<Recorder>,
 ) -> Option<(Duration, Instant)> {
     wait(Duration::from_millis(100));
-    let mut client = Client::new(address, number, 1).within(Duration::from_millis(600));
+    let mut client = Client::new(address, number, 1).with_deadline(Duration::from_millis(600));
     let asked = Instant::now();
-    let how = client.ask_for(4, ledger);
+    let how = client.request_class(4, recorder);
     let at_once = asked.elapsed() < Duration::from_millis(100);
-    client.told().filter(|_| how == "refused" && at_once).map(|told| (told, asked))
+    client.retry_after().filter(|_| how == "refused" && at_once).map(|told| (told, asked))
 }
 
 impl Stage {
@@ -443,11 +443,11 @@
             }
         }
         tally.cleared = promoted.map(|_| quantile(&after, 1.0));
-        let mut ledger = lock(&self.ledger);
+        let mut recorder = lock(&self.recorder);
         for (at, when, _) in self.family.sent() {
-            ledger.sent(&name(at), when);
+            recorder.statement_received(&name(at), when);
         }
-        let verdict = ledger.verdict();
+        let verdict = recorder.verdict();
         (tally.drains_broken, tally.stale) = (verdict.drains_broken, verdict.stale_reads);
     }
 }
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients that ask for all classes, each with a session of its own, and look at what they are answered.
 
-use crate::ledger::{Ledger, Seen};
 use crate::lock;
+use crate::recorder::{AnswerData, Recorder};
 use linnetdeal_net::pg::{self, write};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
@@ -18,12 +18,12 @@
 pub const DEADLINE: Duration = Duration::from_millis(1_000);
 
 /// A crowd of clients.
-pub struct Crowd {
+pub struct Clients {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Crowd {
+impl Clients {
     /// So many clients of the pooler at `address`, each asking anew `pause` after its answer, until they are stopped.
     #[must_use]
     pub fn start(
@@ -31,15 +31,15 @@
         count: usize,
         pause: Duration,
         seed: u64,
-        ledger: &Arc<Mutex<Ledger>>,
+        recorder: &Arc<Mutex<Recorder>>,
     ) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let threads = (0..count).map(|at| {
-            let (stop, ledger) = (stop.clone(), ledger.clone());
+            let (stop, recorder) = (stop.clone(), recorder.clone());
             std::thread::spawn(move || {
                 let mut client = Client::new(address, at, seed);
                 while !stop.load(Ordering::SeqCst) {
-                    client.ask(&ledger);
+                    client.request(&recorder);
                     std::thread::sleep(pause);
                 }
             })
@@ -59,11 +59,11 @@
 /// One client.
 pub struct Client {
     session: String,
-    asked: u64,
+    request_count: u64,
     deadline: Duration,
     group: u32,
     rng: ChaCha8Rng,
-    wire: Wire,
+    connection: ClientConnection,
 }
 
 impl Client {
@@ -73,75 +73,76 @@
         let rng = ChaCha8Rng::seed_from_u64(seed ^ at as u64);
         Self {
             session: format!("acc{at}"),
-            asked: 0,
+            request_count: 0,
             deadline: DEADLINE,
             group: 2,
             rng,
-            wire: Wire::to(address),
+            connection: ClientConnection::new(address),
         }
     }
 
     /// The same, waiting so long for each answer.
     #[must_use]
-    pub fn within(mut self, deadline: Duration) -> Self {
+    pub fn with_deadline(mut self, deadline: Duration) -> Self {
         self.deadline = deadline;
         self
     }
 
     /// The same, of another group.
     #[must_use]
-    pub fn of_group(mut self, group: u32) -> Self {
+    pub fn with_group(mut self, group: u32) -> Self {
         self.group = group;
         self
     }
 
     /// When to come back, as the last refusal told.
     #[must_use]
-    pub fn told(&self) -> Option<Duration> {
-        self.wire.told
+    pub fn retry_after(&self) -> Option<Duration> {
+        self.connection.retry_after
     }
 
     /// The id of what it asked last.
     #[must_use]
-    pub fn last_id(&self) -> String {
-        format!("{}x{}", self.session, self.asked)
+    pub fn last_request_id(&self) -> String {
+        format!("{}x{}", self.session, self.request_count)
     }
 
     /// Asks once, for a class by chance; what became of it is in the ledger.
-    pub fn ask(&mut self, ledger: &Mutex<Ledger>) -> String {
-        let class = class_of(self.rng.next_u32() % 100);
-        self.ask_for(class, ledger)
+    pub fn request(&mut self, recorder: &Mutex<Recorder>) -> String {
+        let class = class_from_draw(self.rng.next_u32() % 100);
+        self.request_class(class, recorder)
     }
 
     /// Asks once for a class.
-    pub fn ask_for(&mut self, class: usize, ledger: &Mutex<Ledger>) -> String {
-        self.asked += 1;
-        let id = self.last_id();
+    pub fn request_class(&mut self, class: usize, recorder: &Mutex<Recorder>) -> String {
+        self.request_count += 1;
+        let id = self.last_request_id();
         let session = &self.session;
         let statement = statement_for(class, session, &id, self.deadline, self.group);
         let needed = match class {
             0 => now_ms() - 1_500,
-            1 => lock(ledger).must_see(session, false),
-            3 => lock(ledger).must_see(session, true),
+            1 => lock(recorder).required_position(session, false),
+            3 => lock(recorder).required_position(session, true),
             _ => 0,
         };
-        let part = lock(ledger).asked();
+        let phase = lock(recorder).request_started();
         let end = Instant::now() + self.deadline;
-        let (how, value) = match self.wire.exchange(&statement, end) {
+        let (how, value) = match self.connection.exchange(&statement, end) {
             Ok(answer) => answer,
             Err(error) => {
-                self.wire.close();
+                self.connection.close();
                 (format!("broken: {error}"), None)
             }
         };
-        let told = value.as_deref().and_then(|value| value.split_once(' '));
-        let position =
-            told.filter(|(of, _)| *of == id).and_then(|(_, position)| position.parse::<i64>().ok());
+        let id_and_position = value.as_deref().and_then(|value| value.split_once(' '));
+        let position = id_and_position
+            .filter(|(of, _)| *of == id)
+            .and_then(|(_, position)| position.parse::<i64>().ok());
         let how = if how == "served" && position.is_none() { "another's answer".to_owned() } else { how };
         if Instant::now() <= end + Duration::from_millis(50) && !how.starts_with("broken") {
             let commit = position.filter(|_| class == 4);
             let read = position.filter(|_| class != 4).map(|position| (needed, position));
-            lock(ledger).answer(&id, part, &how, &self.session, Seen { commit, read });
+            lock(recorder).request_answered(&id, phase, &how, &self.session, AnswerData { commit, read });
         }
         how
     }
@@ -149,8 +150,8 @@
 
 /// The class that a number below 100 draws: two fifths bounded reads, a ninth writes.
 #[must_use]
-pub fn class_of(dice: u32) -> usize {
-    let class = [(41, 0), (65, 1), (85, 2), (89, 3)].into_iter().find(|(below, _)| dice < *below);
+pub fn class_from_draw(draw: u32) -> usize {
+    let class = [(41, 0), (65, 1), (85, 2), (89, 3)].into_iter().find(|(below, _)| draw < *below);
     class.map_or(4, |(_, class)| class)
 }
 
@@ -173,19 +174,19 @@
 }
 
 /// A client's connection, opened when something is asked.
-pub struct Wire {
+pub struct ClientConnection {
     address: SocketAddr,
     stream: Option<TcpStream>,
     read: Vec<u8>,
     /// When to come back, as the last refusal told.
-    pub told: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
-impl Wire {
+impl ClientConnection {
     /// One to this address.
     #[must_use]
-    pub fn to(address: SocketAddr) -> Self {
-        Self { address, stream: None, read: Vec::new(), told: None }
+    pub fn new(address: SocketAddr) -> Self {
+        Self { address, stream: None, read: Vec::new(), retry_after: None }
     }
 
     /// Where to.
@@ -261,9 +262,10 @@
                     b'C' => how = "served".to_owned(),
                     b'E' => {
                         let fields = message.body.split(|byte| *byte == 0);
-                        let told = fields.clone().find_map(|field| field.strip_prefix(b"D"));
-                        let told = told.and_then(|text| std::str::from_utf8(text).ok()?.parse().ok());
-                        self.told = told.map(Duration::from_millis);
+                        let retry_after = fields.clone().find_map(|field| field.strip_prefix(b"D"));
+                        let retry_after =
+                            retry_after.and_then(|text| std::str::from_utf8(text).ok()?.parse().ok());
+                        self.retry_after = retry_after.map(Duration::from_millis);
                         let code = fields.filter_map(|field| field.strip_prefix(b"C")).next().unwrap_or(b"");
                         how = match code {
                             b"53300" | b"57P03" => "refused".to_owned(),
--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -1,10 +1,10 @@
 //! What the pooler itself costs a request: the same load on a box directly and through the pooler, in turns within
 //! one run, so that the difference is the pooler's and not the machine's mood.
 
-use crate::boxes::{Log, StandIn};
-use crate::ledger::Ledger;
+use crate::boxes::{Log, StandInServer};
 use crate::load::{Load, LoadError, OfClass, Pace};
 use crate::pooler::Pooler;
+use crate::recorder::Recorder;
 use serde_json::{Value, json};
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -74,10 +74,17 @@
 ///
 /// When something can't be started or asked.
 pub fn measure(programs: &[&Path], mut each: impl FnMut(&str)) -> Result<Vec<Cost>, CostError> {
-    let (log, ledger) = (Arc::<Log>::default(), Arc::<Mutex<Ledger>>::default());
+    let (log, recorder) = (Arc::<Log>::default(), Arc::<Mutex<Recorder>>::default());
     let inside = IpAddr::V4(Ipv4Addr::new(127, 10, 0, 1));
     let boxes = (1..=3).map(|at| {
-        StandIn::start(&format!("s-{at}"), inside, at == 1, Duration::ZERO, log.clone(), ledger.clone())
+        StandInServer::start(
+            &format!("s-{at}"),
+            inside,
+            at == 1,
+            Duration::ZERO,
+            log.clone(),
+            recorder.clone(),
+        )
     });
     let boxes = boxes.collect::<io::Result<Vec<_>>>()?;
     let instances: Vec<Value> = boxes
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,10 +1,10 @@
 //! Something to look at: a fleet that is known from a registry alone, and a drain before the reader's eyes.
 
-use crate::clients::Crowd;
+use crate::clients::Clients;
 use crate::lock;
-use crate::play::Stage;
 use crate::pooler::Pooler;
 use crate::script::Act;
+use crate::script_runner::Testbed;
 use std::io;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -17,16 +17,16 @@
 ///
 /// When something can't be started.
 pub fn run(program: &Path, seconds: u64) -> io::Result<()> {
-    let mut stage = Stage::new(4, 1)?;
-    let operator = stage.operator("");
-    let none = serde_json::json!({"generation": 0, "reset": true, "instances": []});
-    let mut pooler = Pooler::start(program, Some(&operator), &none)?;
+    let mut testbed = Testbed::new(4, 1)?;
+    let operator = testbed.operator_file("");
+    let empty_list = serde_json::json!({"generation": 0, "reset": true, "instances": []});
+    let mut pooler = Pooler::start(program, Some(&operator), &empty_list)?;
     pooler.wait_for_log("instances read")?;
     let at = pooler.address;
     println!("The operator's file of this pooler:\n\n{operator}");
     println!(
         "The registry: curl -H 'Accept: application/json' http://{}/eureka/apps",
-        stage.peers[0].address
+        testbed.peers[0].address
     );
     println!(
         "The pooler:   psql 'host={} port={} user=backend dbname=store sslmode=disable'",
@@ -37,9 +37,9 @@
         "and there:    SELECT content FROM kv WHERE name = 'acc1' /* id=mine1,c=usage-history,d=900,cluster=2 */;"
     );
     println!("(each request has an id of its own; classes are {})\n", crate::clients::CLASSES.join(", "));
-    let crowd = Crowd::start(at, 4, Duration::from_millis(10), 1, &stage.ledger);
+    let clients = Clients::start(at, 4, Duration::from_millis(10), 1, &testbed.recorder);
     let started = Instant::now();
-    let mut before = lock(&stage.ledger).verdict();
+    let mut before = lock(&testbed.recorder).verdict();
     for second in 1.. {
         if seconds > 0 && second > seconds {
             break;
@@ -47,23 +47,23 @@
         match second % 12 {
             4 => {
                 println!("      s-3 is drained in the registry");
-                stage.act(&Act::Drain("s-3".into()), &pooler)?;
+                testbed.apply(&Act::Drain("s-3".into()), &pooler)?;
             }
             8 => {
                 println!("      s-3 is back, by its own word");
-                stage.act(&Act::Up("s-3".into()), &pooler)?;
+                testbed.apply(&Act::Up("s-3".into()), &pooler)?;
             }
             _ => {}
         }
         std::thread::sleep(
             (SECOND * u32::try_from(second).unwrap_or(u32::MAX)).saturating_sub(started.elapsed()),
         );
-        let now = lock(&stage.ledger).verdict();
+        let now = lock(&testbed.recorder).verdict();
         let sent = |name: &String| {
             let (now, before) = (now.sends.get(name), before.sends.get(name));
             now.copied().unwrap_or(0) - before.copied().unwrap_or(0)
         };
-        let by: Vec<String> = stage.boxes.keys().map(|name| format!("{name} {:>4}", sent(name))).collect();
+        let by: Vec<String> = testbed.boxes.keys().map(|name| format!("{name} {:>4}", sent(name))).collect();
         println!(
             "{second:>4}s asked {:>4}  served {:>4}  sent to {}  late to a drained box {}",
             now.requests - before.requests,
@@ -73,7 +73,7 @@
         );
         before = now;
     }
-    crowd.stop();
+    clients.stop();
     pooler.signal("TERM")?;
     pooler.wait_for_exit().map(drop)
 }
--- a/crates/lab/src/eureka.rs
+++ b/crates/lab/src/eureka.rs
@@ -1,8 +1,8 @@
 //! A stand-in for Eureka's servers: peers over one world of registrations, each with its own lag and its own way to
 //! fail. It does the server's side of the published REST API, and notes in the ledger what each body told.
 
-use crate::ledger::Ledger;
 use crate::lock;
+use crate::recorder::Recorder;
 use flate2::Compression;
 use flate2::write::GzEncoder;
 use serde::{Deserialize, Serialize};
@@ -14,13 +14,13 @@
 use std::time::{Duration, Instant};
 
 /// States are kept for peers that are behind, no more than these.
-const MOST_STATES: usize = 4_096;
+const MAX_STATES: usize = 4_096;
 /// How long a delta names a change, unless told otherwise.
-const RECENT: Duration = Duration::from_millis(3_000);
+const DELTA_RETENTION: Duration = Duration::from_millis(3_000);
 
 /// A registration.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Registered {
+pub struct Registration {
     /// Its application.
     pub app: String,
     /// Its id.
@@ -47,44 +47,44 @@
 
 #[derive(Clone, Debug, Default)]
 struct State {
-    all: BTreeMap<(String, String), Registered>,
-    recent: VecDeque<(Option<Instant>, Registered)>,
+    all: BTreeMap<(String, String), Registration>,
+    recent: VecDeque<(Option<Instant>, Registration)>,
     /// Boxes that have truly left, with their last stamp.
     removed: BTreeMap<String, i64>,
 }
 
 /// How things were, each from when on.
-type States = VecDeque<(Instant, Arc<State>)>;
+type StateHistory = VecDeque<(Instant, Arc<State>)>;
 
 /// All registrations, and how they were before.
 #[derive(Clone)]
-pub struct World {
-    states: Arc<Mutex<States>>,
-    recent: Duration,
+pub struct Registrations {
+    states: Arc<Mutex<StateHistory>>,
+    delta_retention: Duration,
     clock: Arc<Mutex<i64>>,
 }
 
-impl Default for World {
+impl Default for Registrations {
     fn default() -> Self {
         let states = VecDeque::from([(Instant::now(), Arc::new(State::default()))]);
         Self {
             states: Arc::new(Mutex::new(states)),
-            recent: RECENT,
+            delta_retention: DELTA_RETENTION,
             clock: Arc::new(Mutex::new(crate::clients::now_ms())),
         }
     }
 }
 
-impl World {
+impl Registrations {
     /// Has deltas name a change for so long only.
     #[must_use]
-    pub fn remembering(mut self, recent: Duration) -> Self {
-        self.recent = recent;
+    pub fn with_delta_retention(mut self, delta_retention: Duration) -> Self {
+        self.delta_retention = delta_retention;
         self
     }
 
     /// Forgets how things were before: a peer that is far behind knows what is there now.
-    pub fn begin(&self) {
+    pub fn clear_history(&self) {
         let mut states = lock(&self.states);
         let last = states.pop_back();
         states.clear();
@@ -93,7 +93,7 @@
 
     /// A stamp, later than all before.
     #[must_use]
-    pub fn stamp(&self) -> i64 {
+    pub fn next_timestamp(&self) -> i64 {
         let mut clock = lock(&self.clock);
         *clock = crate::clients::now_ms().max(*clock + 1);
         *clock
@@ -104,9 +104,9 @@
         let mut state = states.back().map_or_else(State::default, |(_, state)| State::clone(state));
         change(&mut state);
         let now = Instant::now();
-        state.recent.retain(|(at, _)| at.is_none_or(|at| now - at < self.recent));
+        state.recent.retain(|(at, _)| at.is_none_or(|at| now - at < self.delta_retention));
         states.push_back((now, Arc::new(state)));
-        if states.len() > MOST_STATES {
+        if states.len() > MAX_STATES {
             states.pop_front();
         }
     }
@@ -119,8 +119,8 @@
     }
 
     /// Registers, or registers anew.
-    pub fn register(&self, mut one: Registered) {
-        one.updated = self.stamp();
+    pub fn register(&self, mut one: Registration) {
+        one.updated = self.next_timestamp();
         one.registered = one.updated;
         self.change(|state| {
             one.action = "ADDED".into();
@@ -131,7 +131,7 @@
     }
 
     /// Registers many at once, with nothing in the deltas.
-    pub fn fill(&self, all: impl IntoIterator<Item = Registered>) {
+    pub fn register_all(&self, all: impl IntoIterator<Item = Registration>) {
         self.change(|state| {
             state.all.extend(all.into_iter().map(|one| ((one.app.clone(), one.id.clone()), one)));
         });
@@ -139,13 +139,13 @@
 
     /// What is registered under this id.
     #[must_use]
-    pub fn get(&self, id: &str) -> Option<Registered> {
+    pub fn get(&self, id: &str) -> Option<Registration> {
         self.state(Duration::ZERO).all.values().find(|one| one.id == id).cloned()
     }
 
     /// Changes the states of many at once, by their own word.
-    pub fn turn(&self, ids: &[String], status: &str) {
-        let (stamp, now) = (self.stamp(), Instant::now());
+    pub fn set_statuses(&self, ids: &[String], status: &str) {
+        let (stamp, now) = (self.next_timestamp(), Instant::now());
         self.change(|state| {
             for id in ids {
                 if let Some(one) = state.all.get_mut(&("DB".to_owned(), id.clone())) {
@@ -159,14 +159,14 @@
     }
 
     /// Changes a registration; with `anew` the instance did so itself, with a later stamp.
-    pub fn alter(&self, id: &str, anew: bool, change: impl FnOnce(&mut Registered)) {
-        let (stamp, updated) = (self.stamp(), self.stamp());
+    pub fn update(&self, id: &str, by_instance: bool, change: impl FnOnce(&mut Registration)) {
+        let (stamp, updated) = (self.next_timestamp(), self.next_timestamp());
         self.change(|state| {
             if let Some(one) = state.all.values_mut().find(|one| one.id == id) {
                 change(one);
                 one.updated = updated;
                 one.action = "MODIFIED".into();
-                if anew {
+                if by_instance {
                     one.dirty = stamp;
                 }
                 let one = one.clone();
@@ -191,7 +191,7 @@
     }
 
     /// Loses all memory, as a registry that restarts does.
-    pub fn forget(&self) {
+    pub fn clear(&self) {
         self.change(|state| {
             state.all.clear();
             state.recent.clear();
@@ -208,7 +208,7 @@
 /// How a peer answers reads.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Manner {
+pub enum AnswerMode {
     /// As it should.
     #[default]
     Well,
@@ -238,25 +238,25 @@
 
 /// What a peer has been asked.
 #[derive(Clone, Debug, Default)]
-pub struct Heard {
+pub struct RequestCounts {
     /// Whole lists.
     pub fulls: u64,
     /// Deltas.
     pub deltas: u64,
     /// What poolers have told of themselves, such as `POST POOLER UP`.
-    pub own: Vec<String>,
+    pub self_reports: Vec<String>,
     /// Connections.
     pub connections: u64,
 }
 
 #[derive(Clone, Debug)]
-struct How {
-    manner: Manner,
+struct PeerConfig {
+    mode: AnswerMode,
     lag: Duration,
     xml: bool,
     gzip: bool,
     /// One instance is written as an object, not as a list of one.
-    single: bool,
+    unwrap_single: bool,
     authorization: Option<String>,
 }
 
@@ -265,8 +265,8 @@
 pub struct Peer {
     /// Where it listens.
     pub address: SocketAddr,
-    how: Arc<Mutex<How>>,
-    heard: Arc<Mutex<Heard>>,
+    config: Arc<Mutex<PeerConfig>>,
+    request_counts: Arc<Mutex<RequestCounts>>,
 }
 
 impl Peer {
@@ -275,28 +275,34 @@
     /// # Errors
     ///
     /// When it can't listen.
-    pub fn start(world: &World, ledger: &Arc<Mutex<Ledger>>, listen: SocketAddr) -> std::io::Result<Self> {
+    pub fn start(
+        registrations: &Registrations,
+        recorder: &Arc<Mutex<Recorder>>,
+        listen: SocketAddr,
+    ) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen)?;
-        let how = How {
-            manner: Manner::Well,
+        let config = PeerConfig {
+            mode: AnswerMode::Well,
             lag: Duration::ZERO,
             xml: false,
             gzip: true,
-            single: true,
+            unwrap_single: true,
             authorization: None,
         };
         let address = listener.local_addr()?;
-        let one = Self { address, how: Arc::new(Mutex::new(how)), heard: Arc::default() };
-        let (door, world, ledger) = (one.clone(), world.clone(), ledger.clone());
+        let one = Self { address, config: Arc::new(Mutex::new(config)), request_counts: Arc::default() };
+        let (listening_peer, registrations, recorder) =
+            (one.clone(), registrations.clone(), recorder.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                lock(&door.heard).connections += 1;
-                if lock(&door.how).manner == Manner::Refuse {
+                lock(&listening_peer.request_counts).connections += 1;
+                if lock(&listening_peer.config).mode == AnswerMode::Refuse {
                     continue;
                 }
-                let (peer, world, ledger) = (door.clone(), world.clone(), ledger.clone());
+                let (peer, registrations, recorder) =
+                    (listening_peer.clone(), registrations.clone(), recorder.clone());
                 std::thread::spawn(move || {
-                    let _ = peer.serve(&stream, &world, &ledger);
+                    let _ = peer.serve(&stream, &registrations, &recorder);
                 });
             }
         });
@@ -304,39 +310,44 @@
     }
 
     /// How it answers from now on.
-    pub fn behave(&self, manner: Manner) {
-        lock(&self.how).manner = manner;
+    pub fn set_mode(&self, mode: AnswerMode) {
+        lock(&self.config).mode = mode;
     }
 
     /// How old what it knows is.
     pub fn set_lag(&self, lag: Duration) {
-        lock(&self.how).lag = lag;
+        lock(&self.config).lag = lag;
     }
 
     /// How it writes: XML or JSON, packed or not.
-    pub fn write_as(&self, xml: bool, gzip: bool) {
-        let mut how = lock(&self.how);
-        (how.xml, how.gzip) = (xml, gzip);
+    pub fn set_encoding(&self, xml: bool, gzip: bool) {
+        let mut config = lock(&self.config);
+        (config.xml, config.gzip) = (xml, gzip);
     }
 
     /// The header `Authorization` that it asks for.
-    pub fn ask_for(&self, authorization: &str) {
-        lock(&self.how).authorization = Some(authorization.to_owned());
+    pub fn require_authorization(&self, authorization: &str) {
+        lock(&self.config).authorization = Some(authorization.to_owned());
     }
 
     /// What it has been asked so far.
     #[must_use]
-    pub fn heard(&self) -> Heard {
-        lock(&self.heard).clone()
+    pub fn request_counts(&self) -> RequestCounts {
+        lock(&self.request_counts).clone()
     }
 
-    fn serve(&self, stream: &TcpStream, world: &World, ledger: &Mutex<Ledger>) -> std::io::Result<()> {
+    fn serve(
+        &self,
+        stream: &TcpStream,
+        registrations: &Registrations,
+        recorder: &Mutex<Recorder>,
+    ) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
-        let mut lines = BufReader::new(stream.try_clone()?);
+        let mut reader = BufReader::new(stream.try_clone()?);
         loop {
-            let Some(request) = read_request(&mut lines)? else { return Ok(()) };
-            let how = lock(&self.how).clone();
-            if how.authorization.is_some() && how.authorization != request.authorization {
+            let Some(request) = read_request(&mut reader)? else { return Ok(()) };
+            let config = lock(&self.config).clone();
+            if config.authorization.is_some() && config.authorization != request.authorization {
                 respond(stream, 401, "", "text/plain", b"", false)?;
                 continue;
             }
@@ -344,31 +355,35 @@
             let parts = if parts.first() == Some(&"eureka") { &parts[1..] } else { &parts[..] };
             match (request.method.as_str(), parts) {
                 ("GET", ["apps", "delta"]) => {
-                    lock(&self.heard).deltas += 1;
-                    self.list(stream, &how, world, ledger, &request, true, &|_| true)?;
+                    lock(&self.request_counts).deltas += 1;
+                    self.list(stream, &config, registrations, recorder, &request, true, &|_| true)?;
                 }
                 ("GET", ["apps"]) => {
-                    lock(&self.heard).fulls += 1;
-                    self.list(stream, &how, world, ledger, &request, false, &|_| true)?;
+                    lock(&self.request_counts).fulls += 1;
+                    self.list(stream, &config, registrations, recorder, &request, false, &|_| true)?;
                 }
                 ("GET", ["apps", app]) => {
-                    lock(&self.heard).fulls += 1;
+                    lock(&self.request_counts).fulls += 1;
                     let app = app.to_ascii_uppercase();
-                    self.list(stream, &how, world, ledger, &request, false, &|one| one.app == app)?;
+                    self.list(stream, &config, registrations, recorder, &request, false, &|one| {
+                        one.app == app
+                    })?;
                 }
                 ("GET", ["vips", vip]) => {
-                    lock(&self.heard).fulls += 1;
+                    lock(&self.request_counts).fulls += 1;
                     let app = vip.to_ascii_uppercase();
-                    self.list(stream, &how, world, ledger, &request, false, &|one| one.app == app)?;
+                    self.list(stream, &config, registrations, recorder, &request, false, &|one| {
+                        one.app == app
+                    })?;
                 }
-                ("GET", ["instances", id] | ["apps", _, id]) => match world.get(id) {
+                ("GET", ["instances", id] | ["apps", _, id]) => match registrations.get(id) {
                     Some(one) => {
                         let body = json!({"instance": instance(&one)}).to_string();
                         respond(stream, 200, "", "application/json", body.as_bytes(), false)?;
                     }
                     None => respond(stream, 404, "", "text/plain", b"", false)?,
                 },
-                _ => self.write(stream, &how, world, &request, parts)?,
+                _ => self.write(stream, &config, registrations, &request, parts)?,
             }
         }
     }
@@ -377,63 +392,63 @@
     fn write(
         &self,
         stream: &TcpStream,
-        how: &How,
-        world: &World,
+        config: &PeerConfig,
+        registrations: &Registrations,
         request: &Request,
         parts: &[&str],
     ) -> std::io::Result<()> {
-        match &how.manner {
-            Manner::Silent => {
+        match &config.mode {
+            AnswerMode::Silent => {
                 std::thread::sleep(Duration::from_secs(60));
                 return Err(std::io::ErrorKind::TimedOut.into());
             }
-            Manner::Refuse => return Err(std::io::ErrorKind::ConnectionAborted.into()),
-            Manner::Status(code, after) => {
+            AnswerMode::Refuse => return Err(std::io::ErrorKind::ConnectionAborted.into()),
+            AnswerMode::Status(code, after) => {
                 return respond(stream, *code, &retry(*after), "text/plain", b"", false);
             }
             _ => {}
         }
-        let asked = |name: &str| {
+        let query_value = |name: &str| {
             let pairs = request.query.split('&').filter_map(|pair| pair.split_once('='));
             pairs.filter(|(key, _)| *key == name).map(|(_, value)| value.to_owned()).next()
         };
-        let mut note = None;
+        let mut self_report = None;
         let status = match (request.method.as_str(), parts) {
             ("POST", ["apps", app]) => match serde_json::from_slice::<Value>(&request.body) {
                 Ok(body) => {
-                    let one = registered(&body["instance"], app);
-                    note = Some(format!("POST {app} {}", one.status));
-                    world.register(one);
+                    let one = parse_registration(&body["instance"], app);
+                    self_report = Some(format!("POST {app} {}", one.status));
+                    registrations.register(one);
                     204
                 }
                 Err(_) => 400,
             },
             ("PUT", ["apps", app, id]) => {
-                note = Some(format!("PUT {app} {}", asked("status").unwrap_or_default()));
-                if world.get(id).is_some() { 200 } else { 404 }
+                self_report = Some(format!("PUT {app} {}", query_value("status").unwrap_or_default()));
+                if registrations.get(id).is_some() { 200 } else { 404 }
             }
             ("PUT", ["apps", _, id, "status"]) => {
-                let value = asked("value").unwrap_or_default();
-                world.alter(id, false, |one| {
+                let value = query_value("value").unwrap_or_default();
+                registrations.update(id, false, |one| {
                     one.status.clone_from(&value);
                     one.overridden = value;
                 });
                 200
             }
             ("DELETE", ["apps", _, id, "status"]) => {
-                world.alter(id, false, |one| {
+                registrations.update(id, false, |one| {
                     one.status = "UP".into();
                     one.overridden = "UNKNOWN".into();
                 });
                 200
             }
             ("DELETE", ["apps", app, id]) => {
-                note = Some(format!("DELETE {app}"));
-                if world.cancel(id) { 200 } else { 404 }
+                self_report = Some(format!("DELETE {app}"));
+                if registrations.cancel(id) { 200 } else { 404 }
             }
             _ => 405,
         };
-        lock(&self.heard).own.extend(note);
+        lock(&self.request_counts).self_reports.extend(self_report);
         respond(stream, status, "", "text/plain", b"", false)
     }
 
@@ -441,32 +456,32 @@
     fn list(
         &self,
         mut stream: &TcpStream,
-        how: &How,
-        world: &World,
-        ledger: &Mutex<Ledger>,
+        config: &PeerConfig,
+        registrations: &Registrations,
+        recorder: &Mutex<Recorder>,
         request: &Request,
         delta: bool,
-        wanted: &dyn Fn(&Registered) -> bool,
+        wanted: &dyn Fn(&Registration) -> bool,
     ) -> std::io::Result<()> {
-        let state = world.state(how.lag);
-        let mut named: Vec<Registered> = if delta {
+        let state = registrations.state(config.lag);
+        let mut instances: Vec<Registration> = if delta {
             state.recent.iter().map(|(_, one)| one.clone()).collect()
         } else {
-            state.all.values().cloned().map(|one| Registered { action: "ADDED".into(), ..one }).collect()
+            state.all.values().cloned().map(|one| Registration { action: "ADDED".into(), ..one }).collect()
         };
-        named.retain(|one| wanted(one));
+        instances.retain(|one| wanted(one));
         let mut code = hash_code(state.all.values());
-        let mut truly = !delta && how.lag.is_zero();
-        match &how.manner {
-            Manner::Silent => {
+        let mut authoritative = !delta && config.lag.is_zero();
+        match &config.mode {
+            AnswerMode::Silent => {
                 std::thread::sleep(Duration::from_secs(60));
                 return Err(std::io::ErrorKind::TimedOut.into());
             }
-            Manner::Refuse => return Err(std::io::ErrorKind::ConnectionAborted.into()),
-            Manner::Status(code, after) => {
+            AnswerMode::Refuse => return Err(std::io::ErrorKind::ConnectionAborted.into()),
+            AnswerMode::Status(code, after) => {
                 return respond(stream, *code, &retry(*after), "text/plain", b"", false);
             }
-            Manner::Noise(mb) => {
+            AnswerMode::Noise(mb) => {
                 let noise: Vec<u8> =
                     (0..1_048_576_u32).map(|at| (at.wrapping_mul(2_654_435_761) >> 13) as u8).collect();
                 write!(
@@ -479,46 +494,49 @@
                 }
                 return Ok(());
             }
-            Manner::Deep(depth) => {
+            AnswerMode::Deep(depth) => {
                 let body = format!("{{\"applications\":{}", "{\"a\":[".repeat(*depth));
                 return respond(stream, 200, "", "application/json", body.as_bytes(), false);
             }
-            Manner::Empty => {
-                (named, code, truly) = (Vec::new(), String::new(), false);
+            AnswerMode::Empty => {
+                (instances, code, authoritative) = (Vec::new(), String::new(), false);
             }
-            Manner::Few(few) => {
-                let left: Vec<&Registered> = state.all.values().take(*few).collect();
-                named.retain(|one| left.iter().any(|other| other.id == one.id));
-                (code, truly) = (hash_code(left.into_iter()), false);
+            AnswerMode::Few(few) => {
+                let left: Vec<&Registration> = state.all.values().take(*few).collect();
+                instances.retain(|one| left.iter().any(|other| other.id == one.id));
+                (code, authoritative) = (hash_code(left.into_iter()), false);
             }
-            Manner::WrongHash => code.push_str("DOWN_99_"),
-            Manner::LostDelta if delta => named.clear(),
-            Manner::Tangled if delta => {
-                named.reverse();
-                named = named.iter().chain(&named).cloned().collect();
+            AnswerMode::WrongHash => code.push_str("DOWN_99_"),
+            AnswerMode::LostDelta if delta => instances.clear(),
+            AnswerMode::Tangled if delta => {
+                instances.reverse();
+                instances = instances.iter().chain(&instances).cloned().collect();
             }
             _ => {}
         }
-        let body =
-            if how.xml { as_xml(&named, &code) } else { as_json(&named, &code, how.single).to_string() };
-        let kind = if how.xml { "application/xml" } else { "application/json" };
-        if how.manner == Manner::Half {
+        let body = if config.xml {
+            as_xml(&instances, &code)
+        } else {
+            as_json(&instances, &code, config.unwrap_single).to_string()
+        };
+        let content_type = if config.xml { "application/xml" } else { "application/json" };
+        if config.mode == AnswerMode::Half {
             let half = &body.as_bytes()[..body.len() / 2];
-            return respond(stream, 200, "", kind, half, false);
+            return respond(stream, 200, "", content_type, half, false);
         }
-        respond(stream, 200, "", kind, body.as_bytes(), how.gzip && request.gzip)?;
+        respond(stream, 200, "", content_type, body.as_bytes(), config.gzip && request.gzip)?;
         // From here on the pooler has been told.
-        let (now, mut ledger) = (Instant::now(), lock(ledger));
-        for one in named.iter().filter(|one| one.app == "DB") {
-            ledger.told(
+        let (now, mut recorder) = (Instant::now(), lock(recorder));
+        for one in instances.iter().filter(|one| one.app == "DB") {
+            recorder.status_delivered(
                 &one.id,
                 one.status == "UP" && one.action != "DELETED",
                 (one.dirty, one.updated),
                 now,
             );
         }
-        for (id, dirty) in state.removed.iter().filter(|_| truly) {
-            ledger.told(id, false, (*dirty, i64::MAX), now);
+        for (id, dirty) in state.removed.iter().filter(|_| authoritative) {
+            recorder.status_delivered(id, false, (*dirty, i64::MAX), now);
         }
         Ok(())
     }
@@ -537,9 +555,9 @@
     body: Vec<u8>,
 }
 
-fn read_request(lines: &mut BufReader<TcpStream>) -> std::io::Result<Option<Request>> {
+fn read_request(reader: &mut BufReader<TcpStream>) -> std::io::Result<Option<Request>> {
     let mut line = String::new();
-    if lines.read_line(&mut line)? == 0 {
+    if reader.read_line(&mut line)? == 0 {
         return Ok(None);
     }
     let mut words = line.split_ascii_whitespace();
@@ -556,7 +574,7 @@
     let mut length = 0;
     loop {
         let mut line = String::new();
-        lines.read_line(&mut line)?;
+        reader.read_line(&mut line)?;
         let Some((name, value)) = line.trim().split_once(':') else { break };
         match name.to_ascii_lowercase().as_str() {
             "content-length" => length = value.trim().parse().unwrap_or(0),
@@ -566,7 +584,7 @@
         }
     }
     request.body = vec![0; length.min(1 << 20)];
-    lines.read_exact(&mut request.body)?;
+    reader.read_exact(&mut request.body)?;
     Ok(Some(request))
 }
 
@@ -574,27 +592,29 @@
     mut stream: &TcpStream,
     status: u16,
     headers: &str,
-    kind: &str,
+    content_type: &str,
     body: &[u8],
     gzip: bool,
 ) -> std::io::Result<()> {
-    let packed = if gzip {
-        let mut packer = GzEncoder::new(Vec::new(), Compression::fast());
-        packer.write_all(body)?;
-        packer.finish()?
+    let compressed = if gzip {
+        let mut encoder = GzEncoder::new(Vec::new(), Compression::fast());
+        encoder.write_all(body)?;
+        encoder.finish()?
     } else {
         body.to_vec()
     };
     let encoding = if gzip { "Content-Encoding: gzip\r\n" } else { "" };
-    let length = if status == 204 { String::new() } else { format!("Content-Length: {}\r\n", packed.len()) };
-    let head = format!("HTTP/1.1 {status} OK\r\nContent-Type: {kind}\r\n{length}{encoding}{headers}\r\n");
+    let length =
+        if status == 204 { String::new() } else { format!("Content-Length: {}\r\n", compressed.len()) };
+    let head =
+        format!("HTTP/1.1 {status} OK\r\nContent-Type: {content_type}\r\n{length}{encoding}{headers}\r\n");
     stream.write_all(head.as_bytes())?;
-    stream.write_all(&packed)
+    stream.write_all(&compressed)
 }
 
-fn registered(body: &Value, app: &str) -> Registered {
+fn parse_registration(body: &Value, app: &str) -> Registration {
     let text = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_owned);
-    Registered {
+    Registration {
         app: app.to_ascii_uppercase(),
         id: text(&body["instanceId"]),
         ip: text(&body["ipAddr"]),
@@ -602,11 +622,11 @@
         status: text(&body["status"]),
         overridden: "UNKNOWN".into(),
         dirty: text(&body["lastDirtyTimestamp"]).parse().unwrap_or(0),
-        ..Registered::default()
+        ..Registration::default()
     }
 }
 
-fn hash_code<'r>(all: impl Iterator<Item = &'r Registered>) -> String {
+fn hash_code<'r>(all: impl Iterator<Item = &'r Registration>) -> String {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     for one in all {
         *counts.entry(&one.status).or_default() += 1;
@@ -616,7 +636,7 @@
 
 /// An instance as Jackson writes it.
 #[must_use]
-pub fn instance(one: &Registered) -> Value {
+pub fn instance(one: &Registration) -> Value {
     let mut metadata = serde_json::Map::new();
     if one.metadata.is_empty() {
         metadata.insert("@class".into(), "java.util.Collections$EmptyMap".into());
@@ -634,21 +654,22 @@
         "lastDirtyTimestamp": one.dirty.to_string(), "actionType": one.action})
 }
 
-fn as_json(named: &[Registered], code: &str, single: bool) -> Value {
+fn as_json(instances: &[Registration], code: &str, unwrap_single: bool) -> Value {
     let mut apps: BTreeMap<&str, Vec<Value>> = BTreeMap::new();
-    for one in named {
+    for one in instances {
         apps.entry(&one.app).or_default().push(instance(one));
     }
-    let only =
-        |mut list: Vec<Value>| if single && list.len() == 1 { list.remove(0) } else { Value::from(list) };
+    let only = |mut list: Vec<Value>| {
+        if unwrap_single && list.len() == 1 { list.remove(0) } else { Value::from(list) }
+    };
     let apps = apps.into_iter().map(|(name, all)| json!({"name": name, "instance": only(all)}));
     json!({"applications": {"versions__delta": "1", "apps__hashcode": code, "application": only(apps.collect())}})
 }
 
-fn as_xml(named: &[Registered], code: &str) -> String {
+fn as_xml(instances: &[Registration], code: &str) -> String {
     let plain = |text: &str| text.replace('&', "&amp;").replace('<', "&lt;");
     let mut apps: BTreeMap<&str, String> = BTreeMap::new();
-    for one in named {
+    for one in instances {
         let metadata: String =
             one.metadata.iter().map(|(key, value)| format!("<{key}>{}</{key}>", plain(value))).collect();
         *apps.entry(&one.app).or_default() += &format!(
--- a/crates/lab/src/sizes.rs
+++ b/crates/lab/src/eureka_bench.rs
@@ -1,10 +1,10 @@
 //! What a registry of many instances costs the pooler: time and memory of a whole list and of a delta, as the system
 //! counts them for its process.
 
-use crate::eureka::{Peer, Registered, World};
-use crate::ledger::Ledger;
-use crate::play::wait;
+use crate::eureka::{Peer, Registration, Registrations};
 use crate::pooler::Pooler;
+use crate::recorder::Recorder;
+use crate::script_runner::wait_until;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io;
@@ -52,26 +52,26 @@
     let (idle_kb, idle_threads) = (memory(idle.id(), "VmRSS")?, threads_and_descriptors(idle.id())?);
     drop(idle);
 
-    let world = World::default().remembering(INTERVAL * 3 / 4);
+    let registrations = Registrations::default().with_delta_retention(INTERVAL * 3 / 4);
     let ids: Vec<String> = (0..instances).map(|at| format!("box-{at:05}")).collect();
-    world.fill(ids.iter().enumerate().map(|(at, id)| Registered {
+    registrations.register_all(ids.iter().enumerate().map(|(at, id)| Registration {
         app: "DB".into(),
         id: id.clone(),
         ip: format!("127.10.{}.{}", at / 250, at % 250 + 1),
         port: 6_543,
         status: "UP".into(),
         overridden: "UNKNOWN".into(),
-        dirty: world.stamp(),
+        dirty: registrations.next_timestamp(),
         metadata: BTreeMap::from([
             ("group".to_owned(), (at / 6).to_string()),
             ("role".to_owned(), if at % 6 == 0 { "primary" } else { "replica" }.to_owned()),
             ("zone".to_owned(), "adum".to_owned()),
         ]),
-        ..Registered::default()
+        ..Registration::default()
     }));
-    let ledger: Arc<Mutex<Ledger>> = Arc::default();
-    let peer = Peer::start(&world, &ledger, SocketAddr::from(([127, 0, 0, 1], 0)))?;
-    peer.write_as(false, false);
+    let recorder: Arc<Mutex<Recorder>> = Arc::default();
+    let peer = Peer::start(&registrations, &recorder, SocketAddr::from(([127, 0, 0, 1], 0)))?;
+    peer.set_encoding(false, false);
     let operator = format!(
         "registry: {{\n\tservers: [{{url: \"http://{}/eureka\"}}]\n\tapps: [\"DB\"]\n\
          \tnetworks: [{{prefix: \"127.10.0.0/16\"}}]\n\tinterval: \"{}ms\"\n}}\n",
@@ -82,28 +82,29 @@
     let mut pooler = Pooler::start(program, Some(&operator), &none)?;
     pooler.wait_for_log("instances read")?;
     let (full_cpu, full_wall) = (cpu(pooler.id())?, started.elapsed());
-    let settle = || wait("deltas", || peer.heard().deltas >= 3);
+    let settle = || wait_until("deltas", || peer.request_counts().deltas >= 3);
     settle()?;
     let (peak_kb, held_kb) = (memory(pooler.id(), "VmHWM")?, memory(pooler.id(), "VmRSS")?);
     let (threads, descriptors) = threads_and_descriptors(pooler.id())?;
 
     // Deltas without a change, and then as many with ten each.
     let per_delta = |changes: bool| -> io::Result<(f64, u64)> {
-        let (from, fulls) = (peer.heard().deltas, peer.heard().fulls);
+        let (from, fulls) = (peer.request_counts().deltas, peer.request_counts().fulls);
         let before = cpu(pooler.id())?;
         let mut seen = from;
         let mut up = true;
         while seen < from + DELTAS {
             if changes {
                 up = !up;
-                world.turn(&ids[..CHANGES.min(ids.len())], if up { "UP" } else { "OUT_OF_SERVICE" });
+                registrations
+                    .set_statuses(&ids[..CHANGES.min(ids.len())], if up { "UP" } else { "OUT_OF_SERVICE" });
             }
             let next = seen + 1;
-            wait("a delta", || peer.heard().deltas >= next)?;
-            seen = peer.heard().deltas;
+            wait_until("a delta", || peer.request_counts().deltas >= next)?;
+            seen = peer.request_counts().deltas;
         }
         let spent = cpu(pooler.id())? - before;
-        Ok((spent.as_secs_f64() * 1_000.0 / (seen - from) as f64, peer.heard().fulls - fulls))
+        Ok((spent.as_secs_f64() * 1_000.0 / (seen - from) as f64, peer.request_counts().fulls - fulls))
     };
     let (quiet_ms, _) = per_delta(false)?;
     let (busy_ms, fulls) = per_delta(true)?;
--- a/crates/lab/src/even.rs
+++ b/crates/lab/src/even.rs
@@ -1,6 +1,6 @@
 //! Schemes that spread load, played in the model of many poolers: their table, what each source of unevenness is worth, and plots.
 
-use crate::{at_once, plot};
+use crate::{plot, run_parallel};
 use linnetdeal_core::Span;
 use linnetdeal_fleet::even::{Figures, Plan, Scheme, Sources, run, run_with_chooser, trouble_times};
 use std::fmt::Display;
@@ -64,7 +64,7 @@
             plan.groups
         ));
         say(&format!("| scheme, age in ms {HEAD}\n| --- {RULE}"));
-        let played = at_once(&plays, SIDE_BY_SIDE, |(scheme, age)| {
+        let played = run_parallel(&plays, SIDE_BY_SIDE, |(scheme, age)| {
             run(&Plan { publish_interval: Span::millis(*age), ..plan }, *scheme)
         });
         for ((scheme, age), figures) in plays.iter().zip(&played) {
@@ -96,8 +96,9 @@
     let plan = Plan { seed, seconds: 14, troubles: false, ..Plan::for_poolers(PLOTTED) };
     let plays: Vec<(Sources, Scheme)> =
         without.iter().flat_map(|(_, sources)| schemes.map(|scheme| (*sources, scheme))).collect();
-    let played =
-        at_once(&plays, SIDE_BY_SIDE, |(sources, scheme)| run(&Plan { sources: *sources, ..plan }, *scheme));
+    let played = run_parallel(&plays, SIDE_BY_SIDE, |(sources, scheme)| {
+        run(&Plan { sources: *sources, ..plan }, *scheme)
+    });
     say(&format!(
         "\nPeak to mean and p99 in ms without one source, {PLOTTED} poolers, no troubles, seed {seed}\n"
     ));
@@ -141,7 +142,7 @@
     ];
     let plays: Vec<(Scheme, i64)> =
         schemes.iter().flat_map(|scheme| AGES.map(|age| (*scheme, age))).collect();
-    let played = at_once(&plays, SIDE_BY_SIDE, |(scheme, age)| {
+    let played = run_parallel(&plays, SIDE_BY_SIDE, |(scheme, age)| {
         run(&Plan { publish_interval: Span::millis(*age), ..plan }, *scheme)
     });
     let (mut by_age, mut by_second) = (Vec::new(), Vec::new());
--- a/crates/lab/src/family.rs
+++ b/crates/lab/src/family.rs
@@ -1,9 +1,9 @@
 //! A family of stand-in boxes with one ledger that is replicated: a write is answered once a replica has it, and a
 //! primary can be made to die at any step of a write, in any way. Then a replica takes over after a while.
 
-use crate::boxes::field;
+use crate::boxes::comment_field;
 use crate::lock;
-use crate::say::{notes, row};
+use crate::pg_reply::{single_row, status_parameters};
 use linnetdeal_net::pg::{self, write};
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -361,21 +361,21 @@
             lock(&self.state).probes += 1;
             let role = u8::from(primary && !draining);
             let value = format!("x0={:.3},x1={role}", position as f64 / 1_000.0);
-            row(out, value.as_bytes(), primary, position);
+            single_row(out, value.as_bytes(), primary, position);
             write::ready_for_query(out);
             return Some(());
         }
-        let id = field(statement, "id").unwrap_or("").to_owned();
+        let id = comment_field(statement, "id").unwrap_or("").to_owned();
         if !statement.starts_with("INSERT") {
             self.work(at);
-            row(out, format!("{id} {position}").as_bytes(), primary, position);
+            single_row(out, format!("{id} {position}").as_bytes(), primary, position);
             write::ready_for_query(out);
             return Some(());
         }
         if draining || !primary {
             let code = if draining { "53300" } else { "25006" };
             write::error_response(out, write::Severity::Error, code, "not here", None);
-            notes(out, primary, position);
+            status_parameters(out, primary, position);
             write::ready_for_query(out);
             return Some(());
         }
@@ -407,7 +407,7 @@
         if dies(Step::BeforeAnswer) {
             return None;
         }
-        row(out, format!("{id} {commit}").as_bytes(), true, commit);
+        single_row(out, format!("{id} {commit}").as_bytes(), true, commit);
         if dies(Step::HalfAnswer) {
             out.truncate(out.len() / 2);
             return None;
--- a/crates/lab/src/leases/proof.rs
+++ b/crates/lab/src/leases/proof.rs
@@ -4,9 +4,9 @@
 use super::mutants;
 use super::play::{Outcome, play};
 use super::script::Script;
-use crate::at_once;
 use crate::processes::process;
 use crate::processes::records::{quantile, script_runs};
+use crate::run_parallel;
 use linnetdeal_coordination::lease::FullLeaseRules;
 use serde_json::json;
 use std::fmt::Display;
@@ -50,7 +50,7 @@
     let mut scripts = Script::folder(&wanted.folder)?;
     scripts.retain(|script| wanted.only.as_ref().is_none_or(|only| script.name.contains(only)));
     let plays = script_runs(scripts.len(), wanted.times);
-    let outcomes = at_once(&plays, wanted.side_by_side, |(at, seed)| {
+    let outcomes = run_parallel(&plays, wanted.side_by_side, |(at, seed)| {
         play(&scripts[*at], scripts[*at].seed * 1_000 + seed, &wanted.program)
     });
     let (mut whole, mut well, mut takeovers) = (Outcome::default(), true, Vec::new());
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -9,22 +9,22 @@
 pub mod demo;
 pub mod emulator;
 pub mod eureka;
+pub mod eureka_bench;
 pub mod even;
 pub mod experiment;
 pub mod family;
 pub mod leases;
-pub mod ledger;
 pub mod load;
 pub mod model;
-pub mod play;
+pub mod pg_reply;
 pub mod plot;
 pub mod pooler;
 pub mod primary;
 pub mod processes;
+pub mod recorder;
 pub mod rehearsal;
-pub mod say;
 pub mod script;
-pub mod sizes;
+pub mod script_runner;
 pub mod soak;
 pub mod work;
 
@@ -36,7 +36,7 @@
 }
 
 /// Does the work for each of these, so many at once, and gives the results in their order.
-pub fn at_once<T: Sync, R: Send>(of: &[T], most: usize, work: impl Fn(&T) -> R + Sync) -> Vec<R> {
+pub fn run_parallel<T: Sync, R: Send>(of: &[T], most: usize, work: impl Fn(&T) -> R + Sync) -> Vec<R> {
     let queue = Mutex::new(of.iter().enumerate());
     let done = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -2,7 +2,7 @@
 //! time counts from when it was due. A target that stands still for a second so shows a second of late answers,
 //! and not one late answer for each session (what the literature calls coordinated omission).
 
-use crate::clients::{CLASSES, Wire, class_of, now_ms, statement};
+use crate::clients::{CLASSES, ClientConnection, class_from_draw, now_ms, statement};
 use crate::lock;
 use hdrhistogram::Histogram;
 use rand_chacha::ChaCha8Rng;
@@ -217,10 +217,10 @@
 
     fn class(&self, rng: &mut ChaCha8Rng) -> usize {
         match self.writes {
-            None => class_of(rng.next_u32() % 100),
+            None => class_from_draw(rng.next_u32() % 100),
             Some(part) if f64::from(rng.next_u32()) < part * f64::from(u32::MAX) => 4,
             // Reads in the proportions of the mix.
-            Some(_) => class_of(rng.next_u32() % 89),
+            Some(_) => class_from_draw(rng.next_u32() % 89),
         }
     }
 
@@ -235,7 +235,7 @@
         let next = AtomicUsize::new(0);
         let mut wires = Vec::new();
         for _ in 0..self.sessions {
-            let mut wire = Wire::to(self.to);
+            let mut wire = ClientConnection::new(self.to);
             wire.open(Instant::now() + self.deadline).map_err(|error| LoadError::Target(self.to, error))?;
             wires.push(wire);
         }
@@ -273,7 +273,7 @@
 
 struct Session<'a> {
     load: &'a Load,
-    wire: Wire,
+    wire: ClientConnection,
     name: String,
     run: i64,
     began: Instant,
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -4,16 +4,16 @@
 use linnetdeal_fleet::scenario::Scenario;
 use linnetdeal_fleet::sim::WRITE_CLASS;
 use linnetdeal_fleet::traffic;
-use linnetdeal_lab::at_once;
 use linnetdeal_lab::clients::CLASSES;
 use linnetdeal_lab::emulator;
 use linnetdeal_lab::experiment::{self, Experiment, FIGURES};
 use linnetdeal_lab::load::{Load, OfClass, Pace};
 use linnetdeal_lab::model::{Bounds, check};
-use linnetdeal_lab::play::{Outcome, play, program};
 use linnetdeal_lab::plot;
 use linnetdeal_lab::rehearsal;
+use linnetdeal_lab::run_parallel;
 use linnetdeal_lab::script::Script;
+use linnetdeal_lab::script_runner::{ScriptOutcome, program, run_script};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -356,7 +356,7 @@
 
 fn bench(sizes: &[usize]) -> Result<bool, Failure> {
     for size in sizes {
-        say!("{}", linnetdeal_lab::sizes::measure(&program(), *size)?);
+        say!("{}", linnetdeal_lab::eureka_bench::measure(&program(), *size)?);
     }
     Ok(true)
 }
@@ -529,8 +529,8 @@
     if freight.is_dir() {
         scenarios.extend(emulator::library(&freight)?);
     }
-    let once = at_once(&scenarios, 1, emulator::play);
-    let again = at_once(&scenarios, 4, emulator::play);
+    let once = run_parallel(&scenarios, 1, emulator::play);
+    let again = run_parallel(&scenarios, 4, emulator::play);
     let identical = once.iter().zip(&again).all(|(one, other)| one.digest == other.digest);
     let (mut broken, mut missed) = (0, 0);
     for played in &once {
@@ -590,7 +590,7 @@
     let cases: Vec<Case> = cases.iter().copied().filter(|case| case.to_string().contains(only)).collect();
     let cases = cases.repeat(times);
     let program = program();
-    let outcomes = at_once(&cases, side_by_side, |case| play(*case, &program));
+    let outcomes = run_parallel(&cases, side_by_side, |case| play(*case, &program));
     let mut sums = [0; 8];
     let (mut between, mut handovers, mut added) = ((0, 0), Vec::new(), Vec::new());
     let (mut planned_errors, mut never) = (0, 0);
@@ -639,7 +639,7 @@
     let share = between.0 as f64 / f64::max(between.1 as f64, 1.0);
     let courses: Vec<Course> =
         Course::ALL.into_iter().filter(|course| format!("{course:?}").contains(only)).collect();
-    let tallies = at_once(&courses, side_by_side.min(2), |course| changes::play(*course, &program));
+    let tallies = run_parallel(&courses, side_by_side.min(2), |course| changes::play(*course, &program));
     let (mut more, mut budget, mut hints) = (changes::Tally::default(), 0.0, Vec::new());
     for (course, tally) in courses.iter().zip(tallies) {
         let tally = tally?;
@@ -688,8 +688,8 @@
     };
     scripts.retain(|script| script.name.contains(only));
     let program = program();
-    let outcomes = at_once(&scripts, side_by_side, |script| play(script, &program, seed));
-    let mut whole = linnetdeal_lab::ledger::Verdict::default();
+    let outcomes = run_parallel(&scripts, side_by_side, |script| run_script(script, &program, seed));
+    let mut whole = linnetdeal_lab::recorder::Verdict::default();
     let (mut well, mut missed, mut shares) = (true, 0, std::collections::BTreeMap::new());
     for (script, outcome) in scripts.iter().zip(outcomes) {
         let name = &script.name;
@@ -698,7 +698,7 @@
                 well = false;
                 say!("{name:<22} could not be played: {error}");
             }
-            Ok(Outcome { verdict, missed: words, share, .. }) => {
+            Ok(ScriptOutcome { verdict, missed: words, served_share: share, .. }) => {
                 say!(
                     "{name:<22} requests {:>5}  served {share:.4}  drains {}  worst {:>6.1} ms  broken {}  stale {}  doubled {}  outside {}{}",
                     verdict.requests,
--- a/crates/lab/src/say.rs
+++ b/crates/lab/src/pg_reply.rs
@@ -9,7 +9,7 @@
 }
 
 /// Its role and position.
-pub fn notes(out: &mut Vec<u8>, primary: bool, position: i64) {
+pub fn status_parameters(out: &mut Vec<u8>, primary: bool, position: i64) {
     let part = if primary { "master" } else { "replica" };
     for (name, value) in [("part", part), ("caught_up_to", &position.to_string())] {
         message(out, b'S', format!("{name}\0{value}\0").as_bytes());
@@ -17,12 +17,12 @@
 }
 
 /// An answer with one value, but for ReadyForQuery.
-pub fn row(out: &mut Vec<u8>, value: &[u8], primary: bool, position: i64) {
+pub fn single_row(out: &mut Vec<u8>, value: &[u8], primary: bool, position: i64) {
     message(out, b'T', b"\0\x01content\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
     let mut row = vec![0, 1];
     row.extend_from_slice(&u32::try_from(value.len()).unwrap_or(0).to_be_bytes());
     row.extend_from_slice(value);
     message(out, b'D', &row);
     write::command_complete(out, "SELECT 1");
-    notes(out, primary, position);
+    status_parameters(out, primary, position);
 }
--- a/crates/lab/src/pooler.rs
+++ b/crates/lab/src/pooler.rs
@@ -11,8 +11,8 @@
 /// The settings that the lab's poolers get: the site's classes, with members that check nothing themselves.
 #[must_use]
 pub fn settings() -> Value {
-    let class = |name: &str, effect: &str, aim: f64, deadline: f64, worth: f64| {
-        json!({"Name": name, "Effect": effect, "Objective": aim, "Deadline": deadline, "Worth": worth,
+    let class = |name: &str, effect: &str, objective: f64, deadline: f64, worth: f64| {
+        json!({"Name": name, "Effect": effect, "Objective": objective, "Deadline": deadline, "Worth": worth,
                "LateValue": 0.2, "KeyScope": "all", "Stream": false})
     };
     json!({"FleetSize": 1, "Zone": "adum", "Discovery": "push",
@@ -32,9 +32,9 @@
 
 /// How a pooler is set up.
 #[derive(Clone, Copy, Debug)]
-pub struct Setup {
+pub struct PoolerSetup {
     /// How many poolers there are.
-    pub fleet: u32,
+    pub fleet_size: u32,
     /// Its descriptors.
     pub sockets: u32,
     /// Where it listens; anywhere by default.
@@ -43,9 +43,9 @@
     pub discovery: Option<SocketAddr>,
 }
 
-impl Default for Setup {
+impl Default for PoolerSetup {
     fn default() -> Self {
-        Self { fleet: 1, sockets: 1_024, listen: None, discovery: None }
+        Self { fleet_size: 1, sockets: 1_024, listen: None, discovery: None }
     }
 }
 
@@ -77,7 +77,7 @@
     ///
     /// When it does not start.
     pub fn start(program: &Path, operator: Option<&str>, known: &Value) -> std::io::Result<Self> {
-        Self::start_as(program, operator, known, Setup::default())
+        Self::start_with_setup(program, operator, known, PoolerSetup::default())
     }
 
     /// Starts it, set up so.
@@ -85,13 +85,13 @@
     /// # Errors
     ///
     /// When it does not start.
-    pub fn start_as(
+    pub fn start_with_setup(
         program: &Path,
         operator: Option<&str>,
         known: &Value,
-        setup: Setup,
+        setup: PoolerSetup,
     ) -> std::io::Result<Self> {
-        Self::start_with(program, operator, known, setup, settings())
+        Self::start_with_settings(program, operator, known, setup, settings())
     }
 
     /// Starts it with other settings than the lab's.
@@ -99,14 +99,14 @@
     /// # Errors
     ///
     /// When it does not start.
-    pub fn start_with(
+    pub fn start_with_settings(
         program: &Path,
         operator: Option<&str>,
         known: &Value,
-        setup: Setup,
+        setup: PoolerSetup,
         mut settings: Value,
     ) -> std::io::Result<Self> {
-        settings["FleetSize"] = setup.fleet.into();
+        settings["FleetSize"] = setup.fleet_size.into();
         let listen = setup.listen.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)));
         let config = json!({"name": "lab", "listen": listen.to_string(), "seed": "8c1f30d27a5be964",
             "discovery": setup.discovery.map(|address| address.to_string()),
--- a/crates/lab/src/primary.rs
+++ b/crates/lab/src/primary.rs
@@ -2,11 +2,11 @@
 //! every answer; and the family's rows held against these.
 
 use crate::clients::Client;
-use crate::eureka::{Peer, Registered, World};
+use crate::eureka::{Peer, Registration, Registrations};
 use crate::family::{Family, Step, Way};
-use crate::ledger::Ledger;
 use crate::lock;
-use crate::pooler::{Pooler, Setup};
+use crate::pooler::{Pooler, PoolerSetup};
+use crate::recorder::Recorder;
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::io;
@@ -94,11 +94,11 @@
     answers: Arc<Mutex<Vec<Answer>>>,
     threads: Vec<JoinHandle<()>>,
     address: SocketAddr,
-    ledger: Arc<Mutex<Ledger>>,
+    recorder: Arc<Mutex<Recorder>>,
 }
 
 impl Writers {
-    pub(crate) fn of(address: SocketAddr, ledger: &Arc<Mutex<Ledger>>) -> Self {
+    pub(crate) fn of(address: SocketAddr, recorder: &Arc<Mutex<Recorder>>) -> Self {
         Self {
             first: 0,
             pause: Duration::from_millis(3),
@@ -106,7 +106,7 @@
             answers: Arc::default(),
             threads: Vec::new(),
             address,
-            ledger: ledger.clone(),
+            recorder: recorder.clone(),
         }
     }
 
@@ -120,17 +120,17 @@
         for _ in 0..count {
             let at = self.threads.len();
             let (first, pause) = (self.first, self.pause);
-            let (stop, answers, ledger) = (self.stop.clone(), self.answers.clone(), self.ledger.clone());
+            let (stop, answers, recorder) = (self.stop.clone(), self.answers.clone(), self.recorder.clone());
             let address = self.address;
             self.threads.push(std::thread::spawn(move || {
-                let mut client = Client::new(address, first + at, 1).within(deadline);
+                let mut client = Client::new(address, first + at, 1).with_deadline(deadline);
                 for _ in 0..writes {
                     if stop.load(Ordering::SeqCst) {
                         return;
                     }
                     let asked = Instant::now();
-                    let how = client.ask_for(TOP_UP, &ledger);
-                    let answer = Answer { id: client.last_id(), asked, took: asked.elapsed(), how };
+                    let how = client.request_class(TOP_UP, &recorder);
+                    let answer = Answer { id: client.last_request_id(), asked, took: asked.elapsed(), how };
                     lock(&answers).push(answer);
                     std::thread::sleep(pause);
                 }
@@ -156,8 +156,8 @@
 /// A family with its registry, and poolers that follow it.
 pub(crate) struct Stage {
     pub(crate) family: Family,
-    pub(crate) world: World,
-    pub(crate) ledger: Arc<Mutex<Ledger>>,
+    pub(crate) registrations: Registrations,
+    pub(crate) recorder: Arc<Mutex<Recorder>>,
     pub(crate) poolers: Vec<Pooler>,
     /// The operator's file of the poolers.
     pub(crate) operator: String,
@@ -171,25 +171,25 @@
 
 impl Stage {
     /// So many poolers over a family of four boxes, the first of them the primary.
-    pub(crate) fn set(program: &Path, setup: Setup, poolers: usize) -> io::Result<Self> {
+    pub(crate) fn set(program: &Path, setup: PoolerSetup, poolers: usize) -> io::Result<Self> {
         let family = Family::start(4, IpAddr::V4(Ipv4Addr::new(127, 10, 0, 1)))?;
-        let (world, ledger) = (World::default(), Arc::<Mutex<Ledger>>::default());
+        let (registrations, recorder) = (Registrations::default(), Arc::<Mutex<Recorder>>::default());
         for (at, address) in family.addresses.iter().enumerate() {
             let role = if at == 0 { "primary" } else { "replica" };
             let metadata = [("group", "2"), ("role", role), ("zone", "adum")];
-            world.register(Registered {
+            registrations.register(Registration {
                 app: "DB".into(),
                 id: name(at),
                 ip: address.ip().to_string(),
                 port: address.port(),
                 status: "UP".into(),
                 overridden: "UNKNOWN".into(),
-                dirty: world.stamp(),
+                dirty: registrations.next_timestamp(),
                 metadata: metadata.map(|(key, value)| (key.to_owned(), value.to_owned())).into(),
-                ..Registered::default()
+                ..Registration::default()
             });
         }
-        let peer = Peer::start(&world, &ledger, SocketAddr::from(([127, 0, 0, 1], 0)))?;
+        let peer = Peer::start(&registrations, &recorder, SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let operator = format!(
             "registry: {{\n\tservers: [{{url: \"http://{}/eureka\"}}]\n\tapps: [\"DB\"]\n\tnetworks: [{{prefix: \"127.10.0.0/16\"}}]\n\
              \tinterval: \"100ms\"\n}}\n",
@@ -197,12 +197,12 @@
         );
         let none = json!({"generation": 0, "reset": true, "instances": []});
         let poolers = (0..poolers).map(|_| {
-            let mut pooler = Pooler::start_as(program, Some(&operator), &none, setup)?;
+            let mut pooler = Pooler::start_with_setup(program, Some(&operator), &none, setup)?;
             pooler.wait_for_log("instances read")?;
             Ok(pooler)
         });
         let poolers = poolers.collect::<io::Result<Vec<_>>>()?;
-        Ok(Self { family, world, ledger, poolers, operator, _peer: peer })
+        Ok(Self { family, registrations, recorder, poolers, operator, _peer: peer })
     }
 }
 
@@ -212,16 +212,17 @@
 ///
 /// When it can't be played.
 pub fn play(case: Case, program: &Path) -> io::Result<Outcome> {
-    let Stage { family, world, ledger, poolers, .. } = &Stage::set(program, Setup::default(), 1)?;
+    let Stage { family, registrations, recorder, poolers, .. } =
+        &Stage::set(program, PoolerSetup::default(), 1)?;
     let pooler = &poolers[0];
-    let mut writers = Writers::of(pooler.address, ledger);
+    let mut writers = Writers::of(pooler.address, recorder);
     writers.more(WRITERS);
     std::thread::sleep(WARM);
 
     let (began, wait) = match case {
         Case::Planned => {
             family.drain();
-            world.alter(&name(0), true, |one| one.status = "OUT_OF_SERVICE".into());
+            registrations.update(&name(0), true, |one| one.status = "OUT_OF_SERVICE".into());
             (Some(Instant::now()), PLANNED)
         }
         Case::Dies(step, way) => {
--- a/crates/lab/src/ledger.rs
+++ b/crates/lab/src/recorder.rs
@@ -7,20 +7,20 @@
 
 /// Nothing new goes to a box later than this after the pooler was told that it drains or is gone. Everything here is on
 /// one machine's clock, so that no allowance is made.
-pub const GRACE: Duration = Duration::from_millis(250);
+pub const DRAIN_GRACE: Duration = Duration::from_millis(250);
 
 #[derive(Clone, Copy, Debug)]
 struct Drain {
     /// The registration's stamp, and when the registry last changed it.
-    said: (i64, i64),
-    told: Instant,
+    version: (i64, i64),
+    delivered_at: Instant,
     /// When somebody told something newer.
-    lifted: Option<Instant>,
+    ended_at: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Sent {
-    first: Instant,
+struct ReceivedStatement {
+    first_byte_at: Instant,
 }
 
 /// The counts that a proof needs.
@@ -52,7 +52,7 @@
 
 /// What an answer showed.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Seen {
+pub struct AnswerData {
     /// Of a write, its commit.
     pub commit: Option<i64>,
     /// Of a read, what it must have seen and what it was answered from.
@@ -61,18 +61,18 @@
 
 /// All that was seen.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct Recorder {
     drains: HashMap<String, Vec<Drain>>,
     /// Boxes whose drain is to count as lifted once somebody tells them UP again.
-    lifts: HashSet<String>,
-    newest_up: HashMap<String, (i64, i64)>,
-    sent: HashMap<String, Vec<Sent>>,
-    rows: HashMap<String, u32>,
+    override_removals: HashSet<String>,
+    newest_in_service: HashMap<String, (i64, i64)>,
+    statements: HashMap<String, Vec<ReceivedStatement>>,
+    write_runs: HashMap<String, u32>,
     served_writes: HashSet<String>,
     /// By session, the latest commit that a client has been told of.
-    commits: HashMap<String, i64>,
+    session_commits: HashMap<String, i64>,
     /// The latest commit of all that a client has been told of.
-    latest: i64,
+    latest_commit: i64,
     stale: u64,
     outside: HashMap<SocketAddr, u64>,
     requests: u64,
@@ -80,25 +80,32 @@
     served: u64,
     outcomes: BTreeMap<String, u64>,
     /// Which part of the run it is, and what was asked and served in it.
-    part: u64,
-    part_requests: u64,
-    part_served: u64,
+    phase: u64,
+    phase_requests: u64,
+    phase_served: u64,
 }
 
-impl Ledger {
+impl Recorder {
     /// A body that says so of a box has been written to the pooler. `stamp` is the registration's, and `updated` when
     /// the registry last changed it.
-    pub fn told(&mut self, name: &str, in_service: bool, (stamp, updated): (i64, i64), now: Instant) {
+    pub fn status_delivered(
+        &mut self,
+        name: &str,
+        in_service: bool,
+        (stamp, updated): (i64, i64),
+        now: Instant,
+    ) {
         let drains = self.drains.entry(name.to_owned()).or_default();
-        let up = self.newest_up.entry(name.to_owned()).or_insert((i64::MIN, i64::MIN));
-        let lifts = self.lifts.contains(name);
+        let up = self.newest_in_service.entry(name.to_owned()).or_insert((i64::MIN, i64::MIN));
+        let removal_counts = self.override_removals.contains(name);
         // Where a lift counts, what was before it in the same registration is old news.
-        let newer = |than: (i64, i64)| stamp > than.0 || lifts && stamp == than.0 && updated > than.1;
-        match (drains.last_mut().filter(|drain| drain.lifted.is_none()), in_service) {
-            (Some(drain), true) if newer(drain.said) => drain.lifted = Some(now),
-            (Some(drain), false) => drain.said = drain.said.max((stamp, updated)),
-            (None, false) if newer(*up) || stamp == up.0 && !lifts => {
-                drains.push(Drain { said: (stamp, updated), told: now, lifted: None });
+        let newer =
+            |than: (i64, i64)| stamp > than.0 || removal_counts && stamp == than.0 && updated > than.1;
+        match (drains.last_mut().filter(|drain| drain.ended_at.is_none()), in_service) {
+            (Some(drain), true) if newer(drain.version) => drain.ended_at = Some(now),
+            (Some(drain), false) => drain.version = drain.version.max((stamp, updated)),
+            (None, false) if newer(*up) || stamp == up.0 && !removal_counts => {
+                drains.push(Drain { version: (stamp, updated), delivered_at: now, ended_at: None });
             }
             _ => {}
         }
@@ -108,71 +115,71 @@
     }
 
     /// Somebody has taken back what was set over a box's own status, and the operator counts that.
-    pub fn lift(&mut self, name: &str) {
-        self.lifts.insert(name.to_owned());
+    pub fn accept_override_removal(&mut self, name: &str) {
+        self.override_removals.insert(name.to_owned());
     }
 
     /// Whether a drain of a box holds at present.
     #[must_use]
-    pub fn drains(&self, name: &str) -> bool {
-        self.drains.get(name).and_then(|drains| drains.last()).is_some_and(|drain| drain.lifted.is_none())
+    pub fn is_draining(&self, name: &str) -> bool {
+        self.drains.get(name).and_then(|drains| drains.last()).is_some_and(|drain| drain.ended_at.is_none())
     }
 
     /// A statement's first byte has come to a box.
-    pub fn sent(&mut self, name: &str, first: Instant) {
-        self.sent.entry(name.to_owned()).or_default().push(Sent { first });
+    pub fn statement_received(&mut self, name: &str, first_byte_at: Instant) {
+        self.statements.entry(name.to_owned()).or_default().push(ReceivedStatement { first_byte_at });
     }
 
     /// A write runs on a primary.
-    pub fn ran(&mut self, id: &str) {
-        *self.rows.entry(id.to_owned()).or_default() += 1;
+    pub fn write_executed(&mut self, id: &str) {
+        *self.write_runs.entry(id.to_owned()).or_default() += 1;
     }
 
     /// Somebody connected to where no box may lie.
-    pub fn outside(&mut self, at: SocketAddr) {
+    pub fn outside_connection(&mut self, at: SocketAddr) {
         *self.outside.entry(at).or_default() += 1;
     }
 
     /// What a session's reads must have seen from now on.
     #[must_use]
-    pub fn must_see(&self, session: &str, fresh: bool) -> i64 {
-        if fresh { self.latest } else { self.commits.get(session).copied().unwrap_or(0) }
+    pub fn required_position(&self, session: &str, fresh: bool) -> i64 {
+        if fresh { self.latest_commit } else { self.session_commits.get(session).copied().unwrap_or(0) }
     }
 
     /// A client has asked; in which part of the run, goes with its answer.
-    pub fn asked(&mut self) -> u64 {
+    pub fn request_started(&mut self) -> u64 {
         self.requests += 1;
-        self.part_requests += 1;
-        self.part
+        self.phase_requests += 1;
+        self.phase
     }
 
     /// Another part of the run begins: what was asked before does not count in it.
-    pub fn begin_part(&mut self) {
-        self.part += 1;
-        (self.part_requests, self.part_served) = (0, 0);
+    pub fn begin_phase(&mut self) {
+        self.phase += 1;
+        (self.phase_requests, self.phase_served) = (0, 0);
     }
 
     /// Served and asked in this part.
     #[must_use]
-    pub fn in_part(&self) -> (u64, u64) {
-        (self.part_served, self.part_requests)
+    pub fn phase_counts(&self) -> (u64, u64) {
+        (self.phase_served, self.phase_requests)
     }
 
     /// A client has an answer in time: how it ended, and what it showed.
-    pub fn answer(&mut self, id: &str, part: u64, how: &str, session: &str, seen: Seen) {
-        let Seen { commit, read } = seen;
+    pub fn request_answered(&mut self, id: &str, phase: u64, how: &str, session: &str, seen: AnswerData) {
+        let AnswerData { commit, read } = seen;
         self.answered += 1;
         *self.outcomes.entry(how.to_owned()).or_default() += 1;
         if how != "served" {
             return;
         }
         self.served += 1;
-        self.part_served += u64::from(part == self.part);
+        self.phase_served += u64::from(phase == self.phase);
         if let Some(commit) = commit {
             self.served_writes.insert(id.to_owned());
-            let held = self.commits.entry(session.to_owned()).or_default();
+            let held = self.session_commits.entry(session.to_owned()).or_default();
             *held = (*held).max(commit);
-            self.latest = self.latest.max(commit);
+            self.latest_commit = self.latest_commit.max(commit);
         }
         if let Some((needed, position)) = read {
             self.stale += u64::from(position < needed);
@@ -181,20 +188,20 @@
 
     /// How many statements a box has got.
     #[must_use]
-    pub fn sends(&self, name: &str) -> usize {
-        self.sent.get(name).map_or(0, Vec::len)
+    pub fn statement_count(&self, name: &str) -> usize {
+        self.statements.get(name).map_or(0, Vec::len)
     }
 
     /// How many statements a box has got in this time.
     #[must_use]
-    pub fn sends_between(&self, name: &str, from: Instant, to: Instant) -> usize {
-        let sent = self.sent.get(name).into_iter().flatten();
-        sent.filter(|one| one.first >= from && one.first < to).count()
+    pub fn statements_between(&self, name: &str, from: Instant, to: Instant) -> usize {
+        let sent = self.statements.get(name).into_iter().flatten();
+        sent.filter(|one| one.first_byte_at >= from && one.first_byte_at < to).count()
     }
 
     /// How answers were worded.
     #[must_use]
-    pub fn outcomes(&self) -> &BTreeMap<String, u64> {
+    pub fn outcome_counts(&self) -> &BTreeMap<String, u64> {
         &self.outcomes
     }
 
@@ -206,26 +213,32 @@
             answered: self.answered,
             served: self.served,
             stale_reads: self.stale,
-            writes_doubled: self.rows.values().filter(|count| **count > 1).count() as u64,
-            served_without_row: self.served_writes.iter().filter(|id| !self.rows.contains_key(*id)).count()
-                as u64,
+            writes_doubled: self.write_runs.values().filter(|count| **count > 1).count() as u64,
+            served_without_row: self
+                .served_writes
+                .iter()
+                .filter(|id| !self.write_runs.contains_key(*id))
+                .count() as u64,
             sends_outside: self.outside.values().sum(),
             ..Verdict::default()
         };
         for (name, drains) in &self.drains {
             verdict.drains += drains.len() as u64;
             for drain in drains {
-                for sent in self.sent.get(name).into_iter().flatten() {
-                    if sent.first < drain.told || drain.lifted.is_some_and(|lifted| sent.first >= lifted) {
+                for sent in self.statements.get(name).into_iter().flatten() {
+                    if sent.first_byte_at < drain.delivered_at
+                        || drain.ended_at.is_some_and(|ended_at| sent.first_byte_at >= ended_at)
+                    {
                         continue;
                     }
-                    let late = sent.first - drain.told;
+                    let late = sent.first_byte_at - drain.delivered_at;
                     verdict.worst_drain_ms = verdict.worst_drain_ms.max(late.as_secs_f64() * 1_000.0);
-                    verdict.drains_broken += u64::from(late > GRACE);
+                    verdict.drains_broken += u64::from(late > DRAIN_GRACE);
                 }
             }
         }
-        verdict.sends = self.sent.iter().map(|(name, sent)| (name.clone(), sent.len() as u64)).collect();
+        verdict.sends =
+            self.statements.iter().map(|(name, sent)| (name.clone(), sent.len() as u64)).collect();
         verdict
     }
 }
--- a/crates/lab/src/rehearsal.rs
+++ b/crates/lab/src/rehearsal.rs
@@ -3,9 +3,9 @@
 //!
 //! A box listens on a port of its own for each pooler, so that what comes there shows who sent it.
 
-use crate::clients::{Wire, statement_for};
-use crate::pooler::{Pooler, Setup, settings};
-use crate::say;
+use crate::clients::{ClientConnection, statement_for};
+use crate::pg_reply;
+use crate::pooler::{Pooler, PoolerSetup, settings};
 use hdrhistogram::Histogram;
 use linnetdeal_core::{Effect, ListState, Need, Note, Role, Span, Time, Verdict};
 use linnetdeal_fleet::audit::{self, Auditor, Freshness};
@@ -228,7 +228,7 @@
     /// By pooler, where clients connect; `None` while it is away.
     doors: Vec<Mutex<Option<SocketAddr>>>,
     /// By pooler, clients' connections that are free.
-    idle: Vec<Mutex<Vec<Wire>>>,
+    idle: Vec<Mutex<Vec<ClientConnection>>>,
     counts: Mutex<Counts>,
 }
 
@@ -410,15 +410,15 @@
         };
         let instances: Vec<Value> = instances.map(|server| self.entry(router, first(server))).collect();
         let known = json!({"generation": 1, "reset": true, "instances": instances});
-        let setup = Setup {
-            fleet: self.traffic.poolers_per_group(),
+        let setup = PoolerSetup {
+            fleet_size: self.traffic.poolers_per_group(),
             sockets: 2_048,
             listen: None,
             discovery: Some(self.discoveries[router as usize]),
         };
         let (program, operator) = (self.program.to_owned(), operator(self.plan));
         let settings = daemon_settings(&self.traffic);
-        move || Pooler::start_with(&program, operator.as_deref(), &known, setup, settings)
+        move || Pooler::start_with_settings(&program, operator.as_deref(), &known, setup, settings)
     }
 
     fn started(&mut self, router: u32, pooler: io::Result<Pooler>) -> io::Result<()> {
@@ -578,7 +578,7 @@
                 self.record(RecordKind::Kept, (router, server), request, commit.0, 0);
                 let position = commit.0.div_euclid(1_000) + 1;
                 let mut bytes = Vec::new();
-                say::row(&mut bytes, format!("{id} {}", commit.0).as_bytes(), true, position);
+                pg_reply::single_row(&mut bytes, format!("{id} {}", commit.0).as_bytes(), true, position);
                 write::ready_for_query(&mut bytes);
                 self.later(router, server, Event::Write { conn, bytes, over: Some(request) });
             }
@@ -754,7 +754,7 @@
 
 fn answer(out: &mut Vec<u8>, value: &[u8], note: Note) {
     let position = note.position.map_or(0, |at| at.0 / 1_000);
-    say::row(out, value, note.role == Some(Role::Primary), position);
+    pg_reply::single_row(out, value, note.role == Some(Role::Primary), position);
     write::ready_for_query(out);
 }
 
@@ -766,7 +766,7 @@
     };
     write::error_response(out, write::Severity::Error, code, words, None);
     let position = note.position.map_or(0, |at| at.0 / 1_000);
-    say::notes(out, note.role == Some(Role::Primary), position);
+    pg_reply::status_parameters(out, note.role == Some(Role::Primary), position);
     write::ready_for_query(out);
 }
 
@@ -849,9 +849,9 @@
     if statement.starts_with("SHOW") {
         return Some(Asked::Report);
     }
-    let id = crate::boxes::field(statement, "id")?;
+    let id = crate::boxes::comment_field(statement, "id")?;
     let (request, work) = id.split_once('w')?;
-    let class = crate::boxes::field(statement, "c")?;
+    let class = crate::boxes::comment_field(statement, "c")?;
     let class = crate::clients::CLASSES.iter().position(|of| *of == class)?;
     Some(Asked::Request {
         request: request.parse().ok()?,
@@ -957,7 +957,8 @@
         let door = *crate::lock(&shared.doors[router as usize]);
         let (Some(door), true) = (door, now < deadline) else { return };
         let free = crate::lock(&shared.idle[router as usize]).pop();
-        let mut wire = free.filter(|wire| wire.address() == door).unwrap_or_else(|| Wire::to(door));
+        let mut wire =
+            free.filter(|wire| wire.address() == door).unwrap_or_else(|| ClientConnection::new(door));
         let wait = Duration::from_micros((deadline - now).0.unsigned_abs());
         if wire.open(Instant::now() + wait).is_err() {
             return;
@@ -972,7 +973,7 @@
         let Ok((how, value)) = answer else {
             return;
         };
-        let told = wire.told.take();
+        let told = wire.retry_after.take();
         crate::lock(&shared.idle[router as usize]).push(wire);
         match how.as_str() {
             "served" => {
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -1,6 +1,6 @@
 //! Scripts: a fleet, a registry and what happens to them when.
 
-use crate::eureka::Manner;
+use crate::eureka::AnswerMode;
 use serde::{Deserialize, Serialize};
 
 /// Something that happens.
@@ -36,7 +36,7 @@
     /// All boxes that run register anew, one after another with so many ms between.
     Return(u64),
     /// A peer answers so from now on.
-    Behave(usize, Manner),
+    Behave(usize, AnswerMode),
     /// A peer knows nothing newer than so many ms.
     Lag(usize, u64),
     /// The clock of the registry and of the boxes steps by so many ms.
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/script_runner.rs
@@ -1,12 +1,12 @@
 //! Plays a script: stand-in boxes, a stand-in registry, the pooler as a process that knows its boxes from the registry
 //! alone, and clients. What comes out is in the ledger.
 
-use crate::boxes::{Log, StandIn};
-use crate::clients::Crowd;
-use crate::eureka::{Peer, Registered, World};
-use crate::ledger::{Ledger, Verdict};
+use crate::boxes::{Log, StandInServer};
+use crate::clients::Clients;
+use crate::eureka::{Peer, Registration, Registrations};
 use crate::lock;
 use crate::pooler::{Pooler, WAIT_TIMEOUT};
+use crate::recorder::{Recorder, Verdict};
 use crate::script::{Act, Script};
 use std::collections::BTreeMap;
 use std::io;
@@ -16,56 +16,64 @@
 use std::time::{Duration, Instant};
 
 /// Where boxes lie, and where none may.
-const INSIDE: Ipv4Addr = Ipv4Addr::new(127, 10, 0, 1);
-const OUTSIDE: Ipv4Addr = Ipv4Addr::new(127, 20, 0, 1);
+const BOX_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 10, 0, 1);
+const OUTSIDE_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 20, 0, 1);
 /// How often the pooler asks.
-pub const INTERVAL: Duration = Duration::from_millis(200);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// What a box does for a request.
-const WORK: Duration = Duration::from_millis(6);
-const CLIENTS: usize = 8;
-const PAUSE: Duration = Duration::from_millis(4);
+const SERVICE_TIME: Duration = Duration::from_millis(6);
+const CLIENT_COUNT: usize = 8;
+const REQUEST_PAUSE: Duration = Duration::from_millis(4);
 /// The part at a script's end in which its boxes are looked at.
-const LAST: Duration = Duration::from_millis(700);
+const FINAL_PHASE: Duration = Duration::from_millis(700);
 
 /// A fleet with its registry, all on loopback.
-pub struct Stage {
+pub struct Testbed {
     /// What passes on the sockets.
-    pub ledger: Arc<Mutex<Ledger>>,
+    pub recorder: Arc<Mutex<Recorder>>,
     /// What is registered.
-    pub world: World,
+    pub registrations: Registrations,
     /// The registry's servers.
     pub peers: Vec<Peer>,
     /// The boxes.
-    pub boxes: BTreeMap<String, StandIn>,
+    pub boxes: BTreeMap<String, StandInServer>,
     log: Arc<Log>,
     /// How far the clock of all of them is off.
-    off: i64,
+    clock_offset_ms: i64,
     /// Whether the operator counts the taking back of an override.
-    lifts: bool,
+    override_removal_counts: bool,
 }
 
-impl Stage {
+impl Testbed {
     /// So many boxes, the first of them the primary, and so many peers.
     ///
     /// # Errors
     ///
     /// When something can't listen.
     pub fn new(boxes: usize, peers: usize) -> io::Result<Self> {
-        let (ledger, world) = (Arc::new(Mutex::new(Ledger::default())), World::default());
+        let (recorder, registrations) = (Arc::new(Mutex::new(Recorder::default())), Registrations::default());
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let peers = (0..peers).map(|_| Peer::start(&world, &ledger, any)).collect::<io::Result<_>>()?;
-        let mut stage =
-            Self { ledger, world, peers, boxes: BTreeMap::new(), log: Arc::default(), off: 0, lifts: false };
+        let peers =
+            (0..peers).map(|_| Peer::start(&registrations, &recorder, any)).collect::<io::Result<_>>()?;
+        let mut testbed = Self {
+            recorder,
+            registrations,
+            peers,
+            boxes: BTreeMap::new(),
+            log: Arc::default(),
+            clock_offset_ms: 0,
+            override_removal_counts: false,
+        };
         for at in 1..=boxes {
-            stage.come(&format!("s-{at}"), at == 1)?;
+            testbed.add_box(&format!("s-{at}"), at == 1)?;
         }
-        stage.world.begin();
-        Ok(stage)
+        testbed.registrations.clear_history();
+        Ok(testbed)
     }
 
-    fn open(&mut self, name: &str, primary: bool) -> io::Result<SocketAddr> {
-        let (log, ledger) = (self.log.clone(), self.ledger.clone());
-        let one = StandIn::start(name, IpAddr::V4(INSIDE), primary, WORK, log, ledger)?;
+    fn start_box(&mut self, name: &str, primary: bool) -> io::Result<SocketAddr> {
+        let (log, recorder) = (self.log.clone(), self.recorder.clone());
+        let one = StandInServer::start(name, IpAddr::V4(BOX_ADDRESS), primary, SERVICE_TIME, log, recorder)?;
         let address = one.address;
         self.boxes.insert(name.to_owned(), one);
         Ok(address)
@@ -76,33 +84,33 @@
     /// # Errors
     ///
     /// When it can't listen.
-    pub fn come(&mut self, name: &str, primary: bool) -> io::Result<()> {
-        let address = self.open(name, primary)?;
+    pub fn add_box(&mut self, name: &str, primary: bool) -> io::Result<()> {
+        let address = self.start_box(name, primary)?;
         let role = if primary { "primary" } else { "replica" };
         let metadata = [("group", "2"), ("role", role), ("zone", "adum")];
         let metadata = metadata.map(|(key, value)| (key.to_owned(), value.to_owned()));
-        self.world.register(Registered {
+        self.registrations.register(Registration {
             app: "DB".into(),
             id: name.to_owned(),
             ip: address.ip().to_string(),
             port: address.port(),
             status: "UP".into(),
             overridden: "UNKNOWN".into(),
-            dirty: self.stamp(),
+            dirty: self.next_timestamp(),
             metadata: BTreeMap::from(metadata),
-            ..Registered::default()
+            ..Registration::default()
         });
         Ok(())
     }
 
-    fn stamp(&self) -> i64 {
-        self.world.stamp() + self.off
+    fn next_timestamp(&self) -> i64 {
+        self.registrations.next_timestamp() + self.clock_offset_ms
     }
 
     /// A box changes itself: its stamp is its own clock's.
-    fn own(&self, name: &str, change: impl FnOnce(&mut Registered)) {
-        let stamp = self.stamp();
-        self.world.alter(name, false, |one| {
+    fn update_by_box(&self, name: &str, change: impl FnOnce(&mut Registration)) {
+        let stamp = self.next_timestamp();
+        self.registrations.update(name, false, |one| {
             change(one);
             one.dirty = stamp;
         });
@@ -110,13 +118,13 @@
 
     /// The operator's file for a pooler of this fleet, with `more` in the registry's record.
     #[must_use]
-    pub fn operator(&self, more: &str) -> String {
+    pub fn operator_file(&self, extra: &str) -> String {
         let servers = self.peers.iter().map(|peer| format!("{{url: \"http://{}/eureka\"}}", peer.address));
         let servers: Vec<String> = servers.collect();
-        let interval = INTERVAL.as_millis();
+        let interval = POLL_INTERVAL.as_millis();
         format!(
             "package linnetdeal\n\nregistry: {{\n\tservers: [{}]\n\tapps: [\"DB\"]\n\tnetworks: [{{prefix: \"127.10.0.0/16\"}}]\n\
-             \tinterval: \"{interval}ms\"\n\tlongest_pause: \"1s\"\n\t{more}\n}}\n",
+             \tinterval: \"{interval}ms\"\n\tlongest_pause: \"1s\"\n\t{extra}\n}}\n",
             servers.join(", ")
         )
     }
@@ -126,77 +134,79 @@
     /// # Errors
     ///
     /// When something can't listen, or the pooler can't be told.
-    pub fn act(&mut self, act: &Act, pooler: &Pooler) -> io::Result<()> {
-        let status = |to: &'static str| move |one: &mut Registered| one.status = to.to_owned();
+    pub fn apply(&mut self, act: &Act, pooler: &Pooler) -> io::Result<()> {
+        let status = |to: &'static str| move |one: &mut Registration| one.status = to.to_owned();
         match act {
-            Act::Drain(name) => self.own(name, status("OUT_OF_SERVICE")),
-            Act::Up(name) => self.own(name, status("UP")),
-            Act::Starting(name) => self.own(name, status("STARTING")),
-            Act::Override(name, to) => self.world.alter(name, false, |one| {
+            Act::Drain(name) => self.update_by_box(name, status("OUT_OF_SERVICE")),
+            Act::Up(name) => self.update_by_box(name, status("UP")),
+            Act::Starting(name) => self.update_by_box(name, status("STARTING")),
+            Act::Override(name, to) => self.registrations.update(name, false, |one| {
                 one.status.clone_from(to);
                 one.overridden.clone_from(to);
             }),
             Act::Lift(name) => {
-                if self.lifts {
-                    lock(&self.ledger).lift(name);
+                if self.override_removal_counts {
+                    lock(&self.recorder).accept_override_removal(name);
                 }
-                self.world.alter(name, false, |one| {
+                self.registrations.update(name, false, |one| {
                     one.status = "UP".into();
                     one.overridden = "UNKNOWN".into();
                 });
             }
-            Act::Remove(name) => drop(self.world.cancel(name)),
-            Act::Come(name, role) => self.come(name, role == "primary")?,
+            Act::Remove(name) => drop(self.registrations.cancel(name)),
+            Act::Come(name, role) => self.add_box(name, role == "primary")?,
             Act::Restart(name) => {
-                let started = self.stamp().to_string();
-                self.own(name, |one| {
+                let started = self.next_timestamp().to_string();
+                self.update_by_box(name, |one| {
                     one.status = "UP".into();
                     one.metadata.insert("startedAtMs".into(), started);
                 });
             }
             Act::Move(name) => {
-                let address = self.open(&format!("{name}-moved"), false)?;
-                self.own(name, |one| one.port = address.port());
+                let address = self.start_box(&format!("{name}-moved"), false)?;
+                self.update_by_box(name, |one| one.port = address.port());
             }
             Act::Twin(name) => {
-                let address = self.open(&format!("{name}-twin"), false)?;
-                self.world.alter(name, false, |one| one.port = address.port());
+                let address = self.start_box(&format!("{name}-twin"), false)?;
+                self.registrations.update(name, false, |one| one.port = address.port());
             }
             Act::Outside(name) => {
-                let address = self.trap()?;
-                let mut one = self.world.get("s-1").unwrap_or_default();
-                (one.id, one.dirty) = (name.clone(), self.stamp());
+                let address = self.listen_outside()?;
+                let mut one = self.registrations.get("s-1").unwrap_or_default();
+                (one.id, one.dirty) = (name.clone(), self.next_timestamp());
                 (one.ip, one.port) = (address.ip().to_string(), address.port());
-                self.world.register(one);
+                self.registrations.register(one);
             }
             Act::Stray(name) => {
-                let address = self.trap()?;
-                self.own(name, |one| (one.ip, one.port) = (address.ip().to_string(), address.port()));
+                let address = self.listen_outside()?;
+                self.update_by_box(name, |one| {
+                    (one.ip, one.port) = (address.ip().to_string(), address.port())
+                });
             }
-            Act::Forget => self.world.forget(),
+            Act::Forget => self.registrations.clear(),
             Act::Return(pause) => {
                 let names: Vec<String> = self.boxes.keys().cloned().collect();
                 for name in names {
                     let one = &self.boxes[&name];
                     let role = if name == "s-1" { "primary" } else { "replica" };
                     let metadata = [("group", "2"), ("role", role), ("zone", "adum")];
-                    self.world.register(Registered {
+                    self.registrations.register(Registration {
                         app: "DB".into(),
                         id: name.clone(),
                         ip: one.address.ip().to_string(),
                         port: one.address.port(),
                         status: "UP".into(),
                         overridden: "UNKNOWN".into(),
-                        dirty: self.stamp(),
+                        dirty: self.next_timestamp(),
                         metadata: metadata.map(|(key, value)| (key.to_owned(), value.to_owned())).into(),
-                        ..Registered::default()
+                        ..Registration::default()
                     });
                     std::thread::sleep(Duration::from_millis(*pause));
                 }
             }
-            Act::Behave(peer, manner) => self.peers[*peer].behave(manner.clone()),
+            Act::Behave(peer, manner) => self.peers[*peer].set_mode(manner.clone()),
             Act::Lag(peer, ms) => self.peers[*peer].set_lag(Duration::from_millis(*ms)),
-            Act::Step(ms) => self.off += ms,
+            Act::Step(ms) => self.clock_offset_ms += ms,
             Act::Behind(name, ms) => self.boxes.get(name).into_iter().for_each(|one| one.set_lag(*ms)),
             Act::Down(name) => self.boxes.get(name).into_iter().for_each(|one| one.set_down(true)),
             Act::Terminate => pooler.signal("TERM")?,
@@ -205,13 +215,13 @@
     }
 
     /// Where no box may lie; whoever connects is counted.
-    fn trap(&self) -> io::Result<SocketAddr> {
-        let listener = TcpListener::bind((OUTSIDE, 0))?;
+    fn listen_outside(&self) -> io::Result<SocketAddr> {
+        let listener = TcpListener::bind((OUTSIDE_ADDRESS, 0))?;
         let address = listener.local_addr()?;
-        let ledger = self.ledger.clone();
+        let recorder = self.recorder.clone();
         std::thread::spawn(move || {
             for _ in listener.incoming() {
-                lock(&ledger).outside(address);
+                lock(&recorder).outside_connection(address);
             }
         });
         Ok(address)
@@ -223,7 +233,7 @@
 /// # Errors
 ///
 /// When it does not hold in time.
-pub fn wait(what: &str, mut holds: impl FnMut() -> bool) -> io::Result<()> {
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) -> io::Result<()> {
     let end = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < end {
         if holds() {
@@ -236,7 +246,7 @@
 
 /// What came out of a script.
 #[derive(Clone, Debug)]
-pub struct Outcome {
+pub struct ScriptOutcome {
     /// Its name.
     pub name: String,
     /// By the ledger.
@@ -244,7 +254,7 @@
     /// What was expected and did not come, in words.
     pub missed: Vec<String>,
     /// While the script ran, without its first moments: served and asked.
-    pub share: f64,
+    pub served_share: f64,
 }
 
 /// Plays a script with the program at `program`.
@@ -252,38 +262,39 @@
 /// # Errors
 ///
 /// When it can't be played; what comes out wrong is no error.
-pub fn play(script: &Script, program: &Path, seed: u64) -> io::Result<Outcome> {
-    let mut stage = Stage::new(script.boxes, script.peers)?;
-    stage.lifts = script.operator.contains("lifts: \"override\"");
-    stage.peers.iter().for_each(|peer| peer.write_as(script.xml, true));
-    let none = serde_json::json!({"generation": 0, "reset": true, "instances": []});
-    let mut pooler = Pooler::start(program, Some(&stage.operator(&script.operator)), &none)?;
+pub fn run_script(script: &Script, program: &Path, seed: u64) -> io::Result<ScriptOutcome> {
+    let mut testbed = Testbed::new(script.boxes, script.peers)?;
+    testbed.override_removal_counts = script.operator.contains("lifts: \"override\"");
+    testbed.peers.iter().for_each(|peer| peer.set_encoding(script.xml, true));
+    let empty_list = serde_json::json!({"generation": 0, "reset": true, "instances": []});
+    let mut pooler = Pooler::start(program, Some(&testbed.operator_file(&script.operator)), &empty_list)?;
     pooler.wait_for_log("instances read")?;
-    let ledger = stage.ledger.clone();
-    let crowd = Crowd::start(pooler.address, CLIENTS, PAUSE, seed, &ledger);
+    let recorder = testbed.recorder.clone();
+    let clients = Clients::start(pooler.address, CLIENT_COUNT, REQUEST_PAUSE, seed, &recorder);
     let started = Instant::now();
     let sleep_until = |at: Duration| std::thread::sleep(at.saturating_sub(started.elapsed()));
     sleep_until(Duration::from_millis(300));
-    lock(&ledger).begin_part();
+    lock(&recorder).begin_phase();
     for step in &script.steps {
         sleep_until(Duration::from_millis(step.at));
-        stage.act(&step.act, &pooler)?;
+        testbed.apply(&step.act, &pooler)?;
     }
     let end = Duration::from_millis(script.ms);
-    sleep_until(end.saturating_sub(LAST));
+    sleep_until(end.saturating_sub(FINAL_PHASE));
     let names: Vec<String> = script.expect.idle.iter().chain(&script.expect.busy).cloned().collect();
-    let sends =
-        |ledger: &Mutex<Ledger>| names.iter().map(|name| lock(ledger).sends(name)).collect::<Vec<_>>();
-    let early = sends(&ledger);
+    let sends = |recorder: &Mutex<Recorder>| {
+        names.iter().map(|name| lock(recorder).statement_count(name)).collect::<Vec<_>>()
+    };
+    let early = sends(&recorder);
     sleep_until(end);
-    let late = sends(&ledger);
-    crowd.stop();
-    let (served, asked) = lock(&ledger).in_part();
-    let share = served as f64 / asked.max(1) as f64;
+    let late = sends(&recorder);
+    clients.stop();
+    let (served, asked) = lock(&recorder).phase_counts();
+    let served_share = served as f64 / asked.max(1) as f64;
     let mut missed = Vec::new();
-    if share < script.expect.served {
-        let outcomes = lock(&ledger).outcomes().clone();
-        missed.push(format!("served {share:.4} and not {}: {outcomes:?}", script.expect.served));
+    if served_share < script.expect.served {
+        let outcomes = lock(&recorder).outcome_counts().clone();
+        missed.push(format!("served {served_share:.4} and not {}: {outcomes:?}", script.expect.served));
     }
     for (at, name) in names.iter().enumerate() {
         let (got, idle) = (late[at] - early[at], at < script.expect.idle.len());
@@ -303,11 +314,11 @@
     if !status.success() || stopping.elapsed() > Duration::from_millis(3_700) {
         missed.push(format!("it ended with {status} after {:?}", stopping.elapsed()));
     }
-    let verdict = lock(&ledger).verdict();
+    let verdict = lock(&recorder).verdict();
     if !missed.is_empty() {
         missed.extend(pooler.log().into_iter().rev().take(12).rev());
     }
-    Ok(Outcome { name: script.name.clone(), verdict, missed, share })
+    Ok(ScriptOutcome { name: script.name.clone(), verdict, missed, served_share })
 }
 
 /// The pooler's program: what `LINNETDEAL` names, or the one beside this program.
--- a/crates/lab/src/soak/proxy.rs
+++ b/crates/lab/src/soak/proxy.rs
@@ -4,7 +4,7 @@
 use super::context::Context;
 use super::faults::FaultKind;
 use super::servers::Server;
-use crate::boxes::field;
+use crate::boxes::comment_field;
 use async_io::{Async, Timer};
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -181,12 +181,12 @@
 
     /// Records a query that has arrived completely; whether the connection is to be reset after it.
     fn record_query(&self, statement: &str, first_byte_at: Instant) -> bool {
-        let id = field(statement, "id");
+        let id = comment_field(statement, "id");
         let Some(id) = id else {
             self.pending.borrow_mut().push_back(Query::Other);
             return false;
         };
-        let timeout = field(statement, "d").and_then(|timeout| timeout.parse().ok()).unwrap_or(0);
+        let timeout = comment_field(statement, "d").and_then(|timeout| timeout.parse().ok()).unwrap_or(0);
         let timeout = Duration::from_millis(timeout);
         let mut audit = self.context.audit.borrow_mut();
         let number = audit.attempt_sent(self.pooler, &self.server.id, id, timeout, first_byte_at);
--- a/crates/lab/src/soak/servers.rs
+++ b/crates/lab/src/soak/servers.rs
@@ -4,9 +4,9 @@
 use super::configuration::{Class, STALENESS_BOUND_MS};
 use super::context::Context;
 use super::faults::FaultKind;
-use crate::boxes::field;
+use crate::boxes::comment_field;
 use crate::clients::now_ms;
-use crate::say;
+use crate::pg_reply;
 use async_io::{Async, Timer};
 use event_listener::Event;
 use futures_lite::future::or;
@@ -168,7 +168,12 @@
         }
         if statement.starts_with("SHOW") {
             let (seconds, role) = (self.position() as f64 / 1_000.0, u8::from(self.primary));
-            say::row(out, format!("x0={seconds:.3},x1={role}").as_bytes(), self.primary, self.position());
+            pg_reply::single_row(
+                out,
+                format!("x0={seconds:.3},x1={role}").as_bytes(),
+                self.primary,
+                self.position(),
+            );
             return write::ready_for_query(out);
         }
         self.run_request(context, statement, mode, out).await;
@@ -176,8 +181,8 @@
     }
 
     async fn run_request(&self, context: &Context, statement: &str, mode: Mode, out: &mut Vec<u8>) {
-        let id = field(statement, "id").unwrap_or("");
-        let class = field(statement, "c").and_then(Class::from_name);
+        let id = comment_field(statement, "id").unwrap_or("");
+        let class = comment_field(statement, "c").and_then(Class::from_name);
         let write = statement.starts_with("INSERT");
         if write && !self.primary {
             return self.error(out, "25006");
@@ -213,12 +218,17 @@
         }
         context.audit.borrow_mut().statement_ran(id);
         let answer_position = if write { self.position() } else { position };
-        say::row(out, format!("{id} {answer_position}").as_bytes(), self.primary, answer_position);
+        pg_reply::single_row(
+            out,
+            format!("{id} {answer_position}").as_bytes(),
+            self.primary,
+            answer_position,
+        );
     }
 
     fn error(&self, out: &mut Vec<u8>, code: &str) {
         write::error_response(out, write::Severity::Error, code, "injected by the soak", None);
-        say::notes(out, self.primary, self.position());
+        pg_reply::status_parameters(out, self.primary, self.position());
     }
 }
 
--- a/crates/lab/src/work/play.rs
+++ b/crates/lab/src/work/play.rs
@@ -3,12 +3,12 @@
 use super::script::{Do, Script, Step};
 use super::site::{Job, Server, Site};
 use crate::clients::Client;
-use crate::ledger::Ledger;
 use crate::lock;
 use crate::processes::fleet::{Fleet, Spec};
 use crate::processes::process::WAIT_TIMEOUT;
 use crate::processes::relay::Noise;
 use crate::processes::tcp_links::TcpLinks;
+use crate::recorder::Recorder;
 use rand::SeedableRng;
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
@@ -101,19 +101,20 @@
 }
 
 impl Crowd {
-    fn start(addresses: &[SocketAddr], script: &Script, seed: u64, ledger: &Arc<Mutex<Ledger>>) -> Self {
+    fn start(addresses: &[SocketAddr], script: &Script, seed: u64, recorder: &Arc<Mutex<Recorder>>) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let pause = Arc::new(AtomicU64::new(script.pause.as_micros() as u64));
         let mut threads = Vec::new();
         for (pooler, address) in addresses.iter().enumerate() {
             for of in 0..script.clients {
                 let number = pooler * script.clients + of;
-                let (stop, pause, ledger, address) = (stop.clone(), pause.clone(), ledger.clone(), *address);
+                let (stop, pause, recorder, address) =
+                    (stop.clone(), pause.clone(), recorder.clone(), *address);
                 let group = (number % script.groups) as u32;
                 threads.push(std::thread::spawn(move || {
-                    let mut client = Client::new(address, number, seed).of_group(group);
+                    let mut client = Client::new(address, number, seed).with_group(group);
                     while !stop.load(Ordering::SeqCst) {
-                        client.ask(&ledger);
+                        client.request(&recorder);
                         std::thread::sleep(Duration::from_micros(pause.load(Ordering::SeqCst)));
                     }
                 }));
@@ -141,7 +142,7 @@
     fleet: Fleet,
     site: Site,
     ways: Option<TcpLinks>,
-    ledger: Arc<Mutex<Ledger>>,
+    recorder: Arc<Mutex<Recorder>>,
     crowd: Option<Crowd>,
     folder: PathBuf,
     rng: ChaCha8Rng,
@@ -175,8 +176,8 @@
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
     let folder = std::env::temp_dir().join(format!("linnetdeal-work-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
-    let ledger = Arc::new(Mutex::new(Ledger::default()));
-    let site = Site::start((script.groups, script.members, script.zones), script.poolers, ANSWER, &ledger)?;
+    let recorder = Arc::new(Mutex::new(Recorder::default()));
+    let site = Site::start((script.groups, script.members, script.zones), script.poolers, ANSWER, &recorder)?;
     let addresses: Vec<SocketAddr> = site.servers.iter().map(|server| server.stand_in.address).collect();
     let ways = if script.ways { Some(TcpLinks::start(script.poolers, &addresses)?) } else { None };
     let views: Vec<Vec<SocketAddr>> = (0..script.poolers)
@@ -203,7 +204,7 @@
         fleet,
         site,
         ways,
-        ledger,
+        recorder,
         crowd: None,
         folder,
         rng: ChaCha8Rng::seed_from_u64(seed),
@@ -243,7 +244,7 @@
         for at in 0..self.script.poolers {
             self.until_ready(at)?;
         }
-        self.crowd = Some(Crowd::start(&doors, self.script, self.script.seed, &self.ledger));
+        self.crowd = Some(Crowd::start(&doors, self.script, self.script.seed, &self.recorder));
         self.until("a leader", WAIT_TIMEOUT, |play| play.view["leads"] == true)?;
         for round in 0..self.script.rounds {
             for (at, step) in self.script.steps.iter().enumerate() {
@@ -601,7 +602,7 @@
     }
 
     fn sends(&self, server: usize) -> usize {
-        lock(&self.ledger).sends(&self.site.servers[server].id)
+        lock(&self.recorder).statement_count(&self.site.servers[server].id)
     }
 
     fn step(&mut self, step: &Step) -> Result<(), Failure> {
@@ -764,10 +765,10 @@
                     }
                 }
                 if step.text == "disable" {
-                    lock(&self.ledger).told(&id, false, (0, 0), Instant::now());
+                    lock(&self.recorder).status_delivered(&id, false, (0, 0), Instant::now());
                     self.by_hand.insert(server, Instant::now());
                 } else {
-                    lock(&self.ledger).told(&id, true, (1, 1), Instant::now());
+                    lock(&self.recorder).status_delivered(&id, true, (1, 1), Instant::now());
                     self.by_hand.remove(&server);
                 }
                 self.fleet.record_fault(&format!("{id} {} by hand", step.text));
@@ -912,7 +913,7 @@
         }
         self.fleet.poll_logs();
         self.look_for_pushes();
-        let verdict = lock(&self.ledger).verdict();
+        let verdict = lock(&self.recorder).verdict();
         self.outcome.drains_broken = verdict.drains_broken;
         self.outcome.doubled = verdict.writes_doubled;
         self.outcome.lost = verdict.served_without_row;
@@ -930,7 +931,7 @@
             let _ = writeln!(text, "{}", serde_json::to_string(record).unwrap_or_default());
         }
         let _ = std::fs::write(self.folder.join("history.jsonl"), text);
-        let outcomes = lock(&self.ledger).outcomes().clone();
+        let outcomes = lock(&self.recorder).outcome_counts().clone();
         let words = format!("seed {seed}\n{:#?}\n{:#?}\n{outcomes:#?}\n", self.script, self.outcome);
         let _ = std::fs::write(self.folder.join("script.txt"), words);
         for (number, (at, log)) in self.fleet.logs().into_iter().enumerate() {
@@ -945,13 +946,13 @@
         let whole = self.began_at.elapsed().as_secs_f64();
         for job in &self.jobs {
             let (Some(over), Some(_)) = (job.over, self.site.place(&job.machine)) else { continue };
-            let ledger = lock(&self.ledger);
-            let usual = ledger.sends(&job.machine) as f64 / whole;
+            let recorder = lock(&self.recorder);
+            let usual = recorder.statement_count(&job.machine) as f64 / whole;
             let end = (over + FALL).min(Instant::now());
-            let got = ledger.sends_between(&job.machine, over, end) as f64;
+            let got = recorder.statements_between(&job.machine, over, end) as f64;
             if got > usual * FALL_MULTIPLE * FALL.as_secs_f64() + FEW {
                 self.outcome.cold_pushed += 1;
-                drop(ledger);
+                drop(recorder);
                 self.fleet.record_fault(&format!(
                     "PUSHED: {} got {got} in {FALL:?}, usually {usual:.1} a second",
                     job.machine
--- a/crates/lab/src/work/proof.rs
+++ b/crates/lab/src/work/proof.rs
@@ -3,9 +3,9 @@
 use super::model;
 use super::play::{Outcome, play};
 use super::script::Script;
-use crate::at_once;
 use crate::processes::process;
 use crate::processes::records::{quantile, script_runs};
+use crate::run_parallel;
 use linnetdeal_coordination::work::OrderPolicy;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -45,7 +45,7 @@
     let mut scripts = Script::folder(&wanted.folder)?;
     scripts.retain(|script| wanted.only.as_ref().is_none_or(|only| script.name.contains(only)));
     let plays = script_runs(scripts.len(), wanted.times);
-    let outcomes = at_once(&plays, wanted.side_by_side, |(at, seed)| {
+    let outcomes = run_parallel(&plays, wanted.side_by_side, |(at, seed)| {
         play(&scripts[*at], scripts[*at].seed * 1_000 + seed, &wanted.program)
     });
     let (mut all, mut well) = (Outcome::default(), true);
--- a/crates/lab/src/work/site.rs
+++ b/crates/lab/src/work/site.rs
@@ -1,9 +1,9 @@
 //! What poolers stand among: servers, the list of them, and who hands primaries over.
 
-use crate::boxes::{Log, StandIn};
-use crate::ledger::Ledger;
+use crate::boxes::{Log, StandInServer};
 use crate::lock;
 use crate::processes::http_head::RequestHead;
+use crate::recorder::Recorder;
 use serde_json::{Value, json};
 use std::io::Write;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -21,7 +21,7 @@
     /// Its zone.
     pub zone: String,
     /// The stand-in.
-    pub stand_in: StandIn,
+    pub stand_in: StandInServer,
 }
 
 /// What the list says of a server.
@@ -71,7 +71,7 @@
         (groups, members, zones): (usize, usize, usize),
         poolers: usize,
         work: Duration,
-        ledger: &Arc<Mutex<Ledger>>,
+        recorder: &Arc<Mutex<Recorder>>,
     ) -> std::io::Result<Self> {
         let mut servers = Vec::new();
         for group in 0..groups {
@@ -80,7 +80,7 @@
                 let id = format!("s{group}{member}");
                 let primary = member == group % members;
                 let ip = IpAddr::V4(Ipv4Addr::LOCALHOST);
-                let stand_in = StandIn::start(&id, ip, primary, work, log.clone(), ledger.clone())?;
+                let stand_in = StandInServer::start(&id, ip, primary, work, log.clone(), recorder.clone())?;
                 let zone = char::from(b'a' + (member % zones) as u8).to_string();
                 servers.push(Server { id, group, zone, stand_in });
             }
--- a/crates/lab/tests/load.rs
+++ b/crates/lab/tests/load.rs
@@ -1,8 +1,8 @@
 //! The load tool: what is due when, and whose time it counts.
 
-use linnetdeal_lab::boxes::{Log, StandIn};
-use linnetdeal_lab::ledger::Ledger;
+use linnetdeal_lab::boxes::{Log, StandInServer};
 use linnetdeal_lab::load::{Load, LoadError, Pace};
+use linnetdeal_lab::recorder::Recorder;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -77,11 +77,12 @@
 
 #[test]
 fn times_count_from_when_a_request_was_due_and_not_from_when_a_session_was_free() {
-    let (log, ledger) = (Arc::<Log>::default(), Arc::<Mutex<Ledger>>::default());
+    let (log, recorder) = (Arc::<Log>::default(), Arc::<Mutex<Recorder>>::default());
     let ip = IpAddr::V4(Ipv4Addr::LOCALHOST);
     // It does 20 a second at most, and is asked for 100: who waits for a session is late, though each answer by
     // itself is quick. On a slower machine more are late.
-    let slow = StandIn::start("slow", ip, true, Duration::from_millis(50), log, ledger).expect("it listens");
+    let slow =
+        StandInServer::start("slow", ip, true, Duration::from_millis(50), log, recorder).expect("it listens");
     let result = load(slow.address).play().expect("it is played");
     let all = result.all();
     assert!(all.served() > 0 && all.served() == all.asked(), "{:?}", all.answers);
