--- a/crates/daemon/tests/leases.rs
+++ b/crates/daemon/tests/leases.rs
@@ -1,10 +1,10 @@
 //! Leases between processes of the program while faults are injected: runs each script once, with a fixed seed.
 
-use linnetdeal_lab::family::Family;
 use linnetdeal_lab::leases::play::play;
 use linnetdeal_lab::leases::script::{Do, Script};
 use linnetdeal_lab::processes::fleet::{Fleet, Spec};
 use linnetdeal_lab::processes::process;
+use linnetdeal_lab::replica_group::ReplicaGroup;
 use linnetdeal_lab::{lock, run_parallel};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -168,7 +168,7 @@
         "tasks: [{name: \"sweep\", term: \"500ms\"}]",
         "positions: {term: \"500ms\", every: \"200ms\"}",
     );
-    let family = Family::start(3, std::net::Ipv4Addr::LOCALHOST.into()).expect("a family");
+    let family = ReplicaGroup::start(3, std::net::Ipv4Addr::LOCALHOST.into()).expect("a family");
     let entry = |(index, address): (usize, &SocketAddr)| {
         json!({"instanceId": format!("s{index}"), "hostPort": address.to_string(), "zone": "a", "machineType": "m",
                "cell": 1, "lifecycle": "up", "weight": 1.0, "startedAtMs": 0})
@@ -193,7 +193,7 @@
     };
     // One pooler probes three members five times a second; if all five did, there would be five times as many
     // probes.
-    let assert_polled_by_one = |family: &Family| {
+    let assert_polled_by_one = |family: &ReplicaGroup| {
         let (began, before) = (Instant::now(), family.probes());
         wait_until("probes", &mut || family.probes() >= before + 45);
         assert!(began.elapsed() > Duration::from_millis(1_500), "45 probes in {:?}", began.elapsed());
--- a/crates/lab/src/changes.rs
+++ b/crates/lab/src/changes.rs
@@ -2,11 +2,11 @@
 //! pooler that restarts in the middle, an heir that drains, and several poolers that release onto a cold primary.
 
 use crate::clients::Client;
-use crate::family::{Step, Way};
 use crate::lock;
 use crate::pooler::{Pooler, PoolerSetup};
 use crate::primary::{Answer, DEADLINE, Stage, Writers, name, quantile};
 use crate::recorder::Recorder;
+use crate::replica_group::{Step, Way};
 use serde_json::json;
 use std::io;
 use std::path::Path;
@@ -53,11 +53,11 @@
     ];
 }
 
-/// What came out of it. Rows are the family's, answers the clients'.
+/// What came out of it. Rows are the group's, answers the clients'.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     /// Writes that clients asked.
-    pub asked: usize,
+    pub writes: usize,
     /// Of these, served.
     pub served: usize,
     /// Refused.
@@ -77,25 +77,25 @@
     /// Writes to a box later than 250 ms after its drain was told.
     pub drains_broken: u64,
     /// Writes that went to a box after it had shown to be of no use, where the case has one.
-    pub astray: usize,
+    pub misdirected_writes: usize,
     /// Reads that went to that box.
-    pub reads_there: usize,
+    pub reads_at_returned_box: usize,
     /// Reads answered from older data than their class allows.
-    pub stale: u64,
+    pub stale_reads: u64,
     /// The most that a cold box was sent in any 3 s, as a part of 2.5 times what it could do in them.
-    pub over_budget: Option<f64>,
+    pub cold_budget_peak: Option<f64>,
     /// From the new primary to the last held write served.
-    pub cleared: Option<Duration>,
+    pub backlog_cleared_in: Option<Duration>,
     /// Hints at when to come back, each as a multiple of the time that it truly took until a write was served.
     pub hints: Vec<f64>,
     /// The flight recorder of the first pooler, as it was dumped in the end.
-    pub record: String,
+    pub flight_record: String,
 }
 
 impl Course {
     /// All of it goes by plan, so that no client is to see an error.
     #[must_use]
-    pub fn planned(self) -> bool {
+    pub fn is_planned(self) -> bool {
         matches!(self, Self::Thousand | Self::HeirDrains)
     }
 }
@@ -105,7 +105,7 @@
     #[must_use]
     pub fn counts(&self) -> [usize; 7] {
         [
-            self.asked,
+            self.writes,
             self.doubled,
             self.served_without_row,
             self.refused_with_row,
@@ -117,7 +117,7 @@
 
     /// Adds what came out of another.
     pub fn add(&mut self, other: &Self) {
-        self.asked += other.asked;
+        self.writes += other.writes;
         self.doubled += other.doubled;
         self.served_without_row += other.served_without_row;
         self.refused_with_row += other.refused_with_row;
@@ -125,8 +125,8 @@
         self.late += other.late;
         self.failed += other.failed;
         self.drains_broken += other.drains_broken;
-        self.astray += other.astray;
-        self.stale += other.stale;
+        self.misdirected_writes += other.misdirected_writes;
+        self.stale_reads += other.stale_reads;
     }
 
     /// In a line.
@@ -139,11 +139,11 @@
             self.served,
             self.refused,
             self.drains_broken,
-            self.astray,
-            self.reads_there,
-            self.stale,
-            self.cleared.unwrap_or_default().as_millis(),
-            self.over_budget.map_or_else(|| "-".to_owned(), |part| format!("{part:.2}")),
+            self.misdirected_writes,
+            self.reads_at_returned_box,
+            self.stale_reads,
+            self.backlog_cleared_in.unwrap_or_default().as_millis(),
+            self.cold_budget_peak.map_or_else(|| "-".to_owned(), |part| format!("{part:.2}")),
             self.hints,
         )
     }
@@ -164,16 +164,16 @@
 
 impl Stage {
     fn die(&self, way: Way) {
-        self.family.arm(Step::BeforeRun, way);
+        self.group.arm(Step::BeforeRun, way);
         let end = Instant::now() + Duration::from_secs(3);
-        let before = self.family.died();
-        while self.family.died() == before && Instant::now() < end {
+        let before = self.group.died();
+        while self.group.died() == before && Instant::now() < end {
             wait(Duration::from_millis(1));
         }
     }
 
     fn planned(&self, at: usize) {
-        self.family.drain();
+        self.group.drain();
         self.registrations.update(&name(at), true, |one| one.status = "OUT_OF_SERVICE".into());
     }
 }
@@ -228,18 +228,19 @@
             promoted = Some(stage.promote(1));
             wait(Duration::from_millis(600));
             if course == Course::BackClaiming {
-                stage.family.revive_claiming(0);
+                stage.group.revive_claiming(0);
             } else {
-                stage.family.revive(0);
+                stage.group.revive(0);
             }
             let back = Instant::now();
             // Longer than it is left alone for having been silent.
             let readers = Readers::start(&stage, 8, Duration::from_millis(5));
             wait(Duration::from_secs(6));
             readers.end();
-            let sent = stage.family.sent();
-            tally.astray = sent.iter().filter(|(at, when, write)| *at == 0 && *write && *when > back).count();
-            tally.reads_there =
+            let sent = stage.group.sent();
+            tally.misdirected_writes =
+                sent.iter().filter(|(at, when, write)| *at == 0 && *write && *when > back).count();
+            tally.reads_at_returned_box =
                 sent.iter().filter(|(at, when, write)| *at == 0 && !write && *when > back).count();
         }
         Course::Nobody => {
@@ -272,11 +273,11 @@
             promoted = Some(stage.promote(2));
             wait(TAKEOVER);
         }
-        Course::Cold => tally.over_budget = Some(cold(&stage, &mut crews, &mut promoted)),
+        Course::Cold => tally.cold_budget_peak = Some(cold(&stage, &mut crews, &mut promoted)),
         Course::Learning => tally.hints = learning(&stage),
     }
     stage.poolers[0].signal("USR1")?;
-    tally.record = stage.poolers[0].wait_for_log("changes of primary")?;
+    tally.flight_record = stage.poolers[0].wait_for_log("changes of primary")?;
     let answers: Vec<Answer> = crews.into_iter().flat_map(Writers::end).collect();
     stage.judge(&mut tally, &answers, excused, promoted);
     Ok(tally)
@@ -322,7 +323,7 @@
     let readers = Readers::start(stage, 6, Duration::from_millis(40));
     wait(Duration::from_secs(2));
     let started = Instant::now();
-    stage.family.start_cold(1, COLD.0, Duration::from_secs_f64(COLD.1));
+    stage.group.start_cold(1, COLD.0, Duration::from_secs_f64(COLD.1));
     let ms = crate::clients::now_ms().to_string();
     stage.registrations.update(&name(1), true, |one| drop(one.metadata.insert("startedAtMs".into(), ms)));
     wait(Duration::from_millis(500));
@@ -335,7 +336,7 @@
     wait(Duration::from_secs(4));
     readers.end();
     let came: Vec<f64> = stage
-        .family
+        .group
         .sent()
         .iter()
         .filter(|(at, when, _)| *at == 1 && *when >= started)
@@ -363,7 +364,7 @@
     for round in 0..6 {
         stage.die(Way::Reset);
         let died = Instant::now();
-        let next = (at + 1) % stage.family.addresses.len();
+        let next = (at + 1) % stage.group.addresses.len();
         // A client that can't wait for it: what it is told, against how long it took in truth.
         let recorder = stage.recorder.clone();
         let address = stage.poolers[0].address;
@@ -376,7 +377,7 @@
             );
         }
         wait(Duration::from_millis(600));
-        stage.family.revive(at);
+        stage.group.revive(at);
         wait(Duration::from_millis(600));
         at = next;
     }
@@ -399,7 +400,7 @@
 
 impl Stage {
     fn promote(&self, at: usize) -> Instant {
-        self.family.promote(at);
+        self.group.promote(at);
         Instant::now()
     }
 
@@ -410,7 +411,7 @@
                 "cell": 2, "lifecycle": "up", "weight": 1.0, "startedAtMs": 0,
                 "part": if at == 0 { "master" } else { "replica" }})
         };
-        self.family.addresses.iter().enumerate().map(one).collect()
+        self.group.addresses.iter().enumerate().map(one).collect()
     }
 
     fn judge(
@@ -420,8 +421,8 @@
         excused: Option<Instant>,
         promoted: Option<Instant>,
     ) {
-        let rows = self.family.rows();
-        tally.doubled = self.family.doubled();
+        let rows = self.group.rows();
+        tally.doubled = self.group.doubled();
         let mut after = Vec::new();
         for Answer { id, asked, took, how } in answers {
             let (served, row) = (how == "served", rows.contains_key(id));
@@ -430,7 +431,7 @@
             if broken && excused.is_some_and(|at| *asked < at + Duration::from_millis(400)) {
                 continue;
             }
-            tally.asked += 1;
+            tally.writes += 1;
             tally.served += usize::from(served);
             tally.refused += usize::from(how == "refused");
             tally.failed += usize::from(how.starts_with("failed"));
@@ -442,12 +443,12 @@
                 after.push(*asked + *took - promoted);
             }
         }
-        tally.cleared = promoted.map(|_| quantile(&after, 1.0));
+        tally.backlog_cleared_in = promoted.map(|_| quantile(&after, 1.0));
         let mut recorder = lock(&self.recorder);
-        for (at, when, _) in self.family.sent() {
+        for (at, when, _) in self.group.sent() {
             recorder.statement_received(&name(at), when);
         }
         let verdict = recorder.verdict();
-        (tally.drains_broken, tally.stale) = (verdict.drains_broken, verdict.stale_reads);
+        (tally.drains_broken, tally.stale_reads) = (verdict.drains_broken, verdict.stale_reads);
     }
 }
--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -2,7 +2,7 @@
 //! one run, so that the difference is the pooler's and not the machine's mood.
 
 use crate::boxes::{Log, StandInServer};
-use crate::load::{Load, LoadError, OfClass, Pace};
+use crate::load::{ClassStats, Load, LoadError, Pace};
 use crate::pooler::Pooler;
 use crate::recorder::Recorder;
 use serde_json::{Value, json};
@@ -35,11 +35,11 @@
 /// What was measured.
 #[derive(Clone, Debug, Default)]
 pub struct Cost {
-    direct: OfClass,
-    pooler: OfClass,
+    direct: ClassStats,
+    pooler: ClassStats,
     /// With 16 sessions that ask as fast as they are answered: the pooler's CPU and what was served.
     cpu: Duration,
-    crowd: OfClass,
+    crowd: ClassStats,
     crowd_s: f64,
     wrong: u64,
 }
@@ -48,8 +48,8 @@
     /// The last line.
     #[must_use]
     pub fn line(&self) -> Value {
-        let quantile = |of: &OfClass, q| of.written.value_at_quantile(q);
-        let cpu = self.cpu.as_secs_f64() * 1e6 / self.crowd.asked().max(1) as f64;
+        let quantile = |of: &ClassStats, q| of.from_written.value_at_quantile(q);
+        let cpu = self.cpu.as_secs_f64() * 1e6 / self.crowd.total().max(1) as f64;
         let (direct, pooler) = (quantile(&self.direct, 0.5), quantile(&self.pooler, 0.5));
         json!({"direct_p50_us": direct, "pooler_p50_us": pooler,
             "added_p50_us": pooler as i64 - direct as i64,
@@ -62,7 +62,7 @@
 
     /// Whether all was served: a cost of refusals would be none.
     #[must_use]
-    pub fn good(&self) -> bool {
+    pub fn all_served(&self) -> bool {
         self.wrong == 0 && self.crowd.served() > 0
     }
 }
@@ -116,7 +116,7 @@
         to,
         sessions: 1,
         pace: Pace::Closed,
-        lasts: LASTS,
+        duration: LASTS,
         warm: WARM,
         deadline: Duration::from_secs(1),
         writes: None,
@@ -126,7 +126,7 @@
 
 impl Cost {
     /// One turn of a pooler, beside what a box took directly just before.
-    fn turn(&mut self, pooler: &Pooler, round: u64, direct: &OfClass) -> Result<String, CostError> {
+    fn turn(&mut self, pooler: &Pooler, round: u64, direct: &ClassStats) -> Result<String, CostError> {
         let through = load(pooler.address, round).play()?.all();
         let before = cpu(pooler.id())?;
         // No time to warm: all that the CPU time went to is counted.
@@ -139,12 +139,12 @@
         for (sum, one) in
             [(&mut self.direct, direct), (&mut self.pooler, &through), (&mut self.crowd, &crowd)]
         {
-            self.wrong += one.asked() - one.served();
+            self.wrong += one.total() - one.served();
             sum.add(one);
         }
-        let quantiles = |of: &OfClass| [0.5, 0.99].map(|q| of.written.value_at_quantile(q));
+        let quantiles = |of: &ClassStats| [0.5, 0.99].map(|q| of.from_written.value_at_quantile(q));
         let ([d50, d99], [p50, p99]) = (quantiles(direct), quantiles(&through));
-        let (cpu, rate) = (used.as_secs_f64() * 1e6 / crowd.asked().max(1) as f64, crowd.served() as f64);
+        let (cpu, rate) = (used.as_secs_f64() * 1e6 / crowd.total().max(1) as f64, crowd.served() as f64);
         Ok(format!(
             "direct p50 {d50:>4} p99 {d99:>5} us  through it p50 {p50:>4} p99 {p99:>5} us  {cpu:.1} us CPU a request at {:.0} a second",
             rate / LASTS.as_secs_f64()
--- a/crates/lab/src/emulator.rs
+++ b/crates/lab/src/emulator.rs
@@ -1,6 +1,6 @@
 //! The fleet in virtual time, from the command line: a scenario, the library of them, and how large it gets.
 
-use crate::plot::Marks;
+use crate::plot::ChartRecorder;
 use linnetdeal_fleet::audit::{AuditReport, Auditor};
 use linnetdeal_fleet::faults::{self, Fault};
 use linnetdeal_fleet::record::{Log, Record, Sink};
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// Tells all of them what happens.
-struct All<'s>(&'s mut Log, &'s mut Auditor, &'s mut Marks);
+struct All<'s>(&'s mut Log, &'s mut Auditor, &'s mut ChartRecorder);
 
 impl Sink for All<'_> {
     fn record(&mut self, record: Record) {
@@ -24,33 +24,33 @@
 
 /// A scenario that was played.
 #[derive(Debug)]
-pub struct Played {
+pub struct ScenarioRun {
     /// Its name.
     pub name: String,
     /// What came out.
     pub outcome: RunOutcome,
     /// What the auditor says.
-    pub verdict: AuditReport,
+    pub audit_report: AuditReport,
     /// The digest of its records, and their number.
     pub digest: (u64, u64),
     /// What it took.
-    pub took: Duration,
+    pub elapsed: Duration,
     /// Checks of its own that it missed.
-    pub missed: Vec<String>,
+    pub missed_checks: Vec<String>,
     /// The names of its classes, writes last, and of its tenants.
     pub classes: Vec<String>,
     /// The names of its tenants.
     pub tenants: Vec<String>,
 }
 
-impl Played {
+impl ScenarioRun {
     /// In a line.
     #[must_use]
     pub fn line(&self) -> String {
         let RunOutcome { events, requests, latency, attempts, probes, collapsed, .. } = &self.outcome;
         let p99 = |class: usize| latency[class].value_at_quantile(0.99) as f64 / 1_000.0;
         let broken: Vec<String> =
-            self.verdict.violations.iter().map(|(rule, count)| format!("{rule:?} {count}")).collect();
+            self.audit_report.violations.iter().map(|(rule, count)| format!("{rule:?} {count}")).collect();
         format!(
             "{:<20} asked {:>7}  served {:.4}  writes {:.4}  p99 {:>5.0} ms, of writes {:>5.0}  sent {attempts:>8}  probes {probes:>7}  fell {collapsed}  cold peak {:.2}  {:>5.2} M events/s  {}{}",
             self.name,
@@ -59,14 +59,14 @@
             self.outcome.class_served_share(self.outcome.write_class()),
             p99(0),
             p99(self.outcome.write_class()),
-            self.verdict.cold_peak,
-            *events as f64 / self.took.as_secs_f64() / 1e6,
+            self.audit_report.cold_peak,
+            *events as f64 / self.elapsed.as_secs_f64() / 1e6,
             if broken.is_empty() {
                 "no rule broken".to_owned()
             } else {
                 format!("BROKEN {}", broken.join(", "))
             },
-            self.missed.iter().map(|words| format!("  MISSED {words}")).collect::<String>(),
+            self.missed_checks.iter().map(|words| format!("  MISSED {words}")).collect::<String>(),
         )
     }
 
@@ -103,7 +103,7 @@
 /// # Errors
 ///
 /// When it can't be read, or something in it is wrong.
-pub fn load(path: &Path) -> io::Result<Scenario> {
+pub fn load_scenario(path: &Path) -> io::Result<Scenario> {
     let bytes =
         std::fs::read(path).map_err(|error| io::Error::other(format!("{}: {error}", path.display())))?;
     let world = match std::fs::read_to_string(path.with_file_name(WORLD)) {
@@ -118,31 +118,32 @@
 /// # Errors
 ///
 /// When one can't be read.
-pub fn library(folder: &Path) -> io::Result<Vec<Scenario>> {
+pub fn load_library(folder: &Path) -> io::Result<Vec<Scenario>> {
     let files =
         std::fs::read_dir(folder)?.map(|entry| Ok(entry?.path())).collect::<io::Result<Vec<PathBuf>>>()?;
     let mut files: Vec<_> =
         files.into_iter().filter(|path| path.extension().is_some_and(|of| of == "cue")).collect();
     files.retain(|path| !path.ends_with(WORLD));
     files.sort();
-    files.iter().map(|path| load(path)).collect()
+    files.iter().map(|path| load_scenario(path)).collect()
 }
 
 /// Plays a scenario and has it audited.
 #[must_use]
-pub fn play(scenario: &Scenario) -> Played {
-    play_with(scenario, &mut Marks::default())
+pub fn run_scenario(scenario: &Scenario) -> ScenarioRun {
+    run_with_charts(scenario, &mut ChartRecorder::default())
 }
 
 /// The same, with the troubles marked.
 #[must_use]
-pub fn play_with(scenario: &Scenario, marks: &mut Marks) -> Played {
+pub fn run_with_charts(scenario: &Scenario, marks: &mut ChartRecorder) -> ScenarioRun {
     let (mut log, mut auditor) = (Log::default(), Auditor::new(sim::rules(scenario)));
     let began = Instant::now();
     let outcome = sim::run(scenario, &mut All(&mut log, &mut auditor, marks));
-    let took = began.elapsed();
-    let verdict = auditor.finish(outcome.end).check_first_tries(&sim::rules(scenario), outcome.first_tries());
-    let mut missed = Vec::new();
+    let elapsed = began.elapsed();
+    let audit_report =
+        auditor.finish(outcome.end).check_first_tries(&sim::rules(scenario), outcome.first_tries());
+    let mut missed_checks = Vec::new();
     for (what, share, wanted) in [
         ("served", outcome.served_share(), scenario.checks.served),
         ("writes", outcome.class_served_share(outcome.write_class()), scenario.checks.writes),
@@ -150,13 +151,22 @@
         ("worst 10 s", outcome.service.worst_window().1, scenario.checks.worst),
     ] {
         if share < wanted {
-            missed.push(format!("{what} {share:.3} of {wanted}"));
+            missed_checks.push(format!("{what} {share:.3} of {wanted}"));
         }
     }
     let digest = (log.digest(), log.len());
     let classes = traffic::class_plans(scenario).into_iter().map(|of| of.class.name).collect();
     let tenants = scenario.tenants.iter().map(|of| of.name.clone()).collect();
-    Played { name: scenario.name.clone(), outcome, verdict, digest, took, missed, classes, tenants }
+    ScenarioRun {
+        name: scenario.name.clone(),
+        outcome,
+        audit_report,
+        digest,
+        elapsed,
+        missed_checks,
+        classes,
+        tenants,
+    }
 }
 
 /// Keeps what concerns a request.
@@ -172,7 +182,7 @@
 
 /// All records of a request.
 #[must_use]
-pub fn of_request(scenario: &Scenario, request: u64) -> Vec<Record> {
+pub fn request_records(scenario: &Scenario, request: u64) -> Vec<Record> {
     let mut of = Of(request, Vec::new());
     sim::run(scenario, &mut of);
     of.1
@@ -180,7 +190,7 @@
 
 /// Puts each fault into a run's records; gives how many were found, of how many that found a place.
 #[must_use]
-pub fn seeded(scenario: &Scenario) -> (usize, usize) {
+pub fn detect_seeded_faults(scenario: &Scenario) -> (usize, usize) {
     let mut log = Log::with_records();
     let first_tries = sim::run(scenario, &mut log).first_tries();
     let (records, rules) = (log.into_records(), sim::rules(scenario));
--- a/crates/lab/src/even.rs
+++ b/crates/lab/src/even.rs
@@ -156,10 +156,10 @@
     }
     let title = format!("99th percentile of reads in ms, by the age of what is told, {PLOTTED} poolers");
     let age = plot::chart(&title, &by_age, 1.0, &[]).map_err(io::Error::other)?;
-    plot::write_whole(&folder.join("even-load-age.svg"), &age)?;
+    plot::write_atomically(&folder.join("even-load-age.svg"), &age)?;
     let title = format!(
         "greatest load of a server against its group's mean, by second, {PLOTTED} poolers, told each 100 ms"
     );
     let second = plot::chart(&title, &by_second, 1.0, &trouble_times()).map_err(io::Error::other)?;
-    plot::write_whole(&folder.join("even-load-second.svg"), &second)
+    plot::write_atomically(&folder.join("even-load-second.svg"), &second)
 }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,7 +1,7 @@
 //! Experiments: a scenario for each of several sizes and loads, with several seeds, on all cores. Each run's figures are a Parquet
 //! file of their own, written whole or not at all, so that an experiment that was ended goes on where it was.
 
-use crate::emulator::{self, Played};
+use crate::emulator::{self, ScenarioRun};
 use indicatif::{ProgressBar, ProgressStyle};
 use linnetdeal_fleet::scenario::Scenario;
 use linnetdeal_operator::{Diagnostic, Diagnostics, unify};
@@ -131,7 +131,7 @@
     }
 }
 
-fn figures(played: &Played) -> Figures {
+fn figures(played: &ScenarioRun) -> Figures {
     let p99 = |class: usize| played.outcome.latency[class].value_at_quantile(0.99) as f64 / 1_000.0;
     [
         played.outcome.served_share(),
@@ -139,8 +139,8 @@
         p99(0),
         p99(played.outcome.write_class()),
         played.outcome.probes as f64 / played.outcome.requests.iter().sum::<u64>().max(1) as f64,
-        played.verdict.cold_peak,
-        played.verdict.violations.values().sum::<u64>() as f64,
+        played.audit_report.cold_peak,
+        played.audit_report.violations.values().sum::<u64>() as f64,
     ]
 }
 
@@ -179,7 +179,7 @@
 /// # Errors
 ///
 /// When a file can't be read, or holds no results.
-pub fn read(folder: &Path) -> Result<Results, ExperimentError> {
+pub fn read_results(folder: &Path) -> Result<Results, ExperimentError> {
     let failed = |error| ExperimentError::File(folder.into(), error);
     let files = std::fs::read_dir(folder).map_err(failed)?.map(|entry| Ok(entry?.path()));
     let mut files = files.collect::<std::io::Result<Vec<_>>>().map_err(failed)?;
@@ -212,7 +212,7 @@
 /// # Errors
 ///
 /// When a result can't be written.
-pub fn play(
+pub fn run_missing(
     experiment: &Experiment,
     scenario: &Scenario,
     folder: &Path,
@@ -232,7 +232,7 @@
     let done = std::thread::scope(|scope| {
         let work = || -> Result<(), ExperimentError> {
             while let Some((cell, scenario)) = missing.get(next.fetch_add(1, Ordering::Relaxed)) {
-                write(&file(cell), &experiment.name, cell, &figures(&emulator::play(scenario)))?;
+                write(&file(cell), &experiment.name, cell, &figures(&emulator::run_scenario(scenario)))?;
                 bar.inc(1);
             }
             Ok(())
@@ -248,13 +248,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
     /// Poolers and load of these cells.
-    pub of: (i64, f64),
+    pub cell: (i64, f64),
     /// The figure's name.
     pub figure: &'static str,
     /// The means.
     pub means: (f64, f64),
     /// The difference of the means lies between these with a chance of 95%, by the bootstrap.
-    pub between: (f64, f64),
+    pub interval: (f64, f64),
     /// Seeds that both have.
     pub seeds: usize,
 }
@@ -285,10 +285,10 @@
             drawn.sort_by(f64::total_cmp);
             let out = (DRAWS as f64 * TAIL) as usize;
             all.push(Difference {
-                of: (poolers, f64::from_bits(load)),
+                cell: (poolers, f64::from_bits(load)),
                 figure,
                 means: (mean(&|(a, _)| a[at]), mean(&|(_, b)| b[at])),
-                between: (drawn[out], drawn[DRAWS - 1 - out]),
+                interval: (drawn[out], drawn[DRAWS - 1 - out]),
                 seeds: pairs.len(),
             });
         }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -18,7 +18,7 @@
 pub const MOST_SESSIONS: usize = 2_000;
 /// Arrivals are drawn before the load begins, at 16 bytes each.
 pub const MOST_REQUESTS: f64 = 8_000_000.0;
-/// No load lasts longer.
+/// No load duration longer.
 pub const LONGEST: Duration = Duration::from_secs(600);
 /// Sessions share their counts with some others: a histogram of its own for each would take gigabytes.
 const SHARDS: usize = 16;
@@ -45,7 +45,7 @@
     /// When.
     pub pace: Pace,
     /// How long.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// What is asked in this time at the beginning is not counted.
     pub warm: Duration,
     /// How long a request waits for its answer.
@@ -72,27 +72,27 @@
 
 /// What came of the requests of a class. Times are in us.
 #[derive(Clone, Debug)]
-pub struct OfClass {
+pub struct ClassStats {
     /// From when it was due to the answer's last byte, served only.
-    pub due: Histogram<u64>,
+    pub from_due: Histogram<u64>,
     /// From when it was written.
-    pub written: Histogram<u64>,
+    pub from_written: Histogram<u64>,
     /// How each was answered.
     pub answers: BTreeMap<String, u64>,
 }
 
-impl Default for OfClass {
+impl Default for ClassStats {
     fn default() -> Self {
-        Self { due: times(), written: times(), answers: BTreeMap::new() }
+        Self { from_due: times(), from_written: times(), answers: BTreeMap::new() }
     }
 }
 
-impl OfClass {
+impl ClassStats {
     /// Adds another's counts.
     pub fn add(&mut self, other: &Self) {
         // Both have the same bounds: adding can't fail.
-        let _ = self.due.add(&other.due);
-        let _ = self.written.add(&other.written);
+        let _ = self.from_due.add(&other.from_due);
+        let _ = self.from_written.add(&other.from_written);
         for (how, count) in &other.answers {
             *self.answers.entry(how.clone()).or_default() += count;
         }
@@ -100,7 +100,7 @@
 
     /// How many were answered, in whatever way, or not.
     #[must_use]
-    pub fn asked(&self) -> u64 {
+    pub fn total(&self) -> u64 {
         self.answers.values().sum()
     }
 
@@ -122,7 +122,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Result {
     /// By class, as [`CLASSES`] has them.
-    pub classes: Vec<OfClass>,
+    pub classes: Vec<ClassStats>,
     /// How long requests were counted.
     pub counted: Duration,
     /// Requests that were due before the end and that no session was free for: the target is beyond what it can do.
@@ -132,8 +132,8 @@
 impl Result {
     /// All classes in one.
     #[must_use]
-    pub fn all(&self) -> OfClass {
-        self.classes.iter().fold(OfClass::default(), |mut all, one| {
+    pub fn all(&self) -> ClassStats {
+        self.classes.iter().fold(ClassStats::default(), |mut all, one| {
             all.add(one);
             all
         })
@@ -141,14 +141,14 @@
 
     /// Served a second.
     #[must_use]
-    pub fn per_second(&self) -> f64 {
+    pub fn served_per_second(&self) -> f64 {
         self.all().served() as f64 / self.counted.as_secs_f64()
     }
 }
 
 /// An arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Due {
+pub struct Arrival {
     /// From the beginning.
     pub at: Duration,
     /// The number of its class.
@@ -170,10 +170,10 @@
                 &format!("1 to {MOST_SESSIONS}"),
             );
         }
-        if self.lasts.is_zero() || self.lasts > LONGEST {
-            return wrong("the time", format!("{:?}", self.lasts), &format!("up to {LONGEST:?}"));
+        if self.duration.is_zero() || self.duration > LONGEST {
+            return wrong("the time", format!("{:?}", self.duration), &format!("up to {LONGEST:?}"));
         }
-        if self.warm >= self.lasts {
+        if self.warm >= self.duration {
             return wrong("the time to warm", format!("{:?}", self.warm), "below the whole time");
         }
         if self.deadline < Duration::from_millis(1) || self.deadline > Duration::from_secs(60) {
@@ -188,7 +188,7 @@
                     return wrong("the rate", rate.to_string(), "above 0");
                 }
             }
-            let count = f64::midpoint(from, to) * self.lasts.as_secs_f64();
+            let count = f64::midpoint(from, to) * self.duration.as_secs_f64();
             if count > MOST_REQUESTS {
                 return wrong("the number of requests", count.to_string(), &format!("up to {MOST_REQUESTS}"));
             }
@@ -198,20 +198,20 @@
 
     /// When requests of which class are due: the same for the same seed. Empty without a rate.
     #[must_use]
-    pub fn arrivals(&self) -> Vec<Due> {
+    pub fn arrivals(&self) -> Vec<Arrival> {
         let Pace::Open(from, to) = self.pace else { return Vec::new() };
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
-        let lasts = self.lasts.as_secs_f64();
+        let duration = self.duration.as_secs_f64();
         let (mut at, mut due) = (0.0, Vec::new());
         loop {
             // The rate hardly changes within a gap.
-            let rate = from + (to - from) * at / lasts;
+            let rate = from + (to - from) * at / duration;
             let gap: f64 = Exp1.sample(&mut rng);
             at += gap / rate;
-            if at >= lasts {
+            if at >= duration {
                 return due;
             }
-            due.push(Due { at: Duration::from_secs_f64(at), class: self.class(&mut rng) });
+            due.push(Arrival { at: Duration::from_secs_f64(at), class: self.class(&mut rng) });
         }
     }
 
@@ -242,7 +242,7 @@
         // Ids differ from those of an earlier load on the same target.
         let run = now_ms();
         let began = Instant::now() + Duration::from_millis(20);
-        let none = || Mutex::new(vec![OfClass::default(); CLASSES.len()]);
+        let none = || Mutex::new(vec![ClassStats::default(); CLASSES.len()]);
         let shards: Vec<_> = (0..SHARDS).map(|_| none()).collect();
         std::thread::scope(|scope| {
             for (at, wire) in wires.into_iter().enumerate() {
@@ -254,12 +254,12 @@
             Ok(())
         })
         .map_err(LoadError::Threads)?;
-        let mut classes = vec![OfClass::default(); CLASSES.len()];
+        let mut classes = vec![ClassStats::default(); CLASSES.len()];
         for shard in &shards {
             classes.iter_mut().zip(lock(shard).iter()).for_each(|(sum, one)| sum.add(one));
         }
         let left = due.len().saturating_sub(next.load(Ordering::SeqCst));
-        Ok(Result { classes, counted: self.lasts.saturating_sub(self.warm), never_sent: left as u64 })
+        Ok(Result { classes, counted: self.duration.saturating_sub(self.warm), never_sent: left as u64 })
     }
 }
 
@@ -280,9 +280,9 @@
 }
 
 impl Session<'_> {
-    fn play(mut self, number: usize, due: &[Due], next: &AtomicUsize, counts: &Mutex<Vec<OfClass>>) {
+    fn play(mut self, number: usize, due: &[Arrival], next: &AtomicUsize, counts: &Mutex<Vec<ClassStats>>) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.load.seed ^ (number as u64 + 1));
-        let (warm, end) = (self.began + self.load.warm, self.began + self.load.lasts);
+        let (warm, end) = (self.began + self.load.warm, self.began + self.load.duration);
         sleep_until(self.began);
         for asked in 0.. {
             let (at, class) = match self.load.pace {
@@ -307,7 +307,10 @@
                 let of = &mut lock(counts)[class];
                 if how == "served" {
                     // They grow with what they are given: recording can't fail.
-                    let _ = of.due.record(us(done - at)).and_then(|()| of.written.record(us(done - written)));
+                    let _ = of
+                        .from_due
+                        .record(us(done - at))
+                        .and_then(|()| of.from_written.record(us(done - written)));
                 }
                 *of.answers.entry(how).or_default() += 1;
             }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -7,13 +7,13 @@
 use linnetdeal_lab::clients::CLASSES;
 use linnetdeal_lab::emulator;
 use linnetdeal_lab::experiment::{self, Experiment, FIGURES};
-use linnetdeal_lab::load::{Load, OfClass, Pace};
+use linnetdeal_lab::load::{ClassStats, Load, Pace};
 use linnetdeal_lab::model::{Bounds, check};
 use linnetdeal_lab::plot;
-use linnetdeal_lab::rehearsal;
 use linnetdeal_lab::run_parallel;
 use linnetdeal_lab::script::Script;
 use linnetdeal_lab::script_runner::{ScriptOutcome, program, run_script};
+use linnetdeal_lab::socket_run;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -304,14 +304,15 @@
             linnetdeal_lab::leases::proof::model(most, |line| say!("{line}")).map(|of| of.well)
         }
         Command::Model { routers, writes, losses, crashes } => {
-            let bounds = Bounds { routers, writes, losses, crashes, drains: true, wrong_reset: false };
+            let bounds =
+                Bounds { routers, writes, losses, crashes, drains: true, reset_proves_not_run: false };
             let found = check(bounds, 4);
             say!(
                 "{}",
-                json!({"states_checked": found.states, "outlasted": found.outlasted,
-                "wrong": found.wrong.as_ref().map(|(words, steps)| format!("{words}: {steps:?}"))})
+                json!({"states_checked": found.states, "outlasted": found.write_outlasted_change,
+                "wrong": found.violation.as_ref().map(|(words, steps)| format!("{words}: {steps:?}"))})
             );
-            Ok(found.wrong.is_none())
+            Ok(found.violation.is_none())
         }
         Command::Fleet { scenario, seed, sockets: true, .. } => rehearse(&scenario, seed),
         Command::Fleet { scenario, seed, request, report, .. } => {
@@ -334,8 +335,8 @@
             let pace = rate.map_or(Pace::Closed, |rate| Pace::Open(rate, ramp_to.unwrap_or(rate)));
             let span = |of: f64| Duration::try_from_secs_f64(of).unwrap_or(Duration::ZERO);
             let deadline = Duration::from_millis(deadline);
-            let (lasts, warm) = (span(seconds), span(warm));
-            load(&Load { to, sessions, pace, lasts, warm, deadline, writes, seed })
+            let (duration, warm) = (span(seconds), span(warm));
+            load(&Load { to, sessions, pace, duration, warm, deadline, writes, seed })
         }
         Command::Cost { against } => cost(against.as_deref()),
         Command::Demo { seconds } => {
@@ -368,24 +369,24 @@
     request: Option<u64>,
     report: Option<&Path>,
 ) -> Result<bool, Failure> {
-    let mut scenario = emulator::load(path)?;
+    let mut scenario = emulator::load_scenario(path)?;
     scenario.seed = seed.unwrap_or(scenario.seed);
     if let Some(request) = request {
-        emulator::of_request(&scenario, request).iter().for_each(|record| say!("{record:?}"));
+        emulator::request_records(&scenario, request).iter().for_each(|record| say!("{record:?}"));
         return Ok(true);
     }
     let mut marks = match report {
-        Some(_) => plot::Marks::drawing(linnetdeal_fleet::sim::BEGIN)
-            .writes(traffic::class_plans(&scenario).len() - 1),
-        None => plot::Marks::default(),
+        Some(_) => plot::ChartRecorder::with_charts(linnetdeal_fleet::sim::BEGIN)
+            .write_class(traffic::class_plans(&scenario).len() - 1),
+        None => plot::ChartRecorder::default(),
     };
-    let played = emulator::play_with(&scenario, &mut marks);
+    let played = emulator::run_with_charts(&scenario, &mut marks);
     say!("{}", played.line());
     say!("{}", played.service());
     if let Some(report) = report {
-        plot::write_whole(report, &plot::report(&played, &marks)?)?;
+        plot::write_atomically(report, &plot::report(&played, &marks)?)?;
     }
-    if let Some((rule, record)) = &played.verdict.first_violation {
+    if let Some((rule, record)) = &played.audit_report.first_violation {
         say!("    first: {rule:?} by {record:?}");
     }
     for (second, (asked, served)) in
@@ -393,43 +394,43 @@
     {
         say!("    {second:>3} s  asked {asked:>6}  served {:.3}", *served as f64 / *asked as f64);
     }
-    Ok(played.verdict.violations.is_empty() && played.missed.is_empty())
+    Ok(played.audit_report.violations.is_empty() && played.missed_checks.is_empty())
 }
 
 /// A scenario in virtual time and on sockets: its lines, the gap of the served shares, and the ratio of the 99th
 /// percentiles of the most common class; whether all rules were kept.
 fn both(scenario: &Scenario) -> Result<(f64, f64, bool), Failure> {
-    let virtual_one = emulator::play(scenario);
-    let real = rehearsal::play(scenario, &program())?;
+    let virtual_one = emulator::run_scenario(scenario);
+    let real = socket_run::run_on_sockets(scenario, &program())?;
     let p99 = |of: &hdrhistogram::Histogram<u64>| of.value_at_quantile(0.99).max(1) as f64 / 1_000.0;
     let broken: Vec<String> =
-        real.verdict.violations.iter().map(|(rule, count)| format!("{rule:?} {count}")).collect();
+        real.audit_report.violations.iter().map(|(rule, count)| format!("{rule:?} {count}")).collect();
     say!("{}", virtual_one.line());
     say!(
         "{:<20} asked {:>7}  served {:.4}  writes {:.4}  p99 {:>5.0} ms, of writes {:>5.0}  never sent {}  fell {}  cold peak {:.2}  {}",
         "  on sockets",
-        real.asked.iter().sum::<u64>(),
-        real.share(),
-        real.share_of(WRITE_CLASS),
+        real.requests.iter().sum::<u64>(),
+        real.served_share(),
+        real.class_served_share(WRITE_CLASS),
         p99(&real.latency[0]),
         p99(&real.latency[WRITE_CLASS]),
         real.never_sent,
-        real.fallen,
-        real.verdict.cold_peak,
+        real.collapsed,
+        real.audit_report.cold_peak,
         if broken.is_empty() { "no rule broken".to_owned() } else { format!("BROKEN {}", broken.join(", ")) }
     );
-    if let Some((rule, record)) = &real.verdict.first_violation {
+    if let Some((rule, record)) = &real.audit_report.first_violation {
         say!("    first: {rule:?} by {record:?}");
     }
-    let gap = (real.share() - virtual_one.outcome.served_share()).abs();
+    let gap = (real.served_share() - virtual_one.outcome.served_share()).abs();
     let ratio = p99(&real.latency[0]) / p99(&virtual_one.outcome.latency[0]);
-    Ok((gap, ratio, broken.is_empty() && virtual_one.verdict.violations.is_empty()))
+    Ok((gap, ratio, broken.is_empty() && virtual_one.audit_report.violations.is_empty()))
 }
 
 fn rehearse(path: &Path, seed: Option<u64>) -> Result<bool, Failure> {
-    let mut scenario = emulator::load(path)?;
+    let mut scenario = emulator::load_scenario(path)?;
     scenario.seed = seed.unwrap_or(scenario.seed);
-    rehearsal::check(&scenario)?;
+    socket_run::check_limits(&scenario)?;
     let (gap, ratio, kept) = both(&scenario)?;
     say!("{}", json!({"served_gap": rounded(gap), "p99_ratio": rounded(ratio), "rules_kept": kept}));
     Ok(kept)
@@ -442,28 +443,28 @@
 
 fn load(load: &Load) -> Result<bool, Failure> {
     let result = load.play()?;
-    let line = |name: &str, of: &OfClass| {
-        let mut words = format!("{name:<14} asked {:>8}  served {:>8}", of.asked(), of.served());
-        for (what, times) in [("from due", &of.due), ("from written", &of.written)] {
+    let line = |name: &str, of: &ClassStats| {
+        let mut words = format!("{name:<14} asked {:>8}  served {:>8}", of.total(), of.served());
+        for (what, times) in [("from due", &of.from_due), ("from written", &of.from_written)] {
             let [p50, p90, p99, p999] = [0.5, 0.9, 0.99, 0.999].map(|q| times.value_at_quantile(q));
             words += &format!("  {what} p50 {p50} p90 {p90} p99 {p99} p99.9 {p999} max {} us", times.max());
         }
         words
     };
-    for (name, of) in CLASSES.iter().zip(&result.classes).filter(|(_, of)| of.asked() > 0) {
+    for (name, of) in CLASSES.iter().zip(&result.classes).filter(|(_, of)| of.total() > 0) {
         say!("{}", line(name, of));
     }
     let all = result.all();
     say!("{}", line("all", &all));
     say!(
         "{}",
-        json!({"seed": load.seed, "asked": all.asked(), "answers": all.answers, "never_sent": result.never_sent,
-            "served_per_s": result.per_second().round(), "p50_us": all.due.value_at_quantile(0.5),
-            "p99_us": all.due.value_at_quantile(0.99), "p999_us": all.due.value_at_quantile(0.999),
-            "from_written_p50_us": all.written.value_at_quantile(0.5),
-            "from_written_p99_us": all.written.value_at_quantile(0.99)})
+        json!({"seed": load.seed, "asked": all.total(), "answers": all.answers, "never_sent": result.never_sent,
+            "served_per_s": result.served_per_second().round(), "p50_us": all.from_due.value_at_quantile(0.5),
+            "p99_us": all.from_due.value_at_quantile(0.99), "p999_us": all.from_due.value_at_quantile(0.999),
+            "from_written_p50_us": all.from_written.value_at_quantile(0.5),
+            "from_written_p99_us": all.from_written.value_at_quantile(0.99)})
     );
-    Ok(all.asked() > 0)
+    Ok(all.total() > 0)
 }
 
 fn cost(against: Option<&Path>) -> Result<bool, Failure> {
@@ -471,14 +472,14 @@
     let programs: Vec<&Path> = against.into_iter().chain([own.as_path()]).collect();
     let costs = linnetdeal_lab::cost::measure(&programs, |words| say!("{words}"))?;
     costs.iter().for_each(|cost| say!("{}", cost.line()));
-    Ok(costs.iter().all(linnetdeal_lab::cost::Cost::good))
+    Ok(costs.iter().all(linnetdeal_lab::cost::Cost::all_served))
 }
 
 fn experiment(file: &Path, out: &Path, threads: usize) -> Result<bool, Failure> {
     let (experiment, scenario) = Experiment::load(file)?;
-    let (played, of) = experiment::play(&experiment, &scenario, out, threads)?;
+    let (played, of) = experiment::run_missing(&experiment, &scenario, out, threads)?;
     say!("{}: {played} of {of} runs played, the others were there", experiment.name);
-    let results = experiment::read(out)?;
+    let results = experiment::read_results(out)?;
     let mut cells: Vec<_> = results.iter().map(|(cell, _)| (cell.poolers, cell.load.to_bits())).collect();
     cells.sort_unstable();
     cells.dedup();
@@ -496,13 +497,13 @@
 }
 
 fn compare(before: &Path, after: &Path) -> Result<bool, Failure> {
-    for of in experiment::compare(&experiment::read(before)?, &experiment::read(after)?) {
-        let (low, high) = of.between;
+    for of in experiment::compare(&experiment::read_results(before)?, &experiment::read_results(after)?) {
+        let (low, high) = of.interval;
         let sure = if low > 0.0 || high < 0.0 { "  differs" } else { "" };
         say!(
             "poolers {:>5}  load {:.2}  {:<18} {:>10.4} -> {:>10.4}  by {low:+.4} to {high:+.4} (95%, {} seeds){sure}",
-            of.of.0,
-            of.of.1,
+            of.cell.0,
+            of.cell.1,
             of.figure,
             of.means.0,
             of.means.1,
@@ -524,13 +525,13 @@
 "#;
 
 fn emulator_proof(folder: &Path, small: bool) -> Result<bool, Failure> {
-    let mut scenarios = emulator::library(folder)?;
+    let mut scenarios = emulator::load_library(folder)?;
     let freight = folder.join("freight");
     if freight.is_dir() {
-        scenarios.extend(emulator::library(&freight)?);
+        scenarios.extend(emulator::load_library(&freight)?);
     }
-    let once = run_parallel(&scenarios, 1, emulator::play);
-    let again = run_parallel(&scenarios, 4, emulator::play);
+    let once = run_parallel(&scenarios, 1, emulator::run_scenario);
+    let again = run_parallel(&scenarios, 4, emulator::run_scenario);
     let identical = once.iter().zip(&again).all(|(one, other)| one.digest == other.digest);
     let (mut broken, mut missed) = (0, 0);
     for played in &once {
@@ -538,28 +539,28 @@
         if !played.tenants.is_empty() {
             say!("{}", played.service());
         }
-        if let Some((rule, record)) = &played.verdict.first_violation {
+        if let Some((rule, record)) = &played.audit_report.first_violation {
             say!("    first: {rule:?} by {record:?}");
         }
-        broken += played.verdict.violations.values().sum::<u64>();
-        missed += played.missed.len();
+        broken += played.audit_report.violations.values().sum::<u64>();
+        missed += played.missed_checks.len();
     }
     let (mut found, mut put) = (0, 0);
     let seeded = ["primary-dies", "planned", "freight-crash", "freight-deploy"];
     for scenario in scenarios.iter().filter(|of| seeded.contains(&of.name.as_str())) {
-        let (more, of) = emulator::seeded(scenario);
+        let (more, of) = emulator::detect_seeded_faults(scenario);
         (found, put) = (found + more, put + of);
     }
     let events: u64 = once.iter().map(|played| played.outcome.events).sum();
-    let seconds: f64 = once.iter().map(|played| played.took.as_secs_f64()).sum();
+    let seconds: f64 = once.iter().map(|played| played.elapsed.as_secs_f64()).sum();
     let mut largest = json!(null);
     if !small {
         let scenario = Scenario::decode("largest", LARGEST.as_bytes())?;
-        let played = emulator::play(&scenario);
+        let played = emulator::run_scenario(&scenario);
         say!("{}", played.line());
-        broken += played.verdict.violations.values().sum::<u64>();
+        broken += played.audit_report.violations.values().sum::<u64>();
         largest = json!({"boxes": scenario.fleet.groups * scenario.fleet.members, "poolers": scenario.fleet.poolers,
-            "requests_per_s": scenario.traffic.rate, "events": played.outcome.events, "took_s": played.took.as_secs()});
+            "requests_per_s": scenario.traffic.rate, "events": played.outcome.events, "took_s": played.elapsed.as_secs()});
     }
     // Those that one machine can show; each takes its own time, and the last two figures are the worst of them.
     let (mut gap, mut ratio, mut on_sockets) = (0.0, 1.0, 0);
@@ -583,8 +584,8 @@
 
 fn primary(only: &str, side_by_side: usize, times: usize) -> Result<bool, Failure> {
     use linnetdeal_lab::changes::{self, Course};
-    use linnetdeal_lab::family::{Step, Way};
     use linnetdeal_lab::primary::{Case, play, quantile};
+    use linnetdeal_lab::replica_group::{Step, Way};
     let ways = |step| Way::ALL.map(|way| Case::Dies(step, way));
     let cases: Vec<Case> = Step::ALL.into_iter().flat_map(ways).chain([Case::Planned; 3]).collect();
     let cases: Vec<Case> = cases.iter().copied().filter(|case| case.to_string().contains(only)).collect();
@@ -608,16 +609,16 @@
             one.refused_with_row,
             one.unanswered,
             one.late,
-            one.between.0,
-            one.between.1,
+            one.without_primary.0,
+            one.without_primary.1,
             one.handover.unwrap_or_default().as_millis(),
             words.join(", "),
-            if one.happened { "" } else { "  DID NOT HAPPEN" }
+            if one.fault_occurred { "" } else { "  DID NOT HAPPEN" }
         );
         if let Some(log) = log.filter(|_| !only.is_empty()) {
             say!("    {log}");
         }
-        never += usize::from(!one.happened);
+        never += usize::from(!one.fault_occurred);
         let counts = [
             one.top_ups,
             one.doubled,
@@ -630,9 +631,11 @@
         sums.iter_mut().zip(counts).for_each(|(sum, count)| *sum += count);
         if *case == Case::Planned {
             planned_errors += one.top_ups - one.answers.get("served").copied().unwrap_or(0);
-            added.extend(one.during.iter().map(|took| took.saturating_sub(quantile(&one.before, 0.5))));
+            added.extend(
+                one.during_change.iter().map(|took| took.saturating_sub(quantile(&one.before_change, 0.5))),
+            );
         } else {
-            between = (between.0 + one.between.0, between.1 + one.between.1);
+            between = (between.0 + one.without_primary.0, between.1 + one.without_primary.1);
             handovers.extend(one.handover);
         }
     }
@@ -645,24 +648,28 @@
         let tally = tally?;
         say!("{}", tally.line(*course));
         if !only.is_empty() {
-            say!("    {}", tally.record);
+            say!("    {}", tally.flight_record);
         }
-        planned_errors += if course.planned() { tally.asked - tally.served } else { 0 };
-        budget = tally.over_budget.unwrap_or(budget);
+        planned_errors += if course.is_planned() { tally.writes - tally.served } else { 0 };
+        budget = tally.cold_budget_peak.unwrap_or(budget);
         hints.extend(tally.hints.iter().copied());
         more.add(&tally);
     }
     let honest = hints.iter().filter(|hint| (0.75..=1.25).contains(*hint)).count();
     // The same decisions through all orders in which a change can fall, and once with a fault that must be found.
-    let bounds = Bounds { routers: 2, writes: 1, losses: 1, crashes: 1, drains: true, wrong_reset: false };
+    let bounds =
+        Bounds { routers: 2, writes: 1, losses: 1, crashes: 1, drains: true, reset_proves_not_run: false };
     let found = if only.is_empty() { check(bounds, 8) } else { check(Bounds { routers: 1, ..bounds }, 4) };
-    let seeded = check(Bounds { routers: 1, wrong_reset: true, ..bounds }, 4);
-    if let Some((words, steps)) = &found.wrong {
+    let seeded = check(Bounds { routers: 1, reset_proves_not_run: true, ..bounds }, 4);
+    if let Some((words, steps)) = &found.violation {
         say!("model: {words}: {steps:?}");
     }
-    let model = found.wrong.is_none() && seeded.wrong.is_some();
+    let model = found.violation.is_none() && seeded.violation.is_some();
     sums.iter_mut().zip(more.counts()).for_each(|(sum, count)| *sum += count);
-    let broken = more.drains_broken as usize + more.stale as usize + more.astray + usize::from(budget > 1.0);
+    let broken = more.drains_broken as usize
+        + more.stale_reads as usize
+        + more.misdirected_writes
+        + usize::from(budget > 1.0);
     let [top_ups, doubled, without, refused, unanswered, late, failed, _] = sums;
     say!(
         "{}",
@@ -671,11 +678,11 @@
             "refused_with_row": refused, "failed": failed, "planned_errors": planned_errors,
             "planned_added_p99_ms": quantile(&added, 0.99).as_millis() as u64,
             "handover_p99_ms": quantile(&handovers, 0.99).as_millis() as u64,
-            "drains_broken": more.drains_broken, "writes_astray": more.astray, "stale_reads": more.stale, "release_peak_over_budget": (budget * 100.0).round() / 100.0,
+            "drains_broken": more.drains_broken, "writes_astray": more.misdirected_writes, "stale_reads": more.stale_reads, "release_peak_over_budget": (budget * 100.0).round() / 100.0,
             "hints": hints.len(), "hints_within_quarter": honest,
             "unplanned_served_share": (share * 10_000.0).round() / 10_000.0,
-            "states_checked": found.states, "model_violations": u8::from(found.wrong.is_some()),
-            "seeded_fault_found": seeded.wrong.is_some()})
+            "states_checked": found.states, "model_violations": u8::from(found.violation.is_some()),
+            "seeded_fault_found": seeded.violation.is_some()})
     );
     Ok(model && doubled + without + refused + unanswered + late + never + broken == 0)
 }
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -29,7 +29,7 @@
     /// Whether a drain of the primary may be told.
     pub drains: bool,
     /// A host that takes a reset for proof that nothing ran: the walk resends after it. The check has to find it.
-    pub wrong_reset: bool,
+    pub reset_proves_not_run: bool,
 }
 
 /// An attempt that is out.
@@ -75,7 +75,7 @@
     losses: u8,
     crashes: u8,
     /// Something that must never happen, in words.
-    wrong: Option<String>,
+    violation: Option<String>,
 }
 
 impl fmt::Debug for World {
@@ -94,7 +94,7 @@
             self.revived,
             self.losses,
             self.crashes,
-            self.wrong,
+            self.violation,
             self.routers
         )
     }
@@ -194,7 +194,7 @@
             revived: false,
             losses: 0,
             crashes: 0,
-            wrong: None,
+            violation: None,
         };
         for at in 0..bounds.routers {
             world.routers.push(Router::new(at as u64, settings()));
@@ -249,13 +249,13 @@
         let write = request.0 as usize - 1;
         let member = (0..MEMBERS).find(|at| id(*at) == *member).unwrap_or(0);
         if self.told[router] && member == 0 {
-            self.wrong = Some("sent to a member after it was told to drain".into());
+            self.violation = Some("sent to a member after it was told to drain".into());
         }
         if !self.writes[router][write].answers.is_empty() {
-            self.wrong = Some("sent after its final answer".into());
+            self.violation = Some("sent after its final answer".into());
         }
         if self.attempts.iter().any(|of| of.router == router && of.write == write) {
-            self.wrong = Some("two attempts out at once".into());
+            self.violation = Some("two attempts out at once".into());
         }
         let one = &mut self.writes[router][write];
         let number = one.sends;
@@ -272,9 +272,9 @@
         let one = &mut self.writes[router][write];
         one.answers.push(how);
         if one.answers.len() > 1 {
-            self.wrong = Some("two final answers".into());
+            self.violation = Some("two final answers".into());
         } else if how == "refused" && (one.runs > 0 || out) {
-            self.wrong = Some("refused, though it ran or still may".into());
+            self.violation = Some("refused, though it ran or still may".into());
         }
     }
 
@@ -284,7 +284,7 @@
         let one = &mut self.writes[router][write];
         one.runs += u8::from(ran);
         if one.runs > 1 {
-            self.wrong = Some("a write ran twice".into());
+            self.violation = Some("a write ran twice".into());
         }
         let served = verdict == Verdict::Ok;
         if served {
@@ -332,7 +332,7 @@
         self.now = target;
         let over = |one: &Write| one.asked.is_some_and(|at| target > at + LEFT_MS + 20);
         if self.writes.iter().flatten().any(|one| over(one) && one.answers.is_empty() && !one.orphan) {
-            self.wrong = Some("no answer by the deadline".into());
+            self.violation = Some("no answer by the deadline".into());
         }
     }
 }
@@ -350,7 +350,7 @@
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        if world.wrong.is_some() {
+        if world.violation.is_some() {
             return;
         }
         if world.now < END_MS {
@@ -415,7 +415,7 @@
                 let (refused, primary) = (of.refused, world.primary == Some(of.member));
                 if lost {
                     world.losses += u8::from(world.alive[of.member]);
-                    let verdict = if self.0.wrong_reset { Verdict::Broken } else { Verdict::Reset };
+                    let verdict = if self.0.reset_proves_not_run { Verdict::Broken } else { Verdict::Reset };
                     world.end(attempt, verdict, ran);
                 } else if refused {
                     world.end(attempt, Verdict::ConnectFailed, false);
@@ -457,7 +457,7 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("the rules hold", |_, world| world.wrong.is_none()),
+            Property::<Self>::always("the rules hold", |_, world| world.violation.is_none()),
             // Else the check would show nothing.
             Property::<Self>::sometimes("a write outlasts the change", |_, world| {
                 let served = |one: &Write| one.answers == ["served"] && one.sends > 1;
@@ -469,24 +469,24 @@
 
 /// What a check found.
 #[derive(Clone, Debug)]
-pub struct Found {
+pub struct CheckResult {
     /// Different states.
     pub states: usize,
     /// What went wrong, with the steps that lead there.
-    pub wrong: Option<(String, Vec<Step>)>,
+    pub violation: Option<(String, Vec<Step>)>,
     /// Whether some write was served after having been sent to the old primary.
-    pub outlasted: bool,
+    pub write_outlasted_change: bool,
 }
 
 /// Checks all states within these bounds.
 #[must_use]
-pub fn check(bounds: Bounds, threads: usize) -> Found {
+pub fn check(bounds: Bounds, threads: usize) -> CheckResult {
     let checker = Change(bounds).checker().threads(threads).spawn_bfs().join();
     let discoveries: BTreeMap<_, _> = checker.discoveries().into_iter().collect();
-    let wrong = discoveries.get("the rules hold").map(|path| {
-        let words = path.last_state().wrong.clone().unwrap_or_default();
+    let violation = discoveries.get("the rules hold").map(|path| {
+        let words = path.last_state().violation.clone().unwrap_or_default();
         (words, path.clone().into_actions())
     });
-    let outlasted = discoveries.contains_key("a write outlasts the change");
-    Found { states: checker.unique_state_count(), wrong, outlasted }
+    let write_outlasted_change = discoveries.contains_key("a write outlasts the change");
+    CheckResult { states: checker.unique_state_count(), violation, write_outlasted_change }
 }
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -1,7 +1,7 @@
 //! A run as one HTML file that needs no network: its figures, and over time the served share, load, times by class, what
 //! boxes are sent and writes that are held, with the troubles marked.
 
-use crate::emulator::Played;
+use crate::emulator::ScenarioRun;
 use linnetdeal_core::Time;
 use linnetdeal_fleet::record::{Record, RecordKind, Sink};
 use linnetdeal_fleet::sim::{BEGIN, WRITE_CLASS};
@@ -22,29 +22,29 @@
 
 /// Keeps of a run what charts show: when troubles began and, if it is to be drawn, times, loads and what is held.
 #[derive(Debug)]
-pub struct Marks {
+pub struct ChartRecorder {
     /// When troubles began, in seconds.
     pub troubles: Vec<f64>,
     begin: Time,
     drawn: Option<Drawn>,
 }
 
-impl Default for Marks {
+impl Default for ChartRecorder {
     fn default() -> Self {
         Self { troubles: Vec::new(), begin: BEGIN, drawn: None }
     }
 }
 
-impl Marks {
+impl ChartRecorder {
     /// For charts of a run that begins then.
     #[must_use]
-    pub fn drawing(begin: Time) -> Self {
+    pub fn with_charts(begin: Time) -> Self {
         Self { troubles: Vec::new(), begin, drawn: Some(Drawn { writes: WRITE_CLASS, ..Drawn::default() }) }
     }
 
     /// The same where the class of writes has another number.
     #[must_use]
-    pub fn writes(mut self, class: usize) -> Self {
+    pub fn write_class(mut self, class: usize) -> Self {
         if let Some(drawn) = &mut self.drawn {
             drawn.writes = class.min(WRITE_CLASS);
         }
@@ -159,7 +159,7 @@
     }
 }
 
-impl Sink for Marks {
+impl Sink for ChartRecorder {
     fn record(&mut self, record: Record) {
         if matches!(record.what, RecordKind::Trouble | RecordKind::Killed) && self.troubles.len() < MOST_MARKS
         {
@@ -230,14 +230,14 @@
 /// # Errors
 ///
 /// When it can't be drawn.
-pub fn report(played: &Played, marks: &Marks) -> Result<String, String> {
+pub fn report(played: &ScenarioRun, marks: &ChartRecorder) -> Result<String, String> {
     let seconds = || played.outcome.by_second.iter().enumerate().filter(|(_, (asked, _))| *asked > 0);
     let served: Vec<(f64, f64)> =
         seconds().map(|(at, (asked, served))| (at as f64, *served as f64 / *asked as f64)).collect();
     let load: Vec<(f64, f64)> = seconds().map(|(at, (asked, _))| (at as f64, *asked as f64)).collect();
     let mut html = String::new();
     let broken: Vec<String> =
-        played.verdict.violations.iter().map(|(rule, count)| format!("{rule:?} {count}")).collect();
+        played.audit_report.violations.iter().map(|(rule, count)| format!("{rule:?} {count}")).collect();
     let rules = if broken.is_empty() { "none".to_owned() } else { broken.join(", ") };
     let _ = write!(
         html,
@@ -253,7 +253,7 @@
         ("attempts sent", played.outcome.attempts.to_string()),
         ("probes", played.outcome.probes.to_string()),
         ("boxes that fell", played.outcome.collapsed.to_string()),
-        ("most of a cold box's budget", format!("{:.2}", played.verdict.cold_peak)),
+        ("most of a cold box's budget", format!("{:.2}", played.audit_report.cold_peak)),
         ("rules broken", rules),
         ("records, digest", format!("{}, {:016x}", played.digest.1, played.digest.0)),
     ] {
@@ -287,7 +287,7 @@
 /// # Errors
 ///
 /// When it can't be written.
-pub fn write_whole(path: &Path, text: &str) -> std::io::Result<()> {
+pub fn write_atomically(path: &Path, text: &str) -> std::io::Result<()> {
     let mut beside = path.as_os_str().to_owned();
     beside.push(".part");
     let beside = Path::new(&beside);
--- a/crates/lab/src/primary.rs
+++ b/crates/lab/src/primary.rs
@@ -1,12 +1,12 @@
 //! Changes of primary: a primary that dies at each step of a write, in each way, or hands over by plan; writers that keep
-//! every answer; and the family's rows held against these.
+//! every answer; and the group's rows held against these.
 
 use crate::clients::Client;
 use crate::eureka::{Peer, Registration, Registrations};
-use crate::family::{Family, Step, Way};
 use crate::lock;
 use crate::pooler::{Pooler, PoolerSetup};
 use crate::recorder::Recorder;
+use crate::replica_group::{ReplicaGroup, Step, Way};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::io;
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     /// Whether the primary died where it should.
-    pub happened: bool,
+    pub fault_occurred: bool,
     /// Writes asked.
     pub top_ups: usize,
     /// Rows that ran twice.
@@ -74,13 +74,13 @@
     /// Failed: nothing is promised.
     pub failed: usize,
     /// Of those asked while there was no primary, the served and all.
-    pub between: (usize, usize),
+    pub without_primary: (usize, usize),
     /// From the new primary to the first write that is served.
     pub handover: Option<Duration>,
     /// How long writes took that were asked during a planned change, and before.
-    pub during: Vec<Duration>,
+    pub during_change: Vec<Duration>,
     /// See `during`.
-    pub before: Vec<Duration>,
+    pub before_change: Vec<Duration>,
     /// By answer.
     pub answers: BTreeMap<String, usize>,
 }
@@ -153,9 +153,9 @@
     }
 }
 
-/// A family with its registry, and poolers that follow it.
+/// A group with its registry, and poolers that follow it.
 pub(crate) struct Stage {
-    pub(crate) family: Family,
+    pub(crate) group: ReplicaGroup,
     pub(crate) registrations: Registrations,
     pub(crate) recorder: Arc<Mutex<Recorder>>,
     pub(crate) poolers: Vec<Pooler>,
@@ -170,11 +170,11 @@
 }
 
 impl Stage {
-    /// So many poolers over a family of four boxes, the first of them the primary.
+    /// So many poolers over a group of four boxes, the first of them the primary.
     pub(crate) fn set(program: &Path, setup: PoolerSetup, poolers: usize) -> io::Result<Self> {
-        let family = Family::start(4, IpAddr::V4(Ipv4Addr::new(127, 10, 0, 1)))?;
+        let group = ReplicaGroup::start(4, IpAddr::V4(Ipv4Addr::new(127, 10, 0, 1)))?;
         let (registrations, recorder) = (Registrations::default(), Arc::<Mutex<Recorder>>::default());
-        for (at, address) in family.addresses.iter().enumerate() {
+        for (at, address) in group.addresses.iter().enumerate() {
             let role = if at == 0 { "primary" } else { "replica" };
             let metadata = [("group", "2"), ("role", role), ("zone", "adum")];
             registrations.register(Registration {
@@ -202,7 +202,7 @@
             Ok(pooler)
         });
         let poolers = poolers.collect::<io::Result<Vec<_>>>()?;
-        Ok(Self { family, registrations, recorder, poolers, operator, _peer: peer })
+        Ok(Self { group, registrations, recorder, poolers, operator, _peer: peer })
     }
 }
 
@@ -212,7 +212,7 @@
 ///
 /// When it can't be played.
 pub fn play(case: Case, program: &Path) -> io::Result<Outcome> {
-    let Stage { family, registrations, recorder, poolers, .. } =
+    let Stage { group, registrations, recorder, poolers, .. } =
         &Stage::set(program, PoolerSetup::default(), 1)?;
     let pooler = &poolers[0];
     let mut writers = Writers::of(pooler.address, recorder);
@@ -221,32 +221,32 @@
 
     let (began, wait) = match case {
         Case::Planned => {
-            family.drain();
+            group.drain();
             registrations.update(&name(0), true, |one| one.status = "OUT_OF_SERVICE".into());
             (Some(Instant::now()), PLANNED)
         }
         Case::Dies(step, way) => {
-            family.arm(step, way);
+            group.arm(step, way);
             // More at once than there are connections, so that one has to be opened.
             writers.more(WRITERS);
             let end = Instant::now() + Duration::from_secs(3);
-            while family.died().is_none() && Instant::now() < end {
+            while group.died().is_none() && Instant::now() < end {
                 std::thread::sleep(Duration::from_millis(1));
             }
-            (family.died(), TAKEOVER)
+            (group.died(), TAKEOVER)
         }
     };
-    let mut outcome = Outcome { happened: began.is_some(), ..Outcome::default() };
+    let mut outcome = Outcome { fault_occurred: began.is_some(), ..Outcome::default() };
     let began = began.unwrap_or_else(Instant::now);
     std::thread::sleep((began + wait).saturating_duration_since(Instant::now()));
-    family.promote(1);
+    group.promote(1);
     let promoted = Instant::now();
     std::thread::sleep(AFTER);
     let answers = writers.end();
 
-    let rows = family.rows();
+    let rows = group.rows();
     outcome.top_ups = answers.len();
-    outcome.doubled = family.doubled();
+    outcome.doubled = group.doubled();
     for answer in &answers {
         *outcome.answers.entry(answer.how.clone()).or_default() += 1;
         let (served, row) = (answer.how == "served", rows.contains_key(&answer.id));
@@ -257,19 +257,19 @@
         outcome.late += usize::from(answer.took > DEADLINE + Duration::from_millis(50));
         let ended = answer.asked + answer.took;
         if answer.asked > began && answer.asked < promoted {
-            outcome.between.0 += usize::from(served);
-            outcome.between.1 += 1;
-            outcome.during.push(answer.took);
+            outcome.without_primary.0 += usize::from(served);
+            outcome.without_primary.1 += 1;
+            outcome.during_change.push(answer.took);
         }
         if ended < began {
-            outcome.before.push(answer.took);
+            outcome.before_change.push(answer.took);
         }
         if served && ended > promoted {
             let after = ended - promoted;
             outcome.handover = Some(outcome.handover.map_or(after, |best| best.min(after)));
         }
     }
-    if outcome.between.0 < outcome.between.1 {
+    if outcome.without_primary.0 < outcome.without_primary.1 {
         outcome.answers.insert(format!("log: {}", pooler.log().join(" | ")), 0);
     }
     Ok(outcome)
--- a/crates/lab/src/family.rs
+++ b/crates/lab/src/replica_group.rs
@@ -1,4 +1,4 @@
-//! A family of stand-in boxes with one ledger that is replicated: a write is answered once a replica has it, and a
+//! A group of stand-in boxes with one ledger that is replicated: a write is answered once a replica has it, and a
 //! primary can be made to die at any step of a write, in any way. Then a replica takes over after a while.
 
 use crate::boxes::comment_field;
@@ -95,9 +95,9 @@
     through: Option<Instant>,
 }
 
-/// A family.
+/// A group.
 #[derive(Clone, Debug)]
-pub struct Family {
+pub struct ReplicaGroup {
     state: Arc<Mutex<State>>,
     /// Where each of them listens; the first is the primary at the start.
     pub addresses: Vec<SocketAddr>,
@@ -113,7 +113,7 @@
     crate::clients::now_ms()
 }
 
-impl Family {
+impl ReplicaGroup {
     /// So many boxes on `ip`.
     ///
     /// # Errors
@@ -124,13 +124,13 @@
         let listeners =
             (0..count).map(|_| TcpListener::bind((ip, 0))).collect::<std::io::Result<Vec<_>>>()?;
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<std::io::Result<_>>()?;
-        let family = Self { state, addresses };
+        let group = Self { state, addresses };
         for (at, listener) in listeners.into_iter().enumerate() {
             listener.set_nonblocking(true)?;
-            let family = family.clone();
-            std::thread::spawn(move || family.listen(at, listener));
+            let group = group.clone();
+            std::thread::spawn(move || group.listen(at, listener));
         }
-        Ok(family)
+        Ok(group)
     }
 
     /// Makes the primary die at a step of the next write.
@@ -257,8 +257,8 @@
                 }
                 (None, Some(listening)) => {
                     while let Ok((stream, _)) = listening.accept() {
-                        let family = self.clone();
-                        std::thread::spawn(move || family.serve(at, stream));
+                        let group = self.clone();
+                        std::thread::spawn(move || group.serve(at, stream));
                     }
                 }
                 _ => {}
--- a/crates/lab/src/rehearsal.rs
+++ b/crates/lab/src/socket_run.rs
@@ -120,9 +120,9 @@
 
 /// What came of a rehearsal.
 #[derive(Debug)]
-pub struct Rehearsed {
+pub struct SocketRun {
     /// First tries, by class.
-    pub asked: Vec<u64>,
+    pub requests: Vec<u64>,
     /// Of these, those that were served, be it at a later try.
     pub served: Vec<u64>,
     /// From the first try to the answer, in us, by class.
@@ -132,22 +132,22 @@
     /// What no client was free for.
     pub never_sent: u64,
     /// Boxes that fell.
-    pub fallen: u64,
+    pub collapsed: u64,
     /// What the auditor says.
-    pub verdict: audit::AuditReport,
+    pub audit_report: audit::AuditReport,
 }
 
-impl Rehearsed {
+impl SocketRun {
     /// The share of all that was served.
     #[must_use]
-    pub fn share(&self) -> f64 {
-        self.served.iter().sum::<u64>() as f64 / self.asked.iter().sum::<u64>().max(1) as f64
+    pub fn served_share(&self) -> f64 {
+        self.served.iter().sum::<u64>() as f64 / self.requests.iter().sum::<u64>().max(1) as f64
     }
 
     /// The same of a class.
     #[must_use]
-    pub fn share_of(&self, class: usize) -> f64 {
-        self.served[class] as f64 / self.asked[class].max(1) as f64
+    pub fn class_served_share(&self, class: usize) -> f64 {
+        self.served[class] as f64 / self.requests[class].max(1) as f64
     }
 }
 
@@ -156,7 +156,7 @@
 /// # Errors
 ///
 /// When it is larger than one machine can show.
-pub fn check(plan: &Scenario) -> io::Result<()> {
+pub fn check_limits(plan: &Scenario) -> io::Result<()> {
     if let Some(what) = plan.unsupported_on_sockets() {
         let words = format!("{}: {what} can't be on sockets; play it in virtual time", plan.name);
         return Err(io::Error::other(words));
@@ -207,7 +207,7 @@
 }
 
 struct Counts {
-    asked: Vec<u64>,
+    requests: Vec<u64>,
     served: Vec<u64>,
     latency: Vec<Histogram<u64>>,
     by_second: Vec<(u64, u64)>,
@@ -248,8 +248,8 @@
 /// # Errors
 ///
 /// When it is too large, or something can't be started.
-pub fn play(plan: &Scenario, program: &Path) -> io::Result<Rehearsed> {
-    check(plan)?;
+pub fn run_on_sockets(plan: &Scenario, program: &Path) -> io::Result<SocketRun> {
+    check_limits(plan)?;
     let (inputs, told) = channel();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let unix = Time(i64::try_from(unix.as_micros()).unwrap_or(i64::MAX));
@@ -274,7 +274,7 @@
         doors: (0..plan.fleet.poolers).map(|_| Mutex::new(None)).collect(),
         idle: (0..plan.fleet.poolers).map(|_| Mutex::default()).collect(),
         counts: Mutex::new(Counts {
-            asked: vec![0; classes],
+            requests: vec![0; classes],
             served: vec![0; classes],
             latency: (0..classes).map(|_| histogram()).collect::<io::Result<_>>()?,
             by_second: vec![(0, 0); seconds],
@@ -296,14 +296,14 @@
     while let Ok(input) = told.try_recv() {
         stage.take(input);
     }
-    let fallen = stage.fleet.collapsed;
-    let verdict = audit(plan, std::mem::take(&mut stage.records), end);
+    let collapsed = stage.fleet.collapsed;
+    let audit_report = audit(plan, std::mem::take(&mut stage.records), end);
     let counts = std::mem::replace(
         &mut *crate::lock(&shared.counts),
-        Counts { asked: vec![], served: vec![], latency: vec![], by_second: vec![] },
+        Counts { requests: vec![], served: vec![], latency: vec![], by_second: vec![] },
     );
-    let Counts { asked, served, latency, by_second } = counts;
-    Ok(Rehearsed { asked, served, latency, by_second, never_sent, fallen, verdict })
+    let Counts { requests, served, latency, by_second } = counts;
+    Ok(SocketRun { requests, served, latency, by_second, never_sent, collapsed, audit_report })
 }
 
 /// Threads tell of what happened a little late and out of order: it is put in order first.
@@ -638,7 +638,7 @@
                 }
                 FleetAction::StateChanged(server) => self.lives(server),
                 FleetAction::KillPooler(at, trouble, router) => self.at(at, Event::Kill { trouble, router }),
-                // No such list is on sockets: `check` refuses it.
+                // No such list is on sockets: `check_limits` refuses it.
                 FleetAction::ListOverbooked(_) => {}
                 FleetAction::SetSurge(factor) => *crate::lock(&self.shared.surge) = factor,
             }
@@ -915,7 +915,7 @@
         std::thread::sleep(shared.clock.until(at));
         {
             let mut counts = crate::lock(&shared.counts);
-            counts.asked[drawn.class] += 1;
+            counts.requests[drawn.class] += 1;
             let second = ((at - shared.begin).0 / 1_000_000) as usize;
             if let Some(of) = counts.by_second.get_mut(second) {
                 of.0 += 1;
--- a/crates/lab/tests/experiment.rs
+++ b/crates/lab/tests/experiment.rs
@@ -14,22 +14,22 @@
     std::fs::write(folder.join("small.cue"), SCENARIO).unwrap();
     std::fs::write(folder.join("sizes.cue"), EXPERIMENT).unwrap();
     let (experiment, scenario) = Experiment::load(&folder.join("sizes.cue")).unwrap();
-    assert_eq!(experiment::play(&experiment, &scenario, &results, 2).unwrap(), (4, 4));
-    let first = experiment::read(&results).unwrap();
-    assert_eq!(experiment::play(&experiment, &scenario, &results, 2).unwrap(), (0, 4));
+    assert_eq!(experiment::run_missing(&experiment, &scenario, &results, 2).unwrap(), (4, 4));
+    let first = experiment::read_results(&results).unwrap();
+    assert_eq!(experiment::run_missing(&experiment, &scenario, &results, 2).unwrap(), (0, 4));
 
     // It was killed in the middle of a file: the part is no result, and the run is played again.
     let torn = results.join("sizes-p00003-l0.300-s00002.parquet");
     let bytes = std::fs::read(&torn).unwrap();
     std::fs::remove_file(&torn).unwrap();
     std::fs::write(torn.with_extension("part"), &bytes[..bytes.len() / 2]).unwrap();
-    assert_eq!(experiment::read(&results).unwrap().len(), 3);
-    assert_eq!(experiment::play(&experiment, &scenario, &results, 2).unwrap(), (1, 4));
-    assert_eq!(experiment::read(&results).unwrap(), first, "the same seed gives the same figures");
+    assert_eq!(experiment::read_results(&results).unwrap().len(), 3);
+    assert_eq!(experiment::run_missing(&experiment, &scenario, &results, 2).unwrap(), (1, 4));
+    assert_eq!(experiment::read_results(&results).unwrap(), first, "the same seed gives the same figures");
 
     // A file that is no result is told by its name.
     std::fs::write(&torn, &bytes[..bytes.len() / 2]).unwrap();
-    let error = experiment::read(&results).unwrap_err().to_string();
+    let error = experiment::read_results(&results).unwrap_err().to_string();
     assert!(error.contains("s00002.parquet"), "{error}");
     let wrong = EXPERIMENT.replace("seeds: 2", "seeds: 0");
     std::fs::write(folder.join("sizes.cue"), wrong).unwrap();
@@ -52,7 +52,7 @@
     let differences = experiment::compare(&results(0.0), &results(0.01));
     let served = &differences[0];
     assert_eq!((served.figure, served.seeds, differences.len()), ("served", 20, FIGURES.len()));
-    assert!(served.between.0 > 0.0099 && served.between.1 < 0.0102, "{served:?}");
-    assert!(differences[1].between == (0.0, 0.0));
+    assert!(served.interval.0 > 0.0099 && served.interval.1 < 0.0102, "{served:?}");
+    assert!(differences[1].interval == (0.0, 0.0));
     assert!(experiment::compare(&results(0.0), &Vec::new()).is_empty(), "nothing to pair");
 }
--- a/crates/lab/tests/load.rs
+++ b/crates/lab/tests/load.rs
@@ -12,7 +12,7 @@
         to,
         sessions: 1,
         pace: Pace::Open(100.0, 100.0),
-        lasts: Duration::from_secs(1),
+        duration: Duration::from_secs(1),
         warm: Duration::ZERO,
         deadline: Duration::from_secs(10),
         writes: None,
@@ -33,7 +33,8 @@
 
 #[test]
 fn a_ramp_has_its_mean_and_most_of_it_late() {
-    let ramp = Load { pace: Pace::Open(1_000.0, 3_000.0), lasts: Duration::from_secs(20), ..load(nowhere()) };
+    let ramp =
+        Load { pace: Pace::Open(1_000.0, 3_000.0), duration: Duration::from_secs(20), ..load(nowhere()) };
     let due = ramp.arrivals();
     // 40,000 are expected; the count's own deviation is 200.
     assert!((39_000..41_000).contains(&due.len()), "{}", due.len());
@@ -64,7 +65,7 @@
         Load { pace: Pace::Open(0.0, 1.0), ..well.clone() },
         Load { pace: Pace::Open(f64::NAN, 1.0), ..well.clone() },
         Load { pace: Pace::Open(1e9, 1e9), ..well.clone() },
-        Load { lasts: Duration::ZERO, ..well.clone() },
+        Load { duration: Duration::ZERO, ..well.clone() },
         Load { warm: Duration::from_secs(1), ..well.clone() },
         Load { writes: Some(1.5), ..well.clone() },
         Load { deadline: Duration::ZERO, ..well.clone() },
@@ -85,9 +86,14 @@
         StandInServer::start("slow", ip, true, Duration::from_millis(50), log, recorder).expect("it listens");
     let result = load(slow.address).play().expect("it is played");
     let all = result.all();
-    assert!(all.served() > 0 && all.served() == all.asked(), "{:?}", all.answers);
+    assert!(all.served() > 0 && all.served() == all.total(), "{:?}", all.answers);
     assert!(all.served() <= 21, "{}", all.served());
-    assert!(all.due.max() > 500_000, "{} us", all.due.max());
-    assert!(all.due.max() > 2 * all.written.min(), "{} and {}", all.due.max(), all.written.min());
+    assert!(all.from_due.max() > 500_000, "{} us", all.from_due.max());
+    assert!(
+        all.from_due.max() > 2 * all.from_written.min(),
+        "{} and {}",
+        all.from_due.max(),
+        all.from_written.min()
+    );
     assert!(result.never_sent > 20, "{}", result.never_sent);
 }
--- a/crates/lab/tests/report.rs
+++ b/crates/lab/tests/report.rs
@@ -13,8 +13,8 @@
 #[test]
 fn a_report_is_one_file_with_its_charts_and_marks() {
     let scenario = Scenario::decode("small.cue", SMALL.as_bytes()).unwrap();
-    let mut marks = plot::Marks::drawing(linnetdeal_fleet::sim::BEGIN);
-    let played = emulator::play_with(&scenario, &mut marks);
+    let mut marks = plot::ChartRecorder::with_charts(linnetdeal_fleet::sim::BEGIN);
+    let played = emulator::run_with_charts(&scenario, &mut marks);
     assert_eq!(marks.troubles, [2.0]);
     let html = plot::report(&played, &marks).unwrap();
     assert_eq!((html.matches("<svg").count(), html.contains("rules broken<td>none")), (5, true));
@@ -26,8 +26,8 @@
 
     let folder = std::env::temp_dir().join(format!("linnetdeal-report-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
-    plot::write_whole(&folder.join("run.html"), &html).unwrap();
-    assert!(plot::write_whole(&folder.join("none/run.html"), &html).is_err(), "no folder, no file");
+    plot::write_atomically(&folder.join("run.html"), &html).unwrap();
+    assert!(plot::write_atomically(&folder.join("none/run.html"), &html).is_err(), "no folder, no file");
     let left: Vec<_> = std::fs::read_dir(&folder).unwrap().map(|entry| entry.unwrap().file_name()).collect();
     std::fs::remove_dir_all(&folder).unwrap();
     assert_eq!(left, ["run.html"]);
@@ -36,7 +36,7 @@
 #[test]
 fn every_scenario_of_the_library_can_be_read_and_is_called_as_its_file() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios");
-    let library = emulator::library(&folder).unwrap();
+    let library = emulator::load_library(&folder).unwrap();
     assert!(library.len() >= 12);
     for scenario in library {
         assert!(folder.join(format!("{}.cue", scenario.name)).exists(), "{}", scenario.name);
--- a/crates/lab/tests/rehearsal.rs
+++ b/crates/lab/tests/socket_run.rs
@@ -1,7 +1,7 @@
 //! What can't be played on sockets is told before anything is started.
 
 use linnetdeal_fleet::scenario::Scenario;
-use linnetdeal_lab::rehearsal;
+use linnetdeal_lab::socket_run;
 
 fn plan(text: &str) -> Scenario {
     let text = format!("package scenario\nname: \"one\"\n{text}\n");
@@ -20,8 +20,8 @@
         ),
         ("traffic: {lasts: \"20m\"}", "1200 seconds"),
     ] {
-        let error = rehearsal::check(&plan(text)).expect_err(text).to_string();
+        let error = socket_run::check_limits(&plan(text)).expect_err(text).to_string();
         assert!(error.contains(what) && error.starts_with("one: "), "{error}");
     }
-    assert!(rehearsal::check(&plan("fleet: {groups: 10}\ntraffic: {load: 0.1}")).is_ok());
+    assert!(socket_run::check_limits(&plan("fleet: {groups: 10}\ntraffic: {load: 0.1}")).is_ok());
 }
