--- a/crates/lab/src/boxes.rs
+++ b/crates/lab/src/boxes.rs
@@ -1,4 +1,5 @@
-//! Boxes that speak as much of PostgreSQL as a pooler needs, with a role, a log position and a lag.
+//! Stand-in servers (boxes) that speak the part of PostgreSQL's protocol that a pooler needs, with a role, a replication
+//! position and a replication lag.
 
 use crate::recorder::Recorder;
 use crate::{lock, pg_reply};
@@ -9,7 +10,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The log of a group: the primary writes, replicas have it a little later.
+/// The replication log of a group: the primary appends commits, and replicas have them a little later. Positions are
+/// Unix times in milliseconds.
 #[derive(Debug, Default)]
 pub struct Log {
     last: AtomicI64,
@@ -21,7 +23,7 @@
         i64::try_from(now.as_millis()).unwrap_or(i64::MAX)
     }
 
-    /// A commit's position: the time, and later than all before.
+    /// Appends a commit and returns its position: the current time, or one more than the latest commit if that is later.
     fn commit(&self) -> i64 {
         let now = Self::now();
         let before = self.last.fetch_max(now, Ordering::SeqCst);
@@ -29,41 +31,41 @@
     }
 }
 
-/// More than so many are not written down: one is too many.
+/// Upper bound on the recorded contacts; a single one is already a fault.
 const MAX_CONTACTS: usize = 1_000;
 
-/// A box.
+/// A stand-in server.
 #[derive(Clone)]
 pub struct StandInServer {
-    /// Its id.
+    /// Its id in the registry.
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     primary: Arc<AtomicBool>,
     lag_ms: Arc<AtomicI64>,
     replayed: Arc<AtomicI64>,
     down: Arc<AtomicBool>,
-    /// While somebody works on it: whoever connects or sends is written down.
+    /// Whether each connection and each read is recorded, as during maintenance of its machine.
     record_contacts: Arc<AtomicBool>,
     contacts: Arc<Mutex<Vec<Instant>>>,
 }
 
 impl StandInServer {
-    /// One that listens on a free port of `ip` and answers after `work`.
+    /// Starts a server that listens on a free port of `ip` and takes `service_time` for each statement.
     ///
     /// # Errors
     ///
-    /// When it can't listen there.
+    /// If the address cannot be bound.
     pub fn start(
         name: &str,
         ip: IpAddr,
         primary: bool,
-        work: Duration,
+        service_time: Duration,
         log: Arc<Log>,
         recorder: Arc<Mutex<Recorder>>,
     ) -> std::io::Result<Self> {
         let listener = TcpListener::bind((ip, 0))?;
-        let one = Self {
+        let server = Self {
             name: name.to_owned(),
             address: listener.local_addr()?,
             primary: Arc::new(AtomicBool::new(primary)),
@@ -73,32 +75,32 @@
             contacts: Arc::default(),
             replayed: Arc::default(),
         };
-        let server = one.clone();
+        let acceptor = server.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let Ok(stream) = stream else { return };
-                server.record_contact();
-                if server.down.load(Ordering::SeqCst) {
+                acceptor.record_contact();
+                if acceptor.down.load(Ordering::SeqCst) {
                     continue;
                 }
-                let (one, log, recorder) = (server.clone(), log.clone(), recorder.clone());
-                std::thread::spawn(move || one.serve(stream, work, &log, &recorder));
+                let (server, log, recorder) = (acceptor.clone(), log.clone(), recorder.clone());
+                std::thread::spawn(move || server.serve(stream, service_time, &log, &recorder));
             }
         });
-        Ok(one)
+        Ok(server)
     }
 
-    /// From now on it is this.
+    /// Makes it the primary or a replica.
     pub fn set_primary(&self, primary: bool) {
         self.primary.store(primary, Ordering::SeqCst);
     }
 
-    /// How far it is behind, in ms.
+    /// Sets the replication lag in milliseconds; it has an effect on replicas only.
     pub fn set_lag(&self, ms: i64) {
         self.lag_ms.store(ms, Ordering::SeqCst);
     }
 
-    /// From now on who connects or sends is written down, or no longer; when that was, since it was asked last.
+    /// Starts or stops recording connections and reads; returns the times of those recorded since the previous call.
     pub fn watch(&self, on: bool) -> Vec<Instant> {
         self.record_contacts.store(on, Ordering::SeqCst);
         std::mem::take(&mut lock(&self.contacts))
@@ -113,31 +115,31 @@
         }
     }
 
-    /// Whether it is the primary.
+    /// Whether it is the primary at present.
     #[must_use]
     pub fn is_primary(&self) -> bool {
         self.primary.load(Ordering::SeqCst)
     }
 
-    /// Whether it closes whoever comes.
+    /// Makes it close every connection without an answer, or serve again.
     pub fn set_down(&self, down: bool) {
         self.down.store(down, Ordering::SeqCst);
     }
 
     fn position(&self, log: &Log) -> i64 {
-        // A primary has all that it has committed, two commits in one millisecond included.
+        // A primary has all of its commits, also when two in one millisecond put the latest ahead of the clock.
         if self.primary.load(Ordering::SeqCst) {
             return Log::now().max(log.last.load(Ordering::SeqCst));
         }
         let replayed = Log::now() - self.lag_ms.load(Ordering::SeqCst);
-        // A position never goes back: who falls behind stands still first.
+        // A position never decreases: a replica whose lag grows first stays where it is.
         replayed.max(self.replayed.fetch_max(replayed, Ordering::SeqCst))
     }
 
-    fn serve(&self, mut stream: TcpStream, work: Duration, log: &Log, recorder: &Mutex<Recorder>) {
+    fn serve(&self, mut stream: TcpStream, service_time: Duration, log: &Log, recorder: &Mutex<Recorder>) {
         let _ = stream.set_nodelay(true);
         let mut read = Vec::new();
-        let mut bytes = vec![0; 16 * 1024];
+        let mut buffer = vec![0; 16 * 1024];
         let mut session_started = false;
         let mut first_byte_at = None;
         loop {
@@ -158,7 +160,7 @@
                 self.statement(
                     &statement,
                     first_byte_at.take().unwrap_or_else(Instant::now),
-                    work,
+                    service_time,
                     log,
                     recorder,
                     &mut out,
@@ -171,11 +173,11 @@
                 }
                 continue;
             }
-            match stream.read(&mut bytes) {
+            match stream.read(&mut buffer) {
                 Ok(count @ 1..) => {
                     self.record_contact();
                     first_byte_at.get_or_insert_with(Instant::now);
-                    read.extend_from_slice(&bytes[..count]);
+                    read.extend_from_slice(&buffer[..count]);
                 }
                 _ => return,
             }
@@ -186,7 +188,7 @@
         &self,
         statement: &str,
         first_byte_at: Instant,
-        work: Duration,
+        service_time: Duration,
         log: &Log,
         recorder: &Mutex<Recorder>,
         out: &mut Vec<u8>,
@@ -217,22 +219,22 @@
                 write::ready_for_query(out);
                 return;
             }
-            std::thread::sleep(work);
+            std::thread::sleep(service_time);
             lock(recorder).write_executed(id);
             let commit = log.commit();
             pg_reply::single_row(out, format!("{id} {commit}").as_bytes(), primary, commit);
             write::ready_for_query(out);
             return;
         }
-        // What a read sees is what the box has when the read begins.
+        // A read sees the data that the server has when the read begins.
         let position = self.position(log);
-        std::thread::sleep(work);
+        std::thread::sleep(service_time);
         pg_reply::single_row(out, format!("{id} {position}").as_bytes(), primary, position);
         write::ready_for_query(out);
     }
 }
 
-/// A value of a statement's comment.
+/// Returns the value of a key in a statement's trailing comment, as in `/* id=1,c=top-up */`.
 #[must_use]
 pub fn comment_field<'s>(statement: &'s str, name: &str) -> Option<&'s str> {
     let comment = statement.rsplit_once("/*")?.1.split("*/").next()?.trim();
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that ask for all classes, each with a session of its own, and look at what they are answered.
+//! Clients that send requests of all classes, each in a session of its own, and check the answers.
 
 use crate::lock;
 use crate::recorder::{AnswerData, Recorder};
@@ -12,19 +12,20 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// The classes, as the lab's settings name them.
+/// The names of the request classes in the lab's settings.
 pub const CLASSES: [&str; 5] = ["bundle-menu", "my-recent", "usage-history", "balance-check", "top-up"];
-/// How long a client waits for an answer.
+/// How long a client waits for an answer by default.
 pub const DEADLINE: Duration = Duration::from_millis(1_000);
 
-/// A crowd of clients.
+/// Clients that run concurrently, each on a thread of its own.
 pub struct Clients {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Clients {
-    /// So many clients of the pooler at `address`, each asking anew `pause` after its answer, until they are stopped.
+    /// Starts `count` clients of the pooler at `address`, each of which sends its next request `pause` after an answer,
+    /// until they are stopped.
     #[must_use]
     pub fn start(
         address: SocketAddr,
@@ -34,10 +35,10 @@
         recorder: &Arc<Mutex<Recorder>>,
     ) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let threads = (0..count).map(|at| {
+        let threads = (0..count).map(|number| {
             let (stop, recorder) = (stop.clone(), recorder.clone());
             std::thread::spawn(move || {
-                let mut client = Client::new(address, at, seed);
+                let mut client = Client::new(address, number, seed);
                 while !stop.load(Ordering::SeqCst) {
                     client.request(&recorder);
                     std::thread::sleep(pause);
@@ -47,7 +48,7 @@
         Self { threads: threads.collect(), stop }
     }
 
-    /// Stops them once each has its answer.
+    /// Stops the clients once each has its answer.
     pub fn stop(self) {
         self.stop.store(true, Ordering::SeqCst);
         for thread in self.threads {
@@ -56,7 +57,7 @@
     }
 }
 
-/// One client.
+/// One client, with a session and a connection.
 pub struct Client {
     session: String,
     request_count: u64,
@@ -67,12 +68,12 @@
 }
 
 impl Client {
-    /// The client of this number.
+    /// Creates a client; `number` determines its session and, with `seed`, its random choices.
     #[must_use]
-    pub fn new(address: SocketAddr, at: usize, seed: u64) -> Self {
-        let rng = ChaCha8Rng::seed_from_u64(seed ^ at as u64);
+    pub fn new(address: SocketAddr, number: usize, seed: u64) -> Self {
+        let rng = ChaCha8Rng::seed_from_u64(seed ^ number as u64);
         Self {
-            session: format!("acc{at}"),
+            session: format!("acc{number}"),
             request_count: 0,
             deadline: DEADLINE,
             group: 2,
@@ -81,45 +82,45 @@
         }
     }
 
-    /// The same, waiting so long for each answer.
+    /// Sets how long the client waits for each answer.
     #[must_use]
     pub fn with_deadline(mut self, deadline: Duration) -> Self {
         self.deadline = deadline;
         self
     }
 
-    /// The same, of another group.
+    /// Sets the group that the client's requests go to.
     #[must_use]
     pub fn with_group(mut self, group: u32) -> Self {
         self.group = group;
         self
     }
 
-    /// When to come back, as the last refusal told.
+    /// After what time to retry, by the latest refusal.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
         self.connection.retry_after
     }
 
-    /// The id of what it asked last.
+    /// The id of its latest request.
     #[must_use]
     pub fn last_request_id(&self) -> String {
         format!("{}x{}", self.session, self.request_count)
     }
 
-    /// Asks once, for a class by chance; what became of it is in the ledger.
+    /// Sends one request of a random class and returns its outcome, which is recorded too.
     pub fn request(&mut self, recorder: &Mutex<Recorder>) -> String {
         let class = class_from_draw(self.rng.next_u32() % 100);
         self.request_class(class, recorder)
     }
 
-    /// Asks once for a class.
+    /// Sends one request of a class and returns its outcome, which is recorded if the answer came in time.
     pub fn request_class(&mut self, class: usize, recorder: &Mutex<Recorder>) -> String {
         self.request_count += 1;
         let id = self.last_request_id();
         let session = &self.session;
         let statement = statement_for(class, session, &id, self.deadline, self.group);
-        let needed = match class {
+        let required = match class {
             0 => now_ms() - 1_500,
             1 => lock(recorder).required_position(session, false),
             3 => lock(recorder).required_position(session, true),
@@ -127,7 +128,7 @@
         };
         let phase = lock(recorder).request_started();
         let end = Instant::now() + self.deadline;
-        let (how, value) = match self.connection.exchange(&statement, end) {
+        let (outcome, value) = match self.connection.exchange(&statement, end) {
             Ok(answer) => answer,
             Err(error) => {
                 self.connection.close();
@@ -136,32 +137,33 @@
         };
         let id_and_position = value.as_deref().and_then(|value| value.split_once(' '));
         let position = id_and_position
-            .filter(|(of, _)| *of == id)
+            .filter(|(answered, _)| *answered == id)
             .and_then(|(_, position)| position.parse::<i64>().ok());
-        let how = if how == "served" && position.is_none() { "another's answer".to_owned() } else { how };
-        if Instant::now() <= end + Duration::from_millis(50) && !how.starts_with("broken") {
+        let outcome =
+            if outcome == "served" && position.is_none() { "another's answer".to_owned() } else { outcome };
+        if Instant::now() <= end + Duration::from_millis(50) && !outcome.starts_with("broken") {
             let commit = position.filter(|_| class == 4);
-            let read = position.filter(|_| class != 4).map(|position| (needed, position));
-            lock(recorder).request_answered(&id, phase, &how, &self.session, AnswerData { commit, read });
+            let read = position.filter(|_| class != 4).map(|position| (required, position));
+            lock(recorder).request_answered(&id, phase, &outcome, &self.session, AnswerData { commit, read });
         }
-        how
+        outcome
     }
 }
 
-/// The class that a number below 100 draws: two fifths bounded reads, a ninth writes.
+/// Maps a random number below 100 to a class: two fifths are reads with bounded staleness, a ninth are writes.
 #[must_use]
 pub fn class_from_draw(draw: u32) -> usize {
     let class = [(41, 0), (65, 1), (85, 2), (89, 3)].into_iter().find(|(below, _)| draw < *below);
     class.map_or(4, |(_, class)| class)
 }
 
-/// What a client of a session asks.
+/// The statement of a request of a session, for group 2.
 #[must_use]
 pub fn statement(class: usize, session: &str, id: &str, deadline: Duration) -> String {
     statement_for(class, session, id, deadline, 2)
 }
 
-/// The same, of a group.
+/// The statement of a request of a session, for a group.
 #[must_use]
 pub fn statement_for(class: usize, session: &str, id: &str, deadline: Duration, group: u32) -> String {
     let (name, ms) = (CLASSES[class], deadline.as_millis());
@@ -173,38 +175,38 @@
     }
 }
 
-/// A client's connection, opened when something is asked.
+/// A client's connection, opened on demand.
 pub struct ClientConnection {
     address: SocketAddr,
     stream: Option<TcpStream>,
     read: Vec<u8>,
-    /// When to come back, as the last refusal told.
+    /// After what time to retry, by the latest refusal.
     pub retry_after: Option<Duration>,
 }
 
 impl ClientConnection {
-    /// One to this address.
+    /// Creates a connection to `address`, which is not opened yet.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self { address, stream: None, read: Vec::new(), retry_after: None }
     }
 
-    /// Where to.
+    /// The address that it connects to.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Closes it; what is asked next opens another.
+    /// Closes the connection; the next request opens another.
     pub fn close(&mut self) {
         self.stream = None;
     }
 
-    /// Asks, and says how it was answered, with the row's value. It waits until 100 ms past `end`.
+    /// Sends a statement and returns the outcome and the value of the row. Waits until 100 ms after `end`.
     ///
     /// # Errors
     ///
-    /// When no answer comes. The connection should be closed then: the answer may still come on it.
+    /// If no answer arrives. The caller should then close the connection, on which the answer may still arrive.
     pub fn exchange(&mut self, statement: &str, end: Instant) -> std::io::Result<(String, Option<String>)> {
         let mut out = Vec::new();
         self.open(end)?;
@@ -213,13 +215,13 @@
         self.answer(end)
     }
 
-    /// Opens the connection if there is none.
+    /// Opens the connection and starts a session, unless it is open.
     ///
     /// # Errors
     ///
-    /// When nobody listens or answers.
+    /// If the connection is refused or the session's start is not answered.
     pub fn open(&mut self, end: Instant) -> std::io::Result<()> {
-        // What was closed since the last answer is opened anew: nothing was asked on it.
+        // A connection that the peer closed after the last answer is reopened; no request is pending on it.
         if let Some(stream) = &self.stream {
             stream.set_nonblocking(true)?;
             let closed = matches!(stream.peek(&mut [0]), Ok(0));
@@ -248,18 +250,18 @@
     }
 
     fn answer(&mut self, end: Instant) -> std::io::Result<(String, Option<String>)> {
-        let bad = || std::io::Error::from(std::io::ErrorKind::InvalidData);
-        let (mut how, mut value) = ("nothing".to_owned(), None);
+        let invalid = || std::io::Error::from(std::io::ErrorKind::InvalidData);
+        let (mut outcome, mut value) = ("nothing".to_owned(), None);
         let mut bytes = [0; 16 * 1024];
         loop {
-            while let Some(message) = pg::server_message(&self.read).map_err(|_| bad())? {
+            while let Some(message) = pg::server_message(&self.read).map_err(|_| invalid())? {
                 let (tag, size) = (message.tag, message.size);
                 match tag {
                     b'D' => {
-                        let row = pg::row_value(message.body).map_err(|_| bad())?;
+                        let row = pg::row_value(message.body).map_err(|_| invalid())?;
                         value = row.and_then(|row| String::from_utf8(row.to_vec()).ok());
                     }
-                    b'C' => how = "served".to_owned(),
+                    b'C' => outcome = "served".to_owned(),
                     b'E' => {
                         let fields = message.body.split(|byte| *byte == 0);
                         let retry_after = fields.clone().find_map(|field| field.strip_prefix(b"D"));
@@ -267,7 +269,7 @@
                             retry_after.and_then(|text| std::str::from_utf8(text).ok()?.parse().ok());
                         self.retry_after = retry_after.map(Duration::from_millis);
                         let code = fields.filter_map(|field| field.strip_prefix(b"C")).next().unwrap_or(b"");
-                        how = match code {
+                        outcome = match code {
                             b"53300" | b"57P03" => "refused".to_owned(),
                             other => format!("failed {}", String::from_utf8_lossy(other)),
                         };
@@ -276,12 +278,12 @@
                 }
                 self.read.drain(..size);
                 if tag == b'Z' {
-                    return Ok((how, value));
+                    return Ok((outcome, value));
                 }
             }
-            let left = end.saturating_duration_since(Instant::now()) + Duration::from_millis(100);
+            let remaining = end.saturating_duration_since(Instant::now()) + Duration::from_millis(100);
             let stream = self.stream.as_mut().ok_or(std::io::ErrorKind::NotConnected)?;
-            stream.set_read_timeout(Some(left))?;
+            stream.set_read_timeout(Some(remaining))?;
             match stream.read(&mut bytes)? {
                 0 => return Err(std::io::ErrorKind::UnexpectedEof.into()),
                 count => self.read.extend_from_slice(&bytes[..count]),
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,6 +1,7 @@
-//! Stand-ins for what linnetdeal works with, all on loopback and of this project's own: a registry that speaks Eureka's
-//! REST API and can be scripted to lag, lie and vanish; boxes that speak PostgreSQL and keep a ledger; clients. What a
-//! proof reports is counted here, from what passed on the sockets, and never by the pooler.
+//! Test environments for linnetdeal, all on loopback: a stand-in registry that speaks Eureka's REST API and can be scripted
+//! to lag, to answer wrongly or not to answer; stand-in servers ("boxes") that speak PostgreSQL and record what they are
+//! sent; and clients. The results that a proof reports are counted here, from the traffic on the sockets, and never by
+//! the pooler itself.
 
 pub mod boxes;
 pub mod changes;
@@ -30,27 +31,31 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// The lock, whoever may have panicked with it: what was counted until then still counts.
-pub fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+/// Locks a mutex also if a thread has panicked while holding it: the counts up to then remain valid.
+pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Does the work for each of these, so many at once, and gives the results in their order.
-pub fn run_parallel<T: Sync, R: Send>(of: &[T], most: usize, work: impl Fn(&T) -> R + Sync) -> Vec<R> {
-    let queue = Mutex::new(of.iter().enumerate());
-    let done = Mutex::new(Vec::new());
+/// Runs `work` for each item on up to `max_threads` threads, at least one, and returns the results in the order of the items.
+pub fn run_parallel<T: Sync, R: Send>(
+    items: &[T],
+    max_threads: usize,
+    work: impl Fn(&T) -> R + Sync,
+) -> Vec<R> {
+    let queue = Mutex::new(items.iter().enumerate());
+    let results = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
-        for _ in 0..most.max(1) {
+        for _ in 0..max_threads.max(1) {
             scope.spawn(|| {
                 loop {
-                    let Some((at, one)) = lock(&queue).next() else { return };
-                    let result = work(one);
-                    lock(&done).push((at, result));
+                    let Some((index, item)) = lock(&queue).next() else { return };
+                    let result = work(item);
+                    lock(&results).push((index, result));
                 }
             });
         }
     });
-    let mut done = done.into_inner().unwrap_or_default();
-    done.sort_by_key(|(at, _)| *at);
-    done.into_iter().map(|(_, result)| result).collect()
+    let mut results = results.into_inner().unwrap_or_default();
+    results.sort_by_key(|(index, _)| *index);
+    results.into_iter().map(|(_, result)| result).collect()
 }
--- a/crates/lab/src/pg_reply.rs
+++ b/crates/lab/src/pg_reply.rs
@@ -1,4 +1,4 @@
-//! What a box says in PostgreSQL's protocol.
+//! Messages of PostgreSQL's protocol that stand-in servers send.
 
 use linnetdeal_net::pg::write;
 
@@ -8,15 +8,16 @@
     out.extend_from_slice(body);
 }
 
-/// Its role and position.
+/// Appends ParameterStatus messages with the server's role and its replication position.
 pub fn status_parameters(out: &mut Vec<u8>, primary: bool, position: i64) {
-    let part = if primary { "master" } else { "replica" };
-    for (name, value) in [("part", part), ("caught_up_to", &position.to_string())] {
+    let role = if primary { "master" } else { "replica" };
+    for (name, value) in [("part", role), ("caught_up_to", &position.to_string())] {
         message(out, b'S', format!("{name}\0{value}\0").as_bytes());
     }
 }
 
-/// An answer with one value, but for ReadyForQuery.
+/// Appends the answer to a query with one row of one value, and the status parameters; ReadyForQuery is left to the
+/// caller.
 pub fn single_row(out: &mut Vec<u8>, value: &[u8], primary: bool, position: i64) {
     message(out, b'T', b"\0\x01content\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01");
     let mut row = vec![0, 1];
--- a/crates/lab/src/pooler.rs
+++ b/crates/lab/src/pooler.rs
@@ -1,4 +1,4 @@
-//! The pooler as a process, on files of a folder of its own.
+//! Runs the pooler as a process, with its files in a folder of its own.
 
 pub use crate::processes::process::WAIT_TIMEOUT;
 
@@ -8,7 +8,8 @@
 use std::ops::{Deref, DerefMut};
 use std::path::Path;
 
-/// The settings that the lab's poolers get: the site's classes, with members that check nothing themselves.
+/// The settings of the lab's poolers: the classes of the site, with members that check neither staleness nor duplicates
+/// themselves.
 #[must_use]
 pub fn settings() -> Value {
     let class = |name: &str, effect: &str, objective: f64, deadline: f64, worth: f64| {
@@ -30,16 +31,16 @@
         "Rules": {"DrainGrace": 250.0, "ColdFrom": 0.16, "Cold": 16000.0, "FallMultiple": 2.5, "Fall": 3000.0}})
 }
 
-/// How a pooler is set up.
+/// The configuration of a pooler that differs between uses.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolerSetup {
-    /// How many poolers there are.
+    /// The number of poolers in the fleet.
     pub fleet_size: u32,
-    /// Its descriptors.
+    /// The limit on its file descriptors.
     pub sockets: u32,
-    /// Where it listens; anywhere by default.
+    /// The address to listen on; a free port of 127.0.0.1 by default.
     pub listen: Option<SocketAddr>,
-    /// Where the platform's discovery answers; nowhere by default.
+    /// The address of the platform's discovery; none by default.
     pub discovery: Option<SocketAddr>,
 }
 
@@ -49,10 +50,10 @@
     }
 }
 
-/// A running pooler; killed when dropped.
+/// A running pooler, which is killed when dropped.
 pub struct Pooler {
     process: Process,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
 }
 
@@ -71,20 +72,20 @@
 }
 
 impl Pooler {
-    /// Starts `program` with an operator's file of this text.
+    /// Starts `program` with an operator's file of this text and `known` as the configured list of servers.
     ///
     /// # Errors
     ///
-    /// When it does not start.
+    /// If it does not start and listen in time.
     pub fn start(program: &Path, operator: Option<&str>, known: &Value) -> std::io::Result<Self> {
         Self::start_with_setup(program, operator, known, PoolerSetup::default())
     }
 
-    /// Starts it, set up so.
+    /// As [`Pooler::start`], with another set-up than the default.
     ///
     /// # Errors
     ///
-    /// When it does not start.
+    /// If it does not start and listen in time.
     pub fn start_with_setup(
         program: &Path,
         operator: Option<&str>,
@@ -94,11 +95,11 @@
         Self::start_with_settings(program, operator, known, setup, settings())
     }
 
-    /// Starts it with other settings than the lab's.
+    /// As [`Pooler::start_with_setup`], with other settings than the lab's.
     ///
     /// # Errors
     ///
-    /// When it does not start.
+    /// If it does not start and listen in time.
     pub fn start_with_settings(
         program: &Path,
         operator: Option<&str>,
--- a/crates/lab/src/recorder.rs
+++ b/crates/lab/src/recorder.rs
@@ -1,20 +1,21 @@
-//! What passed on the sockets: who was told what of which box and when, what was sent where, what ran, what was
-//! answered. The rules are checked on this alone, by code that shares nothing with the pooler's.
+//! Records what passed on the sockets: which status of which server was delivered to the pooler and when, which
+//! statements each server received, which writes ran, and how requests were answered. The rules are checked on these
+//! records alone, by code that shares nothing with the pooler.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Nothing new goes to a box later than this after the pooler was told that it drains or is gone. Everything here is on
-/// one machine's clock, so that no allowance is made.
+/// The time within which the pooler must stop sending to a server after the registry has reported it as drained or gone.
+/// All times are taken from the clock of one machine, so there is no tolerance on top of it.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(250);
 
 #[derive(Clone, Copy, Debug)]
 struct Drain {
-    /// The registration's stamp, and when the registry last changed it.
+    /// The registration's own timestamp, and when the registry last changed it, both in milliseconds.
     version: (i64, i64),
     delivered_at: Instant,
-    /// When somebody told something newer.
+    /// When a newer status that ends the drain was delivered.
     ended_at: Option<Instant>,
 }
 
@@ -23,55 +24,55 @@
     first_byte_at: Instant,
 }
 
-/// The counts that a proof needs.
+/// The counts that a proof reports.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
-    /// Requests that clients asked.
+    /// Requests that clients sent.
     pub requests: u64,
-    /// Those that got a final answer in time.
+    /// Requests that got a final answer in time.
     pub answered: u64,
-    /// Those that were served.
+    /// Requests that were served.
     pub served: u64,
-    /// Sends to a box too long after its drain was told.
+    /// Statements that a server received later than [`DRAIN_GRACE`] after its drain was delivered.
     pub drains_broken: u64,
-    /// The latest send to a box after its drain was told, in ms.
+    /// The longest time from the delivery of a drain to a statement at that server, in milliseconds.
     pub worst_drain_ms: f64,
-    /// Reads answered from older data than their class allows.
+    /// Reads that were answered from older data than their class allows.
     pub stale_reads: u64,
     /// Writes that ran more than once.
     pub writes_doubled: u64,
     /// Writes that were answered as served and never ran.
     pub served_without_row: u64,
-    /// Connections to where no box may lie.
+    /// Connections to addresses outside of the networks in which servers may lie.
     pub sends_outside: u64,
-    /// Drains that were told.
+    /// Drains that were delivered.
     pub drains: u64,
-    /// What each box was sent.
+    /// The number of statements that each server received.
     pub sends: BTreeMap<String, u64>,
 }
 
-/// What an answer showed.
+/// The data of an answer that the consistency checks need.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AnswerData {
-    /// Of a write, its commit.
+    /// Of a write, the position of its commit.
     pub commit: Option<i64>,
-    /// Of a read, what it must have seen and what it was answered from.
+    /// Of a read, the position that it was required to see and the position that it was answered from.
     pub read: Option<(i64, i64)>,
 }
 
-/// All that was seen.
+/// All records of a run.
 #[derive(Debug, Default)]
 pub struct Recorder {
     drains: HashMap<String, Vec<Drain>>,
-    /// Boxes whose drain is to count as lifted once somebody tells them UP again.
+    /// Servers whose drain ends once they are reported as UP again, because the override of their status was removed.
     override_removals: HashSet<String>,
     newest_in_service: HashMap<String, (i64, i64)>,
     statements: HashMap<String, Vec<ReceivedStatement>>,
     write_runs: HashMap<String, u32>,
     served_writes: HashSet<String>,
-    /// By session, the latest commit that a client has been told of.
+    /// By session, the latest commit that was acknowledged to its client.
     session_commits: HashMap<String, i64>,
-    /// The latest commit of all that a client has been told of.
+    /// The latest commit that was acknowledged to any client.
     latest_commit: i64,
     stale: u64,
     outside: HashMap<SocketAddr, u64>,
@@ -79,95 +80,98 @@
     answered: u64,
     served: u64,
     outcomes: BTreeMap<String, u64>,
-    /// Which part of the run it is, and what was asked and served in it.
+    /// The number of the current phase of the run, and the requests sent and served in it.
     phase: u64,
     phase_requests: u64,
     phase_served: u64,
 }
 
 impl Recorder {
-    /// A body that says so of a box has been written to the pooler. `stamp` is the registration's, and `updated` when
-    /// the registry last changed it.
+    /// Records that a body with a server's status has been written to the pooler. `timestamp` is the registration's own
+    /// timestamp, and `updated` the time at which the registry last changed it.
     pub fn status_delivered(
         &mut self,
         name: &str,
         in_service: bool,
-        (stamp, updated): (i64, i64),
+        (timestamp, updated): (i64, i64),
         now: Instant,
     ) {
         let drains = self.drains.entry(name.to_owned()).or_default();
-        let up = self.newest_in_service.entry(name.to_owned()).or_insert((i64::MIN, i64::MIN));
-        let removal_counts = self.override_removals.contains(name);
-        // Where a lift counts, what was before it in the same registration is old news.
-        let newer =
-            |than: (i64, i64)| stamp > than.0 || removal_counts && stamp == than.0 && updated > than.1;
+        let latest_in_service = self.newest_in_service.entry(name.to_owned()).or_insert((i64::MIN, i64::MIN));
+        let override_removed = self.override_removals.contains(name);
+        // Where the removal of an override counts, an earlier change of the same registration is outdated.
+        let newer = |other: (i64, i64)| {
+            timestamp > other.0 || override_removed && timestamp == other.0 && updated > other.1
+        };
         match (drains.last_mut().filter(|drain| drain.ended_at.is_none()), in_service) {
             (Some(drain), true) if newer(drain.version) => drain.ended_at = Some(now),
-            (Some(drain), false) => drain.version = drain.version.max((stamp, updated)),
-            (None, false) if newer(*up) || stamp == up.0 && !removal_counts => {
-                drains.push(Drain { version: (stamp, updated), delivered_at: now, ended_at: None });
+            (Some(drain), false) => drain.version = drain.version.max((timestamp, updated)),
+            (None, false)
+                if newer(*latest_in_service) || timestamp == latest_in_service.0 && !override_removed =>
+            {
+                drains.push(Drain { version: (timestamp, updated), delivered_at: now, ended_at: None });
             }
             _ => {}
         }
         if in_service {
-            *up = (*up).max((stamp, updated));
+            *latest_in_service = (*latest_in_service).max((timestamp, updated));
         }
     }
 
-    /// Somebody has taken back what was set over a box's own status, and the operator counts that.
+    /// Records that the override of a server's status was removed, where the operator's configuration lets that end a drain.
     pub fn accept_override_removal(&mut self, name: &str) {
         self.override_removals.insert(name.to_owned());
     }
 
-    /// Whether a drain of a box holds at present.
+    /// Whether the server is drained at present.
     #[must_use]
     pub fn is_draining(&self, name: &str) -> bool {
         self.drains.get(name).and_then(|drains| drains.last()).is_some_and(|drain| drain.ended_at.is_none())
     }
 
-    /// A statement's first byte has come to a box.
+    /// Records that a server has received the first byte of a statement.
     pub fn statement_received(&mut self, name: &str, first_byte_at: Instant) {
         self.statements.entry(name.to_owned()).or_default().push(ReceivedStatement { first_byte_at });
     }
 
-    /// A write runs on a primary.
+    /// Records that a write was executed by a primary.
     pub fn write_executed(&mut self, id: &str) {
         *self.write_runs.entry(id.to_owned()).or_default() += 1;
     }
 
-    /// Somebody connected to where no box may lie.
-    pub fn outside_connection(&mut self, at: SocketAddr) {
-        *self.outside.entry(at).or_default() += 1;
+    /// Records a connection to an address outside of the networks in which servers may lie.
+    pub fn outside_connection(&mut self, address: SocketAddr) {
+        *self.outside.entry(address).or_default() += 1;
     }
 
-    /// What a session's reads must have seen from now on.
+    /// The position that a read of the session must see from now on; with `fresh`, the latest commit of all sessions.
     #[must_use]
     pub fn required_position(&self, session: &str, fresh: bool) -> i64 {
         if fresh { self.latest_commit } else { self.session_commits.get(session).copied().unwrap_or(0) }
     }
 
-    /// A client has asked; in which part of the run, goes with its answer.
+    /// Records that a client has sent a request; returns the current phase, which is passed on with its answer.
     pub fn request_started(&mut self) -> u64 {
         self.requests += 1;
         self.phase_requests += 1;
         self.phase
     }
 
-    /// Another part of the run begins: what was asked before does not count in it.
+    /// Begins another phase of the run, in which earlier requests are not counted.
     pub fn begin_phase(&mut self) {
         self.phase += 1;
         (self.phase_requests, self.phase_served) = (0, 0);
     }
 
-    /// Served and asked in this part.
+    /// The numbers of requests served and sent in the current phase.
     #[must_use]
     pub fn phase_counts(&self) -> (u64, u64) {
         (self.phase_served, self.phase_requests)
     }
 
-    /// A client has an answer in time: how it ended, and what it showed.
-    pub fn request_answered(&mut self, id: &str, phase: u64, how: &str, session: &str, seen: AnswerData) {
-        let AnswerData { commit, read } = seen;
+    /// Records an answer that a client has received in time.
+    pub fn request_answered(&mut self, id: &str, phase: u64, how: &str, session: &str, data: AnswerData) {
+        let AnswerData { commit, read } = data;
         self.answered += 1;
         *self.outcomes.entry(how.to_owned()).or_default() += 1;
         if how != "served" {
@@ -177,8 +181,8 @@
         self.phase_served += u64::from(phase == self.phase);
         if let Some(commit) = commit {
             self.served_writes.insert(id.to_owned());
-            let held = self.session_commits.entry(session.to_owned()).or_default();
-            *held = (*held).max(commit);
+            let latest_of_session = self.session_commits.entry(session.to_owned()).or_default();
+            *latest_of_session = (*latest_of_session).max(commit);
             self.latest_commit = self.latest_commit.max(commit);
         }
         if let Some((needed, position)) = read {
@@ -186,26 +190,26 @@
         }
     }
 
-    /// How many statements a box has got.
+    /// The number of statements that a server has received.
     #[must_use]
     pub fn statement_count(&self, name: &str) -> usize {
         self.statements.get(name).map_or(0, Vec::len)
     }
 
-    /// How many statements a box has got in this time.
+    /// The number of statements that a server has received from `from` until before `to`.
     #[must_use]
     pub fn statements_between(&self, name: &str, from: Instant, to: Instant) -> usize {
         let sent = self.statements.get(name).into_iter().flatten();
         sent.filter(|one| one.first_byte_at >= from && one.first_byte_at < to).count()
     }
 
-    /// How answers were worded.
+    /// The number of answers by outcome.
     #[must_use]
     pub fn outcome_counts(&self) -> &BTreeMap<String, u64> {
         &self.outcomes
     }
 
-    /// The rules, on all that was seen.
+    /// Checks the rules on all records and returns the counts.
     #[must_use]
     pub fn verdict(&self) -> Verdict {
         let mut verdict = Verdict {
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -1,76 +1,76 @@
-//! Scripts: a fleet, a registry and what happens to them when.
+//! Scripts of the registry tests: a fleet, a registry, timed events and the expected results.
 
 use crate::eureka::AnswerMode;
 use serde::{Deserialize, Serialize};
 
-/// Something that happens.
+/// An event of a script.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Act {
-    /// A box says itself that it drains, with a later stamp.
+    /// A box reports that it is out of service, with a newer timestamp.
     Drain(String),
-    /// A box says itself that it is up, with a later stamp.
+    /// A box reports that it is up, with a newer timestamp.
     Up(String),
-    /// A box says itself that it is starting, with a later stamp.
+    /// A box reports that it is starting, with a newer timestamp.
     Starting(String),
-    /// Somebody sets a status over a box's own; the box's stamp stays.
+    /// The status of a box is overridden in the registry; the box's own timestamp stays.
     Override(String, String),
-    /// Somebody takes that back; the box's stamp stays.
+    /// The override is removed; the box's own timestamp stays.
     Lift(String),
-    /// A box leaves.
+    /// A box deregisters.
     Remove(String),
-    /// A box of this id comes, with the role `primary` or `replica`.
+    /// A box with this id registers, with the role `primary` or `replica`.
     Come(String, String),
-    /// A box starts again: later stamp, later start.
+    /// A box restarts: it registers with a newer timestamp and a later start.
     Restart(String),
-    /// A box of this id listens elsewhere from now on, by its own word.
+    /// A box reports another address, with a newer timestamp.
     Move(String),
-    /// Another box registers under this id, with the same stamp.
+    /// Another box registers with this id and the same timestamp.
     Twin(String),
-    /// Something registers outside of the networks in which boxes may lie.
+    /// An instance registers with an address outside of the networks in which boxes may lie.
     Outside(String),
-    /// A box that is known says that it lies outside of them from now on.
+    /// A known box reports an address outside of these networks.
     Stray(String),
-    /// The registry loses its memory.
+    /// The registry loses all registrations.
     Forget,
-    /// All boxes that run register anew, one after another with so many ms between.
+    /// All running boxes register again, one after another, with this pause in milliseconds.
     Return(u64),
-    /// A peer answers so from now on.
+    /// A peer of the registry changes how it answers.
     Behave(usize, AnswerMode),
-    /// A peer knows nothing newer than so many ms.
+    /// A peer lags: it knows nothing newer than this many milliseconds.
     Lag(usize, u64),
-    /// The clock of the registry and of the boxes steps by so many ms.
+    /// The clock of the boxes steps by this many milliseconds.
     Step(i64),
-    /// A box falls behind the log by so many ms.
+    /// A box's replication lag becomes this many milliseconds.
     Behind(String, i64),
-    /// A box goes down.
+    /// A box closes all connections without an answer.
     Down(String),
-    /// The pooler is told to end.
+    /// The pooler receives SIGTERM.
     Terminate,
 }
 
-/// When it happens.
+/// A timed event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
-    /// After so many ms.
+    /// Milliseconds from the start of the script.
     pub at: u64,
-    /// What.
+    /// The event.
     #[serde(rename = "do")]
     pub act: Act,
 }
 
-/// What must come out, beside the rules.
+/// The expected results, in addition to the rules.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Expect {
-    /// The share of requests that is served, at least.
+    /// The least share of requests that must be served.
     pub served: f64,
-    /// Boxes that get nothing in the last part of the run.
+    /// Boxes that must receive no statement in the final phase of the run.
     pub idle: Vec<String>,
-    /// Boxes that do get something there.
+    /// Boxes that must receive statements in that phase.
     pub busy: Vec<String>,
-    /// What stands in the log.
+    /// Texts that the pooler's log must contain.
     pub log: Vec<String>,
 }
 
@@ -80,25 +80,25 @@
 pub struct Script {
     /// Its name.
     pub name: String,
-    /// What it is about.
+    /// A description of what it tests.
     pub about: String,
-    /// How many boxes there are at the start; the first is the primary.
+    /// The number of boxes at the start, of which the first is the primary.
     #[serde(default = "four")]
     pub boxes: usize,
-    /// How many peers the registry has.
+    /// The number of peers of the registry.
     #[serde(default = "one")]
     pub peers: usize,
-    /// How long it lasts, in ms.
+    /// Its duration in milliseconds.
     pub ms: u64,
-    /// What else stands in the operator's record.
+    /// Additional lines of the `registry` record in the operator's file.
     #[serde(default)]
     pub operator: String,
-    /// Whether peers write XML.
+    /// Whether the peers answer in XML instead of JSON.
     #[serde(default)]
     pub xml: bool,
-    /// What happens.
+    /// The events, by time.
     pub steps: Vec<Step>,
-    /// What must come out.
+    /// The expected results.
     #[serde(default)]
     pub expect: Expect,
 }
@@ -111,13 +111,13 @@
     1
 }
 
-/// Why a script can't be played.
+/// Why scripts could not be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum ScriptError {
-    /// It can't be read.
+    /// The file could not be read.
     #[error("{0}: {1}")]
     Read(String, std::io::Error),
-    /// It is none.
+    /// The file does not contain scripts.
     #[error("{0}: {1}")]
     Json(String, serde_json::Error),
 }
@@ -127,27 +127,27 @@
     ///
     /// # Errors
     ///
-    /// When it can't be read, or holds something else.
+    /// If the file cannot be read or contains anything else.
     pub fn load(path: &std::path::Path) -> Result<Vec<Self>, ScriptError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| ScriptError::Read(name.clone(), error))?;
         Self::parse(&text).map_err(|error| ScriptError::Json(name, error))
     }
 
-    /// Reads scripts from a text.
+    /// Parses scripts, one JSON object after another.
     ///
     /// # Errors
     ///
-    /// When something else stands in it.
+    /// If the text contains anything else.
     pub fn parse(text: &str) -> Result<Vec<Self>, serde_json::Error> {
         serde_json::Deserializer::from_str(text).into_iter().collect()
     }
 
-    /// The scripts of the registry's proof.
+    /// The built-in scripts of the registry tests.
     ///
     /// # Errors
     ///
-    /// When one is wrong.
+    /// If the built-in file is invalid.
     pub fn eureka() -> Result<Vec<Self>, serde_json::Error> {
         Self::parse(include_str!("../scripts/eureka.json"))
     }
--- a/crates/lab/src/script_runner.rs
+++ b/crates/lab/src/script_runner.rs
@@ -41,7 +41,7 @@
     /// How far the clock of all of them is off.
     clock_offset_ms: i64,
     /// Whether the operator counts the taking back of an override.
-    override_removal_counts: bool,
+    accepts_override_removal: bool,
 }
 
 impl Testbed {
@@ -62,7 +62,7 @@
             boxes: BTreeMap::new(),
             log: Arc::default(),
             clock_offset_ms: 0,
-            override_removal_counts: false,
+            accepts_override_removal: false,
         };
         for at in 1..=boxes {
             testbed.add_box(&format!("s-{at}"), at == 1)?;
@@ -145,7 +145,7 @@
                 one.overridden.clone_from(to);
             }),
             Act::Lift(name) => {
-                if self.override_removal_counts {
+                if self.accepts_override_removal {
                     lock(&self.recorder).accept_override_removal(name);
                 }
                 self.registrations.update(name, false, |one| {
@@ -264,7 +264,7 @@
 /// When it can't be played; what comes out wrong is no error.
 pub fn run_script(script: &Script, program: &Path, seed: u64) -> io::Result<ScriptOutcome> {
     let mut testbed = Testbed::new(script.boxes, script.peers)?;
-    testbed.override_removal_counts = script.operator.contains("lifts: \"override\"");
+    testbed.accepts_override_removal = script.operator.contains("lifts: \"override\"");
     testbed.peers.iter().for_each(|peer| peer.set_encoding(script.xml, true));
     let empty_list = serde_json::json!({"generation": 0, "reset": true, "instances": []});
     let mut pooler = Pooler::start(program, Some(&testbed.operator_file(&script.operator)), &empty_list)?;
