--- a/crates/lab/src/changes.rs
+++ b/crates/lab/src/changes.rs
@@ -1,10 +1,11 @@
-//! Changes of primary beyond one death: many held writes, two in a row, an old primary that is back, nobody to take over, a
-//! pooler that restarts in the middle, an heir that drains, and several poolers that release onto a cold primary.
+//! Changes of primary beyond a single failure: many waiting writes, two changes in a row, an old primary that comes back, no
+//! replica that takes over, a pooler that restarts during the change, a new primary that drains, and several poolers that
+//! send their waiting writes to a cold primary.
 
 use crate::clients::Client;
 use crate::lock;
 use crate::pooler::{Pooler, PoolerSetup};
-use crate::primary::{Answer, DEADLINE, Stage, Writers, name, quantile};
+use crate::primary::{Answer, DEADLINE, Testbed, Writers, member_name, quantile};
 use crate::recorder::Recorder;
 use crate::replica_group::{Step, Way};
 use serde_json::json;
@@ -15,31 +16,31 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// A case.
+/// A case: one course of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Course {
-    /// A planned change of 0.4 s while a thousand clients write.
+    /// A planned handover of 0.4 s while a thousand clients write.
     Thousand,
-    /// The new primary dies 0.4 s after it took over.
+    /// The new primary fails 0.4 s after it took over.
     TwoInARow,
-    /// The old primary fell silent, and is back as a replica.
+    /// The old primary stops answering and comes back as a replica.
     BackAsReplica,
-    /// The old primary fell silent, and is back and says that it is the primary still.
+    /// The old primary stops answering, comes back and still reports itself as the primary.
     BackClaiming,
-    /// Nobody takes over.
+    /// No replica takes over.
     Nobody,
-    /// The pooler is killed in the middle and starts from its last list.
+    /// The pooler is killed during the change and restarts from its last list.
     Restart,
-    /// A drain is told of the box that is just taking over.
+    /// The server that is taking over is drained.
     HeirDrains,
-    /// Four poolers hold writes for a primary that has just started.
+    /// Four poolers hold writes for a primary that has just started and is cold.
     Cold,
-    /// Six changes one after the other, with clients that wait 1.2 s, so that lengths are learned.
+    /// Six changes one after the other, with client deadlines of 1.2 s, so that the poolers learn how long changes last.
     Learning,
 }
 
 impl Course {
-    /// All.
+    /// All cases.
     pub const ALL: [Self; 9] = [
         Self::Thousand,
         Self::TwoInARow,
@@ -53,47 +54,47 @@
     ];
 }
 
-/// What came out of it. Rows are the group's, answers the clients'.
+/// Result of a case. Rows are taken from the replication group, answers from the clients.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// Writes that clients asked.
+    /// Writes sent by clients.
     pub writes: usize,
-    /// Of these, served.
+    /// Writes served.
     pub served: usize,
-    /// Refused.
+    /// Writes refused.
     pub refused: usize,
-    /// Failed: nothing is promised.
+    /// Failed writes: they may have run or not.
     pub failed: usize,
-    /// Rows that ran twice.
+    /// Rows that were written twice.
     pub doubled: usize,
-    /// Served, and no replica has the row.
+    /// Served writes whose row no replica has.
     pub served_without_row: usize,
-    /// Refused, and there is a row.
+    /// Refused writes that have a row.
     pub refused_with_row: usize,
-    /// Without a final answer, though the pooler that took it lives.
+    /// Writes without a final answer although the pooler that took them is running.
     pub unanswered: usize,
-    /// Answered after the client had given up.
+    /// Writes answered after their deadline.
     pub late: usize,
-    /// Writes to a box later than 250 ms after its drain was told.
+    /// Writes sent to a server later than 250 ms after its drain was announced.
     pub drains_broken: u64,
-    /// Writes that went to a box after it had shown to be of no use, where the case has one.
+    /// Writes sent to the old primary after it came back, in the cases where it does.
     pub misdirected_writes: usize,
-    /// Reads that went to that box.
+    /// Reads sent to that server.
     pub reads_at_returned_box: usize,
     /// Reads answered from older data than their class allows.
     pub stale_reads: u64,
-    /// The most that a cold box was sent in any 3 s, as a part of 2.5 times what it could do in them.
+    /// The highest rate at which a cold server was sent statements in any 3 s, as a share of 2.5 times its capacity in them.
     pub cold_budget_peak: Option<f64>,
-    /// From the new primary to the last held write served.
+    /// Time from the promotion until the last waiting write was served.
     pub backlog_cleared_in: Option<Duration>,
-    /// Hints at when to come back, each as a multiple of the time that it truly took until a write was served.
+    /// Retry-after hints, each as a multiple of the actual time until the new primary took over.
     pub hints: Vec<f64>,
-    /// The flight recorder of the first pooler, as it was dumped in the end.
+    /// The flight recorder of the first pooler, as dumped at the end.
     pub flight_record: String,
 }
 
 impl Course {
-    /// All of it goes by plan, so that no client is to see an error.
+    /// Whether all changes of the case are planned, so that no client may see an error.
     #[must_use]
     pub fn is_planned(self) -> bool {
         matches!(self, Self::Thousand | Self::HeirDrains)
@@ -101,7 +102,7 @@
 }
 
 impl Tally {
-    /// Writes asked, doubled, served without a row, refused with one, unanswered, late and failed.
+    /// Counts of writes: sent, written twice, served without a row, refused with a row, unanswered, late and failed.
     #[must_use]
     pub fn counts(&self) -> [usize; 7] {
         [
@@ -115,7 +116,7 @@
         ]
     }
 
-    /// Adds what came out of another.
+    /// Adds the counts of another case.
     pub fn add(&mut self, other: &Self) {
         self.writes += other.writes;
         self.doubled += other.doubled;
@@ -129,7 +130,7 @@
         self.stale_reads += other.stale_reads;
     }
 
-    /// In a line.
+    /// The result as one line of text.
     #[must_use]
     pub fn line(&self, course: Course) -> String {
         let [asked, doubled, without, refused_with, unanswered, late, failed] = self.counts();
@@ -149,161 +150,169 @@
     }
 }
 
-const WARM: Duration = Duration::from_millis(500);
+const WARM_UP: Duration = Duration::from_millis(500);
 const PLANNED: Duration = Duration::from_millis(400);
 const TAKEOVER: Duration = Duration::from_millis(1_200);
-/// What a warm box can do in the cold case, in writes a second, and how it gets there.
+/// Capacity of a warm server in the cold case, in writes per second.
 const CAPACITY: f64 = 250.0;
-const COLD: (f64, f64) = (0.16, 16.0);
-const FALL: (f64, Duration) = (2.5, Duration::from_secs(3));
-const EACH: usize = 150;
+/// Slow start in the cold case: the share of capacity at the start, and the seconds until the server is warm.
+const SLOW_START: (f64, f64) = (0.16, 16.0);
+/// A cold server's budget: this multiple of its capacity, within this window.
+const COLD_BUDGET: (f64, Duration) = (2.5, Duration::from_secs(3));
+/// Additional writers of each pooler in the cold case.
+const EXTRA_WRITERS: usize = 150;
 
 fn wait(span: Duration) {
     std::thread::sleep(span);
 }
 
-impl Stage {
-    fn die(&self, way: Way) {
+impl Testbed {
+    fn fail_primary(&self, way: Way) {
         self.group.arm(Step::BeforeRun, way);
         let end = Instant::now() + Duration::from_secs(3);
-        let before = self.group.died();
-        while self.group.died() == before && Instant::now() < end {
+        let before = self.group.failed_at();
+        while self.group.failed_at() == before && Instant::now() < end {
             wait(Duration::from_millis(1));
         }
     }
 
-    fn planned(&self, at: usize) {
+    fn start_handover(&self, member: usize) {
         self.group.drain();
-        self.registrations.update(&name(at), true, |one| one.status = "OUT_OF_SERVICE".into());
+        self.registrations.update(&member_name(member), true, |one| one.status = "OUT_OF_SERVICE".into());
     }
 }
 
-/// Plays a case with the program at `program`.
+/// Runs a case with the program at `program`.
 ///
 /// # Errors
 ///
-/// When it can't be played.
-pub fn play(course: Course, program: &Path) -> io::Result<Tally> {
+/// When the servers or the poolers can't be started.
+pub fn run_course(course: Course, program: &Path) -> io::Result<Tally> {
     let (setup, poolers) = match course {
         Course::Thousand => (PoolerSetup { sockets: 4_096, ..PoolerSetup::default() }, 1),
         Course::Cold => (PoolerSetup { fleet_size: 4, ..PoolerSetup::default() }, 4),
         _ => (PoolerSetup::default(), 1),
     };
-    let mut stage = Stage::set(program, setup, poolers)?;
-    let mut crews: Vec<Writers> = Vec::new();
-    for (at, pooler) in stage.poolers.iter().enumerate() {
-        let mut writers = Writers::of(pooler.address, &stage.recorder);
-        writers.first = at * 10_000;
+    let mut testbed = Testbed::start(program, setup, poolers)?;
+    let mut writer_groups: Vec<Writers> = Vec::new();
+    for (index, pooler) in testbed.poolers.iter().enumerate() {
+        let mut writers = Writers::new(pooler.address, &testbed.recorder);
+        writers.first_number = index * 10_000;
         let deadline = if course == Course::Learning { Duration::from_millis(1_200) } else { DEADLINE };
-        // The cold case is about a box that is half busy, the others about as many writes as there can be.
+        // The cold case needs a server at half load, the others as many writes as possible.
         writers.pause = Duration::from_millis(if course == Course::Cold { 200 } else { 3 });
-        writers.add(6, u32::MAX, deadline);
-        crews.push(writers);
+        writers.start_limited(6, u32::MAX, deadline);
+        writer_groups.push(writers);
     }
-    wait(WARM);
+    wait(WARM_UP);
     let mut tally = Tally::default();
-    let mut excused: Option<Instant> = None;
+    let mut pooler_killed_at: Option<Instant> = None;
     let mut promoted = None;
     match course {
         Course::Thousand => {
-            stage.planned(0);
-            crews[0].add(1_000, 1, DEADLINE);
+            testbed.start_handover(0);
+            writer_groups[0].start_limited(1_000, 1, DEADLINE);
             wait(PLANNED);
-            promoted = Some(stage.promote(1));
+            promoted = Some(testbed.promote(1));
             wait(Duration::from_secs(3));
         }
         Course::TwoInARow => {
-            stage.die(Way::Reset);
+            testbed.fail_primary(Way::Reset);
             wait(TAKEOVER);
-            stage.promote(1);
+            testbed.promote(1);
             wait(PLANNED);
-            stage.die(Way::Closed);
+            testbed.fail_primary(Way::Closed);
             wait(TAKEOVER);
-            promoted = Some(stage.promote(2));
+            promoted = Some(testbed.promote(2));
             wait(TAKEOVER);
         }
         Course::BackAsReplica | Course::BackClaiming => {
-            stage.die(Way::Silent);
+            testbed.fail_primary(Way::Silent);
             wait(TAKEOVER);
-            promoted = Some(stage.promote(1));
+            promoted = Some(testbed.promote(1));
             wait(Duration::from_millis(600));
             if course == Course::BackClaiming {
-                stage.group.revive_claiming(0);
+                testbed.group.restart_as_stale_primary(0);
             } else {
-                stage.group.revive(0);
+                testbed.group.restart_as_replica(0);
             }
-            let back = Instant::now();
-            // Longer than it is left alone for having been silent.
-            let readers = Readers::start(&stage, 8, Duration::from_millis(5));
+            let returned_at = Instant::now();
+            // Longer than the server stays ejected for its time-outs.
+            let readers = Readers::start(&testbed, 8, Duration::from_millis(5));
             wait(Duration::from_secs(6));
             readers.end();
-            let sent = stage.group.sent();
-            tally.misdirected_writes =
-                sent.iter().filter(|(at, when, write)| *at == 0 && *write && *when > back).count();
-            tally.reads_at_returned_box =
-                sent.iter().filter(|(at, when, write)| *at == 0 && !write && *when > back).count();
+            let sent = testbed.group.statements();
+            tally.misdirected_writes = sent
+                .iter()
+                .filter(|(member, when, write)| *member == 0 && *write && *when > returned_at)
+                .count();
+            tally.reads_at_returned_box = sent
+                .iter()
+                .filter(|(member, when, write)| *member == 0 && !write && *when > returned_at)
+                .count();
         }
         Course::Nobody => {
-            stage.die(Way::Reset);
+            testbed.fail_primary(Way::Reset);
             wait(DEADLINE + Duration::from_millis(500));
         }
         Course::Restart => {
-            stage.die(Way::Reset);
+            testbed.fail_primary(Way::Reset);
             wait(PLANNED);
-            let listen = Some(stage.poolers[0].address);
-            stage.poolers.clear();
-            excused = Some(Instant::now());
-            let known = json!({"generation": 1, "reset": true, "instances": stage.list()});
-            stage.poolers.push(Pooler::start_with_setup(
+            let listen = Some(testbed.poolers[0].address);
+            testbed.poolers.clear();
+            pooler_killed_at = Some(Instant::now());
+            let last_list = json!({"generation": 1, "reset": true, "instances": testbed.list()});
+            testbed.poolers.push(Pooler::start_with_setup(
                 program,
-                Some(&stage.operator),
-                &known,
+                Some(&testbed.operator),
+                &last_list,
                 PoolerSetup { listen, ..setup },
             )?);
             wait(PLANNED);
-            promoted = Some(stage.promote(1));
+            promoted = Some(testbed.promote(1));
             wait(Duration::from_millis(1_500));
         }
         Course::HeirDrains => {
-            stage.planned(0);
+            testbed.start_handover(0);
             wait(PLANNED);
-            stage.promote(1);
-            stage.planned(1);
+            testbed.promote(1);
+            testbed.start_handover(1);
             wait(PLANNED);
-            promoted = Some(stage.promote(2));
+            promoted = Some(testbed.promote(2));
             wait(TAKEOVER);
         }
-        Course::Cold => tally.cold_budget_peak = Some(cold(&stage, &mut crews, &mut promoted)),
-        Course::Learning => tally.hints = learning(&stage),
+        Course::Cold => tally.cold_budget_peak = Some(run_cold(&testbed, &mut writer_groups, &mut promoted)),
+        Course::Learning => tally.hints = run_learning(&testbed),
     }
-    stage.poolers[0].signal("USR1")?;
-    tally.flight_record = stage.poolers[0].wait_for_log("changes of primary")?;
-    let answers: Vec<Answer> = crews.into_iter().flat_map(Writers::end).collect();
-    stage.judge(&mut tally, &answers, excused, promoted);
+    testbed.poolers[0].signal("USR1")?;
+    tally.flight_record = testbed.poolers[0].wait_for_log("changes of primary")?;
+    let answers: Vec<Answer> = writer_groups.into_iter().flat_map(Writers::end).collect();
+    testbed.evaluate(&mut tally, &answers, pooler_killed_at, promoted);
     Ok(tally)
 }
 
-/// Clients that read from all poolers.
+/// Clients that read through all poolers.
 struct Readers {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Readers {
-    /// So many of each pooler, each reading anew after this pause: half of them what any box may answer, the others what
-    /// their session wrote.
-    fn start(stage: &Stage, of_each: usize, pause: Duration) -> Self {
+    /// Starts `of_each` readers for each pooler, which read with this pause. Half of them send reads that any server may
+    /// answer; the others write now and then and read their own writes.
+    fn start(testbed: &Testbed, of_each: usize, pause: Duration) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let all = stage.poolers.iter().flat_map(|pooler| (0..of_each).map(|more| (pooler.address, more)));
-        let threads = all.enumerate().map(|(at, (address, more))| {
-            let (stop, recorder) = (stop.clone(), stage.recorder.clone());
+        let all =
+            testbed.poolers.iter().flat_map(|pooler| (0..of_each).map(|number| (pooler.address, number)));
+        let threads = all.enumerate().map(|(index, (address, number))| {
+            let (stop, recorder) = (stop.clone(), testbed.recorder.clone());
             std::thread::spawn(move || {
-                let mut client = Client::new(address, 100_000 + at, 1);
-                let mut asked = 0;
+                let mut client = Client::new(address, 100_000 + index, 1);
+                let mut request_count = 0;
                 while !stop.load(Ordering::SeqCst) {
-                    let class = if more % 2 == 0 { 2 } else { [4, 1, 1, 1, 1, 1, 1, 1][asked % 8] };
+                    let class = if number % 2 == 0 { 2 } else { [4, 1, 1, 1, 1, 1, 1, 1][request_count % 8] };
                     client.request_class(class, &recorder);
-                    asked += 1;
+                    request_count += 1;
                     wait(pause);
                 }
             })
@@ -317,136 +326,147 @@
     }
 }
 
-/// Four poolers hold for a primary that died; who takes over started anew a moment before. Gives its peak.
-fn cold(stage: &Stage, crews: &mut [Writers], promoted: &mut Option<Instant>) -> f64 {
-    // Reads are what most of a box's work is: the poolers learn from them what a box can do.
-    let readers = Readers::start(stage, 6, Duration::from_millis(40));
+/// Four poolers hold writes after the primary failed, and a server that has just restarted takes over. Returns the peak of
+/// its budget.
+fn run_cold(testbed: &Testbed, writer_groups: &mut [Writers], promoted: &mut Option<Instant>) -> f64 {
+    // Reads are most of a server's work: the poolers learn its capacity from them.
+    let readers = Readers::start(testbed, 6, Duration::from_millis(40));
     wait(Duration::from_secs(2));
     let started = Instant::now();
-    stage.group.start_cold(1, COLD.0, Duration::from_secs_f64(COLD.1));
+    testbed.group.start_cold(1, SLOW_START.0, Duration::from_secs_f64(SLOW_START.1));
     let ms = crate::clients::now_ms().to_string();
-    stage.registrations.update(&name(1), true, |one| drop(one.metadata.insert("startedAtMs".into(), ms)));
+    testbed
+        .registrations
+        .update(&member_name(1), true, |one| drop(one.metadata.insert("startedAtMs".into(), ms)));
     wait(Duration::from_millis(500));
-    stage.die(Way::Reset);
-    for crew in crews.iter_mut() {
-        crew.add(EACH, 1, DEADLINE);
+    testbed.fail_primary(Way::Reset);
+    for writers in writer_groups.iter_mut() {
+        writers.start_limited(EXTRA_WRITERS, 1, DEADLINE);
     }
     wait(TAKEOVER);
-    *promoted = Some(stage.promote(1));
+    *promoted = Some(testbed.promote(1));
     wait(Duration::from_secs(4));
     readers.end();
-    let came: Vec<f64> = stage
+    let arrivals: Vec<f64> = testbed
         .group
-        .sent()
+        .statements()
         .iter()
-        .filter(|(at, when, _)| *at == 1 && *when >= started)
+        .filter(|(member, when, _)| *member == 1 && *when >= started)
         .map(|(_, when, _)| (*when - started).as_secs_f64())
         .collect();
-    peak(&came)
+    peak_budget_share(&arrivals)
 }
 
-/// The most of a cold box's budget that was used in any window, by writes that came so many seconds after its start.
-fn peak(came: &[f64]) -> f64 {
-    let can = |at: f64| CAPACITY * (COLD.0 + (1.0 - COLD.0) * (at / COLD.1).min(1.0));
-    let span = FALL.1.as_secs_f64();
-    let of = |from: usize| {
-        let begin = came[from];
-        let sent = came[from..].iter().take_while(|at| **at < begin + span).count() as f64;
-        sent / (FALL.0 * (can(begin) + can(begin + span)) / 2.0 * span)
+/// The highest share of a cold server's budget used in any window. Arrival times of statements are in seconds after its
+/// start.
+fn peak_budget_share(arrivals: &[f64]) -> f64 {
+    let capacity_at =
+        |age: f64| CAPACITY * (SLOW_START.0 + (1.0 - SLOW_START.0) * (age / SLOW_START.1).min(1.0));
+    let span = COLD_BUDGET.1.as_secs_f64();
+    let budget_share = |from: usize| {
+        let begin = arrivals[from];
+        let sent = arrivals[from..].iter().take_while(|arrival| **arrival < begin + span).count() as f64;
+        sent / (COLD_BUDGET.0 * (capacity_at(begin) + capacity_at(begin + span)) / 2.0 * span)
     };
-    (0..came.len()).map(of).fold(0.0, f64::max)
+    (0..arrivals.len()).map(budget_share).fold(0.0, f64::max)
 }
 
-/// Six deaths; each is a fresh stage for what was learned from those before. Gives the hints' quality.
-fn learning(stage: &Stage) -> Vec<f64> {
+/// Lets the primary fail six times, so that the poolers apply what they learned from the earlier changes. Returns the
+/// retry-after hints as multiples of the actual time.
+fn run_learning(testbed: &Testbed) -> Vec<f64> {
     let mut hints = Vec::new();
-    let mut at = 0;
+    let mut primary = 0;
     for round in 0..6 {
-        stage.die(Way::Reset);
-        let died = Instant::now();
-        let next = (at + 1) % stage.group.addresses.len();
-        // A client that can't wait for it: what it is told, against how long it took in truth.
-        let recorder = stage.recorder.clone();
-        let address = stage.poolers[0].address;
-        let asks = std::thread::spawn(move || hint(address, 500_000 + round, &recorder));
-        wait(TAKEOVER.saturating_sub(died.elapsed()));
-        let done = stage.promote(next);
-        if let Some((told, when)) = asks.join().ok().flatten() {
+        testbed.fail_primary(Way::Reset);
+        let failed_at = Instant::now();
+        let next = (primary + 1) % testbed.group.addresses.len();
+        // A client with a deadline too short to wait for the change: its hint is compared with the actual time.
+        let recorder = testbed.recorder.clone();
+        let address = testbed.poolers[0].address;
+        let client = std::thread::spawn(move || refused_hint(address, 500_000 + round, &recorder));
+        wait(TAKEOVER.saturating_sub(failed_at.elapsed()));
+        let promoted_at = testbed.promote(next);
+        if let Some((retry_after, sent_at)) = client.join().ok().flatten() {
             hints.push(
-                (when + told).saturating_duration_since(died).as_secs_f64() / (done - died).as_secs_f64(),
+                (sent_at + retry_after).saturating_duration_since(failed_at).as_secs_f64()
+                    / (promoted_at - failed_at).as_secs_f64(),
             );
         }
         wait(Duration::from_millis(600));
-        stage.group.revive(at);
+        testbed.group.restart_as_replica(primary);
         wait(Duration::from_millis(600));
-        at = next;
+        primary = next;
     }
     hints
 }
 
-/// What a client that waits 0.6 s is told, if it is refused at once.
-fn hint(
+/// The retry-after hint that a client with a deadline of 0.6 s gets if it is refused at once, and when it sent the request.
+fn refused_hint(
     address: std::net::SocketAddr,
     number: usize,
     recorder: &std::sync::Mutex<Recorder>,
 ) -> Option<(Duration, Instant)> {
     wait(Duration::from_millis(100));
     let mut client = Client::new(address, number, 1).with_deadline(Duration::from_millis(600));
-    let asked = Instant::now();
-    let how = client.request_class(4, recorder);
-    let at_once = asked.elapsed() < Duration::from_millis(100);
-    client.retry_after().filter(|_| how == "refused" && at_once).map(|told| (told, asked))
+    let sent_at = Instant::now();
+    let result = client.request_class(4, recorder);
+    let at_once = sent_at.elapsed() < Duration::from_millis(100);
+    client.retry_after().filter(|_| result == "refused" && at_once).map(|retry_after| (retry_after, sent_at))
 }
 
-impl Stage {
-    fn promote(&self, at: usize) -> Instant {
-        self.group.promote(at);
+impl Testbed {
+    fn promote(&self, member: usize) -> Instant {
+        self.group.promote(member);
         Instant::now()
     }
 
-    /// The list as a pooler held it before the change, in the platform's form.
+    /// The list as a pooler had it before the change, in the platform's format.
     fn list(&self) -> Vec<serde_json::Value> {
-        let one = |(at, address): (usize, &std::net::SocketAddr)| {
-            json!({"instanceId": name(at), "hostPort": address.to_string(), "zone": "adum", "machineType": "-",
+        let entry = |(member, address): (usize, &std::net::SocketAddr)| {
+            json!({"instanceId": member_name(member), "hostPort": address.to_string(), "zone": "adum", "machineType": "-",
                 "cell": 2, "lifecycle": "up", "weight": 1.0, "startedAtMs": 0,
-                "part": if at == 0 { "master" } else { "replica" }})
+                "part": if member == 0 { "master" } else { "replica" }})
         };
-        self.group.addresses.iter().enumerate().map(one).collect()
+        self.group.addresses.iter().enumerate().map(entry).collect()
     }
 
-    fn judge(
+    fn evaluate(
         &self,
         tally: &mut Tally,
         answers: &[Answer],
-        excused: Option<Instant>,
+        pooler_killed_at: Option<Instant>,
         promoted: Option<Instant>,
     ) {
         let rows = self.group.rows();
-        tally.doubled = self.group.doubled();
+        tally.doubled = self.group.duplicate_row_count();
         let mut after = Vec::new();
-        for Answer { id, asked, took, how } in answers {
-            let (served, row) = (how == "served", rows.contains_key(id));
-            let broken = how.starts_with("broken");
-            // What a pooler that was killed had taken is nobody's to answer, nor is what came while none was there.
-            if broken && excused.is_some_and(|at| *asked < at + Duration::from_millis(400)) {
+        for Answer { id, sent_at, latency, result } in answers {
+            let (served, row) = (result == "served", rows.contains_key(id));
+            let broken = result.starts_with("broken");
+            // Requests that a killed pooler had accepted can't be answered, nor those sent while no pooler was running.
+            if broken
+                && pooler_killed_at.is_some_and(|killed_at| *sent_at < killed_at + Duration::from_millis(400))
+            {
                 continue;
             }
             tally.writes += 1;
             tally.served += usize::from(served);
-            tally.refused += usize::from(how == "refused");
-            tally.failed += usize::from(how.starts_with("failed"));
+            tally.refused += usize::from(result == "refused");
+            tally.failed += usize::from(result.starts_with("failed"));
             tally.unanswered += usize::from(broken);
-            tally.late += usize::from(*took > DEADLINE + Duration::from_millis(50));
+            tally.late += usize::from(*latency > DEADLINE + Duration::from_millis(50));
             tally.served_without_row += usize::from(served && !row);
-            tally.refused_with_row += usize::from(how == "refused" && row);
-            if let Some(promoted) = promoted.filter(|at| served && asked < at && *asked + *took > *at) {
-                after.push(*asked + *took - promoted);
+            tally.refused_with_row += usize::from(result == "refused" && row);
+            if let Some(promoted) =
+                promoted.filter(|promoted| served && sent_at < promoted && *sent_at + *latency > *promoted)
+            {
+                after.push(*sent_at + *latency - promoted);
             }
         }
         tally.backlog_cleared_in = promoted.map(|_| quantile(&after, 1.0));
         let mut recorder = lock(&self.recorder);
-        for (at, when, _) in self.group.sent() {
-            recorder.statement_received(&name(at), when);
+        for (member, when, _) in self.group.statements() {
+            recorder.statement_received(&member_name(member), when);
         }
         let verdict = recorder.verdict();
         (tally.drains_broken, tally.stale_reads) = (verdict.drains_broken, verdict.stale_reads);
--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -101,7 +101,7 @@
     let poolers = poolers.collect::<io::Result<Vec<_>>>()?;
     let mut costs = vec![Cost::default(); poolers.len()];
     for round in 0..ROUNDS {
-        let direct = load(boxes[0].address, round).play()?.all();
+        let direct = load(boxes[0].address, round).run()?.all();
         for (number, (pooler, cost)) in poolers.iter().zip(&mut costs).enumerate() {
             let words = cost.turn(pooler, round, &direct)?;
             each(&format!("round {round}  pooler {number}  {words}"));
@@ -127,11 +127,10 @@
 impl Cost {
     /// One turn of a pooler, beside what a box took directly just before.
     fn turn(&mut self, pooler: &Pooler, round: u64, direct: &ClassStats) -> Result<String, CostError> {
-        let through = load(pooler.address, round).play()?.all();
+        let through = load(pooler.address, round).run()?.all();
         let before = cpu(pooler.id())?;
         // No time to warm: all that the CPU time went to is counted.
-        let crowd =
-            Load { sessions: 16, warm: Duration::ZERO, ..load(pooler.address, round + 100) }.play()?;
+        let crowd = Load { sessions: 16, warm: Duration::ZERO, ..load(pooler.address, round + 100) }.run()?;
         let used = cpu(pooler.id())?.saturating_sub(before);
         self.crowd_s += crowd.counted.as_secs_f64();
         self.cpu += used;
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -229,7 +229,7 @@
     /// # Errors
     ///
     /// When it can't be played, or the target takes no connection. What a target does with requests is no error.
-    pub fn play(&self) -> std::result::Result<Result, LoadError> {
+    pub fn run(&self) -> std::result::Result<Result, LoadError> {
         self.check()?;
         let due = self.arrivals();
         let next = AtomicUsize::new(0);
@@ -249,7 +249,7 @@
                 let session = Session { load: self, wire, name: format!("acc{at}"), run, began };
                 let (due, next, shard) = (&due, &next, &shards[at % SHARDS]);
                 let builder = std::thread::Builder::new().stack_size(256 * 1024);
-                builder.spawn_scoped(scope, move || session.play(at, due, next, shard))?;
+                builder.spawn_scoped(scope, move || session.run(at, due, next, shard))?;
             }
             Ok(())
         })
@@ -280,7 +280,7 @@
 }
 
 impl Session<'_> {
-    fn play(mut self, number: usize, due: &[Arrival], next: &AtomicUsize, counts: &Mutex<Vec<ClassStats>>) {
+    fn run(mut self, number: usize, due: &[Arrival], next: &AtomicUsize, counts: &Mutex<Vec<ClassStats>>) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.load.seed ^ (number as u64 + 1));
         let (warm, end) = (self.began + self.load.warm, self.began + self.load.duration);
         sleep_until(self.began);
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -442,7 +442,7 @@
 }
 
 fn load(load: &Load) -> Result<bool, Failure> {
-    let result = load.play()?;
+    let result = load.run()?;
     let line = |name: &str, of: &ClassStats| {
         let mut words = format!("{name:<14} asked {:>8}  served {:>8}", of.total(), of.served());
         for (what, times) in [("from due", &of.from_due), ("from written", &of.from_written)] {
@@ -584,14 +584,14 @@
 
 fn primary(only: &str, side_by_side: usize, times: usize) -> Result<bool, Failure> {
     use linnetdeal_lab::changes::{self, Course};
-    use linnetdeal_lab::primary::{Case, play, quantile};
+    use linnetdeal_lab::primary::{Case, quantile, run_case};
     use linnetdeal_lab::replica_group::{Step, Way};
     let ways = |step| Way::ALL.map(|way| Case::Dies(step, way));
     let cases: Vec<Case> = Step::ALL.into_iter().flat_map(ways).chain([Case::Planned; 3]).collect();
     let cases: Vec<Case> = cases.iter().copied().filter(|case| case.to_string().contains(only)).collect();
     let cases = cases.repeat(times);
     let program = program();
-    let outcomes = run_parallel(&cases, side_by_side, |case| play(*case, &program));
+    let outcomes = run_parallel(&cases, side_by_side, |case| run_case(*case, &program));
     let mut sums = [0; 8];
     let (mut between, mut handovers, mut added) = ((0, 0), Vec::new(), Vec::new());
     let (mut planned_errors, mut never) = (0, 0);
@@ -642,7 +642,8 @@
     let share = between.0 as f64 / f64::max(between.1 as f64, 1.0);
     let courses: Vec<Course> =
         Course::ALL.into_iter().filter(|course| format!("{course:?}").contains(only)).collect();
-    let tallies = run_parallel(&courses, side_by_side.min(2), |course| changes::play(*course, &program));
+    let tallies =
+        run_parallel(&courses, side_by_side.min(2), |course| changes::run_course(*course, &program));
     let (mut more, mut budget, mut hints) = (changes::Tally::default(), 0.0, Vec::new());
     for (course, tally) in courses.iter().zip(tallies) {
         let tally = tally?;
--- a/crates/lab/src/primary.rs
+++ b/crates/lab/src/primary.rs
@@ -1,5 +1,5 @@
-//! Changes of primary: a primary that dies at each step of a write, in each way, or hands over by plan; writers that keep
-//! every answer; and the group's rows held against these.
+//! Changes of primary: the primary fails at each step of a write, in each way, or hands over as planned. Writers keep
+//! every answer, and the answers are compared with the rows that the replication group has.
 
 use crate::clients::Client;
 use crate::eureka::{Peer, Registration, Registrations};
@@ -17,23 +17,26 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long writers wait.
+/// How long writers wait for an answer.
 pub const DEADLINE: Duration = Duration::from_secs(5);
-/// A replica takes over this long after its primary died; planned, this long after it began to drain.
+/// Time from a failure of the primary until a replica takes over.
 pub const TAKEOVER: Duration = Duration::from_millis(1_200);
-/// See [`TAKEOVER`].
+/// Time from the start of a planned handover until a replica takes over.
 pub const PLANNED: Duration = Duration::from_millis(400);
-const WARM: Duration = Duration::from_millis(500);
-const AFTER: Duration = Duration::from_millis(1_300);
+/// Time that writers run before the change.
+const WARM_UP: Duration = Duration::from_millis(500);
+/// Time that writers run after the change.
+const AFTER_CHANGE: Duration = Duration::from_millis(1_300);
 const WRITERS: usize = 6;
-const TOP_UP: usize = 4;
+/// The number of the write class in [`crate::clients::CLASSES`].
+const WRITE_CLASS: usize = 4;
 
-/// A case.
+/// A case: one change of primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Case {
-    /// The primary dies.
+    /// The primary fails.
     Dies(Step, Way),
-    /// The primary hands over.
+    /// The primary hands over as planned.
     Planned,
 }
 
@@ -46,49 +49,51 @@
     }
 }
 
+/// How a write was answered.
 #[derive(Clone, Debug)]
 pub(crate) struct Answer {
     pub(crate) id: String,
-    pub(crate) asked: Instant,
-    pub(crate) took: Duration,
-    pub(crate) how: String,
+    pub(crate) sent_at: Instant,
+    pub(crate) latency: Duration,
+    pub(crate) result: String,
 }
 
-/// What came out of a case.
+/// Result of a case.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Whether the primary died where it should.
+    /// Whether the primary failed at the step that the case names.
     pub fault_occurred: bool,
-    /// Writes asked.
+    /// Writes sent by clients.
     pub top_ups: usize,
-    /// Rows that ran twice.
+    /// Rows that were written twice.
     pub doubled: usize,
-    /// Served, and no replica has the row.
+    /// Served writes whose row no replica has.
     pub served_without_row: usize,
-    /// Refused, and there is a row.
+    /// Refused writes that have a row.
     pub refused_with_row: usize,
-    /// Without a final answer.
+    /// Writes without a final answer.
     pub unanswered: usize,
-    /// Answered after the client had given up.
+    /// Writes answered after their deadline.
     pub late: usize,
-    /// Failed: nothing is promised.
+    /// Failed writes: they may have run or not.
     pub failed: usize,
-    /// Of those asked while there was no primary, the served and all.
+    /// Of the writes sent while there was no primary: the number served, and the number of all.
     pub without_primary: (usize, usize),
-    /// From the new primary to the first write that is served.
+    /// Time from the promotion to the first write served.
     pub handover: Option<Duration>,
-    /// How long writes took that were asked during a planned change, and before.
+    /// Latencies of the writes sent while there was no primary.
     pub during_change: Vec<Duration>,
-    /// See `during`.
+    /// Latencies of the writes that ended before the change.
     pub before_change: Vec<Duration>,
-    /// By answer.
+    /// Number of writes by answer.
     pub answers: BTreeMap<String, usize>,
 }
 
+/// Clients that write, each in a thread of its own.
 pub(crate) struct Writers {
     /// The number of the first client.
-    pub(crate) first: usize,
-    /// How long each rests after an answer.
+    pub(crate) first_number: usize,
+    /// Pause of each client after an answer.
     pub(crate) pause: Duration,
     stop: Arc<AtomicBool>,
     answers: Arc<Mutex<Vec<Answer>>>,
@@ -98,9 +103,9 @@
 }
 
 impl Writers {
-    pub(crate) fn of(address: SocketAddr, recorder: &Arc<Mutex<Recorder>>) -> Self {
+    pub(crate) fn new(address: SocketAddr, recorder: &Arc<Mutex<Recorder>>) -> Self {
         Self {
-            first: 0,
+            first_number: 0,
             pause: Duration::from_millis(3),
             stop: Arc::default(),
             answers: Arc::default(),
@@ -110,27 +115,28 @@
         }
     }
 
-    /// So many more, each writing again and again.
-    pub(crate) fn more(&mut self, count: usize) {
-        self.add(count, u32::MAX, DEADLINE);
+    /// Starts `count` more clients that write until they are stopped.
+    pub(crate) fn start_writers(&mut self, count: usize) {
+        self.start_limited(count, u32::MAX, DEADLINE);
     }
 
-    /// So many more, each with so many writes, that wait so long.
-    pub(crate) fn add(&mut self, count: usize, writes: u32, deadline: Duration) {
+    /// Starts `count` more clients, each with this number of writes and this deadline.
+    pub(crate) fn start_limited(&mut self, count: usize, writes: u32, deadline: Duration) {
         for _ in 0..count {
-            let at = self.threads.len();
-            let (first, pause) = (self.first, self.pause);
+            let index = self.threads.len();
+            let (first_number, pause) = (self.first_number, self.pause);
             let (stop, answers, recorder) = (self.stop.clone(), self.answers.clone(), self.recorder.clone());
             let address = self.address;
             self.threads.push(std::thread::spawn(move || {
-                let mut client = Client::new(address, first + at, 1).with_deadline(deadline);
+                let mut client = Client::new(address, first_number + index, 1).with_deadline(deadline);
                 for _ in 0..writes {
                     if stop.load(Ordering::SeqCst) {
                         return;
                     }
-                    let asked = Instant::now();
-                    let how = client.request_class(TOP_UP, &recorder);
-                    let answer = Answer { id: client.last_request_id(), asked, took: asked.elapsed(), how };
+                    let sent_at = Instant::now();
+                    let result = client.request_class(WRITE_CLASS, &recorder);
+                    let answer =
+                        Answer { id: client.last_request_id(), sent_at, latency: sent_at.elapsed(), result };
                     lock(&answers).push(answer);
                     std::thread::sleep(pause);
                 }
@@ -138,13 +144,13 @@
         }
     }
 
-    /// Stops them once each has its answer.
+    /// Stops the clients once each has its answer.
     pub(crate) fn end(self) -> Vec<Answer> {
         self.stop.store(true, Ordering::SeqCst);
         self.join()
     }
 
-    /// Waits for them to be done.
+    /// Waits for the clients to finish.
     pub(crate) fn join(self) -> Vec<Answer> {
         for thread in self.threads {
             let _ = thread.join();
@@ -153,33 +159,33 @@
     }
 }
 
-/// A group with its registry, and poolers that follow it.
-pub(crate) struct Stage {
+/// A replication group with its registry, and poolers that follow it.
+pub(crate) struct Testbed {
     pub(crate) group: ReplicaGroup,
     pub(crate) registrations: Registrations,
     pub(crate) recorder: Arc<Mutex<Recorder>>,
     pub(crate) poolers: Vec<Pooler>,
-    /// The operator's file of the poolers.
+    /// The operator's configuration of the poolers.
     pub(crate) operator: String,
     _peer: Peer,
 }
 
-/// How a box is called.
-pub(crate) fn name(at: usize) -> String {
-    format!("s-{}", at + 1)
+/// Name of the group's server at this index.
+pub(crate) fn member_name(member: usize) -> String {
+    format!("s-{}", member + 1)
 }
 
-impl Stage {
-    /// So many poolers over a group of four boxes, the first of them the primary.
-    pub(crate) fn set(program: &Path, setup: PoolerSetup, poolers: usize) -> io::Result<Self> {
+impl Testbed {
+    /// Starts poolers over a group of four servers, the first of them the primary.
+    pub(crate) fn start(program: &Path, setup: PoolerSetup, poolers: usize) -> io::Result<Self> {
         let group = ReplicaGroup::start(4, IpAddr::V4(Ipv4Addr::new(127, 10, 0, 1)))?;
         let (registrations, recorder) = (Registrations::default(), Arc::<Mutex<Recorder>>::default());
-        for (at, address) in group.addresses.iter().enumerate() {
-            let role = if at == 0 { "primary" } else { "replica" };
+        for (member, address) in group.addresses.iter().enumerate() {
+            let role = if member == 0 { "primary" } else { "replica" };
             let metadata = [("group", "2"), ("role", role), ("zone", "adum")];
             registrations.register(Registration {
                 app: "DB".into(),
-                id: name(at),
+                id: member_name(member),
                 ip: address.ip().to_string(),
                 port: address.port(),
                 status: "UP".into(),
@@ -206,63 +212,63 @@
     }
 }
 
-/// Plays a case with the program at `program`.
+/// Runs a case with the program at `program`.
 ///
 /// # Errors
 ///
-/// When it can't be played.
-pub fn play(case: Case, program: &Path) -> io::Result<Outcome> {
-    let Stage { group, registrations, recorder, poolers, .. } =
-        &Stage::set(program, PoolerSetup::default(), 1)?;
+/// When the servers or the pooler can't be started.
+pub fn run_case(case: Case, program: &Path) -> io::Result<Outcome> {
+    let Testbed { group, registrations, recorder, poolers, .. } =
+        &Testbed::start(program, PoolerSetup::default(), 1)?;
     let pooler = &poolers[0];
-    let mut writers = Writers::of(pooler.address, recorder);
-    writers.more(WRITERS);
-    std::thread::sleep(WARM);
+    let mut writers = Writers::new(pooler.address, recorder);
+    writers.start_writers(WRITERS);
+    std::thread::sleep(WARM_UP);
 
-    let (began, wait) = match case {
+    let (change_start, wait) = match case {
         Case::Planned => {
             group.drain();
-            registrations.update(&name(0), true, |one| one.status = "OUT_OF_SERVICE".into());
+            registrations.update(&member_name(0), true, |one| one.status = "OUT_OF_SERVICE".into());
             (Some(Instant::now()), PLANNED)
         }
         Case::Dies(step, way) => {
             group.arm(step, way);
-            // More at once than there are connections, so that one has to be opened.
-            writers.more(WRITERS);
+            // More concurrent writes than open connections, so that a new connection has to be opened.
+            writers.start_writers(WRITERS);
             let end = Instant::now() + Duration::from_secs(3);
-            while group.died().is_none() && Instant::now() < end {
+            while group.failed_at().is_none() && Instant::now() < end {
                 std::thread::sleep(Duration::from_millis(1));
             }
-            (group.died(), TAKEOVER)
+            (group.failed_at(), TAKEOVER)
         }
     };
-    let mut outcome = Outcome { fault_occurred: began.is_some(), ..Outcome::default() };
-    let began = began.unwrap_or_else(Instant::now);
-    std::thread::sleep((began + wait).saturating_duration_since(Instant::now()));
+    let mut outcome = Outcome { fault_occurred: change_start.is_some(), ..Outcome::default() };
+    let change_start = change_start.unwrap_or_else(Instant::now);
+    std::thread::sleep((change_start + wait).saturating_duration_since(Instant::now()));
     group.promote(1);
     let promoted = Instant::now();
-    std::thread::sleep(AFTER);
+    std::thread::sleep(AFTER_CHANGE);
     let answers = writers.end();
 
     let rows = group.rows();
     outcome.top_ups = answers.len();
-    outcome.doubled = group.doubled();
+    outcome.doubled = group.duplicate_row_count();
     for answer in &answers {
-        *outcome.answers.entry(answer.how.clone()).or_default() += 1;
-        let (served, row) = (answer.how == "served", rows.contains_key(&answer.id));
+        *outcome.answers.entry(answer.result.clone()).or_default() += 1;
+        let (served, row) = (answer.result == "served", rows.contains_key(&answer.id));
         outcome.served_without_row += usize::from(served && !row);
-        outcome.refused_with_row += usize::from(answer.how == "refused" && row);
-        outcome.failed += usize::from(answer.how.starts_with("failed"));
-        outcome.unanswered += usize::from(answer.how.starts_with("broken"));
-        outcome.late += usize::from(answer.took > DEADLINE + Duration::from_millis(50));
-        let ended = answer.asked + answer.took;
-        if answer.asked > began && answer.asked < promoted {
+        outcome.refused_with_row += usize::from(answer.result == "refused" && row);
+        outcome.failed += usize::from(answer.result.starts_with("failed"));
+        outcome.unanswered += usize::from(answer.result.starts_with("broken"));
+        outcome.late += usize::from(answer.latency > DEADLINE + Duration::from_millis(50));
+        let ended = answer.sent_at + answer.latency;
+        if answer.sent_at > change_start && answer.sent_at < promoted {
             outcome.without_primary.0 += usize::from(served);
             outcome.without_primary.1 += 1;
-            outcome.during_change.push(answer.took);
+            outcome.during_change.push(answer.latency);
         }
-        if ended < began {
-            outcome.before_change.push(answer.took);
+        if ended < change_start {
+            outcome.before_change.push(answer.latency);
         }
         if served && ended > promoted {
             let after = ended - promoted;
@@ -275,11 +281,11 @@
     Ok(outcome)
 }
 
-/// The value below which this share of them lies.
+/// The quantile `share` of these values; zero without values.
 #[must_use]
 pub fn quantile(values: &[Duration], share: f64) -> Duration {
     let mut sorted = values.to_vec();
     sorted.sort();
-    let at = ((sorted.len() as f64 * share).ceil() as usize).clamp(1, sorted.len().max(1)) - 1;
-    sorted.get(at).copied().unwrap_or_default()
+    let index = ((sorted.len() as f64 * share).ceil() as usize).clamp(1, sorted.len().max(1)) - 1;
+    sorted.get(index).copied().unwrap_or_default()
 }
--- a/crates/lab/src/replica_group.rs
+++ b/crates/lab/src/replica_group.rs
@@ -1,5 +1,5 @@
-//! A group of stand-in boxes with one ledger that is replicated: a write is answered once a replica has it, and a
-//! primary can be made to die at any step of a write, in any way. Then a replica takes over after a while.
+//! A replication group of stand-in servers: a write is answered once a replica has it, and the primary can be made to
+//! fail at any step of a write, in any of several ways. The caller then promotes a replica.
 
 use crate::boxes::comment_field;
 use crate::lock;
@@ -11,33 +11,33 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Where in a write its primary dies.
+/// The step of a write at which the primary fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Step {
-    /// Nobody is connected any more, and nobody listens.
+    /// All connections are gone and the listener is closed.
     BeforeDial,
-    /// Somebody has connected and is not welcomed.
+    /// A client has connected and gets no answer to its startup message.
     DuringDial,
-    /// A connection is open, and nothing of the write has come.
+    /// A connection is open, and no byte of the write has arrived.
     BeforeFirstByte,
-    /// A part of the write has been read.
+    /// A part of the statement has been read.
     MidStatement,
-    /// All of it has been read, and it has not run.
+    /// The whole statement has been read, and it has not run.
     BeforeRun,
-    /// It has run, and is not committed.
+    /// The statement has run and is not committed.
     BeforeCommit,
-    /// It is committed, and no replica has it.
+    /// The write is committed, and no replica has it.
     BeforeShipped,
-    /// A replica has it, and it is not answered.
+    /// A replica has the write, and it is not answered.
     BeforeAnswer,
-    /// Half of the answer is out.
+    /// Half of the answer has been sent.
     HalfAnswer,
-    /// All of it is out but for ReadyForQuery.
+    /// All of the answer has been sent except ReadyForQuery.
     BeforeReady,
 }
 
 impl Step {
-    /// All, in their order.
+    /// All steps, in the order in which a write passes them.
     pub const ALL: [Self; 10] = [
         Self::BeforeDial,
         Self::DuringDial,
@@ -52,147 +52,148 @@
     ];
 }
 
-/// How it dies.
+/// How the primary fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Way {
     /// All connections are reset, and new ones refused.
     Reset,
     /// All connections end, and new ones are refused.
     Closed,
-    /// It says nothing more; new connections come up and hear nothing.
+    /// The server sends nothing more; new connections are accepted and get no answer.
     Silent,
 }
 
 impl Way {
-    /// All.
+    /// All ways to fail.
     pub const ALL: [Self; 3] = [Self::Reset, Self::Closed, Self::Silent];
 }
 
 #[derive(Debug, Default)]
 struct State {
     primary: Option<usize>,
-    /// Those that died, and how.
-    dead: HashMap<usize, Way>,
-    /// The next step at which the primary dies.
+    /// The servers that are down, and how they failed.
+    failures: HashMap<usize, Way>,
+    /// The step at which the primary is to fail next.
     armed: Option<(Step, Way)>,
-    died: Option<Instant>,
-    /// It hands over: nothing new is taken.
+    failed_at: Option<Instant>,
+    /// The primary that hands over: it takes no new writes.
     draining: Option<usize>,
-    /// The positions of replicas stand still from here on while there is no primary.
-    still: i64,
-    /// Rows that have run, by id: how often, and whether a replica has them.
+    /// The position at which the replicas stay while there is no primary.
+    frozen_position: i64,
+    /// Rows that were written, by id: how often, and whether a replica has them.
     rows: HashMap<String, (u32, bool)>,
     last_commit: i64,
-    /// One that was the primary, and says that it still is; its position stands still.
-    claims: Option<usize>,
-    /// Probes that came.
+    /// A former primary that still reports itself as the primary; its position does not advance.
+    stale_primary: Option<usize>,
+    /// Number of probes received.
     probes: usize,
-    /// Statements that came, whole: at which box, when, and whether it was a write.
-    sent: Vec<(usize, Instant, bool)>,
-    /// A box that started anew: which, when, its share of capacity then, and after how long it is warm; and when it will
-    /// be through with what it has.
+    /// Complete statements received: the server's index, when, and whether it was a write.
+    statements: Vec<(usize, Instant, bool)>,
+    /// A server in slow start: its index, when it started, its share of capacity then, and after how long it is warm.
     cold: Option<(usize, Instant, f64, Duration)>,
-    through: Option<Instant>,
+    /// When that server will have finished the work that it has accepted.
+    busy_until: Option<Instant>,
 }
 
-/// A group.
+/// A primary and its replicas, all served from this process.
 #[derive(Clone, Debug)]
 pub struct ReplicaGroup {
     state: Arc<Mutex<State>>,
-    /// Where each of them listens; the first is the primary at the start.
+    /// Addresses of the servers; the first is the primary at the start.
     pub addresses: Vec<SocketAddr>,
 }
 
-const WORK: Duration = Duration::from_millis(4);
-/// How far replicas are behind.
-const SHIP_MS: i64 = 8;
-/// How soon a connection finds that its box has died.
-const LOOK: Duration = Duration::from_millis(2);
+/// Time that a warm server works on a statement.
+const STATEMENT_TIME: Duration = Duration::from_millis(4);
+/// Replication lag of the replicas.
+const LAG_MS: i64 = 8;
+/// Interval at which connections and listeners check whether their server is down.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 fn now_ms() -> i64 {
     crate::clients::now_ms()
 }
 
 impl ReplicaGroup {
-    /// So many boxes on `ip`.
+    /// Starts `count` servers on `ip`.
     ///
     /// # Errors
     ///
-    /// When one can't listen.
+    /// When a server can't listen.
     pub fn start(count: usize, ip: std::net::IpAddr) -> std::io::Result<Self> {
         let state = Arc::new(Mutex::new(State { primary: Some(0), ..State::default() }));
         let listeners =
             (0..count).map(|_| TcpListener::bind((ip, 0))).collect::<std::io::Result<Vec<_>>>()?;
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<std::io::Result<_>>()?;
         let group = Self { state, addresses };
-        for (at, listener) in listeners.into_iter().enumerate() {
+        for (member, listener) in listeners.into_iter().enumerate() {
             listener.set_nonblocking(true)?;
             let group = group.clone();
-            std::thread::spawn(move || group.listen(at, listener));
+            std::thread::spawn(move || group.listen(member, listener));
         }
         Ok(group)
     }
 
-    /// Makes the primary die at a step of the next write.
+    /// Makes the primary fail at this step of the next write.
     pub fn arm(&self, step: Step, way: Way) {
         let mut state = lock(&self.state);
         state.armed = Some((step, way));
         if matches!(step, Step::BeforeDial | Step::BeforeFirstByte) {
-            state.die(step);
+            state.fail(step);
         }
     }
 
-    /// When the primary died.
+    /// When a primary last failed.
     #[must_use]
-    pub fn died(&self) -> Option<Instant> {
-        lock(&self.state).died
+    pub fn failed_at(&self) -> Option<Instant> {
+        lock(&self.state).failed_at
     }
 
-    /// The primary takes nothing new from now on.
+    /// Starts a planned handover: the primary takes no new writes from now on.
     pub fn drain(&self) {
         let mut state = lock(&self.state);
         state.draining = state.primary;
-        state.still = now_ms() - SHIP_MS;
+        state.frozen_position = now_ms() - LAG_MS;
     }
 
-    /// A box takes over; the old primary, if it lives, is a replica.
-    pub fn promote(&self, at: usize) {
+    /// Promotes a server; the old primary, if it is up, becomes a replica.
+    pub fn promote(&self, member: usize) {
         let mut state = lock(&self.state);
-        state.primary = Some(at);
+        state.primary = Some(member);
         state.draining = None;
     }
 
-    /// A box that died is back, as a replica.
-    pub fn revive(&self, at: usize) {
-        lock(&self.state).dead.remove(&at);
+    /// Brings a failed server back as a replica.
+    pub fn restart_as_replica(&self, member: usize) {
+        lock(&self.state).failures.remove(&member);
     }
 
-    /// A box that died is back, and says that it is the primary still. It takes writes, and as no replica follows it any more
-    /// it never answers them.
-    pub fn revive_claiming(&self, at: usize) {
+    /// Brings a failed server back that still reports itself as the primary. It takes writes, and never answers them
+    /// because no replica follows it any more.
+    pub fn restart_as_stale_primary(&self, member: usize) {
         let mut state = lock(&self.state);
-        state.dead.remove(&at);
-        state.claims = Some(at);
+        state.failures.remove(&member);
+        state.stale_primary = Some(member);
     }
 
-    /// A box starts anew, cold: it does one statement at a time, each in the usual time divided by the part of its
-    /// capacity that it has by then. What answers at once whatever it is sent would say that it has room for more.
-    pub fn start_cold(&self, at: usize, share: f64, warm: Duration) {
-        lock(&self.state).cold = Some((at, Instant::now(), share, warm));
+    /// Restarts a server cold: it processes one statement at a time, each in the usual time divided by the share of its
+    /// capacity that it has by then. A server that answered at once whatever it is sent would report spare capacity.
+    pub fn start_cold(&self, member: usize, share: f64, warm: Duration) {
+        lock(&self.state).cold = Some((member, Instant::now(), share, warm));
     }
 
-    /// Does one statement's work.
-    fn work(&self, at: usize) {
+    /// Takes the time of one statement's work.
+    fn work(&self, member: usize) {
         let now = Instant::now();
         let until = {
             let mut state = lock(&self.state);
-            match state.cold.filter(|(cold, ..)| *cold == at) {
-                None => now + WORK,
+            match state.cold.filter(|(cold, ..)| *cold == member) {
+                None => now + STATEMENT_TIME,
                 Some((_, started, share, warm)) => {
-                    let begins = state.through.map_or(now, |through| through.max(now));
+                    let begins = state.busy_until.map_or(now, |busy_until| busy_until.max(now));
                     let age = (begins - started).as_secs_f64() / warm.as_secs_f64();
-                    let ends = begins + WORK.div_f64((share + (1.0 - share) * age).min(1.0));
-                    state.through = Some(ends);
+                    let ends = begins + STATEMENT_TIME.div_f64((share + (1.0 - share) * age).min(1.0));
+                    state.busy_until = Some(ends);
                     ends
                 }
             }
@@ -200,19 +201,19 @@
         std::thread::sleep(until.saturating_duration_since(now));
     }
 
-    /// The statements that came, whole: at which box, when, and whether it was a write.
+    /// Complete statements received: the server's index, when, and whether it was a write.
     #[must_use]
-    pub fn sent(&self) -> Vec<(usize, Instant, bool)> {
-        lock(&self.state).sent.clone()
+    pub fn statements(&self) -> Vec<(usize, Instant, bool)> {
+        lock(&self.state).statements.clone()
     }
 
-    /// How many probes came.
+    /// Number of probes received.
     #[must_use]
     pub fn probes(&self) -> usize {
         lock(&self.state).probes
     }
 
-    /// The rows that count: how often each ran, of those that a replica has.
+    /// The rows that a replica has, and how often each was written.
     #[must_use]
     pub fn rows(&self) -> HashMap<String, u32> {
         let state = lock(&self.state);
@@ -224,29 +225,29 @@
             .collect()
     }
 
-    /// The rows that ran more than once, kept or not.
+    /// Number of rows that were written more than once, whether a replica has them or not.
     #[must_use]
-    pub fn doubled(&self) -> usize {
+    pub fn duplicate_row_count(&self) -> usize {
         lock(&self.state).rows.values().filter(|(count, _)| *count > 1).count()
     }
 
-    fn dead(&self, at: usize) -> Option<Way> {
-        lock(&self.state).dead.get(&at).copied()
+    fn failure(&self, member: usize) -> Option<Way> {
+        lock(&self.state).failures.get(&member).copied()
     }
 
-    /// Whether the box dies here.
-    fn dies(&self, at: usize, step: Step) -> bool {
+    /// Lets the server fail if it is the primary and armed for this step; returns whether it did.
+    fn fails_at(&self, member: usize, step: Step) -> bool {
         let mut state = lock(&self.state);
-        let here = state.primary == Some(at) && state.armed.is_some_and(|(of, _)| of == step);
-        here && state.die(step)
+        let matches_step = state.primary == Some(member) && state.armed.is_some_and(|(of, _)| of == step);
+        matches_step && state.fail(step)
     }
 
-    fn listen(&self, at: usize, listener: TcpListener) {
-        // While it is down nobody listens at its port.
+    fn listen(&self, member: usize, listener: TcpListener) {
+        // While the server is down its port is closed.
         let mut open = Some(listener);
-        let address = self.addresses[at];
+        let address = self.addresses[member];
         loop {
-            let way = self.dead(at);
+            let way = self.failure(member);
             match (way, &open) {
                 (Some(Way::Reset | Way::Closed), Some(_)) => open = None,
                 (None, None) => {
@@ -258,24 +259,24 @@
                 (None, Some(listening)) => {
                     while let Ok((stream, _)) = listening.accept() {
                         let group = self.clone();
-                        std::thread::spawn(move || group.serve(at, stream));
+                        std::thread::spawn(move || group.serve(member, stream));
                     }
                 }
                 _ => {}
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Ends a connection as its box has died.
-    fn end(&self, at: usize, stream: &TcpStream) {
-        match self.dead(at) {
+    /// Ends a connection in the way in which its server failed.
+    fn end_connection(&self, member: usize, stream: &TcpStream) {
+        match self.failure(member) {
             Some(Way::Reset) => {
                 let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
             }
             Some(Way::Silent) => {
-                while self.dead(at) == Some(Way::Silent) {
-                    std::thread::sleep(LOOK);
+                while self.failure(member) == Some(Way::Silent) {
+                    std::thread::sleep(POLL_INTERVAL);
                 }
                 let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
             }
@@ -283,34 +284,34 @@
         }
     }
 
-    fn serve(&self, at: usize, mut stream: TcpStream) {
+    fn serve(&self, member: usize, mut stream: TcpStream) {
         let _ = stream.set_nonblocking(false);
         let _ = stream.set_nodelay(true);
-        let _ = stream.set_read_timeout(Some(LOOK));
+        let _ = stream.set_read_timeout(Some(POLL_INTERVAL));
         let mut read = Vec::new();
         let mut bytes = vec![0; 16 * 1024];
-        let mut greeted = false;
+        let mut session_started = false;
         loop {
-            if self.dead(at).is_some() {
-                return self.end(at, &stream);
+            if self.failure(member).is_some() {
+                return self.end_connection(member, &stream);
             }
             let mut out = Vec::new();
-            if !greeted {
+            if !session_started {
                 if let Ok(Some((_, size))) = pg::startup(&read) {
-                    if self.dies(at, Step::DuringDial) {
-                        return self.end(at, &stream);
+                    if self.fails_at(member, Step::DuringDial) {
+                        return self.end_connection(member, &stream);
                     }
                     read.drain(..size);
                     write::session_start(&mut out, 1, 1);
-                    greeted = true;
+                    session_started = true;
                 }
             } else if read.first() == Some(&b'Q')
                 && read.get(5..).is_some_and(|statement| statement.starts_with(b"INSERT"))
-                && self.dies(at, Step::MidStatement)
+                && self.fails_at(member, Step::MidStatement)
             {
-                return self.end(at, &stream);
+                return self.end_connection(member, &stream);
             }
-            if greeted && out.is_empty() {
+            if session_started && out.is_empty() {
                 if let Ok(Some(message)) = pg::message(&read) {
                     let (tag, size) = (message.tag, message.size);
                     let statement = pg::query_text(message.body).unwrap_or("").to_owned();
@@ -318,9 +319,9 @@
                     if tag != b'Q' {
                         return;
                     }
-                    if self.statement(at, &statement, &mut out).is_none() {
+                    if self.statement(member, &statement, &mut out).is_none() {
                         let _ = stream.write_all(&out);
-                        return self.end(at, &stream);
+                        return self.end_connection(member, &stream);
                     }
                 }
             }
@@ -342,20 +343,25 @@
         }
     }
 
-    /// Answers a statement; `None` if the box dies with it, after what is in `out`.
-    fn statement(&self, at: usize, statement: &str, out: &mut Vec<u8>) -> Option<()> {
+    /// Answers a statement; `None` if the server fails during it, after sending what is in `out`.
+    fn statement(&self, member: usize, statement: &str, out: &mut Vec<u8>) -> Option<()> {
         if statement.is_empty() {
             write::empty_query_response(out);
             write::ready_for_query(out);
             return Some(());
         }
-        let (primary, claims, draining, position) = {
+        let (primary, stale_primary, draining, position) = {
             let mut state = lock(&self.state);
             if !statement.starts_with("SHOW") {
-                state.sent.push((at, Instant::now(), statement.starts_with("INSERT")));
+                state.statements.push((member, Instant::now(), statement.starts_with("INSERT")));
             }
-            let claims = state.claims == Some(at);
-            (state.primary == Some(at) || claims, claims, state.draining == Some(at), state.position(at))
+            let stale_primary = state.stale_primary == Some(member);
+            (
+                state.primary == Some(member) || stale_primary,
+                stale_primary,
+                state.draining == Some(member),
+                state.position(member),
+            )
         };
         if statement.starts_with("SHOW") {
             lock(&self.state).probes += 1;
@@ -367,7 +373,7 @@
         }
         let id = comment_field(statement, "id").unwrap_or("").to_owned();
         if !statement.starts_with("INSERT") {
-            self.work(at);
+            self.work(member);
             single_row(out, format!("{id} {position}").as_bytes(), primary, position);
             write::ready_for_query(out);
             return Some(());
@@ -379,40 +385,40 @@
             write::ready_for_query(out);
             return Some(());
         }
-        if claims {
-            while self.dead(at).is_none() && lock(&self.state).claims == Some(at) {
-                std::thread::sleep(LOOK);
+        if stale_primary {
+            while self.failure(member).is_none() && lock(&self.state).stale_primary == Some(member) {
+                std::thread::sleep(POLL_INTERVAL);
             }
             return None;
         }
-        let dies = |step| self.dies(at, step);
-        if dies(Step::BeforeRun) {
+        let fails_at = |step| self.fails_at(member, step);
+        if fails_at(Step::BeforeRun) {
             return None;
         }
-        self.work(at);
-        if dies(Step::BeforeCommit) {
+        self.work(member);
+        if fails_at(Step::BeforeCommit) {
             return None;
         }
         let commit = lock(&self.state).commit(&id);
-        if dies(Step::BeforeShipped) {
+        if fails_at(Step::BeforeShipped) {
             return None;
         }
-        // Whoever died meanwhile ships nothing more.
-        if self.dead(at).is_some() {
+        // A server that failed meanwhile replicates nothing more.
+        if self.failure(member).is_some() {
             return None;
         }
         if let Some(row) = lock(&self.state).rows.get_mut(&id) {
             row.1 = true;
         }
-        if dies(Step::BeforeAnswer) {
+        if fails_at(Step::BeforeAnswer) {
             return None;
         }
         single_row(out, format!("{id} {commit}").as_bytes(), true, commit);
-        if dies(Step::HalfAnswer) {
+        if fails_at(Step::HalfAnswer) {
             out.truncate(out.len() / 2);
             return None;
         }
-        if dies(Step::BeforeReady) {
+        if fails_at(Step::BeforeReady) {
             return None;
         }
         write::ready_for_query(out);
@@ -421,25 +427,25 @@
 }
 
 impl State {
-    fn die(&mut self, step: Step) -> bool {
+    fn fail(&mut self, step: Step) -> bool {
         let Some((of, way)) = self.armed.filter(|(of, _)| *of == step) else { return false };
         debug_assert_eq!(of, step);
         if let Some(primary) = self.primary.take() {
-            self.dead.insert(primary, way);
-            self.still = now_ms() - SHIP_MS;
-            self.died = Some(Instant::now());
+            self.failures.insert(primary, way);
+            self.frozen_position = now_ms() - LAG_MS;
+            self.failed_at = Some(Instant::now());
         }
         self.armed = None;
         true
     }
 
-    /// Up to where a box has applied the log, in ms.
-    fn position(&self, at: usize) -> i64 {
+    /// Position up to which a server has applied the log, in ms.
+    fn position(&self, member: usize) -> i64 {
         match self.primary {
-            _ if self.claims == Some(at) => self.still,
-            Some(primary) if primary == at && self.draining.is_none() => now_ms().max(self.last_commit),
-            Some(_) if self.draining.is_none() => now_ms() - SHIP_MS,
-            _ => self.still,
+            _ if self.stale_primary == Some(member) => self.frozen_position,
+            Some(primary) if primary == member && self.draining.is_none() => now_ms().max(self.last_commit),
+            Some(_) if self.draining.is_none() => now_ms() - LAG_MS,
+            _ => self.frozen_position,
         }
     }
 
--- a/crates/lab/tests/load.rs
+++ b/crates/lab/tests/load.rs
@@ -71,7 +71,7 @@
         Load { deadline: Duration::ZERO, ..well.clone() },
     ];
     for load in wrong {
-        assert!(matches!(load.play(), Err(LoadError::Bounds(..))), "{load:?}");
+        assert!(matches!(load.run(), Err(LoadError::Bounds(..))), "{load:?}");
     }
     assert!(well.check().is_ok());
 }
@@ -84,7 +84,7 @@
     // itself is quick. On a slower machine more are late.
     let slow =
         StandInServer::start("slow", ip, true, Duration::from_millis(50), log, recorder).expect("it listens");
-    let result = load(slow.address).play().expect("it is played");
+    let result = load(slow.address).run().expect("it is played");
     let all = result.all();
     assert!(all.served() > 0 && all.served() == all.total(), "{:?}", all.answers);
     assert!(all.served() <= 21, "{}", all.served());
