--- a/crates/lab/src/boxes.rs
+++ b/crates/lab/src/boxes.rs
@@ -1,5 +1,5 @@
-//! Stand-in servers (boxes) that speak the part of PostgreSQL's protocol that a pooler needs, with a role, a replication
-//! position and a replication lag.
+//! Stand-in servers (boxes) that speak the part of PostgreSQL's protocol that a pooler needs, with a role, a
+//! replication position and a replication lag.
 
 use crate::recorder::Recorder;
 use crate::{lock, pg_reply};
@@ -23,7 +23,8 @@
         i64::try_from(now.as_millis()).unwrap_or(i64::MAX)
     }
 
-    /// Appends a commit and returns its position: the current time, or one more than the latest commit if that is later.
+    /// Appends a commit and returns its position: the current time, or one more than the latest commit where that is
+    /// later.
     fn commit(&self) -> i64 {
         let now = Self::now();
         let before = self.last.fetch_max(now, Ordering::SeqCst);
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,4 +1,4 @@
-//! Something to look at: a fleet that is known from a registry alone, and a drain before the reader's eyes.
+//! A demonstration: a fleet that the pooler knows from a registry alone, in which a server is drained and put back.
 
 use crate::clients::Clients;
 use crate::lock;
@@ -11,18 +11,18 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Runs it until it is interrupted, or for so many seconds.
+/// Runs the demonstration for this many seconds, or until it is interrupted if `seconds` is 0.
 ///
 /// # Errors
 ///
-/// When something can't be started.
+/// If a server, the registry or the pooler cannot be started.
 pub fn run(program: &Path, seconds: u64) -> io::Result<()> {
     let mut testbed = Testbed::new(4, 1)?;
     let operator = testbed.operator_file("");
     let empty_list = serde_json::json!({"generation": 0, "reset": true, "instances": []});
     let mut pooler = Pooler::start(program, Some(&operator), &empty_list)?;
     pooler.wait_for_log("instances read")?;
-    let at = pooler.address;
+    let address = pooler.address;
     println!("The operator's file of this pooler:\n\n{operator}");
     println!(
         "The registry: curl -H 'Accept: application/json' http://{}/eureka/apps",
@@ -30,14 +30,14 @@
     );
     println!(
         "The pooler:   psql 'host={} port={} user=backend dbname=store sslmode=disable'",
-        at.ip(),
-        at.port()
+        address.ip(),
+        address.port()
     );
     println!(
         "and there:    SELECT content FROM kv WHERE name = 'acc1' /* id=mine1,c=usage-history,d=900,cluster=2 */;"
     );
     println!("(each request has an id of its own; classes are {})\n", crate::clients::CLASSES.join(", "));
-    let clients = Clients::start(at, 4, Duration::from_millis(10), 1, &testbed.recorder);
+    let clients = Clients::start(address, 4, Duration::from_millis(10), 1, &testbed.recorder);
     let started = Instant::now();
     let mut before = lock(&testbed.recorder).verdict();
     for second in 1.. {
@@ -63,12 +63,13 @@
             let (now, before) = (now.sends.get(name), before.sends.get(name));
             now.copied().unwrap_or(0) - before.copied().unwrap_or(0)
         };
-        let by: Vec<String> = testbed.boxes.keys().map(|name| format!("{name} {:>4}", sent(name))).collect();
+        let sent_by_server: Vec<String> =
+            testbed.boxes.keys().map(|name| format!("{name} {:>4}", sent(name))).collect();
         println!(
             "{second:>4}s asked {:>4}  served {:>4}  sent to {}  late to a drained box {}",
             now.requests - before.requests,
             now.served - before.served,
-            by.join("  "),
+            sent_by_server.join("  "),
             now.drains_broken
         );
         before = now;
--- a/crates/lab/src/eureka.rs
+++ b/crates/lab/src/eureka.rs
@@ -1,5 +1,6 @@
-//! A stand-in for Eureka's servers: peers over one world of registrations, each with its own lag and its own way to
-//! fail. It does the server's side of the published REST API, and notes in the ledger what each body told.
+//! A stand-in for a cluster of Eureka servers: peers that share a set of registrations, each with its own lag and fault
+//! mode. It implements the server's side of the published REST API, and records which status of which server each
+//! response has delivered.
 
 use crate::lock;
 use crate::recorder::Recorder;
@@ -13,35 +14,35 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// States are kept for peers that are behind, no more than these.
+/// Upper bound on the earlier states that are kept for lagging peers.
 const MAX_STATES: usize = 4_096;
-/// How long a delta names a change, unless told otherwise.
+/// How long deltas contain a change by default.
 const DELTA_RETENTION: Duration = Duration::from_millis(3_000);
 
-/// A registration.
+/// The registration of an instance.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Registration {
-    /// Its application.
+    /// The application's name.
     pub app: String,
-    /// Its id.
+    /// The instance's id.
     pub id: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub ip: String,
-    /// And on which port.
+    /// The port that it listens on.
     pub port: u16,
-    /// The status that counts.
+    /// The effective status.
     pub status: String,
-    /// The status set over its own.
+    /// The status that overrides its own, or `UNKNOWN`.
     pub overridden: String,
-    /// When it last changed itself, in ms.
+    /// When the instance last changed its registration, in milliseconds (`lastDirtyTimestamp`).
     pub dirty: i64,
-    /// When the registry last changed it, in ms.
+    /// When the registry last changed it, in milliseconds (`lastUpdatedTimestamp`).
     pub updated: i64,
-    /// When its lease began, in ms.
+    /// When its lease began, in milliseconds.
     pub registered: i64,
-    /// What a delta says.
+    /// The kind of its latest change, as deltas report it (`actionType`).
     pub action: String,
-    /// What its operators say.
+    /// The metadata that its operators have set.
     pub metadata: BTreeMap<String, String>,
 }
 
@@ -49,14 +50,14 @@
 struct State {
     all: BTreeMap<(String, String), Registration>,
     recent: VecDeque<(Option<Instant>, Registration)>,
-    /// Boxes that have truly left, with their last stamp.
+    /// Instances that have deregistered, with their last timestamp.
     removed: BTreeMap<String, i64>,
 }
 
-/// How things were, each from when on.
+/// States with the times from which they applied.
 type StateHistory = VecDeque<(Instant, Arc<State>)>;
 
-/// All registrations, and how they were before.
+/// All registrations, with their earlier states for peers that lag.
 #[derive(Clone)]
 pub struct Registrations {
     states: Arc<Mutex<StateHistory>>,
@@ -76,14 +77,14 @@
 }
 
 impl Registrations {
-    /// Has deltas name a change for so long only.
+    /// Sets how long deltas contain a change.
     #[must_use]
     pub fn with_delta_retention(mut self, delta_retention: Duration) -> Self {
         self.delta_retention = delta_retention;
         self
     }
 
-    /// Forgets how things were before: a peer that is far behind knows what is there now.
+    /// Drops all earlier states, so that a peer with any lag serves at least the current one.
     pub fn clear_history(&self) {
         let mut states = lock(&self.states);
         let last = states.pop_back();
@@ -91,7 +92,7 @@
         states.extend(last);
     }
 
-    /// A stamp, later than all before.
+    /// Returns a timestamp in milliseconds that is later than all earlier ones.
     #[must_use]
     pub fn next_timestamp(&self) -> i64 {
         let mut clock = lock(&self.clock);
@@ -118,79 +119,83 @@
         known.or(states.front()).map_or_else(Arc::default, |(_, state)| state.clone())
     }
 
-    /// Registers, or registers anew.
-    pub fn register(&self, mut one: Registration) {
-        one.updated = self.next_timestamp();
-        one.registered = one.updated;
+    /// Adds or replaces a registration.
+    pub fn register(&self, mut registration: Registration) {
+        registration.updated = self.next_timestamp();
+        registration.registered = registration.updated;
         self.change(|state| {
-            one.action = "ADDED".into();
-            state.removed.remove(&one.id);
-            state.recent.push_back((Some(Instant::now()), one.clone()));
-            state.all.insert((one.app.clone(), one.id.clone()), one);
+            registration.action = "ADDED".into();
+            state.removed.remove(&registration.id);
+            state.recent.push_back((Some(Instant::now()), registration.clone()));
+            state.all.insert((registration.app.clone(), registration.id.clone()), registration);
         });
     }
 
-    /// Registers many at once, with nothing in the deltas.
+    /// Adds many registrations at once without an entry in the deltas.
     pub fn register_all(&self, all: impl IntoIterator<Item = Registration>) {
         self.change(|state| {
-            state.all.extend(all.into_iter().map(|one| ((one.app.clone(), one.id.clone()), one)));
+            state.all.extend(
+                all.into_iter()
+                    .map(|registration| ((registration.app.clone(), registration.id.clone()), registration)),
+            );
         });
     }
 
-    /// What is registered under this id.
+    /// Returns the registration with this id.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<Registration> {
-        self.state(Duration::ZERO).all.values().find(|one| one.id == id).cloned()
+        self.state(Duration::ZERO).all.values().find(|registration| registration.id == id).cloned()
     }
 
-    /// Changes the states of many at once, by their own word.
+    /// Changes the status of many instances at once, as if each had reported it itself.
     pub fn set_statuses(&self, ids: &[String], status: &str) {
-        let (stamp, now) = (self.next_timestamp(), Instant::now());
+        let (timestamp, now) = (self.next_timestamp(), Instant::now());
         self.change(|state| {
             for id in ids {
-                if let Some(one) = state.all.get_mut(&("DB".to_owned(), id.clone())) {
-                    one.status = status.to_owned();
-                    (one.dirty, one.updated) = (stamp, stamp);
-                    one.action = "MODIFIED".into();
-                    state.recent.push_back((Some(now), one.clone()));
+                if let Some(registration) = state.all.get_mut(&("DB".to_owned(), id.clone())) {
+                    registration.status = status.to_owned();
+                    (registration.dirty, registration.updated) = (timestamp, timestamp);
+                    registration.action = "MODIFIED".into();
+                    state.recent.push_back((Some(now), registration.clone()));
                 }
             }
         });
     }
 
-    /// Changes a registration; with `anew` the instance did so itself, with a later stamp.
+    /// Changes a registration; with `by_instance` as if by the instance itself, with a newer timestamp.
     pub fn update(&self, id: &str, by_instance: bool, change: impl FnOnce(&mut Registration)) {
-        let (stamp, updated) = (self.next_timestamp(), self.next_timestamp());
+        let (timestamp, updated) = (self.next_timestamp(), self.next_timestamp());
         self.change(|state| {
-            if let Some(one) = state.all.values_mut().find(|one| one.id == id) {
-                change(one);
-                one.updated = updated;
-                one.action = "MODIFIED".into();
+            if let Some(registration) = state.all.values_mut().find(|registration| registration.id == id) {
+                change(registration);
+                registration.updated = updated;
+                registration.action = "MODIFIED".into();
                 if by_instance {
-                    one.dirty = stamp;
+                    registration.dirty = timestamp;
                 }
-                let one = one.clone();
-                state.recent.push_back((Some(Instant::now()), one));
+                let registration = registration.clone();
+                state.recent.push_back((Some(Instant::now()), registration));
             }
         });
     }
 
-    /// Takes a registration away.
+    /// Removes a registration; returns whether it existed.
     pub fn cancel(&self, id: &str) -> bool {
         let mut found = false;
         self.change(|state| {
-            let key = state.all.iter().find(|(_, one)| one.id == id).map(|(key, _)| key.clone());
-            if let Some(mut one) = key.and_then(|key| state.all.remove(&key)) {
-                one.action = "DELETED".into();
-                state.removed.insert(one.id.clone(), one.dirty);
-                state.recent.push_back((Some(Instant::now()), one));
+            let key =
+                state.all.iter().find(|(_, registration)| registration.id == id).map(|(key, _)| key.clone());
+            if let Some(mut registration) = key.and_then(|key| state.all.remove(&key)) {
+                registration.action = "DELETED".into();
+                state.removed.insert(registration.id.clone(), registration.dirty);
+                state.recent.push_back((Some(Instant::now()), registration));
                 found = true;
             }
         });
         found
     }
 
-    /// Loses all memory, as a registry that restarts does.
+    /// Loses all registrations without an entry in the deltas, as a restart of the registry does.
     pub fn clear(&self) {
         self.change(|state| {
             state.all.clear();
@@ -198,54 +203,54 @@
         });
     }
 
-    /// All ids.
+    /// The ids of all registrations.
     #[must_use]
     pub fn ids(&self) -> Vec<String> {
-        self.state(Duration::ZERO).all.values().map(|one| one.id.clone()).collect()
+        self.state(Duration::ZERO).all.values().map(|registration| registration.id.clone()).collect()
     }
 }
 
-/// How a peer answers reads.
+/// How a peer answers reads; `Refuse`, `Silent` and `Status` apply to all calls.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AnswerMode {
-    /// As it should.
+    /// Normally.
     #[default]
     Well,
-    /// It closes whoever comes.
+    /// Closes every connection without an answer.
     Refuse,
-    /// It says nothing.
+    /// Accepts requests and does not answer.
     Silent,
-    /// It answers with this status, and a time to come back in seconds.
+    /// Answers with this status and, if given, a `Retry-After` in seconds.
     Status(u16, Option<u32>),
-    /// It ends in the middle of a body.
+    /// Sends only the first half of the body.
     Half,
-    /// So many MB of noise.
+    /// Sends this many MB of pseudo-random bytes.
     Noise(usize),
-    /// JSON nested so deep.
+    /// Sends JSON that is nested this deeply.
     Deep(usize),
-    /// A list of nothing.
+    /// Sends an empty list.
     Empty,
-    /// A list of the first few only.
+    /// Sends only this many of the registrations.
     Few(usize),
-    /// A hash code that is wrong.
+    /// Sends a wrong hash code.
     WrongHash,
-    /// Deltas that lack what has changed.
+    /// Sends deltas without the changes.
     LostDelta,
-    /// Deltas with the latest change first, each of them twice.
+    /// Sends deltas in reverse order with each change twice.
     Tangled,
 }
 
-/// What a peer has been asked.
+/// The calls that a peer has received.
 #[derive(Clone, Debug, Default)]
 pub struct RequestCounts {
-    /// Whole lists.
+    /// Requests for full lists.
     pub fulls: u64,
-    /// Deltas.
+    /// Requests for deltas.
     pub deltas: u64,
-    /// What poolers have told of themselves, such as `POST POOLER UP`.
+    /// Calls by which poolers registered, renewed and deregistered themselves, such as `POST POOLER UP`.
     pub self_reports: Vec<String>,
-    /// Connections.
+    /// Accepted connections.
     pub connections: u64,
 }
 
@@ -255,7 +260,7 @@
     lag: Duration,
     xml: bool,
     gzip: bool,
-    /// One instance is written as an object, not as a list of one.
+    /// Whether a list with a single item is written as that item, as Eureka's JSON encoder does.
     unwrap_single: bool,
     authorization: Option<String>,
 }
@@ -263,18 +268,18 @@
 /// A server of the registry.
 #[derive(Clone)]
 pub struct Peer {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     config: Arc<Mutex<PeerConfig>>,
     request_counts: Arc<Mutex<RequestCounts>>,
 }
 
 impl Peer {
-    /// Starts one over a world.
+    /// Starts a peer that serves `registrations` on `listen`.
     ///
     /// # Errors
     ///
-    /// When it can't listen.
+    /// If the address cannot be bound.
     pub fn start(
         registrations: &Registrations,
         recorder: &Arc<Mutex<Recorder>>,
@@ -290,9 +295,9 @@
             authorization: None,
         };
         let address = listener.local_addr()?;
-        let one = Self { address, config: Arc::new(Mutex::new(config)), request_counts: Arc::default() };
+        let peer = Self { address, config: Arc::new(Mutex::new(config)), request_counts: Arc::default() };
         let (listening_peer, registrations, recorder) =
-            (one.clone(), registrations.clone(), recorder.clone());
+            (peer.clone(), registrations.clone(), recorder.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 lock(&listening_peer.request_counts).connections += 1;
@@ -306,31 +311,31 @@
                 });
             }
         });
-        Ok(one)
+        Ok(peer)
     }
 
-    /// How it answers from now on.
+    /// Sets how it answers.
     pub fn set_mode(&self, mode: AnswerMode) {
         lock(&self.config).mode = mode;
     }
 
-    /// How old what it knows is.
+    /// Sets by how much its data is out of date.
     pub fn set_lag(&self, lag: Duration) {
         lock(&self.config).lag = lag;
     }
 
-    /// How it writes: XML or JSON, packed or not.
+    /// Sets the encoding of lists: XML or JSON, and whether gzip is used if the client accepts it.
     pub fn set_encoding(&self, xml: bool, gzip: bool) {
         let mut config = lock(&self.config);
         (config.xml, config.gzip) = (xml, gzip);
     }
 
-    /// The header `Authorization` that it asks for.
+    /// Rejects requests whose `Authorization` header is not this one.
     pub fn require_authorization(&self, authorization: &str) {
         lock(&self.config).authorization = Some(authorization.to_owned());
     }
 
-    /// What it has been asked so far.
+    /// The calls received so far.
     #[must_use]
     pub fn request_counts(&self) -> RequestCounts {
         lock(&self.request_counts).clone()
@@ -365,20 +370,20 @@
                 ("GET", ["apps", app]) => {
                     lock(&self.request_counts).fulls += 1;
                     let app = app.to_ascii_uppercase();
-                    self.list(stream, &config, registrations, recorder, &request, false, &|one| {
-                        one.app == app
+                    self.list(stream, &config, registrations, recorder, &request, false, &|registration| {
+                        registration.app == app
                     })?;
                 }
                 ("GET", ["vips", vip]) => {
                     lock(&self.request_counts).fulls += 1;
                     let app = vip.to_ascii_uppercase();
-                    self.list(stream, &config, registrations, recorder, &request, false, &|one| {
-                        one.app == app
+                    self.list(stream, &config, registrations, recorder, &request, false, &|registration| {
+                        registration.app == app
                     })?;
                 }
                 ("GET", ["instances", id] | ["apps", _, id]) => match registrations.get(id) {
-                    Some(one) => {
-                        let body = json!({"instance": instance(&one)}).to_string();
+                    Some(registration) => {
+                        let body = json!({"instance": instance(&registration)}).to_string();
                         respond(stream, 200, "", "application/json", body.as_bytes(), false)?;
                     }
                     None => respond(stream, 404, "", "text/plain", b"", false)?,
@@ -388,7 +393,7 @@
         }
     }
 
-    /// What changes the world, leases included.
+    /// Handles the calls that change registrations, including renewals of leases.
     fn write(
         &self,
         stream: &TcpStream,
@@ -403,8 +408,8 @@
                 return Err(std::io::ErrorKind::TimedOut.into());
             }
             AnswerMode::Refuse => return Err(std::io::ErrorKind::ConnectionAborted.into()),
-            AnswerMode::Status(code, after) => {
-                return respond(stream, *code, &retry(*after), "text/plain", b"", false);
+            AnswerMode::Status(code, retry_after) => {
+                return respond(stream, *code, &retry_after_header(*retry_after), "text/plain", b"", false);
             }
             _ => {}
         }
@@ -416,9 +421,9 @@
         let status = match (request.method.as_str(), parts) {
             ("POST", ["apps", app]) => match serde_json::from_slice::<Value>(&request.body) {
                 Ok(body) => {
-                    let one = parse_registration(&body["instance"], app);
-                    self_report = Some(format!("POST {app} {}", one.status));
-                    registrations.register(one);
+                    let registration = parse_registration(&body["instance"], app);
+                    self_report = Some(format!("POST {app} {}", registration.status));
+                    registrations.register(registration);
                     204
                 }
                 Err(_) => 400,
@@ -429,16 +434,16 @@
             }
             ("PUT", ["apps", _, id, "status"]) => {
                 let value = query_value("value").unwrap_or_default();
-                registrations.update(id, false, |one| {
-                    one.status.clone_from(&value);
-                    one.overridden = value;
+                registrations.update(id, false, |registration| {
+                    registration.status.clone_from(&value);
+                    registration.overridden = value;
                 });
                 200
             }
             ("DELETE", ["apps", _, id, "status"]) => {
-                registrations.update(id, false, |one| {
-                    one.status = "UP".into();
-                    one.overridden = "UNKNOWN".into();
+                registrations.update(id, false, |registration| {
+                    registration.status = "UP".into();
+                    registration.overridden = "UNKNOWN".into();
                 });
                 200
             }
@@ -465,11 +470,16 @@
     ) -> std::io::Result<()> {
         let state = registrations.state(config.lag);
         let mut instances: Vec<Registration> = if delta {
-            state.recent.iter().map(|(_, one)| one.clone()).collect()
+            state.recent.iter().map(|(_, registration)| registration.clone()).collect()
         } else {
-            state.all.values().cloned().map(|one| Registration { action: "ADDED".into(), ..one }).collect()
+            state
+                .all
+                .values()
+                .cloned()
+                .map(|registration| Registration { action: "ADDED".into(), ..registration })
+                .collect()
         };
-        instances.retain(|one| wanted(one));
+        instances.retain(|registration| wanted(registration));
         let mut code = hash_code(state.all.values());
         let mut authoritative = !delta && config.lag.is_zero();
         match &config.mode {
@@ -478,8 +488,8 @@
                 return Err(std::io::ErrorKind::TimedOut.into());
             }
             AnswerMode::Refuse => return Err(std::io::ErrorKind::ConnectionAborted.into()),
-            AnswerMode::Status(code, after) => {
-                return respond(stream, *code, &retry(*after), "text/plain", b"", false);
+            AnswerMode::Status(code, retry_after) => {
+                return respond(stream, *code, &retry_after_header(*retry_after), "text/plain", b"", false);
             }
             AnswerMode::Noise(mb) => {
                 let noise: Vec<u8> =
@@ -502,9 +512,9 @@
                 (instances, code, authoritative) = (Vec::new(), String::new(), false);
             }
             AnswerMode::Few(few) => {
-                let left: Vec<&Registration> = state.all.values().take(*few).collect();
-                instances.retain(|one| left.iter().any(|other| other.id == one.id));
-                (code, authoritative) = (hash_code(left.into_iter()), false);
+                let listed: Vec<&Registration> = state.all.values().take(*few).collect();
+                instances.retain(|registration| listed.iter().any(|other| other.id == registration.id));
+                (code, authoritative) = (hash_code(listed.into_iter()), false);
             }
             AnswerMode::WrongHash => code.push_str("DOWN_99_"),
             AnswerMode::LostDelta if delta => instances.clear(),
@@ -525,13 +535,13 @@
             return respond(stream, 200, "", content_type, half, false);
         }
         respond(stream, 200, "", content_type, body.as_bytes(), config.gzip && request.gzip)?;
-        // From here on the pooler has been told.
+        // The pooler counts as informed from here on.
         let (now, mut recorder) = (Instant::now(), lock(recorder));
-        for one in instances.iter().filter(|one| one.app == "DB") {
+        for registration in instances.iter().filter(|registration| registration.app == "DB") {
             recorder.status_delivered(
-                &one.id,
-                one.status == "UP" && one.action != "DELETED",
-                (one.dirty, one.updated),
+                &registration.id,
+                registration.status == "UP" && registration.action != "DELETED",
+                (registration.dirty, registration.updated),
                 now,
             );
         }
@@ -542,8 +552,8 @@
     }
 }
 
-fn retry(after: Option<u32>) -> String {
-    after.map_or(String::new(), |seconds| format!("Retry-After: {seconds}\r\n"))
+fn retry_after_header(retry_after: Option<u32>) -> String {
+    retry_after.map_or(String::new(), |seconds| format!("Retry-After: {seconds}\r\n"))
 }
 
 struct Request {
@@ -628,51 +638,58 @@
 
 fn hash_code<'r>(all: impl Iterator<Item = &'r Registration>) -> String {
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
-    for one in all {
-        *counts.entry(&one.status).or_default() += 1;
+    for registration in all {
+        *counts.entry(&registration.status).or_default() += 1;
     }
     counts.iter().map(|(status, count)| format!("{status}_{count}_")).collect()
 }
 
-/// An instance as Jackson writes it.
+/// An instance in the JSON form of Eureka's servers, which use Jackson.
 #[must_use]
-pub fn instance(one: &Registration) -> Value {
+pub fn instance(registration: &Registration) -> Value {
     let mut metadata = serde_json::Map::new();
-    if one.metadata.is_empty() {
+    if registration.metadata.is_empty() {
         metadata.insert("@class".into(), "java.util.Collections$EmptyMap".into());
     }
-    metadata.extend(one.metadata.iter().map(|(key, value)| (key.clone(), value.as_str().into())));
+    metadata.extend(registration.metadata.iter().map(|(key, value)| (key.clone(), value.as_str().into())));
     json!({
-        "instanceId": one.id, "app": one.app, "hostName": one.ip, "ipAddr": one.ip, "status": one.status,
-        "overriddenstatus": one.overridden, "vipAddress": one.app.to_ascii_lowercase(),
-        "port": {"$": one.port, "@enabled": "true"}, "securePort": {"$": 443, "@enabled": "false"}, "countryId": 1,
+        "instanceId": registration.id, "app": registration.app, "hostName": registration.ip,
+        "ipAddr": registration.ip, "status": registration.status,
+        "overriddenstatus": registration.overridden, "vipAddress": registration.app.to_ascii_lowercase(),
+        "port": {"$": registration.port, "@enabled": "true"}, "securePort": {"$": 443, "@enabled": "false"},
+        "countryId": 1,
         "dataCenterInfo": {"@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo", "name": "MyOwn"},
-        "leaseInfo": {"renewalIntervalInSecs": 30, "durationInSecs": 90, "registrationTimestamp": one.registered,
-                      "lastRenewalTimestamp": one.updated, "evictionTimestamp": 0, "serviceUpTimestamp": one.registered},
-        "metadata": metadata, "homePageUrl": format!("http://{}:{}/", one.ip, one.port),
-        "isCoordinatingDiscoveryServer": "false", "lastUpdatedTimestamp": one.updated.to_string(),
-        "lastDirtyTimestamp": one.dirty.to_string(), "actionType": one.action})
+        "leaseInfo": {"renewalIntervalInSecs": 30, "durationInSecs": 90,
+                      "registrationTimestamp": registration.registered,
+                      "lastRenewalTimestamp": registration.updated, "evictionTimestamp": 0,
+                      "serviceUpTimestamp": registration.registered},
+        "metadata": metadata, "homePageUrl": format!("http://{}:{}/", registration.ip, registration.port),
+        "isCoordinatingDiscoveryServer": "false", "lastUpdatedTimestamp": registration.updated.to_string(),
+        "lastDirtyTimestamp": registration.dirty.to_string(), "actionType": registration.action})
 }
 
-fn as_json(instances: &[Registration], code: &str, unwrap_single: bool) -> Value {
+fn as_json(instances: &[Registration], hash: &str, unwrap_single: bool) -> Value {
     let mut apps: BTreeMap<&str, Vec<Value>> = BTreeMap::new();
-    for one in instances {
-        apps.entry(&one.app).or_default().push(instance(one));
+    for registration in instances {
+        apps.entry(&registration.app).or_default().push(instance(registration));
     }
-    let only = |mut list: Vec<Value>| {
+    let unwrap = |mut list: Vec<Value>| {
         if unwrap_single && list.len() == 1 { list.remove(0) } else { Value::from(list) }
     };
-    let apps = apps.into_iter().map(|(name, all)| json!({"name": name, "instance": only(all)}));
-    json!({"applications": {"versions__delta": "1", "apps__hashcode": code, "application": only(apps.collect())}})
+    let apps = apps.into_iter().map(|(name, all)| json!({"name": name, "instance": unwrap(all)}));
+    json!({"applications": {"versions__delta": "1", "apps__hashcode": hash, "application": unwrap(apps.collect())}})
 }
 
-fn as_xml(instances: &[Registration], code: &str) -> String {
-    let plain = |text: &str| text.replace('&', "&amp;").replace('<', "&lt;");
+fn as_xml(instances: &[Registration], hash: &str) -> String {
+    let escape = |text: &str| text.replace('&', "&amp;").replace('<', "&lt;");
     let mut apps: BTreeMap<&str, String> = BTreeMap::new();
-    for one in instances {
-        let metadata: String =
-            one.metadata.iter().map(|(key, value)| format!("<{key}>{}</{key}>", plain(value))).collect();
-        *apps.entry(&one.app).or_default() += &format!(
+    for registration in instances {
+        let metadata: String = registration
+            .metadata
+            .iter()
+            .map(|(key, value)| format!("<{key}>{}</{key}>", escape(value)))
+            .collect();
+        *apps.entry(&registration.app).or_default() += &format!(
             "<instance><instanceId>{}</instanceId><hostName>{ip}</hostName><app>{}</app><ipAddr>{ip}</ipAddr>\
              <status>{}</status><overriddenstatus>{}</overriddenstatus><port enabled=\"true\">{}</port>\
              <securePort enabled=\"false\">443</securePort><countryId>1</countryId>\
@@ -680,22 +697,22 @@
              </dataCenterInfo><leaseInfo><registrationTimestamp>{}</registrationTimestamp></leaseInfo>\
              <metadata>{metadata}</metadata><lastUpdatedTimestamp>{}</lastUpdatedTimestamp>\
              <lastDirtyTimestamp>{}</lastDirtyTimestamp><actionType>{}</actionType></instance>",
-            plain(&one.id),
-            one.app,
-            one.status,
-            one.overridden,
-            one.port,
-            one.registered,
-            one.updated,
-            one.dirty,
-            one.action,
-            ip = one.ip
+            escape(&registration.id),
+            registration.app,
+            registration.status,
+            registration.overridden,
+            registration.port,
+            registration.registered,
+            registration.updated,
+            registration.dirty,
+            registration.action,
+            ip = registration.ip
         );
     }
     let apps =
         apps.iter().map(|(name, all)| format!("<application><name>{name}</name>{all}</application>\n"));
     let apps: String = apps.collect();
     format!(
-        "<?xml version=\"1.0\"?>\n<!-- a <comment> -->\n<applications>\n<versions__delta>1</versions__delta><apps__hashcode>{code}</apps__hashcode>\n{apps}</applications>\n"
+        "<?xml version=\"1.0\"?>\n<!-- a <comment> -->\n<applications>\n<versions__delta>1</versions__delta><apps__hashcode>{hash}</apps__hashcode>\n{apps}</applications>\n"
     )
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,7 +1,7 @@
-//! Test environments for linnetdeal, all on loopback: a stand-in registry that speaks Eureka's REST API and can be scripted
-//! to lag, to answer wrongly or not to answer; stand-in servers ("boxes") that speak PostgreSQL and record what they are
-//! sent; and clients. The results that a proof reports are counted here, from the traffic on the sockets, and never by
-//! the pooler itself.
+//! Test environments for linnetdeal, all on loopback: a stand-in registry that speaks Eureka's REST API and can be
+//! scripted to lag, to answer wrongly or not to answer; stand-in servers ("boxes") that speak PostgreSQL and record what
+//! they are sent; and clients. The results that a proof reports are counted here, from the traffic on the sockets, and
+//! never by the pooler itself.
 
 pub mod boxes;
 pub mod changes;
@@ -36,7 +36,8 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Runs `work` for each item on up to `max_threads` threads, at least one, and returns the results in the order of the items.
+/// Runs `work` for each item on up to `max_threads` threads, at least one, and returns the results in the order of the
+/// items.
 pub fn run_parallel<T: Sync, R: Send>(
     items: &[T],
     max_threads: usize,
--- a/crates/lab/src/recorder.rs
+++ b/crates/lab/src/recorder.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The time within which the pooler must stop sending to a server after the registry has reported it as drained or gone.
-/// All times are taken from the clock of one machine, so there is no tolerance on top of it.
+/// The time within which the pooler must stop sending to a server after the registry has reported it as drained or
+/// gone. All times are taken from the clock of one machine, so there is no tolerance on top of it.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(250);
 
 #[derive(Clone, Copy, Debug)]
@@ -118,7 +118,8 @@
         }
     }
 
-    /// Records that the override of a server's status was removed, where the operator's configuration lets that end a drain.
+    /// Records that the override of a server's status was removed, where the operator's configuration lets that end a
+    /// drain.
     pub fn accept_override_removal(&mut self, name: &str) {
         self.override_removals.insert(name.to_owned());
     }
