--- a/crates/daemon/tests/leases.rs
+++ b/crates/daemon/tests/leases.rs
@@ -1,7 +1,7 @@
 //! Leases between processes of the program while faults are injected: runs each script once, with a fixed seed.
 
-use linnetdeal_lab::leases::play::play;
-use linnetdeal_lab::leases::script::{Do, Script};
+use linnetdeal_lab::leases::runner::run_script;
+use linnetdeal_lab::leases::script::{Action, Script};
 use linnetdeal_lab::processes::fleet::{Fleet, Spec};
 use linnetdeal_lab::processes::process;
 use linnetdeal_lab::replica_group::ReplicaGroup;
@@ -21,7 +21,7 @@
 
 fn scripts() -> Vec<Script> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/leases");
-    Script::folder(&folder).expect("scripts")
+    Script::read_folder(&folder).expect("scripts")
 }
 
 /// A fleet whose poolers all know the same servers and follow no discovery.
@@ -42,12 +42,12 @@
     let _guard = lock(&EXCLUSIVE);
     let scripts = scripts();
     let outcomes =
-        run_parallel(&scripts, MAX_CONCURRENT, |script| play(script, script.seed, Path::new(PROGRAM)));
+        run_parallel(&scripts, MAX_CONCURRENT, |script| run_script(script, script.seed, Path::new(PROGRAM)));
     let mut failures = Vec::new();
     for (script, outcome) in scripts.iter().zip(outcomes) {
         let outcome = outcome.expect(&script.name);
         println!("{}, seed {}: {outcome:?}", script.name, script.seed);
-        if !outcome.is_well(script) {
+        if !outcome.passed(script) {
             failures.push((script.name.clone(), outcome));
         }
     }
@@ -62,7 +62,7 @@
     let mut script = scripts().into_iter().find(|script| script.name == "drift-beyond").expect("the script");
     script.gate = false;
     let let_through = (1..=3).any(|seed| {
-        let outcome = play(&script, seed, Path::new(PROGRAM)).expect("a play");
+        let outcome = run_script(&script, seed, Path::new(PROGRAM)).expect("a play");
         println!("seed {seed}: {outcome:?}");
         outcome.verdict.old_tokens_let_through > 0
     });
@@ -155,7 +155,7 @@
     let scripts = scripts();
     assert!(scripts.len() >= 25);
     for script in &scripts {
-        assert!(script.steps.iter().any(|step| !matches!(step.what, Do::Wait)), "{}", script.name);
+        assert!(script.steps.iter().any(|step| !matches!(step.what, Action::Wait)), "{}", script.name);
     }
 }
 
--- a/crates/daemon/tests/work.rs
+++ b/crates/daemon/tests/work.rs
@@ -3,7 +3,7 @@
 
 use linnetdeal_lab::lock;
 use linnetdeal_lab::processes::process;
-use linnetdeal_lab::work::play::play;
+use linnetdeal_lab::work::runner;
 use linnetdeal_lab::work::script::Script;
 use std::path::{Path, PathBuf};
 use std::sync::{Condvar, Mutex};
@@ -46,9 +46,10 @@
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../../scenarios/work/{name}.cue"));
     let script = Script::decode(name, &std::fs::read(&file).unwrap()).unwrap();
     let permit = Permit::acquire();
-    let outcome = play(&script, script.seed, &PathBuf::from(env!("CARGO_BIN_EXE_linnetdeal"))).unwrap();
+    let outcome =
+        runner::run_script(&script, script.seed, &PathBuf::from(env!("CARGO_BIN_EXE_linnetdeal"))).unwrap();
     println!("{name} with seed {}: {outcome:?}", script.seed);
-    assert!(outcome.is_well(&script), "{name}: {outcome:#?}");
+    assert!(outcome.passed(&script), "{name}: {outcome:#?}");
     assert!(outcome.worked >= min_worked, "{name}: {} machines were worked on", outcome.worked);
     drop(permit);
 }
--- a/crates/lab/src/leases/audit.rs
+++ b/crates/lab/src/leases/audit.rs
@@ -1,87 +1,92 @@
-//! Reads a history after the run. It shares nothing with the program under test, and takes only what the gate wrote down,
-//! and which tokens poolers say that they gained.
+//! Audits a history after the run. It shares no code with the program under test, and uses only the calls that
+//! the gate recorded and the tokens that poolers logged as gained.
 
 use crate::processes::history::{Event, Record};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What a history shows.
+/// Result of an audit.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Verdict {
     /// Calls that the gate let through.
     pub acts: usize,
-    /// Acts that were begun by one process while another one's was under way.
+    /// Acts begun by one process while an act of another process was in progress.
     pub overlapping_acts: usize,
     /// Calls let through after a later token had been seen.
     pub old_tokens_let_through: usize,
-    /// Calls that came to the gate after a later token had been seen, let through or not.
+    /// Calls that reached the gate after a later token had been seen, whether let through or not.
     pub late_acts: usize,
-    /// Tokens gained that were no higher than one gained before.
+    /// Gained tokens that were no higher than one gained before.
     pub tokens_went_back: usize,
-    /// Tokens that two processes acted with.
+    /// Acts with a token that another process had acted with before.
     pub tokens_shared: usize,
-    /// Different tokens that were acted with.
+    /// Number of distinct tokens used in acts.
     pub tokens: usize,
 }
 
-/// What is known of one task.
+/// Audit state of one task.
 #[derive(Default)]
 struct Task {
+    /// Highest token seen at the gate.
     highest: u64,
-    gained: u64,
-    by: BTreeMap<u64, String>,
-    /// Who is in the middle of an act.
-    open: BTreeMap<String, u64>,
+    /// Highest token that a pooler gained.
+    highest_gained: u64,
+    /// The first process that acted with each token.
+    first_user: BTreeMap<u64, String>,
+    /// Processes with an act in progress, and its token.
+    in_progress: BTreeMap<String, u64>,
 }
 
-/// The verdict on a history that is sorted by time.
+/// Audits a history that is sorted by time.
 #[must_use]
 pub fn audit(records: &[Record]) -> Verdict {
     let mut verdict = Verdict::default();
     let mut tasks: BTreeMap<&str, Task> = BTreeMap::new();
-    for (at, record) in records.iter().enumerate() {
+    for (index, record) in records.iter().enumerate() {
         match &record.event {
             Event::Fault { .. } => {}
             Event::Gained { task, token, .. } => {
-                let known = tasks.entry(task).or_default();
-                verdict.tokens_went_back += usize::from(*token <= known.gained);
-                known.gained = known.gained.max(*token);
+                let state = tasks.entry(task).or_default();
+                verdict.tokens_went_back += usize::from(*token <= state.highest_gained);
+                state.highest_gained = state.highest_gained.max(*token);
             }
             Event::Act { task, token, by, step, through } => {
-                let known = tasks.entry(task).or_default();
-                let late = *token < known.highest;
+                let state = tasks.entry(task).or_default();
+                let late = *token < state.highest;
                 verdict.late_acts += usize::from(late);
-                known.highest = known.highest.max(*token);
-                if known.by.get(token).is_some_and(|other| other != by) {
+                state.highest = state.highest.max(*token);
+                if state.first_user.get(token).is_some_and(|other| other != by) {
                     verdict.tokens_shared += 1;
                 }
-                known.by.entry(*token).or_insert_with(|| by.clone());
+                state.first_user.entry(*token).or_insert_with(|| by.clone());
                 if !through {
-                    known.open.remove(by);
+                    state.in_progress.remove(by);
                     continue;
                 }
                 verdict.acts += 1;
                 verdict.old_tokens_let_through += usize::from(late);
                 if step == "begin" {
-                    // An act that somebody else began is under way if its end is still let through.
-                    let goes_on = known.open.keys().filter(|other| *other != by);
+                    // An act of another process is in progress if its end is let through later.
+                    let others = state.in_progress.keys().filter(|other| *other != by);
                     verdict.overlapping_acts +=
-                        goes_on.filter(|other| ends(&records[at..], task, other)).count();
-                    known.open.insert(by.clone(), *token);
+                        others.filter(|other| act_completes(&records[index..], task, other)).count();
+                    state.in_progress.insert(by.clone(), *token);
                 } else {
-                    known.open.remove(by);
+                    state.in_progress.remove(by);
                 }
             }
         }
     }
-    verdict.tokens = tasks.values().map(|task| task.by.len()).sum();
+    verdict.tokens = tasks.values().map(|task| task.first_user.len()).sum();
     verdict
 }
 
-/// Whether the next that comes of this process is the end of its act, let through.
-fn ends(rest: &[Record], of: &str, process: &str) -> bool {
+/// Whether the next call of this process for the task is the end of its act, and is let through.
+fn act_completes(rest: &[Record], task_name: &str, process: &str) -> bool {
     let next = rest.iter().find_map(|record| match &record.event {
-        Event::Act { task, by, step, through, .. } if task == of && by == process => Some((step, *through)),
+        Event::Act { task, by, step, through, .. } if task == task_name && by == process => {
+            Some((step, *through))
+        }
         _ => None,
     });
     next.is_some_and(|(step, through)| step == "end" && through)
--- a/crates/lab/src/leases/check.rs
+++ b/crates/lab/src/leases/check.rs
@@ -1,11 +1,13 @@
-//! Model checking of the votes: the same [`Voter`] and [`Claimant`] that serve, stepped by stateright through all orders in
-//! which letters come, are lost or come again, clocks run wrong, processes pause and start anew, within stated bounds.
+//! Model checking of the lease protocol: stateright steps the production [`Voter`] and [`Claimant`] through all
+//! orders of message delivery, loss and duplication, clock drift, process pauses and restarts, within stated
+//! bounds.
 //!
-//! A letter that was sent may come at any time, any number of times, or never. Who is paused is one to whom nothing happens
-//! for a while, in the middle of an act as well: an act is checked by its holder in one step and comes to the gate in another.
-//! Asking only tells which token to claim with; here a claimant is told the highest that there is or one below it.
+//! A message that was sent may be delivered at any time, any number of times, or never. A paused process is one
+//! that takes no step for a while, possibly in the middle of an act: the holder checks its lease in one step,
+//! and the act reaches the gate in another. Queries are not modelled, as they only determine the token to claim
+//! with; here a claimant starts from the highest token that exists or from the one below it.
 
-use super::mutants::Wrong;
+use super::mutants::SeededFaults;
 use linnetdeal_coordination::lease::{
     Answer, Claimant, LeaseRules, PoolerInstance, Stage, Step, TaskId, Token, Voter, VoterSet,
 };
@@ -17,351 +19,375 @@
 const TASK: TaskId = TaskId(1);
 const VOTERS: u16 = 3;
 const CLAIMANTS: usize = 2;
-/// The term, what a clock that runs right goes on by in a step of time, and the stated drift in a thousand.
+/// Lease term. [`TICK_US`] is the progress of an exact clock in one tick, in microseconds; [`DRIFT_PER_MILLE`] is the stated
+/// drift in thousandths.
 const TERM: Span = Span(12_000);
-const TICK: i64 = 4_000;
-const DRIFT: u16 = 200;
-/// A wall clock goes on by more than there are tokens in that time.
-const TOKENS_A_TICK: u64 = 16;
-/// What a wall clock goes on by while a voter is silent.
-const SILENT_MS: u64 = TERM.0 as u64 / 1_000;
+const TICK_US: i64 = 4_000;
+const DRIFT_PER_MILLE: u16 = 200;
+/// Progress of the wall clock per tick, in tokens; it exceeds the number of tokens claimed in that time.
+const TOKENS_PER_TICK: u64 = 16;
+/// Progress of the wall clock, in milliseconds, while a restarted voter is silent.
+const SILENCE_MS: u64 = TERM.0 as u64 / 1_000;
 
-/// How far the exploration goes.
+/// Bounds of the state exploration.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Steps of time, three to a term.
+    /// Clock ticks; a term has three.
     pub ticks: u8,
-    /// Rounds that each claimant begins.
+    /// Rounds that each claimant may start.
     pub rounds: u32,
-    /// Voters that start anew.
-    pub voters: u8,
-    /// Claimants that start anew.
-    pub claimants: u8,
-    /// Tasks given up.
+    /// Number of voter restarts.
+    pub voter_restarts: u8,
+    /// Number of claimant restarts.
+    pub claimant_restarts: u8,
+    /// Number of releases.
     pub releases: u8,
-    /// Whether acts are followed to the gate.
+    /// Whether acts are followed until they reach the gate.
     pub acts: bool,
-    /// Whether clocks run wrong, by what was stated: claimants' slow and voters' fast.
+    /// Whether clocks drift by the stated amount: claimants' clocks run slow and voters' clocks fast.
     pub drift: bool,
-    /// What is wrong on purpose outside of the votes.
-    pub wrong: Wrong,
+    /// Seeded faults outside of the voters' rules.
+    pub faults: SeededFaults,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Says {
+enum VoterRequest {
     Claim(Token),
     Release(Token),
 }
 
-/// A letter that was sent once, and may come ever after.
+/// A message that was sent once and may be delivered at any later time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Letter {
-    ToVoter { voter: u16, who: PoolerInstance, round: u32, says: Says },
-    ToClaimant { who: PoolerInstance, voter: u16, round: u32 },
+enum Message {
+    ToVoter { voter: u16, instance: PoolerInstance, round: u32, request: VoterRequest },
+    ToClaimant { instance: PoolerInstance, voter: u16, round: u32 },
 }
 
-/// A state of the whole.
+/// State of the whole model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct World<R> {
+pub struct ModelState<R> {
     ticks: u8,
     voters: Vec<Voter<R>>,
     claimants: Vec<Claimant<R>>,
     rounds: Vec<u32>,
-    letters: BTreeSet<Letter>,
+    messages: BTreeSet<Message>,
     restarts: (u8, u8),
     releases: u8,
-    /// An act that its holder has checked, and that has not come to the gate yet.
-    acting: Vec<Option<Token>>,
-    gate: Token,
-    /// The highest token that was claimed with.
-    top: Token,
+    /// Per claimant, the token of an act whose lease was checked and that has not reached the gate yet.
+    pending_acts: Vec<Option<Token>>,
+    gate_token: Token,
+    /// The highest token used in a claim.
+    highest_claimed: Token,
     highest_held: Token,
-    held_once: BTreeSet<PoolerInstance>,
-    wrong: Option<&'static str>,
+    past_holders: BTreeSet<PoolerInstance>,
+    violation: Option<&'static str>,
 }
 
-/// What happens next.
+/// A transition of the model. The variants' names are printed with a counterexample.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Happens {
-    /// Time goes on.
+pub enum Transition {
+    /// Time advances by one tick.
     Tick,
-    /// A claimant claims, having been told the highest token there is, or one below it.
+    /// A claimant claims, starting from the highest token that exists (`true`) or from the one below it.
     Claim(usize, bool),
-    /// A holder renews.
+    /// A holder renews its lease.
     Renew(usize),
-    /// A holder gives the task up, or a claimant its claim.
+    /// A holder releases the task, or a claimant abandons its claim.
     Release(usize),
-    /// A letter comes: this one of those in order.
+    /// The message at this position of the ordered set is delivered.
     Comes(usize),
-    /// A holder looks whether it may act, and sets out.
+    /// A holder checks its lease and starts an act.
     SetsOut(usize),
-    /// The act comes to the gate.
+    /// The act reaches the gate.
     Arrives(usize),
-    /// A voter starts anew.
+    /// A voter restarts.
     NewVoter(usize),
-    /// A claimant starts anew.
+    /// A claimant restarts.
     NewClaimant(usize),
 }
 
-struct Race<R>(Bounds, PhantomData<R>);
+struct LeaseModel<R>(Bounds, PhantomData<R>);
 
-impl<R: LeaseRules> Race<R> {
+impl<R: LeaseRules> LeaseModel<R> {
     fn rate(&self, voter: bool) -> i64 {
-        let wrong = TICK * i64::from(DRIFT) / 1_000;
+        let error = TICK_US * i64::from(DRIFT_PER_MILLE) / 1_000;
         match (self.0.drift, voter) {
-            (false, _) => TICK,
-            (true, true) => TICK + wrong,
-            (true, false) => TICK - wrong,
+            (false, _) => TICK_US,
+            (true, true) => TICK_US + error,
+            (true, false) => TICK_US - error,
         }
     }
 
-    fn clock(&self, world: &World<R>, voter: bool) -> Time {
-        Time(i64::from(world.ticks) * self.rate(voter))
+    fn clock(&self, state: &ModelState<R>, voter: bool) -> Time {
+        Time(i64::from(state.ticks) * self.rate(voter))
     }
 
-    fn council() -> VoterSet {
+    fn voter_set() -> VoterSet {
         VoterSet::new((0..VOTERS).collect(), Vec::new())
     }
 
-    fn to_voters(world: &mut World<R>, who: PoolerInstance, round: u32, says: Says) {
-        world.letters.extend((0..VOTERS).map(|voter| Letter::ToVoter { voter, who, round, says }));
+    fn send_to_voters(
+        state: &mut ModelState<R>,
+        instance: PoolerInstance,
+        round: u32,
+        request: VoterRequest,
+    ) {
+        state.messages.extend((0..VOTERS).map(|voter| Message::ToVoter { voter, instance, round, request }));
     }
 
-    /// Drops the letters that can change nothing any more: answers to a round that is over.
-    fn prune(&self, world: &mut World<R>) {
-        let waits = |at: usize, round: u32| match world.claimants[at].stage() {
-            Stage::Claiming { round: of, .. } | Stage::Held { renewal: Some(of), .. } => of.number == round,
+    /// Drops messages that can no longer change anything: answers to a round that has ended.
+    fn prune(&self, state: &mut ModelState<R>) {
+        let awaits = |index: usize, round: u32| match state.claimants[index].stage() {
+            Stage::Claiming { round: current, .. } | Stage::Held { renewal: Some(current), .. } => {
+                current.number == round
+            }
             _ => false,
         };
-        let blind = self.0.wrong.blind_to_lives;
-        let kept = |letter: &Letter| match letter {
-            Letter::ToVoter { .. } => true,
-            Letter::ToClaimant { who, round, .. } => {
-                let at = usize::from(who.number);
-                blind || *who == world.claimants[at].instance() && waits(at, *round)
+        let ignore_incarnation = self.0.faults.ignores_incarnation;
+        let is_relevant = |message: &Message| match message {
+            Message::ToVoter { .. } => true,
+            Message::ToClaimant { instance, round, .. } => {
+                let index = usize::from(instance.number);
+                ignore_incarnation || *instance == state.claimants[index].instance() && awaits(index, *round)
             }
         };
-        let letters = world.letters.iter().copied().filter(kept).collect();
-        world.letters = letters;
+        let messages = state.messages.iter().copied().filter(is_relevant).collect();
+        state.messages = messages;
     }
 
-    /// Two holders at one moment are wrong whatever a gate does.
-    fn look(&self, world: &mut World<R>) {
-        let now = self.clock(world, false);
-        let holders: Vec<Token> = world.claimants.iter().filter_map(|of| of.holds(now)).collect();
+    /// Records two simultaneous holders, which are a violation whatever the gate does.
+    fn check_holders(&self, state: &mut ModelState<R>) {
+        let now = self.clock(state, false);
+        let holders: Vec<Token> = state.claimants.iter().filter_map(|claimant| claimant.holds(now)).collect();
         if holders.len() > 1 {
-            world.wrong = Some("two holders");
+            state.violation = Some("two holders");
         }
     }
 
-    fn took(&self, world: &mut World<R>, who: PoolerInstance, token: Token) {
-        // A renewal is no new token.
-        if token != world.highest_held || !world.held_once.contains(&who) {
-            if token <= world.highest_held {
-                world.wrong = Some("a token went back");
+    fn record_holder(&self, state: &mut ModelState<R>, instance: PoolerInstance, token: Token) {
+        // A renewal keeps its token.
+        if token != state.highest_held || !state.past_holders.contains(&instance) {
+            if token <= state.highest_held {
+                state.violation = Some("a token went back");
             }
-            world.highest_held = world.highest_held.max(token);
-            world.held_once.insert(who);
+            state.highest_held = state.highest_held.max(token);
+            state.past_holders.insert(instance);
         }
     }
 
-    fn comes(&self, world: &mut World<R>, letter: Letter) {
-        match letter {
-            Letter::ToVoter { voter, who, round, says } => {
-                let now = self.clock(world, true);
-                let of = &mut world.voters[usize::from(voter)];
-                let answer = match says {
-                    Says::Claim(token) => of.claim(now, TASK, who, token, TERM, round),
-                    Says::Release(token) => {
-                        of.release(now, TASK, who, token, None);
+    fn deliver(&self, state: &mut ModelState<R>, message: Message) {
+        match message {
+            Message::ToVoter { voter, instance, round, request } => {
+                let now = self.clock(state, true);
+                let target = &mut state.voters[usize::from(voter)];
+                let answer = match request {
+                    VoterRequest::Claim(token) => target.claim(now, TASK, instance, token, TERM, round),
+                    VoterRequest::Release(token) => {
+                        target.release(now, TASK, instance, token, None);
                         None
                     }
                 };
-                // A no is as good as lost: who is told so gives up, and may do that at any time.
+                // A refusal need not be delivered: it makes the claimant give up, which it may do at any time.
                 if answer.is_some_and(|answer| answer.granted) {
-                    world.letters.insert(Letter::ToClaimant { who, voter, round });
+                    state.messages.insert(Message::ToClaimant { instance, voter, round });
                 }
             }
-            Letter::ToClaimant { who, voter, round } => {
-                let at = usize::from(who.number);
-                let now = self.clock(world, false);
-                let claimant = &mut world.claimants[at];
-                if claimant.instance() != who && !self.0.wrong.blind_to_lives {
+            Message::ToClaimant { instance, voter, round } => {
+                let index = usize::from(instance.number);
+                let now = self.clock(state, false);
+                let claimant = &mut state.claimants[index];
+                if claimant.instance() != instance && !self.0.faults.ignores_incarnation {
                     return;
                 }
-                let own = claimant.instance();
+                let current = claimant.instance();
                 let answer = Answer { granted: true, floor: Token(0), holder: None };
-                match claimant.answer(now, &Self::council(), voter, round, answer) {
+                match claimant.answer(now, &Self::voter_set(), voter, round, answer) {
                     Step::Wait | Step::Busy | Step::Claim(_) => {}
-                    Step::Held(token) => self.took(world, own, token),
-                    Step::Rejected(token) => Self::to_voters(world, own, 0, Says::Release(token)),
+                    Step::Held(token) => self.record_holder(state, current, token),
+                    Step::Rejected(token) => {
+                        Self::send_to_voters(state, current, 0, VoterRequest::Release(token))
+                    }
                 }
             }
         }
     }
 }
 
-impl<R: LeaseRules> Model for Race<R> {
-    type State = World<R>;
-    type Action = Happens;
+impl<R: LeaseRules> Model for LeaseModel<R> {
+    type State = ModelState<R>;
+    type Action = Transition;
 
-    fn init_states(&self) -> Vec<World<R>> {
-        let claimant = |number| Claimant::new(PoolerInstance { number, incarnation: 1 }, TERM, DRIFT);
-        vec![World {
+    fn init_states(&self) -> Vec<ModelState<R>> {
+        let claimant =
+            |number| Claimant::new(PoolerInstance { number, incarnation: 1 }, TERM, DRIFT_PER_MILLE);
+        vec![ModelState {
             ticks: 0,
-            // They have been up for as long as they were silent, so that they vote from now on.
+            // Started one term ago, so that their silence after the start is over and they vote from now on.
             voters: (0..VOTERS).map(|_| Voter::new(Time(-TERM.0), TERM, 0)).collect(),
             claimants: (0..CLAIMANTS as u16).map(claimant).collect(),
             rounds: vec![0; CLAIMANTS],
-            letters: BTreeSet::new(),
+            messages: BTreeSet::new(),
             restarts: (0, 0),
             releases: 0,
-            acting: vec![None; CLAIMANTS],
-            gate: Token(0),
-            top: Token(SILENT_MS),
+            pending_acts: vec![None; CLAIMANTS],
+            gate_token: Token(0),
+            highest_claimed: Token(SILENCE_MS),
             highest_held: Token(0),
-            held_once: BTreeSet::new(),
-            wrong: None,
+            past_holders: BTreeSet::new(),
+            violation: None,
         }]
     }
 
-    fn actions(&self, world: &World<R>, steps: &mut Vec<Happens>) {
-        if world.wrong.is_some() {
+    fn actions(&self, state: &ModelState<R>, steps: &mut Vec<Transition>) {
+        if state.violation.is_some() {
             return;
         }
-        if world.ticks < self.0.ticks {
-            steps.push(Happens::Tick);
+        if state.ticks < self.0.ticks {
+            steps.push(Transition::Tick);
         }
-        let now = self.clock(world, false);
-        for at in 0..CLAIMANTS {
-            let held = world.claimants[at].holds(now);
-            let idle = *world.claimants[at].stage() == Stage::Idle;
-            let over = matches!(world.claimants[at].stage(), Stage::Held { .. }) && held.is_none();
-            if (idle || over) && world.rounds[at] < self.0.rounds {
-                steps.push(Happens::Claim(at, true));
-                if world.top > Token(SILENT_MS) {
-                    steps.push(Happens::Claim(at, false));
+        let now = self.clock(state, false);
+        for index in 0..CLAIMANTS {
+            let held = state.claimants[index].holds(now);
+            let idle = *state.claimants[index].stage() == Stage::Idle;
+            let expired = matches!(state.claimants[index].stage(), Stage::Held { .. }) && held.is_none();
+            if (idle || expired) && state.rounds[index] < self.0.rounds {
+                steps.push(Transition::Claim(index, true));
+                if state.highest_claimed > Token(SILENCE_MS) {
+                    steps.push(Transition::Claim(index, false));
                 }
             }
             if held.is_some() {
-                if world.rounds[at] < self.0.rounds {
-                    steps.push(Happens::Renew(at));
+                if state.rounds[index] < self.0.rounds {
+                    steps.push(Transition::Renew(index));
                 }
-                if self.0.acts && world.acting[at].is_none() {
-                    steps.push(Happens::SetsOut(at));
+                if self.0.acts && state.pending_acts[index].is_none() {
+                    steps.push(Transition::SetsOut(index));
                 }
             }
-            if !idle && world.releases < self.0.releases {
-                steps.push(Happens::Release(at));
+            if !idle && state.releases < self.0.releases {
+                steps.push(Transition::Release(index));
             }
-            if world.acting[at].is_some() {
-                steps.push(Happens::Arrives(at));
+            if state.pending_acts[index].is_some() {
+                steps.push(Transition::Arrives(index));
             }
-            if world.restarts.1 < self.0.claimants {
-                steps.push(Happens::NewClaimant(at));
+            if state.restarts.1 < self.0.claimant_restarts {
+                steps.push(Transition::NewClaimant(index));
             }
         }
-        if world.restarts.0 < self.0.voters {
-            steps.extend((0..usize::from(VOTERS)).map(Happens::NewVoter));
+        if state.restarts.0 < self.0.voter_restarts {
+            steps.extend((0..usize::from(VOTERS)).map(Transition::NewVoter));
         }
-        steps.extend((0..world.letters.len()).map(Happens::Comes));
+        steps.extend((0..state.messages.len()).map(Transition::Comes));
     }
 
-    fn next_state(&self, before: &World<R>, step: Happens) -> Option<World<R>> {
-        let mut world = before.clone();
-        let now = self.clock(&world, false);
+    fn next_state(&self, before: &ModelState<R>, step: Transition) -> Option<ModelState<R>> {
+        let mut state = before.clone();
+        let now = self.clock(&state, false);
         match step {
-            Happens::Tick => world.ticks += 1,
-            Happens::Claim(at, next) => {
-                world.rounds[at] += 1;
-                let (round, who) = (world.rounds[at], world.claimants[at].instance());
-                let floor = if next { world.top } else { Token(world.top.0 - 1) };
-                let token = world.claimants[at].claim(now, round, floor);
-                world.top = world.top.max(token);
-                Self::to_voters(&mut world, who, round, Says::Claim(token));
+            Transition::Tick => state.ticks += 1,
+            Transition::Claim(index, next) => {
+                state.rounds[index] += 1;
+                let (round, instance) = (state.rounds[index], state.claimants[index].instance());
+                let floor = if next { state.highest_claimed } else { Token(state.highest_claimed.0 - 1) };
+                let token = state.claimants[index].claim(now, round, floor);
+                state.highest_claimed = state.highest_claimed.max(token);
+                Self::send_to_voters(&mut state, instance, round, VoterRequest::Claim(token));
             }
-            Happens::Renew(at) => {
-                world.rounds[at] += 1;
-                let round = world.rounds[at];
-                let who = world.claimants[at].instance();
-                let token = world.claimants[at].renew(now, round)?;
-                Self::to_voters(&mut world, who, round, Says::Claim(token));
+            Transition::Renew(index) => {
+                state.rounds[index] += 1;
+                let round = state.rounds[index];
+                let instance = state.claimants[index].instance();
+                let token = state.claimants[index].renew(now, round)?;
+                Self::send_to_voters(&mut state, instance, round, VoterRequest::Claim(token));
             }
-            Happens::Release(at) => {
-                world.releases += 1;
-                let who = world.claimants[at].instance();
-                let token = world.claimants[at].stop()?;
-                Self::to_voters(&mut world, who, 0, Says::Release(token));
+            Transition::Release(index) => {
+                state.releases += 1;
+                let instance = state.claimants[index].instance();
+                let token = state.claimants[index].stop()?;
+                Self::send_to_voters(&mut state, instance, 0, VoterRequest::Release(token));
             }
-            Happens::Comes(at) => {
-                let letter = *world.letters.iter().nth(at)?;
-                self.comes(&mut world, letter);
+            Transition::Comes(index) => {
+                let message = *state.messages.iter().nth(index)?;
+                self.deliver(&mut state, message);
             }
-            Happens::SetsOut(at) => world.acting[at] = world.claimants[at].holds(now),
-            Happens::Arrives(at) => {
-                let token = world.acting[at].take()?;
-                if token < world.gate && self.0.wrong.no_gate {
-                    world.wrong = Some("an old token was let through");
+            Transition::SetsOut(index) => state.pending_acts[index] = state.claimants[index].holds(now),
+            Transition::Arrives(index) => {
+                let token = state.pending_acts[index].take()?;
+                if token < state.gate_token && self.0.faults.no_gate {
+                    state.violation = Some("an old token was let through");
                 }
-                world.gate = world.gate.max(token);
+                state.gate_token = state.gate_token.max(token);
             }
-            Happens::NewVoter(at) => {
-                world.restarts.0 += 1;
-                let wall = SILENT_MS + u64::from(world.ticks) * TOKENS_A_TICK;
-                world.voters[at] = Voter::new(self.clock(&world, true), TERM, wall);
-                world.top = world.top.max(Token(wall + SILENT_MS));
+            Transition::NewVoter(index) => {
+                state.restarts.0 += 1;
+                let wall = SILENCE_MS + u64::from(state.ticks) * TOKENS_PER_TICK;
+                state.voters[index] = Voter::new(self.clock(&state, true), TERM, wall);
+                state.highest_claimed = state.highest_claimed.max(Token(wall + SILENCE_MS));
             }
-            Happens::NewClaimant(at) => {
-                world.restarts.1 += 1;
-                let who = world.claimants[at].instance();
-                world.claimants[at] =
-                    Claimant::new(PoolerInstance { incarnation: who.incarnation + 1, ..who }, TERM, DRIFT);
-                // Rounds begin anew; what was on its way to the gate still is.
-                world.rounds[at] = 0;
+            Transition::NewClaimant(index) => {
+                state.restarts.1 += 1;
+                let instance = state.claimants[index].instance();
+                state.claimants[index] = Claimant::new(
+                    PoolerInstance { incarnation: instance.incarnation + 1, ..instance },
+                    TERM,
+                    DRIFT_PER_MILLE,
+                );
+                // Rounds start from zero again; an act on its way to the gate remains.
+                state.rounds[index] = 0;
             }
         }
-        self.look(&mut world);
-        self.prune(&mut world);
-        // What changed nothing is no other state.
-        (world != *before).then_some(world)
+        self.check_holders(&mut state);
+        self.prune(&mut state);
+        // A step without effect leads to no new state.
+        (state != *before).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("the rules hold", |_, world| world.wrong.is_none()),
-            // Else the check would show nothing.
-            Property::<Self>::sometimes("the task changes hands", |_, world| {
-                world.held_once.iter().map(|who| who.number).collect::<BTreeSet<_>>().len() > 1
+            Property::<Self>::always("the rules hold", |_, state| state.violation.is_none()),
+            // Without a change of holder, the check would prove nothing.
+            Property::<Self>::sometimes("the task changes hands", |_, state| {
+                state.past_holders.iter().map(|instance| instance.number).collect::<BTreeSet<_>>().len() > 1
             }),
         ]
     }
 }
 
-/// What a check found.
+/// Result of a check.
 #[derive(Clone, Debug)]
-pub struct Found {
-    /// Different states.
+pub struct CheckResult {
+    /// Number of unique states.
     pub states: usize,
-    /// All states within the bounds were looked at.
-    pub whole: bool,
-    /// How many steps the deepest course has.
+    /// Whether all states within the bounds were explored.
+    pub complete: bool,
+    /// Number of steps of the longest path.
     pub depth: usize,
-    /// What went wrong, with the steps that lead there.
-    pub wrong: Option<(&'static str, Vec<Happens>)>,
-    /// Whether the task was had by one and then by the other.
+    /// The rule that was broken, with the steps that lead there.
+    pub violation: Option<(&'static str, Vec<Transition>)>,
+    /// Whether the task was held by one claimant and then by the other.
     pub changed_hands: bool,
 }
 
-/// Checks all states within these bounds, or as many as `most`.
+/// Explores all states within these bounds, up to `max_states` generated states.
 #[must_use]
-pub fn check<R: LeaseRules + Send + Sync>(bounds: Bounds, threads: usize, most: usize) -> Found {
-    let checker =
-        Race::<R>(bounds, PhantomData).checker().threads(threads).target_state_count(most).spawn_bfs().join();
+pub fn check<R: LeaseRules + Send + Sync>(bounds: Bounds, threads: usize, max_states: usize) -> CheckResult {
+    let checker = LeaseModel::<R>(bounds, PhantomData)
+        .checker()
+        .threads(threads)
+        .target_state_count(max_states)
+        .spawn_bfs()
+        .join();
     let discoveries = checker.discoveries();
-    let wrong = discoveries
+    let violation = discoveries
         .get("the rules hold")
-        .map(|path| (path.last_state().wrong.unwrap_or(""), path.clone().into_actions()));
+        .map(|path| (path.last_state().violation.unwrap_or(""), path.clone().into_actions()));
     let changed_hands = discoveries.contains_key("the task changes hands");
-    let whole = checker.state_count() < most;
-    Found { states: checker.unique_state_count(), whole, depth: checker.max_depth(), wrong, changed_hands }
+    let complete = checker.state_count() < max_states;
+    CheckResult {
+        states: checker.unique_state_count(),
+        complete,
+        depth: checker.max_depth(),
+        violation,
+        changed_hands,
+    }
 }
--- a/crates/lab/src/leases/gate.rs
+++ b/crates/lab/src/leases/gate.rs
@@ -1,4 +1,5 @@
-//! The gated address: what a task's holder acts on. It lets a call through unless it has seen a later token.
+//! HTTP server that checks fencing tokens: a task's holder calls it for each act. It rejects a call if it has
+//! seen a later token.
 
 use crate::lock;
 use crate::processes::history::{Event, History};
@@ -11,57 +12,57 @@
 use std::time::Duration;
 
 #[derive(Default)]
-struct Inside {
-    /// The highest token of each task.
+struct GateState {
+    /// Highest token seen, by task.
     highest: BTreeMap<String, u64>,
-    /// Calls of these poolers come so much later, as over a slow way.
-    held: BTreeMap<usize, Duration>,
+    /// Delay of the calls of each pooler, as over a slow network.
+    delays: BTreeMap<usize, Duration>,
 }
 
-/// The gate; it ends when this is dropped.
+/// A running gate; it stops when dropped.
 pub struct Gate {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    inside: Arc<Mutex<Inside>>,
-    over: Arc<AtomicBool>,
+    state: Arc<Mutex<GateState>>,
+    stopped: Arc<AtomicBool>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl Gate {
-    /// A gate that writes down each call; one that is not `strict` lets all through.
+    /// Starts a gate that records each call in `history`; without `strict` it lets all calls through.
     ///
     /// # Errors
     ///
-    /// When it can't listen.
+    /// When no listening socket can be opened.
     pub fn start(history: History, strict: bool) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let (inside, over) = (Arc::new(Mutex::new(Inside::default())), Arc::new(AtomicBool::new(false)));
-        let (of_inside, of_over) = (inside.clone(), over.clone());
+        let (state, stopped) = (Arc::new(Mutex::new(GateState::default())), Arc::new(AtomicBool::new(false)));
+        let (thread_state, thread_stopped) = (state.clone(), stopped.clone());
         let thread = std::thread::spawn(move || {
             for stream in listener.incoming() {
-                if of_over.load(Ordering::SeqCst) {
+                if thread_stopped.load(Ordering::SeqCst) {
                     return;
                 }
-                let (Ok(stream), inside, history) = (stream, of_inside.clone(), history.clone()) else {
+                let (Ok(stream), state, history) = (stream, thread_state.clone(), history.clone()) else {
                     continue;
                 };
-                std::thread::spawn(move || drop(answer(stream, &inside, &history, strict)));
+                std::thread::spawn(move || drop(handle_call(stream, &state, &history, strict)));
             }
         });
-        Ok(Self { address, inside, over, thread: Some(thread) })
+        Ok(Self { address, state, stopped, thread: Some(thread) })
     }
 
-    /// Has calls of a pooler come late, or no longer.
-    pub fn hold(&self, pooler: usize, by: Duration) {
-        lock(&self.inside).held.insert(pooler, by);
+    /// Delays the calls of a pooler by `delay`; zero ends that.
+    pub fn set_delay(&self, pooler: usize, delay: Duration) {
+        lock(&self.state).delays.insert(pooler, delay);
     }
 }
 
 impl Drop for Gate {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
-        // Wakes it, so that it sees that.
+        self.stopped.store(true, Ordering::SeqCst);
+        // Connects once, so that the blocked listener notices the flag.
         let _ = TcpStream::connect(self.address);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -69,34 +70,34 @@
     }
 }
 
-fn answer(
+fn handle_call(
     mut stream: TcpStream,
-    inside: &Mutex<Inside>,
+    state: &Mutex<GateState>,
     history: &History,
     strict: bool,
 ) -> std::io::Result<()> {
     let Some(head) = RequestHead::read(&mut stream)? else { return Ok(()) };
-    let field = |name: &str| head.header(name);
-    let (task, step, by) = (field("task"), field("step"), field("pooler"));
-    let Ok(token) = field("fencing-token").parse::<u64>() else {
+    let header = |name: &str| head.header(name);
+    let (task, step, by) = (header("task"), header("step"), header("pooler"));
+    let Ok(token) = header("fencing-token").parse::<u64>() else {
         return stream.write_all(b"HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\n\r\n");
     };
     let number = by.split('/').next().and_then(|number| number.parse().ok());
-    let held = number.and_then(|number: usize| lock(inside).held.get(&number).copied());
-    if let Some(held) = held.filter(|held| !held.is_zero()) {
-        std::thread::sleep(held);
+    let delay = number.and_then(|number: usize| lock(state).delays.get(&number).copied());
+    if let Some(delay) = delay.filter(|delay| !delay.is_zero()) {
+        std::thread::sleep(delay);
     }
-    // Looked at and written down in one step.
-    let mut locked = lock(inside);
+    // Check and record are one atomic step, so that the history has the order of the gate's decisions.
+    let mut locked = lock(state);
     let highest = locked.highest.entry(task.clone()).or_default();
     let through = !strict || token >= *highest;
     *highest = token.max(*highest);
     let highest = *highest;
     history.add(Event::Act { task, token, by, step, through });
     drop(locked);
-    let (status, words) = if through { (200, "OK") } else { (409, "Conflict") };
-    let answer = format!(
-        "HTTP/1.1 {status} {words}\r\nfencing-token: {highest}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"
+    let (status, reason) = if through { (200, "OK") } else { (409, "Conflict") };
+    let response = format!(
+        "HTTP/1.1 {status} {reason}\r\nfencing-token: {highest}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"
     );
-    stream.write_all(answer.as_bytes())
+    stream.write_all(response.as_bytes())
 }
--- a/crates/lab/src/leases/mod.rs
+++ b/crates/lab/src/leases/mod.rs
@@ -1,10 +1,11 @@
-//! Leases put to the proof: processes of the program with faults between them, a gate that they act on, an audit of what
-//! the gate saw; and the same decisions through all orders of events, with each part of them taken away once.
+//! Proof of the leases: scripts that run processes of the program with injected faults, a gate that checks
+//! fencing tokens, and an audit of the gate's history; and a model check of the same protocol code, which must
+//! also find a violation in each mutant.
 
 pub mod audit;
 pub mod check;
 pub mod gate;
 pub mod mutants;
-pub mod play;
 pub mod proof;
+pub mod runner;
 pub mod script;
--- a/crates/lab/src/leases/mutants.rs
+++ b/crates/lab/src/leases/mutants.rs
@@ -1,21 +1,22 @@
-//! Leases that are broken on purpose, one part at a time. They are types of the lab: no build of the daemon can hold them.
+//! Mutants of the lease rules, each with one rule removed. They are types of the lab, so no build of the daemon
+//! can contain them.
 
-use super::check::{Bounds, Found, check};
+use super::check::{Bounds, CheckResult, check};
 use linnetdeal_coordination::lease::{FullLeaseRules, LeaseRules};
 use linnetdeal_core::Span;
 
-/// What is wrong outside of the votes.
+/// Seeded faults outside of the voters' rules.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Wrong {
-    /// What is acted on lets older tokens through.
+pub struct SeededFaults {
+    /// The gate lets acts with older tokens through.
     pub no_gate: bool,
-    /// An answer counts whichever life of the claimant it is for.
-    pub blind_to_lives: bool,
+    /// An answer counts whichever incarnation of the claimant it is for.
+    pub ignores_incarnation: bool,
 }
 
 macro_rules! mutant {
-    ($name:ident, $words:literal, $($part:tt)*) => {
-        #[doc = $words]
+    ($name:ident, $doc:literal, $($part:tt)*) => {
+        #[doc = $doc]
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
         pub struct $name;
 
@@ -32,63 +33,87 @@
         1
     }
 );
-mutant!(NoSilence, "A voter that has forgotten all votes at once.", const SILENT_AFTER_START: bool = false;);
 mutant!(
-    NoMargin,
-    "Clocks are taken to run alike.",
+    NoSilenceAfterStart,
+    "A voter that has lost its memory votes at once.",
+    const SILENT_AFTER_START: bool = false;
+);
+mutant!(
+    NoDriftMargin,
+    "Clocks are assumed to run at the same rate.",
     fn usable_term(term: Span, _: u16) -> Span {
         term
     }
 );
-mutant!(FromAnswer, "The term counts from the answer.", const TERM_FROM_SEND: bool = false;);
 mutant!(
-    LowTokens,
-    "A voter grants tokens that are no higher than what it knows of.",
+    TermFromAnswer,
+    "The term counts from the answer instead of from the claim.",
+    const TERM_FROM_SEND: bool = false;
+);
+mutant!(
+    LowTokensGranted,
+    "A voter grants tokens that are no higher than the highest it knows.",
     const TOKENS_ABOVE_FLOOR: bool = false;
 );
-mutant!(NotExclusive, "A higher token beats a running grant.", const EXCLUSIVE: bool = false;);
+mutant!(NotExclusive, "A higher token overrides a running grant.", const EXCLUSIVE: bool = false;);
 
-/// A mutant, and what the check found of it.
-pub struct Tried {
-    /// Its name.
+/// A mutant and the result of its check.
+pub struct MutantResult {
+    /// The mutant's name, as printed.
     pub name: &'static str,
-    /// What was found.
-    pub found: Found,
+    /// Result of the check.
+    pub result: CheckResult,
 }
 
-/// The bounds in which a mutant is looked for.
+/// The base bounds in which mutants are checked.
 #[must_use]
 pub fn bounds() -> Bounds {
     Bounds {
         ticks: 4,
         rounds: 1,
-        voters: 0,
-        claimants: 0,
+        voter_restarts: 0,
+        claimant_restarts: 0,
         releases: 0,
         acts: false,
         drift: false,
-        wrong: Wrong::default(),
+        faults: SeededFaults::default(),
     }
 }
 
-/// Has each mutant checked, until it is found or `most` states were looked at.
+/// Checks each mutant until a violation is found or `max_states` states were generated.
 #[must_use]
-pub fn all(threads: usize, most: usize) -> Vec<Tried> {
-    let of = bounds();
-    let tried = |name, found| Tried { name, found };
-    let no_gate = Wrong { no_gate: true, ..Wrong::default() };
-    let blind = Wrong { blind_to_lives: true, ..Wrong::default() };
+pub fn check_all(threads: usize, max_states: usize) -> Vec<MutantResult> {
+    let base = bounds();
+    let entry = |name, result| MutantResult { name, result };
+    let no_gate = SeededFaults { no_gate: true, ..SeededFaults::default() };
+    let ignores_incarnation = SeededFaults { ignores_incarnation: true, ..SeededFaults::default() };
     vec![
-        tried("no majority", check::<NoMajority>(of, threads, most)),
-        tried("no silence after a restart", check::<NoSilence>(Bounds { voters: 1, ..of }, threads, most)),
-        tried("no margin for drift", check::<NoMargin>(Bounds { drift: true, ..of }, threads, most)),
-        tried("term counted from the answer", check::<FromAnswer>(of, threads, most)),
-        tried("lower tokens granted", check::<LowTokens>(Bounds { releases: 1, ..of }, threads, most)),
-        tried("running grants overridden", check::<NotExclusive>(of, threads, most)),
-        tried("no gate", check::<FullLeaseRules>(Bounds { acts: true, wrong: no_gate, ..of }, threads, most)),
-        tried(
+        entry("no majority", check::<NoMajority>(base, threads, max_states)),
+        entry(
+            "no silence after a restart",
+            check::<NoSilenceAfterStart>(Bounds { voter_restarts: 1, ..base }, threads, max_states),
+        ),
+        entry(
+            "no margin for drift",
+            check::<NoDriftMargin>(Bounds { drift: true, ..base }, threads, max_states),
+        ),
+        entry("term counted from the answer", check::<TermFromAnswer>(base, threads, max_states)),
+        entry(
+            "lower tokens granted",
+            check::<LowTokensGranted>(Bounds { releases: 1, ..base }, threads, max_states),
+        ),
+        entry("running grants overridden", check::<NotExclusive>(base, threads, max_states)),
+        entry(
+            "no gate",
+            check::<FullLeaseRules>(Bounds { acts: true, faults: no_gate, ..base }, threads, max_states),
+        ),
+        entry(
             "answers to an earlier life",
-            check::<FullLeaseRules>(Bounds { claimants: 1, wrong: blind, ..of }, threads, most),
+            check::<FullLeaseRules>(
+                Bounds { claimant_restarts: 1, faults: ignores_incarnation, ..base },
+                threads,
+                max_states,
+            ),
         ),
     ]
 }
--- a/crates/lab/src/leases/proof.rs
+++ b/crates/lab/src/leases/proof.rs
@@ -1,8 +1,9 @@
-//! All of the proof, and its last line.
+//! Runs the whole proof of leases: the scripts, the large fleet and the model checks; prints a summary as its
+//! last line.
 
 use super::check::{Bounds, check};
 use super::mutants;
-use super::play::{Outcome, play};
+use super::runner::{Outcome, run_script};
 use super::script::Script;
 use crate::processes::process;
 use crate::processes::records::{quantile, script_runs};
@@ -15,185 +16,186 @@
 /// Threads of a model check.
 const THREADS: usize = 6;
 
-/// States generated in one check of the whole proof, at most.
-const MOST_STATES: usize = 12_000_000;
+/// Maximum of states generated in one model check of the whole proof.
+const MAX_STATES: usize = 12_000_000;
 
-/// What is to be played.
-pub struct Wanted {
-    /// The folder of the scripts.
+/// What the proof runs.
+pub struct ProofSpec {
+    /// Folder of the scripts.
     pub folder: PathBuf,
-    /// Only scripts whose names hold this, and nothing else.
+    /// Runs only the scripts whose names contain this, and no other part of the proof.
     pub only: Option<String>,
-    /// How often each.
+    /// Runs of each script.
     pub times: u64,
-    /// How many at once.
+    /// Scripts that run concurrently.
     pub side_by_side: usize,
-    /// Processes of the large fleet.
+    /// Number of processes of the large fleet.
     pub fleet: usize,
-    /// The program.
+    /// Path of the daemon's executable.
     pub program: PathBuf,
 }
 
-fn rounded(of: f64) -> f64 {
-    (of * 100.0).round() / 100.0
+fn rounded(value: f64) -> f64 {
+    (value * 100.0).round() / 100.0
 }
 
-/// Plays it all; whether all came out as it must.
+/// Runs the proof and returns whether all of it passed.
 ///
 /// # Errors
 ///
-/// When scripts can't be read or processes not be started.
+/// When scripts can't be read or processes can't be started.
 pub fn run(
-    wanted: &Wanted,
+    spec: &ProofSpec,
     say: impl Fn(&dyn Display),
 ) -> Result<bool, Box<dyn std::error::Error + Send + Sync>> {
-    let mut scripts = Script::folder(&wanted.folder)?;
-    scripts.retain(|script| wanted.only.as_ref().is_none_or(|only| script.name.contains(only)));
-    let plays = script_runs(scripts.len(), wanted.times);
-    let outcomes = run_parallel(&plays, wanted.side_by_side, |(at, seed)| {
-        play(&scripts[*at], scripts[*at].seed * 1_000 + seed, &wanted.program)
+    let mut scripts = Script::read_folder(&spec.folder)?;
+    scripts.retain(|script| spec.only.as_ref().is_none_or(|only| script.name.contains(only)));
+    let plays = script_runs(scripts.len(), spec.times);
+    let outcomes = run_parallel(&plays, spec.side_by_side, |(at, seed)| {
+        run_script(&scripts[*at], scripts[*at].seed * 1_000 + seed, &spec.program)
     });
-    let (mut whole, mut well, mut takeovers) = (Outcome::default(), true, Vec::new());
-    let (mut unsafe_acts, mut overlapping, mut let_through, mut processes) = (0, 0, 0, 0);
+    let (mut total, mut passed, mut takeovers) = (Outcome::default(), true, Vec::new());
+    let (mut late_acts, mut overlapping, mut let_through, mut processes) = (0, 0, 0, 0);
     for ((at, seed), outcome) in plays.iter().zip(outcomes) {
         let script = &scripts[*at];
         let outcome = match outcome {
             Ok(outcome) => outcome,
             Err(error) => {
-                well = false;
+                passed = false;
                 say(&format!("{:<22} {seed:>3} could not be played: {error}", script.name));
                 continue;
             }
         };
-        let of = &outcome.verdict;
-        let mut own = outcome.takeovers.clone();
-        let kept = outcome.kept.as_ref().map(|folder| format!("  kept in {}", folder.display()));
+        let verdict = &outcome.verdict;
+        let mut run_takeovers = outcome.takeovers.clone();
+        let kept_folder =
+            outcome.kept_folder.as_ref().map(|folder| format!("  kept in {}", folder.display()));
         say(&format!(
             "{:<22} {seed:>3} acts {:>4}  tokens {:>3}  overlapping {}  old {}  late {}  back {}  takeover p50 {:.2} most {:.2} terms  {}{}",
             script.name,
-            of.acts,
-            of.tokens,
-            of.overlapping_acts,
-            of.old_tokens_let_through,
-            of.late_acts,
-            of.tokens_went_back,
-            quantile(&mut own, 0.5),
-            quantile(&mut own, 1.0),
+            verdict.acts,
+            verdict.tokens,
+            verdict.overlapping_acts,
+            verdict.old_tokens_let_through,
+            verdict.late_acts,
+            verdict.tokens_went_back,
+            quantile(&mut run_takeovers, 0.5),
+            quantile(&mut run_takeovers, 1.0),
             outcome.missed.join("; "),
-            kept.unwrap_or_default()
+            kept_folder.unwrap_or_default()
         ));
-        well &= outcome.is_well(script);
+        passed &= outcome.passed(script);
         processes = processes.max(script.poolers);
-        unsafe_acts += if script.late_acts { 0 } else { of.late_acts };
-        overlapping += of.overlapping_acts;
-        let_through += of.old_tokens_let_through;
-        whole.verdict.acts += of.acts;
-        whole.verdict.tokens_went_back += of.tokens_went_back + of.tokens_shared;
-        whole.longest = whole.longest.max(outcome.longest);
+        late_acts += if script.late_acts { 0 } else { verdict.late_acts };
+        overlapping += verdict.overlapping_acts;
+        let_through += verdict.old_tokens_let_through;
+        total.verdict.acts += verdict.acts;
+        total.verdict.tokens_went_back += verdict.tokens_went_back + verdict.tokens_shared;
+        total.max_datagram_bytes = total.max_datagram_bytes.max(outcome.max_datagram_bytes);
         takeovers.extend(outcome.takeovers);
     }
-    if wanted.only.is_some() {
+    if spec.only.is_some() {
         let (started, ended) = process::counts();
         say(&json!({"scripts": plays.len(), "takeovers": takeovers.len(), "overlapping_acts": overlapping,
             "takeover_p99_terms": rounded(quantile(&mut takeovers, 0.99)), "leaks": started - ended}));
-        return Ok(well && started == ended);
+        return Ok(passed && started == ended);
     }
-    let (mut of_fleet, mut rates) = (0, (0.0, 0.0));
-    for mut script in Script::folder(&wanted.folder.join("large"))? {
-        script.poolers = wanted.fleet.max(script.voters.len());
-        let outcome = play(&script, script.seed, &wanted.program)?;
-        let mut own = outcome.takeovers.clone();
+    let (mut fleet_size, mut rates) = (0, (0.0, 0.0));
+    for mut script in Script::read_folder(&spec.folder.join("large"))? {
+        script.poolers = spec.fleet.max(script.voters.len());
+        let outcome = run_script(&script, script.seed, &spec.program)?;
+        let mut run_takeovers = outcome.takeovers.clone();
         say(&format!(
             "{:<22} {} processes, acts {}, takeovers {}, most {:.2} terms, datagrams a second of a pooler that is no voter: most {:.2}, mean {:.2}  {}",
             script.name,
             script.poolers,
             outcome.verdict.acts,
             outcome.takeovers.len(),
-            quantile(&mut own, 1.0),
+            quantile(&mut run_takeovers, 1.0),
             outcome.rates.0,
             outcome.rates.1,
             outcome.missed.join("; ")
         ));
-        well &= outcome.is_well(&script);
-        let of = &outcome.verdict;
-        unsafe_acts += of.late_acts;
-        overlapping += of.overlapping_acts;
-        let_through += of.old_tokens_let_through;
-        whole.verdict.tokens_went_back += of.tokens_went_back + of.tokens_shared;
-        whole.longest = whole.longest.max(outcome.longest);
+        passed &= outcome.passed(&script);
+        let verdict = &outcome.verdict;
+        late_acts += verdict.late_acts;
+        overlapping += verdict.overlapping_acts;
+        let_through += verdict.old_tokens_let_through;
+        total.verdict.tokens_went_back += verdict.tokens_went_back + verdict.tokens_shared;
+        total.max_datagram_bytes = total.max_datagram_bytes.max(outcome.max_datagram_bytes);
         takeovers.extend(outcome.takeovers);
-        (of_fleet, rates) = (script.poolers, outcome.rates);
+        (fleet_size, rates) = (script.poolers, outcome.rates);
     }
-    let modelled = model(MOST_STATES, &say)?;
-    well &= modelled.well;
+    let summary = run_model_checks(MAX_STATES, &say)?;
+    passed &= summary.passed;
     let (started, ended) = process::counts();
-    say(&json!({"processes": processes, "scripts": plays.len(), "acts": whole.verdict.acts,
+    say(&json!({"processes": processes, "scripts": plays.len(), "acts": total.verdict.acts,
         "takeovers": takeovers.len(), "overlapping_acts": overlapping,
-        "acts_with_old_token_let_through": let_through, "late_acts_within_bounds": unsafe_acts,
-        "tokens_went_back": whole.verdict.tokens_went_back,
+        "acts_with_old_token_let_through": let_through, "late_acts_within_bounds": late_acts,
+        "tokens_went_back": total.verdict.tokens_went_back,
         "takeover_p50_terms": rounded(quantile(&mut takeovers, 0.5)),
         "takeover_p99_terms": rounded(quantile(&mut takeovers, 0.99)),
-        "mutants": modelled.mutants, "mutants_found": modelled.found, "states_checked": modelled.states,
-        "fleet": of_fleet, "datagrams_per_s_per_pooler": rounded(rates.0), "datagrams_per_s_mean": rounded(rates.1),
-        "bytes_max": whole.longest, "started": started, "leaks": started - ended}));
-    Ok(well && started == ended)
+        "mutants": summary.mutants, "mutants_found": summary.found, "states_checked": summary.states,
+        "fleet": fleet_size, "datagrams_per_s_per_pooler": rounded(rates.0), "datagrams_per_s_mean": rounded(rates.1),
+        "bytes_max": total.max_datagram_bytes, "started": started, "leaks": started - ended}));
+    Ok(passed && started == ended)
 }
 
-/// What the model check showed.
-pub struct Modelled {
-    /// States of the leases as they are.
+/// Summary of the model checks.
+pub struct ModelSummary {
+    /// States explored with the full lease rules.
     pub states: usize,
-    /// Mutants.
+    /// Number of mutants.
     pub mutants: usize,
-    /// Mutants found.
+    /// Number of mutants for which a violation was found.
     pub found: usize,
-    /// Nothing was wrong with the leases as they are, and all mutants were found.
-    pub well: bool,
+    /// Whether the full rules were never broken and all mutants were found.
+    pub passed: bool,
 }
 
-/// Checks the votes as they are within several bounds, and each mutant.
+/// Checks the full lease rules within several bounds, and each mutant.
 ///
 /// # Errors
 ///
-/// Never; so that it can stand beside the other proofs.
-pub fn model(
-    most: usize,
+/// Never; the result type matches the other proofs.
+pub fn run_model_checks(
+    max_states: usize,
     say: impl Fn(&dyn Display),
-) -> Result<Modelled, Box<dyn std::error::Error + Send + Sync>> {
-    let of = mutants::bounds();
+) -> Result<ModelSummary, Box<dyn std::error::Error + Send + Sync>> {
+    let base = mutants::bounds();
     let cases = [
-        ("two claimants, duplicates, losses, pauses", of),
-        ("clocks wrong by what was stated", Bounds { drift: true, ..of }),
-        ("a voter starts anew", Bounds { voters: 1, drift: true, ..of }),
-        ("a claimant starts anew", Bounds { claimants: 1, ticks: 3, ..of }),
-        ("the task is given up", Bounds { releases: 1, ..of }),
-        ("acts under way", Bounds { acts: true, ..of }),
-        ("a renewal or a second claim each", Bounds { rounds: 2, ..of }),
+        ("two claimants, duplicates, losses, pauses", base),
+        ("clocks wrong by what was stated", Bounds { drift: true, ..base }),
+        ("a voter starts anew", Bounds { voter_restarts: 1, drift: true, ..base }),
+        ("a claimant starts anew", Bounds { claimant_restarts: 1, ticks: 3, ..base }),
+        ("the task is given up", Bounds { releases: 1, ..base }),
+        ("acts under way", Bounds { acts: true, ..base }),
+        ("a renewal or a second claim each", Bounds { rounds: 2, ..base }),
     ];
-    let mut all = Modelled { states: 0, mutants: 0, found: 0, well: true };
+    let mut summary = ModelSummary { states: 0, mutants: 0, found: 0, passed: true };
     for (name, bounds) in cases {
-        let found = check::<FullLeaseRules>(bounds, THREADS, most);
-        let words = found
-            .wrong
+        let result = check::<FullLeaseRules>(bounds, THREADS, max_states);
+        let description = result
+            .violation
             .as_ref()
-            .map_or("no rule broken".to_owned(), |(words, steps)| format!("{words}: {steps:?}"));
-        let hands = if found.changed_hands { "" } else { ", AND THE TASK NEVER CHANGED HANDS" };
-        let whole = if found.whole { "all of" } else { "of more" };
+            .map_or("no rule broken".to_owned(), |(rule, steps)| format!("{rule}: {steps:?}"));
+        let holder_note = if result.changed_hands { "" } else { ", AND THE TASK NEVER CHANGED HANDS" };
+        let coverage = if result.complete { "all of" } else { "of more" };
         say(&format!(
-            "model: {name:<44} {whole} {:>9} states, {:>3} deep, {words}{hands}",
-            found.states, found.depth
+            "model: {name:<44} {coverage} {:>9} states, {:>3} deep, {description}{holder_note}",
+            result.states, result.depth
         ));
-        all.states += found.states;
-        all.well &= found.wrong.is_none() && found.changed_hands;
+        summary.states += result.states;
+        summary.passed &= result.violation.is_none() && result.changed_hands;
     }
-    for tried in mutants::all(THREADS, most) {
-        let words = tried.found.wrong.as_ref().map_or("NOT FOUND".to_owned(), |(words, steps)| {
-            format!("found in {} steps: {words}", steps.len())
+    for mutant in mutants::check_all(THREADS, max_states) {
+        let description = mutant.result.violation.as_ref().map_or("NOT FOUND".to_owned(), |(rule, steps)| {
+            format!("found in {} steps: {rule}", steps.len())
         });
-        say(&format!("mutant: {:<43} {:>9} states, {words}", tried.name, tried.found.states));
-        all.mutants += 1;
-        all.found += usize::from(tried.found.wrong.is_some());
+        say(&format!("mutant: {:<43} {:>9} states, {description}", mutant.name, mutant.result.states));
+        summary.mutants += 1;
+        summary.found += usize::from(mutant.result.violation.is_some());
     }
-    all.well &= all.found == all.mutants;
-    Ok(all)
+    summary.passed &= summary.found == summary.mutants;
+    Ok(summary)
 }
--- a/crates/lab/src/leases/script.rs
+++ b/crates/lab/src/leases/script.rs
@@ -1,4 +1,5 @@
-//! Scripts of leases as files, in the operator's typed records; each fault with its place.
+//! Lease scripts: files in the operator's typed record format. Every error in a script is reported with its
+//! position.
 
 use crate::processes::records;
 use linnetdeal_operator::{Diagnostics, unify};
@@ -6,33 +7,33 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The schema of scripts.
+/// Schema of the scripts.
 pub const SCHEMA: &str = include_str!("script.cue");
 
-/// Whom a step befalls.
+/// The poolers that a step applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Whom {
+pub enum Target {
     /// The pooler of this number.
     Number(usize),
-    /// Who acts.
+    /// The pooler that holds the task.
     Holder,
-    /// A voter that does not act.
+    /// A random voter that does not hold the task.
     Voter,
-    /// A pooler that does not act.
+    /// A random pooler that does not hold the task.
     Other,
     /// All voters.
     Voters,
-    /// Who acts, with as many voters as are no majority.
+    /// The holder with further voters, up to the largest minority of the voters.
     SmallSide,
-    /// Whom the step before named.
+    /// The poolers of the previous step that applied to any.
     Same,
-    /// Everybody.
+    /// All poolers.
     All,
 }
 
-impl<'de> Deserialize<'de> for Whom {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        let text = String::deserialize(from)?;
+impl<'de> Deserialize<'de> for Target {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let text = String::deserialize(deserializer)?;
         Ok(match text.as_str() {
             "holder" => Self::Holder,
             "voter" => Self::Voter,
@@ -46,162 +47,166 @@
     }
 }
 
-/// What is done.
+/// Action of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Do {
-    /// A process starts from nothing, in place of one that runs.
+pub enum Action {
+    /// Starts a new process; one that still runs is killed first.
     Start,
-    /// SIGKILL.
+    /// Sends SIGKILL.
     Kill,
-    /// SIGTERM, and its end.
+    /// Sends SIGTERM and waits until the process has exited.
     End,
-    /// SIGSTOP.
+    /// Sends SIGSTOP.
     Stop,
-    /// SIGCONT.
+    /// Sends SIGCONT.
     Go,
-    /// Nothing passes between these and the others.
+    /// Cuts the links between these poolers and all others.
     Cut,
-    /// All ways are mended.
+    /// Restores all links.
     Heal,
-    /// What becomes of all datagrams from now on.
+    /// Sets the loss, duplication, corruption and delay of all datagrams from now on.
     Noise,
-    /// The task is given up, by a call.
+    /// Releases the task through the operator's API.
     Release,
-    /// The task is handed to a pooler, by a call.
+    /// Hands the task to a pooler through the operator's API.
     Hand,
-    /// Calls of these come late to the gate.
+    /// Delays the calls of these poolers at the gate.
     HoldGate,
-    /// Time goes by.
+    /// Waits.
     Wait,
-    /// A pooler is told to want the task.
+    /// Asks a pooler through the operator's API to acquire the task.
     Seize,
-    /// A newer process takes the place of one that runs, which ends.
+    /// Replaces a running process with a newer one; the old one exits.
     Replace,
-    /// A second process of the same name starts beside the first.
+    /// Starts a second process of the same name beside the first.
     Twin,
 }
 
-/// What must follow.
+/// What must follow a step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Then {
-    /// Nothing.
+pub enum Expectation {
+    /// Nothing is expected.
     #[default]
     #[serde(rename = "")]
     Nothing,
-    /// Somebody acts with a new token.
+    /// A pooler acts with a new token.
     Takeover,
-    /// The same one goes on with its token.
+    /// The same holder continues with its token.
     Same,
-    /// From one term later on, for the step's time, nobody begins an act.
+    /// After one term, no act begins for the duration of the step.
     Nobody,
 }
 
-/// A step.
+/// A step of a script.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Step {
-    /// What is done.
+    /// Action of a step.
     #[serde(rename = "do")]
-    pub what: Do,
-    /// To whom.
-    pub who: Whom,
-    /// Whom it is handed to.
-    pub to: Whom,
-    /// `in`, `out` or `both`.
+    pub what: Action,
+    /// The poolers that the step applies to.
+    pub who: Target,
+    /// The pooler that the task is handed to.
+    pub to: Target,
+    /// Direction of a cut: `in`, `out` or `both`.
     pub way: String,
-    /// For how long.
+    /// Duration of a wait, of a delay at the gate, or of [`Expectation::Nobody`].
     #[serde(deserialize_with = "records::duration")]
     pub lasts: Duration,
-    /// Datagrams lost, in a thousand.
+    /// Datagrams lost, per thousand.
     pub lost: u32,
-    /// Datagrams that come twice.
+    /// Datagrams delivered twice, per thousand.
     pub doubled: u32,
-    /// Datagrams with a bit flipped.
+    /// Datagrams with a flipped bit, per thousand.
     pub flipped: u32,
-    /// Datagrams late by up to so many milliseconds.
+    /// Maximum delay of datagrams, in milliseconds.
     pub late: u32,
-    /// A clock that runs wrong.
+    /// Clock error of the started process, passed in `LINNETDEAL_BEND`; empty for none.
     pub bend: String,
-    /// Another version of the voters; 0 for the script's.
+    /// Version of the voter set; 0 for the current one.
     pub version: u32,
-    /// Another key.
+    /// Key of the datagrams; empty for the default.
     pub key: String,
-    /// The voters from here on; none for those there are.
+    /// Voters from this step on; empty keeps the current ones.
     pub voters: Vec<usize>,
-    /// Who voted before these.
+    /// Earlier sets of voters that go with `voters`.
     pub previous: Vec<Vec<usize>>,
-    /// What must follow.
-    pub then: Then,
+    /// What must follow a step.
+    pub then: Expectation,
 }
 
-/// A script.
+/// A script of leases.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Script {
-    /// Its name.
+    /// Name of the script.
     pub name: String,
-    /// For all that is by chance.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// How many poolers.
+    /// Number of poolers.
     pub poolers: usize,
-    /// Who votes.
+    /// The voters at the start.
     pub voters: Vec<usize>,
-    /// Who voted.
+    /// Earlier sets of voters.
     pub previous: Vec<Vec<usize>>,
-    /// The task's term.
+    /// Term of the task.
     #[serde(deserialize_with = "records::duration")]
     pub term: Duration,
-    /// The stated drift, in a thousand.
+    /// Stated clock drift, in thousandths.
     pub drift: u16,
-    /// How long an act lasts.
+    /// Duration of an act.
     #[serde(deserialize_with = "records::duration")]
     pub lasts: Duration,
-    /// How long it is to the next.
+    /// Interval between acts.
     #[serde(deserialize_with = "records::duration")]
     pub every: Duration,
-    /// How often the steps are done.
+    /// Number of times that the steps are run.
     pub rounds: usize,
-    /// Whether late acts may come to the gate.
+    /// Whether acts may reach the gate after a later token was seen.
     pub late_acts: bool,
-    /// Whether the gate turns old tokens away.
+    /// Whether the gate rejects old tokens.
     pub gate: bool,
-    /// The steps.
+    /// Steps of each round.
     pub steps: Vec<Step>,
 }
 
 impl Script {
-    /// Reads a script's text; `name` is its file's.
+    /// Decodes the text of a script; `name` is the file name used in diagnostics.
     ///
     /// # Errors
     ///
-    /// When something in it is wrong.
+    /// When the script does not fit the schema, or names a pooler that does not exist.
     pub fn decode(name: &str, bytes: &[u8]) -> Result<Self, Diagnostics> {
         let tree = unify(SCHEMA, name, bytes)?;
-        let fault = |path: &str, what: String| Diagnostics {
+        let invalid = |path: &str, message: String| Diagnostics {
             file: name.to_owned(),
-            diagnostics: vec![tree.diagnostic(path, what)],
+            diagnostics: vec![tree.diagnostic(path, message)],
         };
-        let script: Self =
-            tree.decode().map_err(|fault| Diagnostics { file: name.to_owned(), diagnostics: vec![fault] })?;
+        let script: Self = tree
+            .decode()
+            .map_err(|diagnostic| Diagnostics { file: name.to_owned(), diagnostics: vec![diagnostic] })?;
         if let Some(voter) = script.voters.iter().find(|voter| **voter >= script.poolers) {
-            return Err(fault("voters", format!("there is no pooler {voter}")));
+            return Err(invalid("voters", format!("there is no pooler {voter}")));
         }
-        for (at, step) in script.steps.iter().enumerate() {
-            for (field, whom) in [("who", step.who), ("to", step.to)] {
-                if matches!(whom, Whom::Number(number) if number >= script.poolers) {
-                    return Err(fault(&format!("steps[{at}].{field}"), "there is no such pooler".into()));
+        for (index, step) in script.steps.iter().enumerate() {
+            for (field, target) in [("who", step.who), ("to", step.to)] {
+                if matches!(target, Target::Number(number) if number >= script.poolers) {
+                    return Err(invalid(
+                        &format!("steps[{index}].{field}"),
+                        "there is no such pooler".into(),
+                    ));
                 }
             }
         }
         Ok(script)
     }
 
-    /// All scripts of a folder, by name.
+    /// Reads all scripts of a folder, sorted by name.
     ///
     /// # Errors
     ///
-    /// When one can't be read, or something in it is wrong.
-    pub fn folder(folder: &Path) -> Result<Vec<Self>, records::ScriptError> {
+    /// When a script can't be read or is invalid.
+    pub fn read_folder(folder: &Path) -> Result<Vec<Self>, records::ScriptError> {
         records::read_folder(folder, |name, bytes| Ok(Self::decode(name, bytes)?))
     }
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -261,7 +261,7 @@
         Command::Eureka { script, only, seed, side_by_side } => eureka(script, &only, seed, side_by_side),
         Command::Primary { only, side_by_side, times } => primary(&only, side_by_side, times),
         Command::Leases { folder, only, times, side_by_side, fleet } => {
-            let wanted = linnetdeal_lab::leases::proof::Wanted {
+            let wanted = linnetdeal_lab::leases::proof::ProofSpec {
                 folder,
                 only,
                 times,
@@ -272,8 +272,13 @@
             linnetdeal_lab::leases::proof::run(&wanted, |line| say!("{line}"))
         }
         Command::Work { folder, only, times, side_by_side } => {
-            let wanted =
-                linnetdeal_lab::work::proof::Wanted { folder, only, times, side_by_side, program: program() };
+            let wanted = linnetdeal_lab::work::proof::ProofSpec {
+                folder,
+                only,
+                times,
+                side_by_side,
+                program: program(),
+            };
             linnetdeal_lab::work::proof::run(&wanted, |line| say!("{line}"))
         }
         Command::Soak { seed, seeds, poolers, clients, seconds, mutant_seeds, shim } => {
@@ -297,11 +302,13 @@
             done.map_err(Into::into)
         }
         Command::WorkModel => {
-            linnetdeal_lab::work::proof::schemes(&|line: &dyn std::fmt::Display| say!("{line}"))
-                .map(|()| true)
+            linnetdeal_lab::work::proof::compare_order_policies(&|line: &dyn std::fmt::Display| {
+                say!("{line}")
+            })
+            .map(|()| true)
         }
         Command::LeaseModel { most } => {
-            linnetdeal_lab::leases::proof::model(most, |line| say!("{line}")).map(|of| of.well)
+            linnetdeal_lab::leases::proof::run_model_checks(most, |line| say!("{line}")).map(|of| of.passed)
         }
         Command::Model { routers, writes, losses, crashes } => {
             let bounds =
--- a/crates/lab/src/work/site.rs
+++ b/crates/lab/src/work/environment.rs
@@ -44,7 +44,7 @@
 }
 
 /// All of them.
-pub struct Site {
+pub struct Environment {
     /// The servers.
     pub servers: Vec<Server>,
     /// Where the list is followed, by pooler.
@@ -61,7 +61,7 @@
     u64::try_from(now.as_millis()).unwrap_or(0)
 }
 
-impl Site {
+impl Environment {
     /// So many groups of so many servers each, in zones in turn, for so many poolers. Answers take `work`.
     ///
     /// # Errors
@@ -192,7 +192,7 @@
     }
 }
 
-impl Drop for Site {
+impl Drop for Environment {
     fn drop(&mut self) {
         self.over.store(true, Ordering::SeqCst);
         // Wakes all who listen, so that they see that.
--- a/crates/lab/src/work/proof.rs
+++ b/crates/lab/src/work/proof.rs
@@ -1,8 +1,8 @@
 //! All of the proof, and its last line.
 
-use super::model;
-use super::play::{Outcome, play};
+use super::runner::{Outcome, run_script};
 use super::script::Script;
+use super::simulation;
 use crate::processes::process;
 use crate::processes::records::{quantile, script_runs};
 use crate::run_parallel;
@@ -13,7 +13,7 @@
 use std::path::{Path, PathBuf};
 
 /// What is to be played.
-pub struct Wanted {
+pub struct ProofSpec {
     /// The folder of the scripts.
     pub folder: PathBuf,
     /// Only scripts whose names hold this.
@@ -39,42 +39,42 @@
 ///
 /// When scripts can't be read.
 pub fn run(
-    wanted: &Wanted,
+    spec: &ProofSpec,
     say: impl Fn(&dyn Display),
 ) -> Result<bool, Box<dyn std::error::Error + Send + Sync>> {
-    let mut scripts = Script::folder(&wanted.folder)?;
-    scripts.retain(|script| wanted.only.as_ref().is_none_or(|only| script.name.contains(only)));
-    let plays = script_runs(scripts.len(), wanted.times);
-    let outcomes = run_parallel(&plays, wanted.side_by_side, |(at, seed)| {
-        play(&scripts[*at], scripts[*at].seed * 1_000 + seed, &wanted.program)
+    let mut scripts = Script::read_folder(&spec.folder)?;
+    scripts.retain(|script| spec.only.as_ref().is_none_or(|only| script.name.contains(only)));
+    let plays = script_runs(scripts.len(), spec.times);
+    let outcomes = run_parallel(&plays, spec.side_by_side, |(at, seed)| {
+        run_script(&scripts[*at], scripts[*at].seed * 1_000 + seed, &spec.program)
     });
-    let (mut all, mut well) = (Outcome::default(), true);
+    let (mut all, mut passed) = (Outcome::default(), true);
     let (mut processes, mut servers) = (0, 0);
     for ((at, seed), outcome) in plays.iter().zip(outcomes) {
         let script = &scripts[*at];
         let outcome = match outcome {
             Ok(outcome) => outcome,
             Err(error) => {
-                well = false;
+                passed = false;
                 say(&format!("{:<28} {seed:>3} could not be played: {error}", script.name));
                 continue;
             }
         };
         say(&line(script, *seed, &outcome));
-        well &= outcome.is_well(script);
+        passed &= outcome.passed(script);
         processes = processes.max(script.poolers);
         servers = servers.max(script.groups * script.members);
         add(&mut all, outcome);
     }
     let mut served = BTreeMap::new();
     let mut plan = (0.0, 0.0);
-    if wanted.only.is_none() {
-        let mut large = Script::folder(&wanted.folder.join("large"))?;
+    if spec.only.is_none() {
+        let mut large = Script::read_folder(&spec.folder.join("large"))?;
         // One after another: each fills the machine.
         for script in &mut large {
-            let outcome = play(script, script.seed, &wanted.program)?;
+            let outcome = run_script(script, script.seed, &spec.program)?;
             say(&line(script, script.seed, &outcome));
-            well &= outcome.is_well(script);
+            passed &= outcome.passed(script);
             processes = processes.max(script.poolers);
             servers = servers.max(script.groups * script.members);
             let share = outcome.served.0 as f64 / outcome.served.1.max(1) as f64;
@@ -84,7 +84,7 @@
             }
             add(&mut all, outcome);
         }
-        schemes(&say)?;
+        compare_order_policies(&say)?;
     }
     let of = |name: &str| served.get(name).copied().map_or(0.0, rounded);
     let (started, ended) = process::counts();
@@ -99,7 +99,7 @@
         "plan_s": rounded(plan.0), "shortest_possible_s": rounded(plan.1),
         "resumed_after_holder_death_p99_s": rounded(quantile(&mut all.resumed, 0.99)),
         "bytes_max": all.longest, "started": started, "leaks": started - ended}));
-    Ok(well && started == ended)
+    Ok(passed && started == ended)
 }
 
 /// The shortest that the limits of a script allow, in seconds: its zones in turn, so many machines of each at once, each at work and
@@ -136,7 +136,9 @@
 /// # Errors
 ///
 /// When the plot can't be written.
-pub fn schemes(say: &impl Fn(&dyn Display)) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
+pub fn compare_order_policies(
+    say: &impl Fn(&dyn Display),
+) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     let all = [
         ("named", OrderPolicy::AsNamed),
         ("spare", OrderPolicy::MostSpare),
@@ -146,14 +148,14 @@
         for (name, scheme) in all {
             let (mut over, mut lost, mut out) = (Vec::new(), 0.0, 0);
             for seed in 1..=4 {
-                let (fleet, limits) = (model::fleet(servers, seed), model::limits(scheme));
-                let played = model::play(&fleet, &limits);
+                let (fleet, limits) = (simulation::fleet(servers, seed), simulation::limits(scheme));
+                let played = simulation::simulate(&fleet, &limits);
                 let whole = played.worked == servers;
                 over.push(
                     played
                         .seconds
                         .filter(|_| whole)
-                        .map_or(f64::NAN, |took| took / model::shortest(&fleet, &limits)),
+                        .map_or(f64::NAN, |took| took / simulation::shortest(&fleet, &limits)),
                 );
                 lost += played.lost / 4.0;
                 out = out.max(played.most_out);
@@ -165,10 +167,12 @@
             ));
         }
     }
-    let fleet = model::fleet(120, 1);
-    let plays: Vec<_> =
-        all.iter().map(|(name, scheme)| (*name, model::play(&fleet, &model::limits(*scheme)))).collect();
-    model::plot(Path::new("docs/design/work-plan.svg"), &plays)
+    let fleet = simulation::fleet(120, 1);
+    let plays: Vec<_> = all
+        .iter()
+        .map(|(name, scheme)| (*name, simulation::simulate(&fleet, &simulation::limits(*scheme))))
+        .collect();
+    simulation::plot(Path::new("docs/design/work-plan.svg"), &plays)
 }
 
 fn add(all: &mut Outcome, one: Outcome) {
--- a/crates/lab/src/work/play.rs
+++ b/crates/lab/src/work/runner.rs
@@ -1,7 +1,7 @@
 //! Plays a script: processes, servers, clients, a worker, and what is broken between them.
 
+use super::environment::{Environment, Job, Server};
 use super::script::{Do, Script, Step};
-use super::site::{Job, Server, Site};
 use crate::clients::Client;
 use crate::lock;
 use crate::processes::fleet::{Fleet, Spec};
@@ -84,7 +84,7 @@
 impl Outcome {
     /// Whether everything is as it must be.
     #[must_use]
-    pub fn is_well(&self, script: &Script) -> bool {
+    pub fn passed(&self, script: &Script) -> bool {
         let share = self.served.0 * 1_000 >= self.served.1 * script.served;
         self.missed.is_empty()
             && self.sends_to_free + self.limits_exceeded + self.forgotten + self.cold_pushed == 0
@@ -137,10 +137,10 @@
     }
 }
 
-struct Play<'s> {
+struct Runner<'s> {
     script: &'s Script,
     fleet: Fleet,
-    site: Site,
+    site: Environment,
     ways: Option<TcpLinks>,
     recorder: Arc<Mutex<Recorder>>,
     crowd: Option<Crowd>,
@@ -171,13 +171,14 @@
 /// # Errors
 ///
 /// When processes can't be started.
-pub fn play(script: &Script, seed: u64, program: &Path) -> Result<Outcome, Failure> {
+pub fn run_script(script: &Script, seed: u64, program: &Path) -> Result<Outcome, Failure> {
     static NUMBER: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
     let folder = std::env::temp_dir().join(format!("linnetdeal-work-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     let recorder = Arc::new(Mutex::new(Recorder::default()));
-    let site = Site::start((script.groups, script.members, script.zones), script.poolers, ANSWER, &recorder)?;
+    let site =
+        Environment::start((script.groups, script.members, script.zones), script.poolers, ANSWER, &recorder)?;
     let addresses: Vec<SocketAddr> = site.servers.iter().map(|server| server.stand_in.address).collect();
     let ways = if script.ways { Some(TcpLinks::start(script.poolers, &addresses)?) } else { None };
     let views: Vec<Vec<SocketAddr>> = (0..script.poolers)
@@ -191,7 +192,7 @@
         program: program.to_owned(),
         count: script.poolers,
         seed,
-        known_servers: Box::new(move |pooler| Site::known(&servers, &|at| views[pooler][at])),
+        known_servers: Box::new(move |pooler| Environment::known(&servers, &|at| views[pooler][at])),
         discovery: site.discovery.clone(),
         zones: (0..script.zones).map(|zone| char::from(b'a' + zone as u8).to_string()).collect(),
         relayed: Box::new(|_, _| true),
@@ -199,7 +200,7 @@
     let mut fleet = Fleet::new(spec)?;
     // Cold for as long as the operator's file has it.
     fleet.settings["Rules"]["Cold"] = 400.0.into();
-    let mut play = Play {
+    let mut runner = Runner {
         script,
         fleet,
         site,
@@ -224,14 +225,14 @@
         view: Value::Null,
         outcome: Outcome::default(),
     };
-    let ran = play.run();
+    let ran = runner.run();
     if let Err(error) = &ran {
-        play.missed(&error.to_string());
+        runner.missed(&error.to_string());
     }
-    Ok(play.end(seed))
+    Ok(runner.end(seed))
 }
 
-impl Play<'_> {
+impl Runner<'_> {
     fn run(&mut self) -> Result<(), Failure> {
         for at in 0..self.script.poolers {
             let text = self.operator(at)?;
@@ -245,7 +246,7 @@
             self.until_ready(at)?;
         }
         self.crowd = Some(Crowd::start(&doors, self.script, self.script.seed, &self.recorder));
-        self.until("a leader", WAIT_TIMEOUT, |play| play.view["leads"] == true)?;
+        self.until("a leader", WAIT_TIMEOUT, |runner| runner.view["leads"] == true)?;
         for round in 0..self.script.rounds {
             for (at, step) in self.script.steps.iter().enumerate() {
                 self.step(step).map_err(|error| format!("step {at} of round {round}: {error}"))?;
@@ -258,8 +259,8 @@
                 }
             }
             if self.script.ends {
-                self.until("the plan's end", WAIT_TIMEOUT * 2, |play| {
-                    play.view["mode"] == "over" && !play.view["plan"].is_null()
+                self.until("the plan's end", WAIT_TIMEOUT * 2, |runner| {
+                    runner.view["mode"] == "over" && !runner.view["plan"].is_null()
                 })?;
                 if let Some(began) = self.began.take() {
                     self.outcome.plan_s += began.elapsed().as_secs_f64();
@@ -777,18 +778,18 @@
             Do::Until => {
                 let (text, count) = (step.text.clone(), step.count);
                 if text == "over" {
-                    self.until("the plan's end", WAIT_TIMEOUT * 2, |play| play.view["mode"] == "over")?;
+                    self.until("the plan's end", WAIT_TIMEOUT * 2, |runner| runner.view["mode"] == "over")?;
                 } else {
-                    self.until(&format!("{count} machines {text}"), WAIT_TIMEOUT, |play| {
+                    self.until(&format!("{count} machines {text}"), WAIT_TIMEOUT, |runner| {
                         // Some states are over too soon to be seen for sure.
                         let out = ["leaving", "free", "at work", "warming"];
                         if text == "out" {
-                            return play
+                            return runner
                                 .machines()
                                 .iter()
                                 .any(|(_, state)| out.iter().any(|of| state.starts_with(of)));
                         }
-                        play.machines().iter().filter(|(_, state)| state.starts_with(text.as_str())).count()
+                        runner.machines().iter().filter(|(_, state)| state.starts_with(text.as_str())).count()
                             >= count
                     })?;
                 }
@@ -922,7 +923,7 @@
         self.outcome.served = (verdict.served, verdict.requests);
         self.outcome.longest = self.fleet.relay.stats.max_bytes.load(Ordering::Relaxed);
         self.outcome.old_tokens = self.site.handovers().1;
-        if self.outcome.is_well(self.script) {
+        if self.outcome.passed(self.script) {
             let _ = std::fs::remove_dir_all(&self.folder);
             return self.outcome;
         }
--- a/crates/lab/src/work/script.rs
+++ b/crates/lab/src/work/script.rs
@@ -154,7 +154,7 @@
     /// # Errors
     ///
     /// When one can't be read, or something in it is wrong.
-    pub fn folder(folder: &Path) -> Result<Vec<Self>, records::ScriptError> {
+    pub fn read_folder(folder: &Path) -> Result<Vec<Self>, records::ScriptError> {
         records::read_folder(folder, |name, bytes| Ok(Self::decode(name, bytes)?))
     }
 }
--- a/crates/lab/src/work/model.rs
+++ b/crates/lab/src/work/simulation.rs
@@ -34,7 +34,7 @@
 
 /// What came of a plan.
 #[derive(Clone, Debug, Default)]
-pub struct Played {
+pub struct SimulatedPlan {
     /// How long it took, in seconds; none if it never ended.
     pub seconds: Option<f64>,
     /// Of the load of all groups, the share that found no room, over the whole plan: load beyond 80% of what is warm is lost.
@@ -96,7 +96,7 @@
 
 /// Carries a plan of all servers out, with nothing that fails.
 #[must_use]
-pub fn play(fleet: &Fleet, limits: &Limits) -> Played {
+pub fn simulate(fleet: &Fleet, limits: &Limits) -> SimulatedPlan {
     let mut facts = fleet.facts.clone();
     let machines: Vec<u64> = facts.machines.iter().map(|of| of.machine).collect();
     let plan = Plan { kind: MachineKind::Servers, machines, nonce: 1 };
@@ -105,7 +105,7 @@
     let mut since = vec![Time(0); plan.machines.len()];
     let peak: BTreeMap<u16, f64> = facts.loads.iter().map(|(group, (_, peak))| (*group, *peak)).collect();
     let capacity: f64 = facts.machines.iter().map(|of| of.capacity).sum();
-    let (mut played, mut asked, mut missed) = (Played::default(), 0.0, 0.0);
+    let (mut result, mut asked, mut missed) = (SimulatedPlan::default(), 0.0, 0.0);
     for step in 0..MOST_STEPS {
         let now = Time(step * STEP.0);
         let share = load_at(now, fleet.swing);
@@ -144,7 +144,7 @@
         }
         (record.states, record.mode) = (states, after.mode);
         let out = record.states.iter().filter(|state| state.is_out()).count();
-        played.most_out = played.most_out.max(out);
+        result.most_out = result.most_out.max(out);
         let mut can: BTreeMap<u16, f64> = BTreeMap::new();
         let mut gone = 0.0;
         for (of, state) in facts.machines.iter().zip(&record.states) {
@@ -164,15 +164,15 @@
         }
         asked += load;
         missed += lost;
-        played.curve.push((gone / capacity, 1.0 - lost / load));
+        result.curve.push((gone / capacity, 1.0 - lost / load));
         if record.mode == Mode::Idle {
-            played.seconds = Some(step as f64 * STEP.0 as f64 / 1e6);
+            result.seconds = Some(step as f64 * STEP.0 as f64 / 1e6);
             break;
         }
     }
-    played.worked = record.states.iter().filter(|state| **state == MachineState::Back).count();
-    played.lost = missed / asked;
-    played
+    result.worked = record.states.iter().filter(|state| **state == MachineState::Back).count();
+    result.lost = missed / asked;
+    result
 }
 
 /// The shortest that counts of machines allow, in seconds: whatever else the limits ask for can only make it longer.
@@ -217,7 +217,10 @@
 /// # Errors
 ///
 /// When the file can't be written.
-pub fn plot(path: &Path, plays: &[(&str, Played)]) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
+pub fn plot(
+    path: &Path,
+    plays: &[(&str, SimulatedPlan)],
+) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     let root = SVGBackend::new(path, (900, 420)).into_drawing_area();
     root.fill(&WHITE)?;
     let longest = plays.iter().map(|(_, of)| of.curve.len()).max().unwrap_or(1) as f64 / 720.0;
--- a/crates/lab/tests/leases.rs
+++ b/crates/lab/tests/leases.rs
@@ -1,4 +1,5 @@
-//! The audit finds what is wrong in a history, the check what is wrong in votes, and scripts their own faults.
+//! Tests of the lease proof itself: the audit finds violations in a history, the model check finds them in
+//! broken lease rules, and errors in a script are reported with their position.
 
 use linnetdeal_coordination::lease::FullLeaseRules;
 use linnetdeal_lab::leases::audit::audit;
@@ -13,13 +14,15 @@
 }
 
 #[test]
-fn the_audit_tells_acts_that_overlap_from_acts_that_follow() {
-    let well = [act(1, 5, "a", "begin", true), act(2, 5, "a", "end", true), act(3, 6, "b", "begin", true)];
-    let verdict = audit(&well);
+fn audit_distinguishes_overlapping_from_consecutive_acts() {
+    let consecutive =
+        [act(1, 5, "a", "begin", true), act(2, 5, "a", "end", true), act(3, 6, "b", "begin", true)];
+    let verdict = audit(&consecutive);
     assert_eq!((verdict.overlapping_acts, verdict.late_acts, verdict.tokens), (0, 0, 2));
-    // Its holder died in the middle of it, or the gate turned its end away: that act is over.
-    let cut = [act(1, 5, "a", "begin", true), act(2, 6, "b", "begin", true), act(3, 5, "a", "end", false)];
-    let verdict = audit(&cut);
+    // The holder died during the act, or the gate rejected the end of the act: the act is over.
+    let interrupted =
+        [act(1, 5, "a", "begin", true), act(2, 6, "b", "begin", true), act(3, 5, "a", "end", false)];
+    let verdict = audit(&interrupted);
     assert_eq!((verdict.overlapping_acts, verdict.old_tokens_let_through, verdict.late_acts), (0, 0, 1));
     let overlap = [act(1, 5, "a", "begin", true), act(2, 6, "b", "begin", true), act(3, 5, "a", "end", true)];
     let verdict = audit(&overlap);
@@ -31,24 +34,24 @@
 }
 
 #[test]
-fn the_check_finds_no_fault_in_the_votes_and_finds_it_in_broken_ones() {
+fn model_check_finds_violations_only_in_broken_rules() {
     let bounds = mutants::bounds();
-    let sound = check::<FullLeaseRules>(bounds, 4, 400_000);
-    assert!(sound.wrong.is_none() && sound.states > 50_000, "{sound:?}");
-    assert!(check::<NoMajority>(bounds, 4, 400_000).wrong.is_some());
-    assert!(check::<NotExclusive>(bounds, 4, 3_000_000).wrong.is_some());
+    let unbroken = check::<FullLeaseRules>(bounds, 4, 400_000);
+    assert!(unbroken.violation.is_none() && unbroken.states > 50_000, "{unbroken:?}");
+    assert!(check::<NoMajority>(bounds, 4, 400_000).violation.is_some());
+    assert!(check::<NotExclusive>(bounds, 4, 3_000_000).violation.is_some());
 }
 
 #[test]
-fn a_scripts_faults_are_told_with_their_places() {
-    for (line, words) in [
+fn script_errors_are_reported_with_their_position() {
+    for (line, expected) in [
         ("steps: [{do: \"explode\"}]", "f:3"),
         ("steps: [{do: \"kill\", who: \"nobody\"}]", "f:3"),
         ("steps: [{do: \"kill\", who: \"7\"}]", "there is no such pooler"),
         ("voters: [0, 1, 9]\nsteps: []", "there is no pooler 9"),
     ] {
         let text = format!("package leases\nname: \"x\"\n{line}\n");
-        let told = Script::decode("f", text.as_bytes()).expect_err(line).to_string();
-        assert!(told.contains(words), "{line}: {told}");
+        let error = Script::decode("f", text.as_bytes()).expect_err(line).to_string();
+        assert!(error.contains(expected), "{line}: {error}");
     }
 }
