--- a/crates/lab/src/changes.rs
+++ b/crates/lab/src/changes.rs
@@ -458,7 +458,7 @@
             tally.served_without_row += usize::from(served && !row);
             tally.refused_with_row += usize::from(result == "refused" && row);
             if let Some(promoted) =
-                promoted.filter(|promoted| served && sent_at < promoted && *sent_at + *latency > *promoted)
+                promoted.filter(|instant| served && sent_at < instant && *sent_at + *latency > *instant)
             {
                 after.push(*sent_at + *latency - promoted);
             }
--- a/crates/lab/src/emulator.rs
+++ b/crates/lab/src/emulator.rs
@@ -1,4 +1,4 @@
-//! The fleet in virtual time, from the command line: a scenario, the library of them, and how large it gets.
+//! The fleet in virtual time, as the command line runs it: single scenarios, folders of scenarios, and seeded faults.
 
 use crate::plot::ChartRecorder;
 use linnetdeal_fleet::audit::{AuditReport, Auditor};
@@ -11,10 +11,10 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Tells all of them what happens.
-struct All<'s>(&'s mut Log, &'s mut Auditor, &'s mut ChartRecorder);
+/// Passes each record on to the log, the auditor and the recorder of charts.
+struct Sinks<'s>(&'s mut Log, &'s mut Auditor, &'s mut ChartRecorder);
 
-impl Sink for All<'_> {
+impl Sink for Sinks<'_> {
     fn record(&mut self, record: Record) {
         self.0.record(record);
         self.1.record(record);
@@ -22,29 +22,29 @@
     }
 }
 
-/// A scenario that was played.
+/// The run of a scenario and its results.
 #[derive(Debug)]
 pub struct ScenarioRun {
-    /// Its name.
+    /// Name of the scenario.
     pub name: String,
-    /// What came out.
+    /// Outcome of the simulation.
     pub outcome: RunOutcome,
-    /// What the auditor says.
+    /// Report of the auditor.
     pub audit_report: AuditReport,
-    /// The digest of its records, and their number.
+    /// Digest of the run's records, and their number.
     pub digest: (u64, u64),
-    /// What it took.
+    /// Elapsed real time of the run.
     pub elapsed: Duration,
-    /// Checks of its own that it missed.
+    /// The scenario's own checks that the run missed, in words.
     pub missed_checks: Vec<String>,
-    /// The names of its classes, writes last, and of its tenants.
+    /// Names of the scenario's classes, writes last.
     pub classes: Vec<String>,
-    /// The names of its tenants.
+    /// Names of the scenario's tenants.
     pub tenants: Vec<String>,
 }
 
 impl ScenarioRun {
-    /// In a line.
+    /// The result as one line of text.
     #[must_use]
     pub fn line(&self) -> String {
         let RunOutcome { events, requests, latency, attempts, probes, collapsed, .. } = &self.outcome;
@@ -66,17 +66,18 @@
             } else {
                 format!("BROKEN {}", broken.join(", "))
             },
-            self.missed_checks.iter().map(|words| format!("  MISSED {words}")).collect::<String>(),
+            self.missed_checks.iter().map(|text| format!("  MISSED {text}")).collect::<String>(),
         )
     }
 
-    /// What clients got in worth, by class and tenant, in the whole run and in the worst 10 s, and how often it was asked for.
+    /// Served share weighted by worth, in total and by class and tenant, for the whole run and its worst 10 s, with the
+    /// number of tries, attempts and probes for each request. Text of several lines.
     #[must_use]
     pub fn service(&self) -> String {
         let RunOutcome { service, requests, tries, calls, probes, attempts, .. } = &self.outcome;
         let first = requests.iter().sum::<u64>().max(1) as f64;
         let (from, worst) = service.worst_window();
-        let mut words = format!(
+        let mut text = format!(
             "    service {:.3}, worst 10 s {worst:.3} from {from} s; tries a request {:.2}, attempts {:.2}, probes {:.2}",
             service.overall(),
             *tries as f64 / first,
@@ -84,79 +85,83 @@
             *probes as f64 / first,
         );
         if calls.0 > 0 {
-            words += &format!("; {} calls for the list, {} failed", calls.0, calls.1);
+            text += &format!("; {} calls for the list, {} failed", calls.0, calls.1);
         }
-        let classes = self.classes.iter().enumerate().map(|(at, name)| (name, service.class_shares(at)));
-        let tenants = self.tenants.iter().enumerate().map(|(at, name)| (name, service.tenant_shares(at)));
+        let classes =
+            self.classes.iter().enumerate().map(|(class, name)| (name, service.class_shares(class)));
+        let tenants =
+            self.tenants.iter().enumerate().map(|(tenant, name)| (name, service.tenant_shares(tenant)));
         for (name, [whole, worst]) in classes.chain(tenants) {
-            words += &format!("\n        {name:<16} {whole:.3}, worst 10 s {worst:.3}");
+            text += &format!("\n        {name:<16} {whole:.3}, worst 10 s {worst:.3}");
         }
-        words
+        text
     }
 }
 
-/// What scenarios of a folder share: definitions that each may refer to.
-const WORLD: &str = "world.cue";
+/// File with definitions that all scenarios of its folder may refer to.
+const SHARED_DEFINITIONS: &str = "world.cue";
 
-/// Reads a scenario, with what stands in `world.cue` beside it.
+/// Reads a scenario, with the definitions of the `world.cue` in the same folder, if there is one.
 ///
 /// # Errors
 ///
-/// When it can't be read, or something in it is wrong.
+/// When a file can't be read or the scenario is not valid.
 pub fn load_scenario(path: &Path) -> io::Result<Scenario> {
     let bytes =
         std::fs::read(path).map_err(|error| io::Error::other(format!("{}: {error}", path.display())))?;
-    let world = match std::fs::read_to_string(path.with_file_name(WORLD)) {
+    let shared = match std::fs::read_to_string(path.with_file_name(SHARED_DEFINITIONS)) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => String::new(),
-        world => world?,
+        shared => shared?,
     };
-    Scenario::decode_in(&world, &path.display().to_string(), &bytes).map_err(io::Error::other)
+    Scenario::decode_in(&shared, &path.display().to_string(), &bytes).map_err(io::Error::other)
 }
 
-/// All scenarios of a folder, by name.
+/// Reads all scenarios of a folder, sorted by file name.
 ///
 /// # Errors
 ///
-/// When one can't be read.
+/// When a scenario can't be read or is not valid.
 pub fn load_library(folder: &Path) -> io::Result<Vec<Scenario>> {
     let files =
         std::fs::read_dir(folder)?.map(|entry| Ok(entry?.path())).collect::<io::Result<Vec<PathBuf>>>()?;
-    let mut files: Vec<_> =
-        files.into_iter().filter(|path| path.extension().is_some_and(|of| of == "cue")).collect();
-    files.retain(|path| !path.ends_with(WORLD));
+    let mut files: Vec<_> = files
+        .into_iter()
+        .filter(|path| path.extension().is_some_and(|extension| extension == "cue"))
+        .collect();
+    files.retain(|path| !path.ends_with(SHARED_DEFINITIONS));
     files.sort();
     files.iter().map(|path| load_scenario(path)).collect()
 }
 
-/// Plays a scenario and has it audited.
+/// Runs a scenario and audits its records.
 #[must_use]
 pub fn run_scenario(scenario: &Scenario) -> ScenarioRun {
     run_with_charts(scenario, &mut ChartRecorder::default())
 }
 
-/// The same, with the troubles marked.
+/// Runs and audits a scenario, and records the data of its charts.
 #[must_use]
 pub fn run_with_charts(scenario: &Scenario, marks: &mut ChartRecorder) -> ScenarioRun {
     let (mut log, mut auditor) = (Log::default(), Auditor::new(sim::rules(scenario)));
     let began = Instant::now();
-    let outcome = sim::run(scenario, &mut All(&mut log, &mut auditor, marks));
+    let outcome = sim::run(scenario, &mut Sinks(&mut log, &mut auditor, marks));
     let elapsed = began.elapsed();
     let audit_report =
         auditor.finish(outcome.end).check_first_tries(&sim::rules(scenario), outcome.first_tries());
     let mut missed_checks = Vec::new();
-    for (what, share, wanted) in [
+    for (check, share, target) in [
         ("served", outcome.served_share(), scenario.checks.served),
         ("writes", outcome.class_served_share(outcome.write_class()), scenario.checks.writes),
         ("service", outcome.service.overall(), scenario.checks.service),
         ("worst 10 s", outcome.service.worst_window().1, scenario.checks.worst),
     ] {
-        if share < wanted {
-            missed_checks.push(format!("{what} {share:.3} of {wanted}"));
+        if share < target {
+            missed_checks.push(format!("{check} {share:.3} of {target}"));
         }
     }
     let digest = (log.digest(), log.len());
-    let classes = traffic::class_plans(scenario).into_iter().map(|of| of.class.name).collect();
-    let tenants = scenario.tenants.iter().map(|of| of.name.clone()).collect();
+    let classes = traffic::class_plans(scenario).into_iter().map(|plan| plan.class.name).collect();
+    let tenants = scenario.tenants.iter().map(|tenant| tenant.name.clone()).collect();
     ScenarioRun {
         name: scenario.name.clone(),
         outcome,
@@ -169,10 +174,10 @@
     }
 }
 
-/// Keeps what concerns a request.
-struct Of(u64, Vec<Record>);
+/// Keeps the records of one request.
+struct RequestRecords(u64, Vec<Record>);
 
-impl Sink for Of {
+impl Sink for RequestRecords {
     fn record(&mut self, record: Record) {
         if record.request == self.0 {
             self.1.push(record);
@@ -180,33 +185,34 @@
     }
 }
 
-/// All records of a request.
+/// Runs a scenario and returns all records of a request.
 #[must_use]
 pub fn request_records(scenario: &Scenario, request: u64) -> Vec<Record> {
-    let mut of = Of(request, Vec::new());
-    sim::run(scenario, &mut of);
-    of.1
+    let mut records = RequestRecords(request, Vec::new());
+    sim::run(scenario, &mut records);
+    records.1
 }
 
-/// Puts each fault into a run's records; gives how many were found, of how many that found a place.
+/// Injects each fault into a copy of a run's records and audits it. Returns how many faults the auditor found, and how
+/// many could be injected.
 #[must_use]
 pub fn detect_seeded_faults(scenario: &Scenario) -> (usize, usize) {
     let mut log = Log::with_records();
     let first_tries = sim::run(scenario, &mut log).first_tries();
     let (records, rules) = (log.into_records(), sim::rules(scenario));
-    let (mut found, mut put) = (0, 0);
+    let (mut found, mut injected) = (0, 0);
     for fault in Fault::ALL.into_iter().chain(Fault::FULL_AUDIT) {
         let Some(changed) = fault.inject(&records, &rules) else { continue };
-        put += 1;
+        injected += 1;
         let mut auditor = Auditor::new(rules.clone());
         changed.iter().for_each(|record| auditor.record(*record));
         let verdict = auditor.finish(faults::audit_end(&changed)).check_first_tries(&rules, first_tries);
         found += usize::from(verdict.violations.contains_key(&fault.rule()));
     }
-    (found, put)
+    (found, injected)
 }
 
-/// The most memory that this process has had, in MB.
+/// Peak memory of this process, in MB; 0 if it can't be read.
 #[must_use]
 pub fn peak_memory_mb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
