--- a/crates/daemon/tests/leases.rs
+++ b/crates/daemon/tests/leases.rs
@@ -62,7 +62,7 @@
     let mut script = scripts().into_iter().find(|script| script.name == "drift-beyond").expect("the script");
     script.gate = false;
     let let_through = (1..=3).any(|seed| {
-        let outcome = run_script(&script, seed, Path::new(PROGRAM)).expect("a play");
+        let outcome = run_script(&script, seed, Path::new(PROGRAM)).expect("a run");
         println!("seed {seed}: {outcome:?}");
         outcome.verdict.old_tokens_let_through > 0
     });
@@ -168,12 +168,12 @@
         "tasks: [{name: \"sweep\", term: \"500ms\"}]",
         "positions: {term: \"500ms\", every: \"200ms\"}",
     );
-    let family = ReplicaGroup::start(3, std::net::Ipv4Addr::LOCALHOST.into()).expect("a family");
+    let members = ReplicaGroup::start(3, std::net::Ipv4Addr::LOCALHOST.into()).expect("a replica group");
     let entry = |(index, address): (usize, &SocketAddr)| {
         json!({"instanceId": format!("s{index}"), "hostPort": address.to_string(), "zone": "a", "machineType": "m",
                "cell": 1, "lifecycle": "up", "weight": 1.0, "startedAtMs": 0})
     };
-    let list: Vec<Value> = family.addresses.iter().enumerate().map(entry).collect();
+    let list: Vec<Value> = members.addresses.iter().enumerate().map(entry).collect();
     let known = json!({"generation": 1, "reset": true, "instances": list});
     let spec = spec(5, 6, known);
     let mut fleet = Fleet::new(spec).expect("a fleet");
@@ -193,13 +193,13 @@
     };
     // One pooler probes three members five times a second; if all five did, there would be five times as many
     // probes.
-    let assert_polled_by_one = |family: &ReplicaGroup| {
-        let (began, before) = (Instant::now(), family.probes());
-        wait_until("probes", &mut || family.probes() >= before + 45);
+    let assert_polled_by_one = |members: &ReplicaGroup| {
+        let (began, before) = (Instant::now(), members.probes());
+        wait_until("probes", &mut || members.probes() >= before + 45);
         assert!(began.elapsed() > Duration::from_millis(1_500), "45 probes in {:?}", began.elapsed());
     };
-    wait_until("a first probe", &mut || family.probes() > 0);
-    assert_polled_by_one(&family);
+    wait_until("a first probe", &mut || members.probes() > 0);
+    assert_polled_by_one(&members);
     let holder = (0..5).find(|pooler| {
         let (_, body) = fleet.call(*pooler, "GET", "/-/leases").expect("an answer");
         serde_json::from_str::<Value>(&body).expect("JSON")["tasks"][0]["own"].is_object()
@@ -214,7 +214,7 @@
         });
     }
     fleet.kill(holder);
-    assert_polled_by_one(&family);
+    assert_polled_by_one(&members);
     drop(fleet);
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/daemon/tests/registry.rs
+++ b/crates/daemon/tests/registry.rs
@@ -17,7 +17,7 @@
 /// The index of the class of reads that the client sends.
 const READ: usize = 2;
 
-/// A pooler that follows scripted registry peers, with the stage that they and the servers belong to, and a
+/// A pooler that follows scripted registry peers, with the testbed that they and the servers belong to, and a
 /// client.
 struct Fixture {
     testbed: Testbed,
@@ -37,7 +37,7 @@
 }
 
 impl Fixture {
-    /// Performs an action of a script on the stage.
+    /// Performs an action of a script on the testbed.
     fn act(&mut self, act: Act) {
         self.testbed.apply(&act, &self.pooler).unwrap();
     }
@@ -97,7 +97,7 @@
 
 #[test]
 fn answers_of_a_faulty_registry_remove_no_server() {
-    let manners = [
+    let modes = [
         AnswerMode::Empty,
         AnswerMode::Few(1),
         AnswerMode::Half,
@@ -108,12 +108,12 @@
         AnswerMode::LostDelta,
     ];
     let mut fixture = start_fixture(4, 1, "");
-    for manner in manners {
-        fixture.act(Act::Behave(0, manner.clone()));
+    for mode in modes {
+        fixture.act(Act::Behave(0, mode.clone()));
         fixture.wait_applied(0);
         let reads = fixture.reads(60);
         let used = reads.iter().filter(|(_, count)| *count > 0).count();
-        assert!(used >= 3, "{manner:?}: {reads:?}");
+        assert!(used >= 3, "{mode:?}: {reads:?}");
         fixture.act(Act::Behave(0, AnswerMode::Well));
         fixture.wait_applied(0);
     }
--- a/crates/daemon/tests/work.rs
+++ b/crates/daemon/tests/work.rs
@@ -3,7 +3,7 @@
 
 use linnetdeal_lab::lock;
 use linnetdeal_lab::processes::process;
-use linnetdeal_lab::work::runner;
+use linnetdeal_lab::work::runner::run_script;
 use linnetdeal_lab::work::script::Script;
 use std::path::{Path, PathBuf};
 use std::sync::{Condvar, Mutex};
@@ -42,12 +42,11 @@
 }
 
 /// Runs a script, which has to end well with at least `min_worked` machines worked on.
-fn run_script(name: &str, min_worked: usize) {
+fn check_script(name: &str, min_worked: usize) {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../../scenarios/work/{name}.cue"));
     let script = Script::decode(name, &std::fs::read(&file).unwrap()).unwrap();
     let permit = Permit::acquire();
-    let outcome =
-        runner::run_script(&script, script.seed, &PathBuf::from(env!("CARGO_BIN_EXE_linnetdeal"))).unwrap();
+    let outcome = run_script(&script, script.seed, &PathBuf::from(env!("CARGO_BIN_EXE_linnetdeal"))).unwrap();
     println!("{name} with seed {}: {outcome:?}", script.seed);
     assert!(outcome.passed(&script), "{name}: {outcome:#?}");
     assert!(outcome.worked >= min_worked, "{name}: {} machines were worked on", outcome.worked);
@@ -56,95 +55,95 @@
 
 #[test]
 fn script_leader_killed() {
-    run_script("leader-killed", 6);
+    check_script("leader-killed", 6);
 }
 
 #[test]
 fn script_leader_cut_off() {
-    run_script("leader-cut-off", 6);
+    check_script("leader-cut-off", 6);
 }
 
 #[test]
 fn script_leader_stopped() {
-    run_script("leader-stopped", 6);
+    check_script("leader-stopped", 6);
 }
 
 #[test]
 fn script_dies_after_03() {
-    run_script("dies-after-03", 1);
+    check_script("dies-after-03", 1);
 }
 
 #[test]
 fn script_dies_after_09() {
-    run_script("dies-after-09", 1);
+    check_script("dies-after-09", 1);
 }
 
 #[test]
 fn script_dies_after_18() {
-    run_script("dies-after-18", 1);
+    check_script("dies-after-18", 1);
 }
 
 #[test]
 fn script_dies_after_28() {
-    run_script("dies-after-28", 1);
+    check_script("dies-after-28", 1);
 }
 
 #[test]
 fn script_unheard() {
-    run_script("unheard", 1);
+    check_script("unheard", 1);
 }
 
 #[test]
 fn script_forced() {
-    run_script("forced", 1);
+    check_script("forced", 1);
 }
 
 #[test]
 fn script_voters_forget() {
-    run_script("voters-forget", 6);
+    check_script("voters-forget", 6);
 }
 
 #[test]
 fn script_two_staff() {
-    run_script("two-staff", 2);
+    check_script("two-staff", 2);
 }
 
 #[test]
 fn script_refused() {
-    run_script("refused", 1);
+    check_script("refused", 1);
 }
 
 #[test]
 fn script_never() {
-    run_script("never", 0);
+    check_script("never", 0);
 }
 
 #[test]
 fn script_cancelled() {
-    run_script("cancelled", 2);
+    check_script("cancelled", 2);
 }
 
 #[test]
 fn script_by_hand() {
-    run_script("by-hand", 2);
+    check_script("by-hand", 2);
 }
 
 #[test]
 fn script_server_dies() {
-    run_script("server-dies", 9);
+    check_script("server-dies", 9);
 }
 
 #[test]
 fn script_replaced() {
-    run_script("replaced", 6);
+    check_script("replaced", 6);
 }
 
 #[test]
 fn script_poolers() {
-    run_script("poolers", 5);
+    check_script("poolers", 5);
 }
 
 #[test]
 fn script_noise() {
-    run_script("noise", 6);
+    check_script("noise", 6);
 }
