--- a/crates/lab/src/emulator.rs
+++ b/crates/lab/src/emulator.rs
@@ -141,10 +141,10 @@
 
 /// Runs and audits a scenario, and records the data of its charts.
 #[must_use]
-pub fn run_with_charts(scenario: &Scenario, marks: &mut ChartRecorder) -> ScenarioRun {
+pub fn run_with_charts(scenario: &Scenario, charts: &mut ChartRecorder) -> ScenarioRun {
     let (mut log, mut auditor) = (Log::default(), Auditor::new(sim::rules(scenario)));
     let began = Instant::now();
-    let outcome = sim::run(scenario, &mut Sinks(&mut log, &mut auditor, marks));
+    let outcome = sim::run(scenario, &mut Sinks(&mut log, &mut auditor, charts));
     let elapsed = began.elapsed();
     let audit_report =
         auditor.finish(outcome.end).check_first_tries(&sim::rules(scenario), outcome.first_tries());
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -279,8 +279,9 @@
     let mut all = Vec::new();
     for ((poolers, load), pairs) in pairs {
         for (index, figure) in FIGURES.into_iter().enumerate() {
-            let mean =
-                |figure: &dyn Fn(&Pair) -> f64| pairs.iter().map(figure).sum::<f64>() / pairs.len() as f64;
+            let mean = |value_of: &dyn Fn(&Pair) -> f64| {
+                pairs.iter().map(value_of).sum::<f64>() / pairs.len() as f64
+            };
             let differences: Vec<f64> = pairs.iter().map(|(a, b)| b[index] - a[index]).collect();
             let mut resampled: Vec<f64> = (0..RESAMPLES)
                 .map(|_| {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -332,7 +332,7 @@
         }
         Command::Experiment { file, out, threads } => experiment(&file, &out, threads),
         Command::Compare { before, after } => compare(&before, &after),
-        Command::Even { poolers, ages, seed, plots } => linnetdeal_lab::even::table(
+        Command::Even { poolers, ages, seed, plots } => linnetdeal_lab::even::print_tables(
             &poolers,
             &ages,
             seed,
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -1,5 +1,5 @@
-//! Model checking of the decisions themselves: the same [`Router`] that serves, stepped by stateright through all orders
-//! in which a change of primary, answers, losses, a crash of a router and a drain can fall, within stated bounds.
+//! Model checking of the decision logic: the [`Router`] that is used in production is stepped by stateright through all
+//! orders of a change of primary, answers, lost answers, a crash of a router and a drain, within given bounds.
 
 use linnetdeal_core::*;
 use stateright::{Checker, Model, Property};
@@ -9,30 +9,32 @@
 use std::sync::Arc;
 
 const MEMBERS: usize = 3;
-/// What clients grant a write, and how far time is followed, in ms. Time goes on in steps, with each wake in them at its
-/// own moment.
-const LEFT_MS: i64 = 500;
+/// Deadline of a write, in ms.
+const DEADLINE_MS: i64 = 500;
+/// End of the modelled time, in ms.
 const END_MS: i64 = 800;
+/// Step of the modelled time, in ms. Wake-ups and time-outs within a step occur at their own time.
 const STEP_MS: i64 = 200;
 
-/// How far the exploration goes, and what is wrong on purpose.
+/// Bounds of the exploration, and a fault to inject.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Writes that clients ask of each router.
+    /// Number of writes that clients send to each router.
     pub writes: usize,
-    /// Answers that may be lost beside those that a death loses.
+    /// Number of answers that may be lost, besides those lost by a failure of the primary.
     pub losses: u8,
-    /// Routers that may crash.
+    /// Number of crashes of routers.
     pub crashes: u8,
-    /// Whether a drain of the primary may be told.
+    /// Whether the routers may be told to drain the primary.
     pub drains: bool,
-    /// A host that takes a reset for proof that nothing ran: the walk resends after it. The check has to find it.
+    /// Injected fault: the host reports a reset connection as proof that nothing ran, so the router resends the write.
+    /// The check has to find it.
     pub reset_proves_not_run: bool,
 }
 
-/// An attempt that is out.
+/// An attempt that is in flight.
 #[derive(Clone, Debug)]
 struct Attempt {
     router: usize,
@@ -41,57 +43,57 @@
     member: usize,
     sent: i64,
     until: i64,
-    /// The member was the primary when it was sent.
+    /// Whether the member was the primary when the attempt was sent.
     primary: bool,
-    /// The member was down when it was sent: nobody took it.
+    /// Whether the member was down when the attempt was sent, so that the connection was refused.
     refused: bool,
 }
 
-/// A write, as its client and the ledger see it.
+/// A write, as its client and the servers see it.
 #[derive(Clone, Debug, Default)]
 struct Write {
     asked: Option<i64>,
-    runs: u8,
-    sends: u32,
+    run_count: u8,
+    send_count: u32,
     answers: Vec<&'static str>,
-    /// Its router crashed: nobody is owed an answer.
-    orphan: bool,
+    /// Whether its router crashed, so that no answer is due.
+    router_crashed: bool,
 }
 
-/// A state of the whole.
+/// A state of the model: routers, members and clients.
 #[derive(Clone)]
-pub struct World {
+pub struct ModelState {
     now: i64,
     routers: Vec<Router>,
     wakes: Vec<Option<i64>>,
-    told: Vec<bool>,
+    drain_announced: Vec<bool>,
     attempts: Vec<Attempt>,
-    /// By router, then by number.
+    /// Writes by router and number.
     writes: Vec<Vec<Write>>,
     alive: [bool; MEMBERS],
     primary: Option<usize>,
-    changed: bool,
-    revived: bool,
+    primary_failed: bool,
+    old_primary_back: bool,
     losses: u8,
     crashes: u8,
-    /// Something that must never happen, in words.
+    /// Description of a broken rule, if one was broken.
     violation: Option<String>,
 }
 
-impl fmt::Debug for World {
+impl fmt::Debug for ModelState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
             "{} {:?} {:?} {:?} {:?} {:?} {:?} {} {} {} {} {:?} {:?}",
             self.now,
             self.wakes,
-            self.told,
+            self.drain_announced,
             self.attempts,
             self.writes,
             self.alive,
             self.primary,
-            self.changed,
-            self.revived,
+            self.primary_failed,
+            self.old_primary_back,
             self.losses,
             self.crashes,
             self.violation,
@@ -100,43 +102,43 @@
     }
 }
 
-impl Hash for World {
+impl Hash for ModelState {
     fn hash<H: Hasher>(&self, state: &mut H) {
         format!("{self:?}").hash(state);
     }
 }
 
-impl PartialEq for World {
+impl PartialEq for ModelState {
     fn eq(&self, other: &Self) -> bool {
         format!("{self:?}") == format!("{other:?}")
     }
 }
 
-/// What can happen next.
+/// A transition of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A client asks a router for its next write.
+    /// A client sends a router its next write.
     Ask(usize),
-    /// Time goes on.
+    /// Time advances by a step.
     Tick,
-    /// An attempt ends as the member has it; with `ran` a lost one has run.
+    /// An attempt ends.
     Ends {
-        /// Which of those that are out.
+        /// Index of the attempt among those in flight.
         attempt: usize,
-        /// Whether its answer gets lost on the way.
+        /// Whether its answer is lost.
         lost: bool,
-        /// Whether it ran before that.
+        /// Whether the write ran, if the answer is lost.
         ran: bool,
     },
-    /// The primary dies.
+    /// The primary fails.
     Dies,
-    /// A member takes over.
+    /// A member becomes the primary.
     Promote(usize),
-    /// The old primary is back as a replica.
+    /// The old primary comes back as a replica.
     Revive,
-    /// A router dies and starts from its list.
+    /// A router crashes and restarts from its list.
     Crash(usize),
-    /// A router is told that the primary drains.
+    /// A router is told to drain the primary.
     Drain(usize),
 }
 
@@ -179,42 +181,42 @@
     Entry { member: id(at), group: GroupId(1), state, primary: at == 0, started: None, zone: String::new() }
 }
 
-impl World {
+impl ModelState {
     fn start(bounds: &Bounds) -> Self {
-        let mut world = Self {
+        let mut state = Self {
             now: 0,
             routers: Vec::new(),
             wakes: vec![None; bounds.routers],
-            told: vec![false; bounds.routers],
+            drain_announced: vec![false; bounds.routers],
             attempts: Vec::new(),
             writes: vec![vec![Write::default(); bounds.writes]; bounds.routers],
             alive: [true; MEMBERS],
             primary: Some(0),
-            changed: false,
-            revived: false,
+            primary_failed: false,
+            old_primary_back: false,
             losses: 0,
             crashes: 0,
             violation: None,
         };
         for at in 0..bounds.routers {
-            world.routers.push(Router::new(at as u64, settings()));
-            world.list(at);
+            state.routers.push(Router::new(at as u64, settings()));
+            state.send_list(at);
         }
-        world
+        state
     }
 
-    /// A router's list from before all: all up, the first the primary.
-    fn list(&mut self, router: usize) {
+    /// Gives a router the initial list: all members are up, the first is the primary.
+    fn send_list(&mut self, router: usize) {
         let entries = (0..MEMBERS).map(|at| entry(at, ListState::Healthy)).collect();
-        self.feed(router, Event::List(Listing::Full(entries)));
+        self.handle_event(router, Event::List(Listing::Full(entries)));
     }
 
     fn time(&self) -> Time {
         Time(1_000_000_000 + self.now * 1_000)
     }
 
-    /// Feeds a router, and carries out what it orders; a probe is answered at once with what is true.
-    fn feed(&mut self, router: usize, event: Event) {
+    /// Passes an event to a router and carries out its actions; probes are answered at once with the member's actual state.
+    fn handle_event(&mut self, router: usize, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             let (now, mut actions) = (self.time(), Vec::new());
@@ -222,19 +224,19 @@
             for action in actions {
                 match action {
                     Action::Send { request, member, timeout } => self.send(router, request, &member, timeout),
-                    Action::Refuse { request, .. } => self.answer(router, request, "refused"),
-                    Action::Fail { request } => self.answer(router, request, "failed"),
+                    Action::Refuse { request, .. } => self.record_answer(router, request, "refused"),
+                    Action::Fail { request } => self.record_answer(router, request, "failed"),
                     Action::Wake { at } => {
                         self.wakes[router] = Some((at.0 - 1_000_000_000).div_euclid(1_000) + 1)
                     }
-                    Action::Probe { member } => events.push(self.probed(member)),
+                    Action::Probe { member } => events.push(self.probe_result(member)),
                     Action::Cancel { .. } | Action::Tell { .. } | Action::Subscribe | Action::Log { .. } => {}
                 }
             }
         }
     }
 
-    fn probed(&self, member: MemberId) -> Event {
+    fn probe_result(&self, member: MemberId) -> Event {
         let at = (0..MEMBERS).find(|at| id(*at) == member).unwrap_or(0);
         let took = Span::millis(1);
         if !self.alive[at] {
@@ -248,7 +250,7 @@
     fn send(&mut self, router: usize, request: RequestId, member: &MemberId, timeout: Span) {
         let write = request.0 as usize - 1;
         let member = (0..MEMBERS).find(|at| id(*at) == *member).unwrap_or(0);
-        if self.told[router] && member == 0 {
+        if self.drain_announced[router] && member == 0 {
             self.violation = Some("sent to a member after it was told to drain".into());
         }
         if !self.writes[router][write].answers.is_empty() {
@@ -258,42 +260,42 @@
             self.violation = Some("two attempts out at once".into());
         }
         let one = &mut self.writes[router][write];
-        let number = one.sends;
-        one.sends += 1;
+        let number = one.send_count;
+        one.send_count += 1;
         let (sent, primary) = (self.now, self.primary == Some(member));
         let until = sent + timeout.0.div_euclid(1_000);
         let refused = !self.alive[member];
         self.attempts.push(Attempt { router, write, number, member, sent, until, refused, primary });
     }
 
-    fn answer(&mut self, router: usize, request: RequestId, how: &'static str) {
+    fn record_answer(&mut self, router: usize, request: RequestId, outcome: &'static str) {
         let write = request.0 as usize - 1;
-        let out = self.attempts.iter().any(|of| of.router == router && of.write == write);
+        let in_flight = self.attempts.iter().any(|of| of.router == router && of.write == write);
         let one = &mut self.writes[router][write];
-        one.answers.push(how);
+        one.answers.push(outcome);
         if one.answers.len() > 1 {
             self.violation = Some("two final answers".into());
-        } else if how == "refused" && (one.runs > 0 || out) {
+        } else if outcome == "refused" && (one.run_count > 0 || in_flight) {
             self.violation = Some("refused, though it ran or still may".into());
         }
     }
 
-    /// An attempt ends so.
-    fn end(&mut self, at: usize, verdict: Verdict, ran: bool) {
+    /// Ends an attempt with this verdict; `ran` tells whether the write ran.
+    fn end_attempt(&mut self, at: usize, verdict: Verdict, ran: bool) {
         let Attempt { router, write, number, member, sent, primary, .. } = self.attempts.remove(at);
         let one = &mut self.writes[router][write];
-        one.runs += u8::from(ran);
-        if one.runs > 1 {
+        one.run_count += u8::from(ran);
+        if one.run_count > 1 {
             self.violation = Some("a write ran twice".into());
         }
         let served = verdict == Verdict::Ok;
         if served {
-            self.answer(router, request(write), "served");
+            self.record_answer(router, request(write), "served");
         }
         let role = if primary { Role::Primary } else { Role::Replica };
-        let tells = matches!(verdict, Verdict::Ok | Verdict::Miss);
-        let note = tells.then_some(Note { role: Some(role), position: None });
-        self.feed(
+        let has_note = matches!(verdict, Verdict::Ok | Verdict::Miss);
+        let note = has_note.then_some(Note { role: Some(role), position: None });
+        self.handle_event(
             router,
             Event::Outcome(Outcome {
                 request: request(write),
@@ -308,184 +310,191 @@
         );
     }
 
-    /// Time goes on by a step, with each wake and each time-out in it at its own moment.
+    /// Advances time by a step; wake-ups and time-outs within it occur at their own time.
     fn tick(&mut self) {
         let target = self.now + STEP_MS;
-        // Each wake asks for the next one 10 ms later at the soonest.
+        // A router asks for its next wake-up at least 10 ms later, so the loop is bounded.
         for _ in 0..400 {
             let wake =
                 self.wakes.iter().enumerate().filter_map(|(at, wake)| wake.map(|wake| (wake, at))).min();
-            let late = self.attempts.iter().enumerate().map(|(at, of)| (of.until, at)).min();
-            let next = wake.map(|(at, _)| at).into_iter().chain(late.map(|(at, _)| at)).min();
+            let timeout_due = self.attempts.iter().enumerate().map(|(at, of)| (of.until, at)).min();
+            let next = wake.map(|(at, _)| at).into_iter().chain(timeout_due.map(|(at, _)| at)).min();
             let Some(next) = next.filter(|next| *next <= target) else { break };
             self.now = self.now.max(next);
-            match late.filter(|(at, _)| *at == next) {
-                Some((_, at)) => self.end(at, Verdict::Timeout, false),
+            match timeout_due.filter(|(at, _)| *at == next) {
+                Some((_, at)) => self.end_attempt(at, Verdict::Timeout, false),
                 None => {
                     if let Some((_, router)) = wake {
                         self.wakes[router] = None;
-                        self.feed(router, Event::Wake);
+                        self.handle_event(router, Event::Wake);
                     }
                 }
             }
         }
         self.now = target;
-        let over = |one: &Write| one.asked.is_some_and(|at| target > at + LEFT_MS + 20);
-        if self.writes.iter().flatten().any(|one| over(one) && one.answers.is_empty() && !one.orphan) {
+        let overdue = |one: &Write| one.asked.is_some_and(|at| target > at + DEADLINE_MS + 20);
+        if self
+            .writes
+            .iter()
+            .flatten()
+            .any(|one| overdue(one) && one.answers.is_empty() && !one.router_crashed)
+        {
             self.violation = Some("no answer by the deadline".into());
         }
     }
 }
 
-/// The model.
+/// The model of a change of primary, as stateright explores it.
 #[derive(Clone, Debug)]
-pub struct Change(pub Bounds);
+pub struct PrimaryChangeModel(pub Bounds);
 
-impl Model for Change {
-    type State = World;
+impl Model for PrimaryChangeModel {
+    type State = ModelState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
-        vec![World::start(&self.0)]
+    fn init_states(&self) -> Vec<ModelState> {
+        vec![ModelState::start(&self.0)]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        if world.violation.is_some() {
+    fn actions(&self, state: &ModelState, steps: &mut Vec<Step>) {
+        if state.violation.is_some() {
             return;
         }
-        if world.now < END_MS {
+        if state.now < END_MS {
             steps.push(Step::Tick);
         }
         for router in 0..self.0.routers {
-            let more = world.writes[router].iter().any(|one| one.asked.is_none() && !one.orphan);
-            if more && world.now + LEFT_MS <= END_MS {
+            let has_unsent =
+                state.writes[router].iter().any(|one| one.asked.is_none() && !one.router_crashed);
+            if has_unsent && state.now + DEADLINE_MS <= END_MS {
                 steps.push(Step::Ask(router));
             }
-            if world.crashes < self.0.crashes {
+            if state.crashes < self.0.crashes {
                 steps.push(Step::Crash(router));
             }
-            if self.0.drains && !world.told[router] && !world.changed {
+            if self.0.drains && !state.drain_announced[router] && !state.primary_failed {
                 steps.push(Step::Drain(router));
             }
         }
-        for (attempt, of) in world.attempts.iter().enumerate() {
-            let here = world.alive[of.member];
-            if here || of.refused {
+        for (attempt, of) in state.attempts.iter().enumerate() {
+            let member_alive = state.alive[of.member];
+            if member_alive || of.refused {
                 steps.push(Step::Ends { attempt, lost: false, ran: false });
             }
-            // What was sent to a primary may get lost beside a death, or with it.
-            let by_chance = here && world.losses < self.0.losses && world.primary == Some(of.member);
-            if !of.refused && (by_chance || !here) {
+            // The answer to an attempt sent to a primary may be lost by itself or by a failure of the primary.
+            let may_lose = member_alive && state.losses < self.0.losses && state.primary == Some(of.member);
+            if !of.refused && (may_lose || !member_alive) {
                 steps.push(Step::Ends { attempt, lost: true, ran: false });
                 if of.primary {
                     steps.push(Step::Ends { attempt, lost: true, ran: true });
                 }
             }
         }
-        match world.primary {
-            Some(0) if !world.changed => steps.push(Step::Dies),
+        match state.primary {
+            Some(0) if !state.primary_failed => steps.push(Step::Dies),
             None => steps.extend((1..MEMBERS).map(Step::Promote)),
-            Some(1..) if !world.alive[0] && !world.revived => steps.push(Step::Revive),
+            Some(1..) if !state.alive[0] && !state.old_primary_back => steps.push(Step::Revive),
             _ => {}
         }
     }
 
-    fn next_state(&self, before: &World, step: Step) -> Option<World> {
-        let mut world = before.clone();
+    fn next_state(&self, previous: &ModelState, step: Step) -> Option<ModelState> {
+        let mut state = previous.clone();
         match step {
-            Step::Tick => world.tick(),
+            Step::Tick => state.tick(),
             Step::Ask(router) => {
-                let write = world.writes[router].iter().position(|one| one.asked.is_none() && !one.orphan)?;
-                world.writes[router][write].asked = Some(world.now);
-                let ask = Request {
+                let write =
+                    state.writes[router].iter().position(|one| one.asked.is_none() && !one.router_crashed)?;
+                state.writes[router][write].asked = Some(state.now);
+                let new_request = Request {
                     id: request(write),
                     class: ClassId(0),
                     tenant: None,
                     session: None,
-                    left: Span::millis(LEFT_MS),
+                    left: Span::millis(DEADLINE_MS),
                     group: GroupId(1),
                     last_write: None,
                     cost: None,
                     retry: false,
                 };
-                world.feed(router, Event::Request(ask));
+                state.handle_event(router, Event::Request(new_request));
             }
             Step::Ends { attempt, lost, ran } => {
-                let of = &world.attempts[attempt];
-                let (refused, primary) = (of.refused, world.primary == Some(of.member));
+                let of = &state.attempts[attempt];
+                let (refused, primary) = (of.refused, state.primary == Some(of.member));
                 if lost {
-                    world.losses += u8::from(world.alive[of.member]);
+                    state.losses += u8::from(state.alive[of.member]);
                     let verdict = if self.0.reset_proves_not_run { Verdict::Broken } else { Verdict::Reset };
-                    world.end(attempt, verdict, ran);
+                    state.end_attempt(attempt, verdict, ran);
                 } else if refused {
-                    world.end(attempt, Verdict::ConnectFailed, false);
+                    state.end_attempt(attempt, Verdict::ConnectFailed, false);
                 } else if primary {
-                    world.attempts[attempt].primary = true;
-                    world.end(attempt, Verdict::Ok, true);
+                    state.attempts[attempt].primary = true;
+                    state.end_attempt(attempt, Verdict::Ok, true);
                 } else {
-                    world.attempts[attempt].primary = false;
-                    world.end(attempt, Verdict::Miss, false);
+                    state.attempts[attempt].primary = false;
+                    state.end_attempt(attempt, Verdict::Miss, false);
                 }
             }
             Step::Dies => {
-                world.alive[0] = false;
-                (world.primary, world.changed) = (None, true);
+                state.alive[0] = false;
+                (state.primary, state.primary_failed) = (None, true);
             }
-            Step::Promote(at) => world.primary = Some(at),
+            Step::Promote(at) => state.primary = Some(at),
             Step::Revive => {
-                world.alive[0] = true;
-                world.revived = true;
+                state.alive[0] = true;
+                state.old_primary_back = true;
             }
             Step::Crash(router) => {
-                world.crashes += 1;
-                world.attempts.retain(|of| of.router != router);
-                for one in world.writes[router].iter_mut().filter(|one| one.answers.is_empty()) {
-                    one.orphan = true;
+                state.crashes += 1;
+                state.attempts.retain(|of| of.router != router);
+                for one in state.writes[router].iter_mut().filter(|one| one.answers.is_empty()) {
+                    one.router_crashed = true;
                 }
-                world.routers[router] = Router::new(router as u64 + 100, settings());
-                (world.wakes[router], world.told[router]) = (None, false);
-                world.list(router);
+                state.routers[router] = Router::new(router as u64 + 100, settings());
+                (state.wakes[router], state.drain_announced[router]) = (None, false);
+                state.send_list(router);
             }
             Step::Drain(router) => {
-                world.told[router] = true;
+                state.drain_announced[router] = true;
                 let drains = vec![entry(0, ListState::Draining)];
-                world.feed(router, Event::List(Listing::Changes(drains)));
+                state.handle_event(router, Event::List(Listing::Changes(drains)));
             }
         }
-        Some(world)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("the rules hold", |_, world| world.violation.is_none()),
-            // Else the check would show nothing.
-            Property::<Self>::sometimes("a write outlasts the change", |_, world| {
-                let served = |one: &Write| one.answers == ["served"] && one.sends > 1;
-                world.changed && world.writes.iter().flatten().any(served)
+            Property::<Self>::always("the rules hold", |_, state| state.violation.is_none()),
+            // Without such a write the check would prove nothing.
+            Property::<Self>::sometimes("a write outlasts the change", |_, state| {
+                let served = |one: &Write| one.answers == ["served"] && one.send_count > 1;
+                state.primary_failed && state.writes.iter().flatten().any(served)
             }),
         ]
     }
 }
 
-/// What a check found.
+/// Result of a check.
 #[derive(Clone, Debug)]
 pub struct CheckResult {
-    /// Different states.
+    /// Number of distinct states.
     pub states: usize,
-    /// What went wrong, with the steps that lead there.
+    /// The broken rule, with the steps that lead to it.
     pub violation: Option<(String, Vec<Step>)>,
-    /// Whether some write was served after having been sent to the old primary.
+    /// Whether some write was served after it had first been sent to the old primary.
     pub write_outlasted_change: bool,
 }
 
-/// Checks all states within these bounds.
+/// Checks all states within the bounds.
 #[must_use]
 pub fn check(bounds: Bounds, threads: usize) -> CheckResult {
-    let checker = Change(bounds).checker().threads(threads).spawn_bfs().join();
+    let checker = PrimaryChangeModel(bounds).checker().threads(threads).spawn_bfs().join();
     let discoveries: BTreeMap<_, _> = checker.discoveries().into_iter().collect();
     let violation = discoveries.get("the rules hold").map(|path| {
-        let words = path.last_state().violation.clone().unwrap_or_default();
-        (words, path.clone().into_actions())
+        let rule = path.last_state().violation.clone().unwrap_or_default();
+        (rule, path.clone().into_actions())
     });
     let write_outlasted_change = discoveries.contains_key("a write outlasts the change");
     CheckResult { states: checker.unique_state_count(), violation, write_outlasted_change }
