--- a/crates/lab/src/work/environment.rs
+++ b/crates/lab/src/work/environment.rs
@@ -1,4 +1,4 @@
-//! What poolers stand among: servers, the list of them, and who hands primaries over.
+//! Environment of the poolers under test: stand-in servers, the discovery service and the handover service.
 
 use crate::boxes::{Log, StandInServer};
 use crate::lock;
@@ -11,49 +11,49 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A server.
+/// A server of the environment.
 #[derive(Clone)]
 pub struct Server {
-    /// Its id.
+    /// Id in the list of servers.
     pub id: String,
-    /// Its group.
+    /// Number of its group.
     pub group: usize,
-    /// Its zone.
+    /// Name of its zone.
     pub zone: String,
-    /// The stand-in.
+    /// The stand-in server.
     pub stand_in: StandInServer,
 }
 
-/// What the list says of a server.
+/// What discovery publishes about a server.
 #[derive(Clone, Debug)]
-struct Entry {
+struct ListEntry {
     lifecycle: String,
     started_ms: u64,
 }
 
-struct Inside {
+struct EnvironmentState {
     generation: u64,
-    entries: Vec<Entry>,
-    /// By pooler.
+    entries: Vec<ListEntry>,
+    /// Open watch connections, with the pooler of each.
     watchers: Vec<(usize, TcpStream)>,
-    /// The highest token that asked for a hand-over.
+    /// Highest fencing token of a handover request.
     token: u64,
-    old_tokens: usize,
-    denies: bool,
+    rejected_old_tokens: usize,
+    denies_handovers: bool,
     handovers: usize,
 }
 
-/// All of them.
+/// The environment; its services stop when it is dropped.
 pub struct Environment {
-    /// The servers.
+    /// The stand-in servers.
     pub servers: Vec<Server>,
-    /// Where the list is followed, by pooler.
+    /// Address of the discovery service, by pooler.
     pub discovery: Vec<SocketAddr>,
-    /// Who hands primaries over.
+    /// Address of the handover service.
     pub handover: SocketAddr,
-    inside: Arc<Mutex<Inside>>,
-    over: Arc<AtomicBool>,
-    doors: Vec<SocketAddr>,
+    state: Arc<Mutex<EnvironmentState>>,
+    stopped: Arc<AtomicBool>,
+    listener_addresses: Vec<SocketAddr>,
 }
 
 fn now_ms() -> u64 {
@@ -62,15 +62,16 @@
 }
 
 impl Environment {
-    /// So many groups of so many servers each, in zones in turn, for so many poolers. Answers take `work`.
+    /// Starts groups of `members` servers each, which are spread over the zones in turn, and discovery for
+    /// `poolers` poolers. A server takes `service_time` for an answer.
     ///
     /// # Errors
     ///
-    /// When addresses can't be had.
+    /// When no listening socket can be opened.
     pub fn start(
         (groups, members, zones): (usize, usize, usize),
         poolers: usize,
-        work: Duration,
+        service_time: Duration,
         recorder: &Arc<Mutex<Recorder>>,
     ) -> std::io::Result<Self> {
         let mut servers = Vec::new();
@@ -80,74 +81,77 @@
                 let id = format!("s{group}{member}");
                 let primary = member == group % members;
                 let ip = IpAddr::V4(Ipv4Addr::LOCALHOST);
-                let stand_in = StandInServer::start(&id, ip, primary, work, log.clone(), recorder.clone())?;
+                let stand_in =
+                    StandInServer::start(&id, ip, primary, service_time, log.clone(), recorder.clone())?;
                 let zone = char::from(b'a' + (member % zones) as u8).to_string();
                 servers.push(Server { id, group, zone, stand_in });
             }
         }
-        let entry = || Entry { lifecycle: "up".to_owned(), started_ms: 0 };
-        let inside = Arc::new(Mutex::new(Inside {
+        let entry = || ListEntry { lifecycle: "up".to_owned(), started_ms: 0 };
+        let state = Arc::new(Mutex::new(EnvironmentState {
             generation: 1,
             entries: servers.iter().map(|_| entry()).collect(),
             watchers: Vec::new(),
             token: 0,
-            old_tokens: 0,
-            denies: false,
+            rejected_old_tokens: 0,
+            denies_handovers: false,
             handovers: 0,
         }));
-        let over = Arc::new(AtomicBool::new(false));
-        let mut doors = Vec::new();
+        let stopped = Arc::new(AtomicBool::new(false));
+        let mut listener_addresses = Vec::new();
         let mut discovery = Vec::new();
         for pooler in 0..poolers {
             let listener = TcpListener::bind("127.0.0.1:0")?;
             discovery.push(listener.local_addr()?);
-            let (inside, over) = (inside.clone(), over.clone());
+            let (state, stopped) = (state.clone(), stopped.clone());
             std::thread::spawn(move || {
                 for stream in listener.incoming() {
-                    if over.load(Ordering::SeqCst) {
+                    if stopped.load(Ordering::SeqCst) {
                         return;
                     }
                     let Ok(mut stream) = stream else { continue };
                     if !matches!(RequestHead::read(&mut stream), Ok(Some(_))) {
                         continue;
                     }
-                    let mut inside = lock(&inside);
+                    let mut state = lock(&state);
                     let answer =
                         "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\nconnection: close\r\n\r\n";
-                    // An empty line only tells that the watch lives.
+                    // An empty line is a heartbeat of the watch.
                     if stream.write_all(answer.as_bytes()).and_then(|()| stream.write_all(b"\n")).is_ok() {
-                        inside.watchers.push((pooler, stream));
+                        state.watchers.push((pooler, stream));
                     }
                 }
             });
         }
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let handover = listener.local_addr()?;
-        let (of_inside, of_over, of_servers) = (inside.clone(), over.clone(), servers.clone());
+        let (handover_state, handover_stopped, handover_servers) =
+            (state.clone(), stopped.clone(), servers.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                if of_over.load(Ordering::SeqCst) {
+                if handover_stopped.load(Ordering::SeqCst) {
                     return;
                 }
                 if let Ok(stream) = stream {
-                    let _ = hand_over(stream, &of_inside, &of_servers);
+                    let _ = handle_handover(stream, &handover_state, &handover_servers);
                 }
             }
         });
-        doors.extend(discovery.iter().copied());
-        doors.push(handover);
-        Ok(Self { servers, discovery, handover, inside, over, doors })
+        listener_addresses.extend(discovery.iter().copied());
+        listener_addresses.push(handover);
+        Ok(Self { servers, discovery, handover, state, stopped, listener_addresses })
     }
 
-    /// The list as a pooler that starts has held it last; `address` is where it finds each.
+    /// The list of servers that a pooler starts with; `address` returns the address under which it reaches a
+    /// server.
     #[must_use]
-    pub fn known(servers: &[Server], address: &dyn Fn(usize) -> SocketAddr) -> Value {
+    pub fn known_servers(servers: &[Server], address: &dyn Fn(usize) -> SocketAddr) -> Value {
         let entries: Vec<Value> = servers
             .iter()
             .enumerate()
-            .map(|(at, server)| {
+            .map(|(index, server)| {
                 let part = if server.stand_in.is_primary() { "master" } else { "replica" };
-                json!({"instanceId": server.id, "hostPort": address(at).to_string(), "zone": server.zone,
+                json!({"instanceId": server.id, "hostPort": address(index).to_string(), "zone": server.zone,
                     "machineType": "m", "cell": server.group, "lifecycle": "up", "weight": 1.0, "startedAtMs": 0,
                     "part": part})
             })
@@ -155,101 +159,107 @@
         json!({"generation": 1, "reset": true, "instances": entries})
     }
 
-    /// The list says this of a server from now on; `started` when it has started anew.
-    pub fn list(&self, at: usize, lifecycle: &str, started: bool) {
-        let mut inside = lock(&self.inside);
-        inside.entries[at].lifecycle = lifecycle.to_owned();
-        if started {
-            inside.entries[at].started_ms = now_ms();
+    /// Publishes a lifecycle for a server; `restarted` also sets its start time to now.
+    pub fn set_lifecycle(&self, index: usize, lifecycle: &str, restarted: bool) {
+        let mut state = lock(&self.state);
+        state.entries[index].lifecycle = lifecycle.to_owned();
+        if restarted {
+            state.entries[index].started_ms = now_ms();
         }
-        inside.generation += 1;
-        let (generation, entry) = (inside.generation, inside.entries[at].clone());
-        let server = &self.servers[at];
-        // Its address is left out, and stays as each pooler knows it.
+        state.generation += 1;
+        let (generation, entry) = (state.generation, state.entries[index].clone());
+        let server = &self.servers[index];
+        // The address is left out, so that each pooler keeps the one that it knows.
         let line = json!({"generation": generation, "reset": false, "instances": [{"instanceId": server.id,
             "zone": server.zone, "machineType": "m", "cell": server.group, "lifecycle": entry.lifecycle,
             "weight": 1.0, "startedAtMs": entry.started_ms}]});
         let line = format!("{line}\n");
-        inside.watchers.retain_mut(|(_, stream)| stream.write_all(line.as_bytes()).is_ok());
+        state.watchers.retain_mut(|(_, stream)| stream.write_all(line.as_bytes()).is_ok());
     }
 
-    /// Hand-overs are refused, or made again.
-    pub fn deny(&self, denies: bool) {
-        lock(&self.inside).denies = denies;
+    /// Sets whether handovers are refused.
+    pub fn set_denies_handovers(&self, denies: bool) {
+        lock(&self.state).denies_handovers = denies;
     }
 
-    /// Hand-overs that were made, and those that were asked for with a token older than one seen.
+    /// Number of handovers made, and of requests rejected because of an old token.
     #[must_use]
     pub fn handovers(&self) -> (usize, usize) {
-        let inside = lock(&self.inside);
-        (inside.handovers, inside.old_tokens)
+        let state = lock(&self.state);
+        (state.handovers, state.rejected_old_tokens)
     }
 
-    /// The place of a server by its id.
+    /// Index of the server with this id.
     #[must_use]
-    pub fn place(&self, id: &str) -> Option<usize> {
+    pub fn server_index(&self, id: &str) -> Option<usize> {
         self.servers.iter().position(|server| server.id == id)
     }
 }
 
 impl Drop for Environment {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::SeqCst);
-        // Wakes all who listen, so that they see that.
-        for door in &self.doors {
-            let _ = TcpStream::connect(door);
+        self.stopped.store(true, Ordering::SeqCst);
+        // Connects to each listener once, so that its blocked thread notices the flag.
+        for address in &self.listener_addresses {
+            let _ = TcpStream::connect(address);
         }
-        for (_, stream) in &lock(&self.inside).watchers {
+        for (_, stream) in &lock(&self.state).watchers {
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
 }
 
-fn hand_over(mut stream: TcpStream, inside: &Mutex<Inside>, servers: &[Server]) -> std::io::Result<()> {
+fn handle_handover(
+    mut stream: TcpStream,
+    state: &Mutex<EnvironmentState>,
+    servers: &[Server],
+) -> std::io::Result<()> {
     let Some(head) = RequestHead::read(&mut stream)? else { return Ok(()) };
-    let field = |name: &str| head.header(name);
-    let mut inside = lock(inside);
-    let status = match field("fencing-token").parse::<u64>() {
+    let header = |name: &str| head.header(name);
+    let mut state = lock(state);
+    let status = match header("fencing-token").parse::<u64>() {
         Err(_) => "400 Bad Request",
-        Ok(token) if token < inside.token => {
-            inside.old_tokens += 1;
+        Ok(token) if token < state.token => {
+            state.rejected_old_tokens += 1;
             "409 Conflict"
         }
         Ok(token) => {
-            inside.token = token;
-            let from = servers.iter().position(|server| server.id == field("from"));
+            state.token = token;
+            let from = servers.iter().position(|server| server.id == header("from"));
             match from {
                 None => "404 Not Found",
-                Some(_) if inside.denies => "503 Service Unavailable",
+                Some(_) if state.denies_handovers => "503 Service Unavailable",
                 Some(from) => {
-                    let of = &servers[from];
-                    let heir = servers.iter().enumerate().find(|(at, server)| {
-                        server.group == of.group && *at != from && inside.entries[*at].lifecycle == "up"
+                    let current = &servers[from];
+                    let successor = servers.iter().enumerate().find(|(index, server)| {
+                        server.group == current.group
+                            && *index != from
+                            && state.entries[*index].lifecycle == "up"
                     });
-                    if let (true, Some((_, heir))) = (of.stand_in.is_primary(), heir) {
-                        of.stand_in.set_primary(false);
-                        heir.stand_in.set_primary(true);
-                        inside.handovers += 1;
+                    if let (true, Some((_, successor))) = (current.stand_in.is_primary(), successor) {
+                        current.stand_in.set_primary(false);
+                        successor.stand_in.set_primary(true);
+                        state.handovers += 1;
                     }
                     "200 OK"
                 }
             }
         }
     };
-    drop(inside);
+    drop(state);
     stream
         .write_all(format!("HTTP/1.1 {status}\r\ncontent-length: 0\r\nconnection: close\r\n\r\n").as_bytes())
 }
 
-/// Machines that somebody works on, and what is audited of that.
+/// Work on a machine, as the worker records it.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The machine.
+    /// Name of the machine.
     pub machine: String,
-    /// When the call that begins it was answered with yes.
+    /// When the command `begin` was accepted.
     pub began: Instant,
-    /// When it was over, and the machine there again.
-    pub over: Option<Instant>,
-    /// The call that ends it was answered with yes.
-    pub done: bool,
+    /// When the work ended and the machine was up again.
+    pub finished: Option<Instant>,
+    /// Whether the command `done` was accepted.
+    pub confirmed: bool,
 }
--- a/crates/lab/src/work/mod.rs
+++ b/crates/lab/src/work/mod.rs
@@ -1,5 +1,6 @@
-//! Machines out for work, with processes of the program, stand-in servers, a list, clients and a worker; faults between them; and
-//! an audit by what the servers and the worker have seen.
+//! Proof of maintenance work: scripts that run pooler processes with stand-in servers, discovery, clients, a
+//! worker and injected faults, with an audit of what the servers and the worker observed; and a simulation of
+//! the order of machines.
 
 pub mod environment;
 pub mod proof;
--- a/crates/lab/src/work/runner.rs
+++ b/crates/lab/src/work/runner.rs
@@ -1,7 +1,8 @@
-//! Plays a script: processes, servers, clients, a worker, and what is broken between them.
+//! Runs a script of maintenance work with pooler processes, stand-in servers, clients, a worker and injected
+//! faults.
 
 use super::environment::{Environment, Job, Server};
-use super::script::{Do, Script, Step};
+use super::script::{Action, Script, Step};
 use crate::clients::Client;
 use crate::lock;
 use crate::processes::fleet::{Fleet, Spec};
@@ -22,67 +23,69 @@
 use std::time::{Duration, Instant};
 
 const KEY: &str = "the key of the lab's installation";
-const LOOK: Duration = Duration::from_millis(10);
-/// A server answers after this.
-const ANSWER: Duration = Duration::from_millis(2);
-/// The list is late or early by this.
-const LATE: Duration = Duration::from_millis(700);
-/// After a plan each server must be used again within this.
-const USED: Duration = Duration::from_secs(8);
-/// More than this multiple of what a cold server can do pushes it over within so long, as the settings have it; a few more say nothing.
-const FALL_MULTIPLE: f64 = 2.5;
-const FALL: Duration = Duration::from_secs(3);
-const FEW: f64 = 20.0;
-/// Requests a second of a server of which silence for [`USED`] says something.
-const USUAL: f64 = 2.0;
-/// However many are left out.
-const ANY: usize = 256;
-/// Nothing of a plan may still count as a fault so long after a server has died: then it was known.
-const KNOWN: Duration = Duration::from_secs(2);
+/// Interval of the polls while waiting.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Time that a stand-in server takes for an answer.
+const SERVICE_TIME: Duration = Duration::from_millis(2);
+/// Delay of a late entry in the list of servers.
+const LIST_DELAY: Duration = Duration::from_millis(700);
+/// Time after a plan within which each server must receive requests again.
+const REUSE_TIMEOUT: Duration = Duration::from_secs(8);
+/// A cold server is overloaded by more than this multiple of its usual rate within [`OVERLOAD_WINDOW`], as in
+/// the pooler's settings; [`OVERLOAD_TOLERANCE`] further requests are tolerated.
+const OVERLOAD_MULTIPLE: f64 = 2.5;
+const OVERLOAD_WINDOW: Duration = Duration::from_secs(3);
+const OVERLOAD_TOLERANCE: f64 = 20.0;
+/// Minimum request rate, per second, of a server that is expected to receive requests within [`REUSE_TIMEOUT`].
+const MIN_USUAL_RATE: f64 = 2.0;
+/// Value of the script's `left` that accepts any number.
+const ANY_NUMBER: usize = 256;
+/// Time after which the poolers must know that a server is down; before, its group may still count it as left.
+const DEATH_KNOWN_AFTER: Duration = Duration::from_secs(2);
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
-/// How a script came out.
+/// Outcome of a script.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Machines worked on.
+    /// Number of machines worked on.
     pub worked: usize,
-    /// Connections and statements at machines that were worked on.
+    /// Connections and statements received by machines while they were free or at work.
     pub sends_to_free: usize,
-    /// Times when more were at work than the limits have it, or too few warm ones left.
+    /// Number of times that the limits were exceeded or too few warm servers were left.
     pub limits_exceeded: usize,
-    /// Machines that are not used again after the plan.
+    /// Servers that received no requests after the plan.
     pub forgotten: usize,
-    /// Sends to a server after it was out by hand everywhere.
+    /// Statements sent to a server after it was out by hand at all poolers.
     pub drains_broken: u64,
-    /// Servers that came back and were sent too much at once.
+    /// Servers that were overloaded in their slow start.
     pub cold_pushed: usize,
-    /// Writes that ran twice.
+    /// Writes that were executed twice.
     pub doubled: u64,
-    /// Writes that were answered as served and never ran.
+    /// Writes that were answered as served and never executed.
     pub lost: u64,
-    /// Requests without an answer in time.
+    /// Requests without an answer; 0 where the script interrupts clients itself.
     pub unanswered: u64,
-    /// Requests served, and asked.
+    /// Numbers of requests served and sent.
     pub served: (u64, u64),
-    /// Letters after which a leader was ended.
+    /// Number of leaders that were killed after a number of datagrams.
     pub interrupted: usize,
-    /// How long it took until somebody else had the plan's record, in seconds.
+    /// Time until another pooler had taken the plan over, for each loss of a leader, in seconds.
     pub resumed: Vec<f64>,
-    /// From the plan's begin to its end, in seconds.
+    /// Duration of all plans, in seconds.
     pub plan_s: f64,
-    /// Hand-overs asked for with an old token that the gate let through; it lets none.
-    pub old_tokens: usize,
-    /// What did not come as the script has it.
+    /// Handover requests that were rejected because of an old token.
+    pub rejected_old_tokens: usize,
+    /// Expectations of the script that were not met.
     pub missed: Vec<String>,
-    /// Where script, history and logs lie, if something is wrong.
-    pub kept: Option<PathBuf>,
-    /// The longest datagram.
-    pub longest: usize,
+    /// Folder with script, history and logs, kept if the script did not pass.
+    pub kept_folder: Option<PathBuf>,
+    /// Size of the largest datagram, in bytes.
+    pub max_datagram_bytes: usize,
 }
 
 impl Outcome {
-    /// Whether everything is as it must be.
+    /// Whether all expectations were met, no rule was broken and enough requests were served.
     #[must_use]
     pub fn passed(&self, script: &Script) -> bool {
         let share = self.served.0 * 1_000 >= self.served.1 * script.served;
@@ -93,21 +96,21 @@
     }
 }
 
-/// Clients of all poolers.
-struct Crowd {
+/// Threads of the clients of all poolers.
+struct ClientThreads {
     stop: Arc<AtomicBool>,
     pause: Arc<AtomicU64>,
     threads: Vec<std::thread::JoinHandle<()>>,
 }
 
-impl Crowd {
+impl ClientThreads {
     fn start(addresses: &[SocketAddr], script: &Script, seed: u64, recorder: &Arc<Mutex<Recorder>>) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let pause = Arc::new(AtomicU64::new(script.pause.as_micros() as u64));
         let mut threads = Vec::new();
         for (pooler, address) in addresses.iter().enumerate() {
-            for of in 0..script.clients {
-                let number = pooler * script.clients + of;
+            for client in 0..script.clients {
+                let number = pooler * script.clients + client;
                 let (stop, pause, recorder, address) =
                     (stop.clone(), pause.clone(), recorder.clone(), *address);
                 let group = (number % script.groups) as u32;
@@ -131,7 +134,7 @@
     }
 }
 
-impl Drop for Crowd {
+impl Drop for ClientThreads {
     fn drop(&mut self) {
         self.stop();
     }
@@ -140,33 +143,34 @@
 struct Runner<'s> {
     script: &'s Script,
     fleet: Fleet,
-    site: Environment,
-    ways: Option<TcpLinks>,
+    environment: Environment,
+    links: Option<TcpLinks>,
     recorder: Arc<Mutex<Recorder>>,
-    crowd: Option<Crowd>,
+    clients: Option<ClientThreads>,
     folder: PathBuf,
     rng: ChaCha8Rng,
-    same: BTreeSet<usize>,
+    previous_targets: BTreeSet<usize>,
     jobs: Vec<Job>,
-    /// Servers that were seen to be free, and since when.
-    free: BTreeMap<usize, Instant>,
-    began_at: Instant,
-    hung: bool,
-    dead: BTreeMap<usize, Instant>,
-    by_hand: BTreeMap<usize, Instant>,
-    /// The list speaks of a server then.
-    listed: Vec<(Instant, usize, &'static str)>,
-    began: Option<Instant>,
-    /// The token of the record as last seen, and since when somebody else is waited for.
-    token: u64,
-    waits: Option<Instant>,
-    tenth: usize,
-    polled: Instant,
+    /// Servers seen to be free, and since when.
+    free_servers: BTreeMap<usize, Instant>,
+    started_at: Instant,
+    worker_hung: bool,
+    down_servers: BTreeMap<usize, Instant>,
+    out_by_hand: BTreeMap<usize, Instant>,
+    /// Scheduled changes of a server's lifecycle in the list.
+    scheduled_lifecycles: Vec<(Instant, usize, &'static str)>,
+    plan_started: Option<Instant>,
+    /// Highest token of the plan's record seen so far.
+    highest_token: u64,
+    /// When the leader was lost, until another one leads.
+    leader_lost_at: Option<Instant>,
+    next_tenth: usize,
+    last_poll: Instant,
     view: Value,
     outcome: Outcome,
 }
 
-/// Plays a script with this seed.
+/// Runs a script with this seed.
 ///
 /// # Errors
 ///
@@ -177,122 +181,133 @@
     let folder = std::env::temp_dir().join(format!("linnetdeal-work-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     let recorder = Arc::new(Mutex::new(Recorder::default()));
-    let site =
-        Environment::start((script.groups, script.members, script.zones), script.poolers, ANSWER, &recorder)?;
-    let addresses: Vec<SocketAddr> = site.servers.iter().map(|server| server.stand_in.address).collect();
-    let ways = if script.ways { Some(TcpLinks::start(script.poolers, &addresses)?) } else { None };
-    let views: Vec<Vec<SocketAddr>> = (0..script.poolers)
+    let environment = Environment::start(
+        (script.groups, script.members, script.zones),
+        script.poolers,
+        SERVICE_TIME,
+        &recorder,
+    )?;
+    let addresses: Vec<SocketAddr> =
+        environment.servers.iter().map(|server| server.stand_in.address).collect();
+    let links = if script.ways { Some(TcpLinks::start(script.poolers, &addresses)?) } else { None };
+    let pooler_addresses: Vec<Vec<SocketAddr>> = (0..script.poolers)
         .map(|pooler| {
-            let of = |at: usize| ways.as_ref().and_then(|ways| ways.address_for(pooler, at));
-            (0..addresses.len()).map(|at| of(at).unwrap_or(addresses[at])).collect()
+            let link_address =
+                |server: usize| links.as_ref().and_then(|links| links.address_for(pooler, server));
+            (0..addresses.len()).map(|server| link_address(server).unwrap_or(addresses[server])).collect()
         })
         .collect();
-    let servers: Vec<Server> = site.servers.clone();
+    let servers: Vec<Server> = environment.servers.clone();
     let spec = Spec {
         program: program.to_owned(),
         count: script.poolers,
         seed,
-        known_servers: Box::new(move |pooler| Environment::known(&servers, &|at| views[pooler][at])),
-        discovery: site.discovery.clone(),
+        known_servers: Box::new(move |pooler| {
+            Environment::known_servers(&servers, &|server| pooler_addresses[pooler][server])
+        }),
+        discovery: environment.discovery.clone(),
         zones: (0..script.zones).map(|zone| char::from(b'a' + zone as u8).to_string()).collect(),
         relayed: Box::new(|_, _| true),
     };
     let mut fleet = Fleet::new(spec)?;
-    // Cold for as long as the operator's file has it.
+    // The same slow start as in the operator's file.
     fleet.settings["Rules"]["Cold"] = 400.0.into();
     let mut runner = Runner {
         script,
         fleet,
-        site,
-        ways,
+        environment,
+        links,
         recorder,
-        crowd: None,
+        clients: None,
         folder,
         rng: ChaCha8Rng::seed_from_u64(seed),
-        same: BTreeSet::new(),
+        previous_targets: BTreeSet::new(),
         jobs: Vec::new(),
-        free: BTreeMap::new(),
-        began_at: Instant::now(),
-        hung: false,
-        dead: BTreeMap::new(),
-        by_hand: BTreeMap::new(),
-        listed: Vec::new(),
-        began: None,
-        token: 0,
-        waits: None,
-        tenth: 0,
-        polled: Instant::now(),
+        free_servers: BTreeMap::new(),
+        started_at: Instant::now(),
+        worker_hung: false,
+        down_servers: BTreeMap::new(),
+        out_by_hand: BTreeMap::new(),
+        scheduled_lifecycles: Vec::new(),
+        plan_started: None,
+        highest_token: 0,
+        leader_lost_at: None,
+        next_tenth: 0,
+        last_poll: Instant::now(),
         view: Value::Null,
         outcome: Outcome::default(),
     };
-    let ran = runner.run();
-    if let Err(error) = &ran {
+    let result = runner.run();
+    if let Err(error) = &result {
         runner.missed(&error.to_string());
     }
-    Ok(runner.end(seed))
+    Ok(runner.finish(seed))
 }
 
 impl Runner<'_> {
     fn run(&mut self) -> Result<(), Failure> {
-        for at in 0..self.script.poolers {
-            let text = self.operator(at)?;
-            self.fleet.start(at, &text, &[])?;
+        for pooler in 0..self.script.poolers {
+            let text = self.operator(pooler)?;
+            self.fleet.start(pooler, &text, &[])?;
         }
-        let mut doors = Vec::new();
-        for at in 0..self.script.poolers {
-            doors.push(self.fleet.wait_until_listening(at)?);
+        let mut addresses = Vec::new();
+        for pooler in 0..self.script.poolers {
+            addresses.push(self.fleet.wait_until_listening(pooler)?);
         }
-        for at in 0..self.script.poolers {
-            self.until_ready(at)?;
+        for pooler in 0..self.script.poolers {
+            self.wait_until_ready(pooler)?;
         }
-        self.crowd = Some(Crowd::start(&doors, self.script, self.script.seed, &self.recorder));
-        self.until("a leader", WAIT_TIMEOUT, |runner| runner.view["leads"] == true)?;
+        self.clients = Some(ClientThreads::start(&addresses, self.script, self.script.seed, &self.recorder));
+        self.wait_until("a leader", WAIT_TIMEOUT, |runner| runner.view["leads"] == true)?;
         for round in 0..self.script.rounds {
-            for (at, step) in self.script.steps.iter().enumerate() {
-                self.step(step).map_err(|error| format!("step {at} of round {round}: {error}"))?;
-                for gone in self.fleet.poll_logs() {
-                    self.missed(&format!("pooler {gone} has ended by itself"));
+            for (index, step) in self.script.steps.iter().enumerate() {
+                self.run_step(step).map_err(|error| format!("step {index} of round {round}: {error}"))?;
+                for exited in self.fleet.poll_logs() {
+                    self.missed(&format!("pooler {exited} has ended by itself"));
                 }
                 if !self.outcome.missed.is_empty() {
-                    self.missed(&format!("in step {at} of round {round}"));
+                    self.missed(&format!("in step {index} of round {round}"));
                     return Ok(());
                 }
             }
             if self.script.ends {
-                self.until("the plan's end", WAIT_TIMEOUT * 2, |runner| {
+                self.wait_until("the plan's end", WAIT_TIMEOUT * 2, |runner| {
                     runner.view["mode"] == "over" && !runner.view["plan"].is_null()
                 })?;
-                if let Some(began) = self.began.take() {
-                    self.outcome.plan_s += began.elapsed().as_secs_f64();
+                if let Some(plan_started) = self.plan_started.take() {
+                    self.outcome.plan_s += plan_started.elapsed().as_secs_f64();
                 }
             }
         }
         if self.script.ends {
-            self.all_are_used()?;
+            self.check_servers_used_again()?;
         }
         Ok(())
     }
 
-    fn until_ready(&mut self, at: usize) -> Result<(), Failure> {
+    fn wait_until_ready(&mut self, pooler: usize) -> Result<(), Failure> {
         let end = Instant::now() + WAIT_TIMEOUT;
-        while self.fleet.call(at, "GET", "/-/ready").map_or(0, |(status, _)| status) != 200 {
+        while self.fleet.call(pooler, "GET", "/-/ready").map_or(0, |(status, _)| status) != 200 {
             if Instant::now() > end {
-                return Err(format!("pooler {at} is never ready").into());
+                return Err(format!("pooler {pooler} is never ready").into());
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
-    fn operator(&self, at: usize) -> Result<String, Failure> {
+    fn operator(&self, pooler: usize) -> Result<String, Failure> {
         let file = self.folder.join("key");
         if !file.exists() {
             std::fs::write(&file, KEY)?;
         }
-        let work = if self.script.old.contains(&at) {
+        let work = if self.script.old.contains(&pooler) {
             String::new()
         } else {
-            format!("work: {{{}, handover: {{address: \"{}\"}}}}\n", self.script.work, self.site.handover)
+            format!(
+                "work: {{{}, handover: {{address: \"{}\"}}}}\n",
+                self.script.work, self.environment.handover
+            )
         };
         Ok(format!(
             "package linnetdeal\nleases: {{site: \"lab\", version: 1, voters: {:?}, longest: \"800ms\", keys: [{:?}]}}\n{work}",
@@ -301,60 +316,62 @@
         ))
     }
 
-    fn is_up(&self, at: usize) -> bool {
-        self.fleet.running().contains(&at) && !self.fleet.stopped().contains(&at)
+    fn is_up(&self, pooler: usize) -> bool {
+        self.fleet.running().contains(&pooler) && !self.fleet.stopped().contains(&pooler)
     }
 
-    /// Anybody who runs and knows of work.
-    fn any(&mut self) -> Option<usize> {
-        let up: Vec<usize> =
-            (0..self.script.poolers).filter(|at| self.is_up(*at) && !self.script.old.contains(at)).collect();
+    /// A random running pooler with the maintenance feature.
+    fn any_pooler(&mut self) -> Option<usize> {
+        let up: Vec<usize> = (0..self.script.poolers)
+            .filter(|pooler| self.is_up(*pooler) && !self.script.old.contains(pooler))
+            .collect();
         up.choose(&mut self.rng).copied()
     }
 
     fn leader(&self) -> Option<usize> {
-        self.view["at"].as_u64().map(|at| at as usize).filter(|at| self.is_up(*at))
+        self.view["at"].as_u64().map(|pooler| pooler as usize).filter(|pooler| self.is_up(*pooler))
     }
 
-    /// Looks at the plan as its leader sees it, does what the worker and the list have to do.
-    fn pump(&mut self) {
+    /// Publishes lifecycles that are due, refreshes the view of the plan, and runs the worker.
+    fn advance(&mut self) {
         let now = Instant::now();
-        let (due, later): (Vec<_>, Vec<_>) = self.listed.drain(..).partition(|(at, ..)| *at <= now);
-        self.listed = later;
+        let (due, later): (Vec<_>, Vec<_>) =
+            self.scheduled_lifecycles.drain(..).partition(|(at, ..)| *at <= now);
+        self.scheduled_lifecycles = later;
         for (_, server, lifecycle) in due {
-            self.site.list(server, lifecycle, lifecycle == "up");
+            self.environment.set_lifecycle(server, lifecycle, lifecycle == "up");
         }
-        if self.polled.elapsed() >= LOOK * 2 {
-            self.polled = now;
-            self.look();
+        if self.last_poll.elapsed() >= POLL_INTERVAL * 2 {
+            self.last_poll = now;
+            self.refresh_view();
         }
-        self.work();
+        self.run_worker();
     }
 
-    fn look(&mut self) {
-        let tried: Vec<usize> = self.leader().into_iter().chain(self.any()).collect();
-        for at in tried {
-            let Ok((200, body)) = self.fleet.call(at, "GET", "/-/work") else { continue };
+    fn refresh_view(&mut self) {
+        let candidates: Vec<usize> = self.leader().into_iter().chain(self.any_pooler()).collect();
+        for pooler in candidates {
+            let Ok((200, body)) = self.fleet.call(pooler, "GET", "/-/work") else { continue };
             let Ok(mut view) = serde_json::from_str::<Value>(&body) else { continue };
-            view["at"] = at.into();
+            view["at"] = pooler.into();
             let token = view["token"].as_u64().unwrap_or(0);
-            if view["leads"] == true && token > self.token {
-                self.token = token;
-                if let Some(since) = self.waits.take() {
+            if view["leads"] == true && token > self.highest_token {
+                self.highest_token = token;
+                if let Some(since) = self.leader_lost_at.take() {
                     self.outcome.resumed.push(since.elapsed().as_secs_f64());
                 }
             }
-            if view["leads"] == true && token >= self.token {
+            if view["leads"] == true && token >= self.highest_token {
                 self.view = view;
                 return;
             }
         }
-        // Whoever holds the lease, by somebody's word.
-        let holder = self.any().and_then(|at| self.fleet.call(at, "GET", "/-/work").ok());
+        // No leader answered: take the holder of the lease that any pooler reports.
+        let holder = self.any_pooler().and_then(|pooler| self.fleet.call(pooler, "GET", "/-/work").ok());
         let holder =
             holder.and_then(|(_, body)| serde_json::from_str::<Value>(&body).ok()?["holder"].as_u64());
-        match holder.map(|at| at as usize).filter(|at| self.is_up(*at)) {
-            Some(at) => self.view["at"] = at.into(),
+        match holder.map(|pooler| pooler as usize).filter(|pooler| self.is_up(*pooler)) {
+            Some(pooler) => self.view["at"] = pooler.into(),
             None => self.view["at"] = Value::Null,
         }
         self.view["leads"] = false.into();
@@ -362,86 +379,93 @@
 
     fn machines(&self) -> Vec<(String, String)> {
         let machines = self.view["machines"].as_array().cloned().unwrap_or_default();
-        let text = |of: &Value| of.as_str().unwrap_or("").to_owned();
-        machines.iter().map(|of| (text(&of["machine"]), text(&of["state"]))).collect()
+        let text = |value: &Value| value.as_str().unwrap_or("").to_owned();
+        machines.iter().map(|entry| (text(&entry["machine"]), text(&entry["state"]))).collect()
     }
 
-    fn call(&mut self, verb: &str, machine: Option<&str>) -> Option<(u16, String)> {
-        let at = self.any()?;
-        let path = machine.map_or_else(|| format!("/-/work/{verb}"), |of| format!("/-/work/{of}/{verb}"));
-        self.fleet.call(at, "POST", &path).ok()
+    fn call(&mut self, command: &str, machine: Option<&str>) -> Option<(u16, String)> {
+        let pooler = self.any_pooler()?;
+        let path = machine
+            .map_or_else(|| format!("/-/work/{command}"), |machine| format!("/-/work/{machine}/{command}"));
+        self.fleet.call(pooler, "POST", &path).ok()
     }
 
-    /// The worker begins what is free, and ends what it has begun.
-    fn work(&mut self) {
+    /// The worker begins work on a free machine, or finishes work that is due.
+    fn run_worker(&mut self) {
         if self.view["leads"] != true {
             return;
         }
         let machines = self.machines();
-        self.watch_free(&machines);
-        let open = |jobs: &[Job], machine: &str| jobs.iter().any(|job| job.machine == machine && !job.done);
-        let free = machines.iter().find(|(of, state)| state.starts_with("free") && !open(&self.jobs, of));
+        self.watch_free_servers(&machines);
+        let open =
+            |jobs: &[Job], machine: &str| jobs.iter().any(|job| job.machine == machine && !job.confirmed);
+        let free = machines.iter().find(|(name, state)| state.starts_with("free") && !open(&self.jobs, name));
         if let Some((machine, _)) = free.cloned() {
             let path = machine.trim_start_matches("pooler ").to_owned();
             if matches!(self.call("begin", Some(&path)), Some((200, _))) {
-                self.begin(&machine);
+                self.begin_work(&machine);
             }
-            self.look();
+            self.refresh_view();
             return;
         }
-        // Work has begun, and its begin was never answered.
-        let lost = machines.iter().find(|(of, state)| state == "at work" && !open(&self.jobs, of));
+        // Work has begun, but the answer to `begin` was lost.
+        let lost = machines.iter().find(|(name, state)| state == "at work" && !open(&self.jobs, name));
         if let Some((machine, _)) = lost.cloned() {
-            self.begin(&machine);
+            self.begin_work(&machine);
             return;
         }
-        if self.hung {
+        if self.worker_hung {
             return;
         }
         let lasts = self.script.lasts;
-        let ready = self.jobs.iter().position(|job| !job.done && job.began.elapsed() >= lasts);
-        if let Some(at) = ready {
-            self.finish(at);
+        let due = self.jobs.iter().position(|job| !job.confirmed && job.began.elapsed() >= lasts);
+        if let Some(job) = due {
+            self.finish_work(job);
         }
     }
 
-    /// From when a server is free nobody may send there; whether work began is seen later.
-    fn watch_free(&mut self, machines: &[(String, String)]) {
+    /// Starts to record the traffic of each server that has become free, even before its work begins.
+    fn watch_free_servers(&mut self, machines: &[(String, String)]) {
         for (machine, state) in machines {
-            let Some(server) = self.site.place(machine) else { continue };
-            let open = self.jobs.iter().any(|job| job.machine == *machine && job.over.is_none());
-            match (state.starts_with("free"), self.free.contains_key(&server)) {
+            let Some(server) = self.environment.server_index(machine) else { continue };
+            let open = self.jobs.iter().any(|job| job.machine == *machine && job.finished.is_none());
+            match (state.starts_with("free"), self.free_servers.contains_key(&server)) {
                 (true, false) if !open => {
-                    self.site.servers[server].stand_in.watch(true);
-                    self.free.insert(server, Instant::now());
+                    self.environment.servers[server].stand_in.watch(true);
+                    self.free_servers.insert(server, Instant::now());
                 }
-                // Taken back untouched: it is used again, from before this was seen.
+                // Taken back without work: it was in use again before this was seen, so its traffic does not count.
                 (false, true) if !open && state != "at work" => {
-                    self.site.servers[server].stand_in.watch(false);
-                    self.free.remove(&server);
+                    self.environment.servers[server].stand_in.watch(false);
+                    self.free_servers.remove(&server);
                 }
                 _ => {}
             }
         }
     }
 
-    fn begin(&mut self, machine: &str) {
+    fn begin_work(&mut self, machine: &str) {
         self.fleet.record_fault(&format!("work begins on {machine}"));
-        self.jobs.push(Job { machine: machine.to_owned(), began: Instant::now(), over: None, done: false });
-        if let Some(server) = self.site.place(machine) {
-            if !self.free.contains_key(&server) {
-                self.site.servers[server].stand_in.watch(true);
+        self.jobs.push(Job {
+            machine: machine.to_owned(),
+            began: Instant::now(),
+            finished: None,
+            confirmed: false,
+        });
+        if let Some(server) = self.environment.server_index(machine) {
+            if !self.free_servers.contains_key(&server) {
+                self.environment.servers[server].stand_in.watch(true);
             }
-            self.site.servers[server].stand_in.set_down(true);
+            self.environment.servers[server].stand_in.set_down(true);
             match self.script.listed.as_str() {
-                "so" | "late" => self.site.list(server, "draining", false),
+                "so" | "late" => self.environment.set_lifecycle(server, "draining", false),
                 "early" => {
-                    self.site.list(server, "draining", false);
-                    self.listed.push((Instant::now() + self.script.lasts / 3, server, "up"));
+                    self.environment.set_lifecycle(server, "draining", false);
+                    self.scheduled_lifecycles.push((Instant::now() + self.script.lasts / 3, server, "up"));
                 }
                 _ => {}
             }
-        } else if let Some(pooler) = pooler_of(machine) {
+        } else if let Some(pooler) = pooler_number(machine) {
             if let Err(error) = self.fleet.terminate(pooler) {
                 self.missed(&format!("the pooler that was free did not end: {error}"));
             }
@@ -449,96 +473,108 @@
         self.check_limits(machine);
     }
 
-    fn finish(&mut self, at: usize) {
-        let machine = self.jobs[at].machine.clone();
-        if self.jobs[at].over.is_none() {
-            if let Some(server) = self.site.place(&machine) {
-                if !self.dead.contains_key(&server) {
-                    self.site.servers[server].stand_in.set_down(false);
+    fn finish_work(&mut self, job: usize) {
+        let machine = self.jobs[job].machine.clone();
+        if self.jobs[job].finished.is_none() {
+            if let Some(server) = self.environment.server_index(&machine) {
+                if !self.down_servers.contains_key(&server) {
+                    self.environment.servers[server].stand_in.set_down(false);
                 }
-                let touched = self.site.servers[server].stand_in.watch(false);
-                let began = self.free.remove(&server).unwrap_or(self.jobs[at].began);
-                let early: Vec<_> = touched.iter().filter(|when| **when > began).collect();
-                if !early.is_empty() {
-                    self.outcome.sends_to_free += early.len();
-                    let first = early.first().map(|when| **when - began);
+                let sends = self.environment.servers[server].stand_in.watch(false);
+                let began = self.free_servers.remove(&server).unwrap_or(self.jobs[job].began);
+                let violations: Vec<_> = sends.iter().filter(|sent_at| **sent_at > began).collect();
+                if !violations.is_empty() {
+                    self.outcome.sends_to_free += violations.len();
+                    let first = violations.first().map(|sent_at| **sent_at - began);
                     self.fleet.record_fault(&format!(
                         "{} sends to {machine}, the first after {first:?}",
-                        early.len()
+                        violations.len()
                     ));
                 }
                 match self.script.listed.as_str() {
-                    "so" => self.site.list(server, "up", true),
-                    "late" => self.listed.push((Instant::now() + LATE, server, "up")),
+                    "so" => self.environment.set_lifecycle(server, "up", true),
+                    "late" => self.scheduled_lifecycles.push((Instant::now() + LIST_DELAY, server, "up")),
                     _ => {}
                 }
-            } else if let Some(pooler) = pooler_of(&machine) {
+            } else if let Some(pooler) = pooler_number(&machine) {
                 let started =
                     self.operator(pooler).and_then(|text| Ok(self.fleet.start(pooler, &text, &[])?));
                 if let Err(error) = started.and_then(|()| Ok(self.fleet.wait_until_listening(pooler)?)) {
                     self.missed(&format!("pooler {pooler} did not start again: {error}"));
                 }
             }
-            self.jobs[at].over = Some(Instant::now());
+            self.jobs[job].finished = Some(Instant::now());
             self.fleet.record_fault(&format!("work is done on {machine}"));
         }
         let path = machine.trim_start_matches("pooler ").to_owned();
         if matches!(self.call("done", Some(&path)), Some((200, _))) {
-            self.jobs[at].done = true;
+            self.jobs[job].confirmed = true;
             self.outcome.worked += 1;
         }
-        self.look();
+        self.refresh_view();
     }
 
-    /// What is worked on at this moment, by the worker's own book.
+    /// Checks the limits against the machines at work, as the worker has recorded them.
     fn check_limits(&mut self, machine: &str) {
         let script = self.script;
-        let open: Vec<&Job> = self.jobs.iter().filter(|job| job.over.is_none()).collect();
-        let mut wrong = Vec::new();
+        let open: Vec<&Job> = self.jobs.iter().filter(|job| job.finished.is_none()).collect();
+        let mut violations = Vec::new();
         if open.len() > script.all {
-            wrong.push(format!("{} machines at work", open.len()));
+            violations.push(format!("{} machines at work", open.len()));
         }
-        if let Some(place) = self.site.place(machine) {
-            let of = &self.site.servers[place];
-            let places: Vec<usize> = open.iter().filter_map(|job| self.site.place(&job.machine)).collect();
-            let count = |is: &dyn Fn(&Server) -> bool| {
-                places.iter().filter(|at| is(&self.site.servers[**at])).count()
+        if let Some(index) = self.environment.server_index(machine) {
+            let server = &self.environment.servers[index];
+            let at_work: Vec<usize> =
+                open.iter().filter_map(|job| self.environment.server_index(&job.machine)).collect();
+            let count = |matches: &dyn Fn(&Server) -> bool| {
+                at_work.iter().filter(|index| matches(&self.environment.servers[**index])).count()
             };
-            let (zone, group) = (count(&|one| one.zone == of.zone), count(&|one| one.group == of.group));
-            let zones: BTreeSet<&String> = places.iter().map(|at| &self.site.servers[*at].zone).collect();
+            let (zone, group) =
+                (count(&|other| other.zone == server.zone), count(&|other| other.group == server.group));
+            let zones: BTreeSet<&String> =
+                at_work.iter().map(|at| &self.environment.servers[*at].zone).collect();
             if zone > script.zone || group > script.group || zones.len() > script.zones_at_once {
-                wrong.push(format!("{zone} of its zone, {group} of its group, {} zones", zones.len()));
+                violations.push(format!("{zone} of its zone, {group} of its group, {} zones", zones.len()));
             }
-            let left = (0..self.site.servers.len()).filter(|at| {
-                let one = &self.site.servers[*at];
-                let known_dead = self.dead.get(at).is_some_and(|since| since.elapsed() > KNOWN);
-                one.group == of.group && !places.contains(at) && !known_dead && !one.stand_in.is_primary()
+            let left = (0..self.environment.servers.len()).filter(|at| {
+                let other = &self.environment.servers[*at];
+                let known_dead =
+                    self.down_servers.get(at).is_some_and(|since| since.elapsed() > DEATH_KNOWN_AFTER);
+                other.group == server.group
+                    && !at_work.contains(at)
+                    && !known_dead
+                    && !other.stand_in.is_primary()
             });
-            let forced = self.view["machines"].as_array().into_iter().flatten().any(|one| {
-                one["machine"] == machine
-                    && one["state"].as_str().is_some_and(|state| state.contains("forced"))
+            let forced = self.view["machines"].as_array().into_iter().flatten().any(|entry| {
+                entry["machine"] == machine
+                    && entry["state"].as_str().is_some_and(|state| state.contains("forced"))
             });
             if left.count() == 0 && script.members > 2 && !forced {
-                wrong.push("no replica of its group is left".to_owned());
+                violations.push("no replica of its group is left".to_owned());
             }
-            if of.stand_in.is_primary() && !forced && !self.dead.contains_key(&place) {
-                wrong.push("it is the primary".to_owned());
+            if server.stand_in.is_primary() && !forced && !self.down_servers.contains_key(&index) {
+                violations.push("it is the primary".to_owned());
             }
         }
-        for words in wrong {
+        for violation in violations {
             self.outcome.limits_exceeded += 1;
-            self.fleet.record_fault(&format!("LIMIT at {machine}: {words}"));
+            self.fleet.record_fault(&format!("LIMIT at {machine}: {violation}"));
         }
     }
 
-    fn until(&mut self, what: &str, patience: Duration, is: impl Fn(&Self) -> bool) -> Result<(), Failure> {
-        let end = Instant::now() + patience;
+    fn wait_until(
+        &mut self,
+        what: &str,
+        timeout: Duration,
+        condition: impl Fn(&Self) -> bool,
+    ) -> Result<(), Failure> {
+        let end = Instant::now() + timeout;
         while Instant::now() < end {
-            self.pump();
-            if self.view["leads"] == true && is(self) {
+            self.advance();
+            if self.view["leads"] == true && condition(self) {
                 return Ok(());
             }
-            std::thread::sleep(LOOK / 2);
+            std::thread::sleep(POLL_INTERVAL / 2);
         }
         Err(format!("{what} did not come: {}", self.view).into())
     }
@@ -546,255 +582,258 @@
     fn wait(&mut self, lasts: Duration) {
         let end = Instant::now() + lasts;
         while Instant::now() < end {
-            self.pump();
-            std::thread::sleep(LOOK / 2);
+            self.advance();
+            std::thread::sleep(POLL_INTERVAL / 2);
         }
     }
 
-    /// Every server that lives is used again, by clients that go on as before.
-    fn all_are_used(&mut self) -> Result<(), Failure> {
-        let out: BTreeSet<usize> = self.dead.keys().chain(self.by_hand.keys()).copied().collect();
-        // One that was hardly used before may well not be for a while.
-        let whole = self.began_at.elapsed().as_secs_f64();
-        let usual = |at: &usize| self.sends(*at) as f64 / whole >= USUAL;
+    /// Checks that every live server receives requests again while the clients continue.
+    fn check_servers_used_again(&mut self) -> Result<(), Failure> {
+        let out: BTreeSet<usize> = self.down_servers.keys().chain(self.out_by_hand.keys()).copied().collect();
+        // A server that received few requests before may well receive none for a while.
+        let elapsed = self.started_at.elapsed().as_secs_f64();
+        let is_used = |at: &usize| self.statement_count(*at) as f64 / elapsed >= MIN_USUAL_RATE;
         let alive: Vec<usize> =
-            (0..self.site.servers.len()).filter(|at| !out.contains(at) && usual(at)).collect();
-        let before: Vec<usize> = alive.iter().map(|at| self.sends(*at)).collect();
-        let end = Instant::now() + USED;
+            (0..self.environment.servers.len()).filter(|at| !out.contains(at) && is_used(at)).collect();
+        let before: Vec<usize> = alive.iter().map(|at| self.statement_count(*at)).collect();
+        let end = Instant::now() + REUSE_TIMEOUT;
         let mut unused = alive.clone();
         while !unused.is_empty() && Instant::now() < end {
-            self.wait(LOOK * 5);
+            self.wait(POLL_INTERVAL * 5);
             unused = alive
                 .iter()
                 .zip(&before)
-                .filter(|(at, before)| self.sends(**at) <= **before)
+                .filter(|(at, before)| self.statement_count(**at) <= **before)
                 .map(|(at, _)| *at)
                 .collect();
         }
         self.outcome.forgotten += if self.script.clients > 0 { unused.len() } else { 0 };
         for at in unused {
-            let id = self.site.servers[at].id.clone();
+            let id = self.environment.servers[at].id.clone();
             self.fleet.record_fault(&format!("FORGOTTEN: {id} is not used again"));
         }
-        // Nor does any pooler hold one to be out.
-        for at in 0..self.script.poolers {
-            if self.is_up(at) && !self.script.old.contains(&at) {
-                let end = Instant::now() + USED;
+        // No pooler may still consider the plan active.
+        for pooler in 0..self.script.poolers {
+            if self.is_up(pooler) && !self.script.old.contains(&pooler) {
+                let end = Instant::now() + REUSE_TIMEOUT;
                 loop {
-                    let (_, body) = self.fleet.call(at, "GET", "/-/work")?;
+                    let (_, body) = self.fleet.call(pooler, "GET", "/-/work")?;
                     let view: Value = serde_json::from_str(&body)?;
                     if view["mode"] == "over" {
                         break;
                     }
                     if Instant::now() > end {
-                        self.missed(&format!("pooler {at} does not know that the plan is over: {body}"));
+                        self.missed(&format!("pooler {pooler} does not know that the plan is over: {body}"));
                         break;
                     }
-                    std::thread::sleep(LOOK);
+                    std::thread::sleep(POLL_INTERVAL);
                 }
             }
         }
-        let over = self.machines();
-        let left = over.iter().filter(|(_, state)| state != "back").count();
-        if left != self.script.left && self.script.left != ANY {
-            self.missed(&format!("{left} machines were left out: {over:?}"));
+        let machines = self.machines();
+        let left = machines.iter().filter(|(_, state)| state != "back").count();
+        if left != self.script.left && self.script.left != ANY_NUMBER {
+            self.missed(&format!("{left} machines were left out: {machines:?}"));
         }
         Ok(())
     }
 
-    fn sends(&self, server: usize) -> usize {
-        lock(&self.recorder).statement_count(&self.site.servers[server].id)
+    fn statement_count(&self, server: usize) -> usize {
+        lock(&self.recorder).statement_count(&self.environment.servers[server].id)
     }
 
-    fn step(&mut self, step: &Step) -> Result<(), Failure> {
-        let whom = self.whom(&step.who);
-        let one = whom.first().copied();
+    fn run_step(&mut self, step: &Step) -> Result<(), Failure> {
+        let targets = self.resolve_poolers(&step.who);
+        let first_target = targets.first().copied();
         match step.what {
-            Do::Plan | Do::Call => {
-                let mut at = one.ok_or("nobody to ask")?;
-                if !self.is_up(at) || self.script.old.contains(&at) && step.status != 404 {
-                    at = self.any().ok_or("nobody to ask")?;
+            Action::Plan | Action::Call => {
+                let mut pooler = first_target.ok_or("nobody to ask")?;
+                if !self.is_up(pooler) || self.script.old.contains(&pooler) && step.status != 404 {
+                    pooler = self.any_pooler().ok_or("nobody to ask")?;
                 }
                 let mut path = "/-/work".to_owned();
-                if step.what == Do::Call {
-                    let server = if step.text.contains('@') { self.server(&step.server) } else { None };
-                    let id = server.map_or_else(String::new, |at| self.site.servers[at].id.clone());
+                if step.what == Action::Call {
+                    let server =
+                        if step.text.contains('@') { self.resolve_server(&step.server) } else { None };
+                    let id = server.map_or_else(String::new, |at| self.environment.servers[at].id.clone());
                     path = format!("/-/work/{}", step.text.replace('@', &id));
                 }
-                let body = if step.what == Do::Plan { step.text.clone() } else { String::new() };
+                let body = if step.what == Action::Plan { step.text.clone() } else { String::new() };
                 let end = Instant::now() + WAIT_TIMEOUT;
                 let (mut status, mut words);
                 loop {
-                    (status, words) = self.fleet.call_with_body(at, "POST", &path, &body)?;
-                    // Nobody leads yet, or any more.
+                    (status, words) = self.fleet.call_with_body(pooler, "POST", &path, &body)?;
+                    // There is no leader at the moment.
                     if status != 503 || step.status == 503 || Instant::now() > end {
                         break;
                     }
-                    self.wait(LOOK);
+                    self.wait(POLL_INTERVAL);
                 }
-                self.fleet.record_fault(&format!("{path} {body} at {at}: {status} {}", words.trim()));
+                self.fleet.record_fault(&format!("{path} {body} at {pooler}: {status} {}", words.trim()));
                 if step.status != 0 && status != step.status {
                     self.missed(&format!(
-                        "{path} {body} at {at} was answered with {status} {}",
+                        "{path} {body} at {pooler} was answered with {status} {}",
                         words.trim()
                     ));
                 }
-                if step.what == Do::Plan && status == 200 {
-                    self.began = Some(Instant::now());
-                    self.look();
+                if step.what == Action::Plan && status == 200 {
+                    self.plan_started = Some(Instant::now());
+                    self.refresh_view();
                 }
             }
-            Do::Kill => {
-                self.note_if_leader(&whom);
-                whom.iter().for_each(|at| self.fleet.kill(*at));
+            Action::Kill => {
+                self.time_takeover_if_leader(&targets);
+                targets.iter().for_each(|pooler| self.fleet.kill(*pooler));
             }
-            Do::Stop | Do::Go => {
-                if step.what == Do::Stop {
-                    self.note_if_leader(&whom);
+            Action::Stop | Action::Go => {
+                if step.what == Action::Stop {
+                    self.time_takeover_if_leader(&targets);
                 }
-                for at in &whom {
-                    self.fleet.signal(*at, if step.what == Do::Stop { "STOP" } else { "CONT" })?;
+                for pooler in &targets {
+                    self.fleet.signal(*pooler, if step.what == Action::Stop { "STOP" } else { "CONT" })?;
                 }
             }
-            Do::Start => {
-                for at in &whom {
-                    if self.fleet.running().contains(at) {
-                        self.fleet.kill(*at);
+            Action::Start => {
+                for pooler in &targets {
+                    if self.fleet.running().contains(pooler) {
+                        self.fleet.kill(*pooler);
                     }
-                    let text = self.operator(*at)?;
-                    self.fleet.start(*at, &text, &[])?;
-                    self.fleet.wait_until_listening(*at)?;
+                    let text = self.operator(*pooler)?;
+                    self.fleet.start(*pooler, &text, &[])?;
+                    self.fleet.wait_until_listening(*pooler)?;
                 }
             }
-            Do::Replace => {
-                for at in &whom {
-                    let text = self.operator(*at)?;
-                    self.fleet.replace(*at, &text)?;
+            Action::Replace => {
+                for pooler in &targets {
+                    let text = self.operator(*pooler)?;
+                    self.fleet.replace(*pooler, &text)?;
                 }
             }
-            Do::End => {
-                self.note_if_leader(&whom);
-                for at in &whom {
-                    self.fleet.terminate(*at)?;
+            Action::End => {
+                self.time_takeover_if_leader(&targets);
+                for pooler in &targets {
+                    self.fleet.terminate(*pooler)?;
                 }
             }
-            Do::DieAfter => {
+            Action::DieAfter => {
                 let leader = self.leader().ok_or("nobody leads")?;
                 self.fleet.record_fault(&format!("{leader} is to die after {} letters", step.count));
                 self.fleet.relay.isolate_after(leader, step.count);
                 let end = Instant::now() + Duration::from_secs(10);
                 while !self.fleet.relay.is_isolated() && Instant::now() < end {
-                    self.pump();
+                    self.advance();
                     std::thread::sleep(Duration::from_millis(1));
                 }
                 self.outcome.interrupted += usize::from(self.fleet.relay.is_isolated());
                 if self.is_up(leader) {
-                    self.waits = Some(Instant::now());
+                    self.leader_lost_at = Some(Instant::now());
                     self.fleet.kill(leader);
                 }
                 self.fleet.relay.clear_isolation();
-                self.same = [leader].into();
+                self.previous_targets = [leader].into();
                 return Ok(());
             }
-            Do::Cut => {
-                self.note_if_leader(&whom);
+            Action::Cut => {
+                self.time_takeover_if_leader(&targets);
                 for from in 0..self.script.poolers {
                     for to in (0..self.script.poolers).filter(|to| *to != from) {
-                        if whom.contains(&from) != whom.contains(&to) {
+                        if targets.contains(&from) != targets.contains(&to) {
                             self.fleet.relay.set_cut(from, to, true);
                         }
                     }
                 }
-                self.fleet.record_fault(&format!("cut {whom:?}"));
+                self.fleet.record_fault(&format!("cut {targets:?}"));
             }
-            Do::CutWays => {
-                let server = self.server(&step.server).ok_or("no such server")?;
-                if let Some(ways) = &self.ways {
-                    whom.iter().for_each(|at| ways.set_cut(*at, server, true));
+            Action::CutWays => {
+                let server = self.resolve_server(&step.server).ok_or("no such server")?;
+                if let Some(links) = &self.links {
+                    targets.iter().for_each(|pooler| links.set_cut(*pooler, server, true));
                 }
-                self.fleet.record_fault(&format!("cut {whom:?} from {}", self.site.servers[server].id));
+                self.fleet
+                    .record_fault(&format!("cut {targets:?} from {}", self.environment.servers[server].id));
             }
-            Do::Heal => {
+            Action::Heal => {
                 self.fleet.relay.heal();
-                self.ways.iter().for_each(TcpLinks::heal);
+                self.links.iter().for_each(TcpLinks::heal);
                 self.fleet.record_fault("heal");
             }
-            Do::Fell | Do::Raise => {
-                for server in self.servers(&step.server) {
-                    let down = step.what == Do::Fell;
-                    let at_work = self
-                        .jobs
-                        .iter()
-                        .any(|job| job.over.is_none() && self.site.place(&job.machine) == Some(server));
+            Action::Fell | Action::Raise => {
+                for server in self.resolve_servers(&step.server) {
+                    let down = step.what == Action::Fell;
+                    let at_work = self.jobs.iter().any(|job| {
+                        job.finished.is_none() && self.environment.server_index(&job.machine) == Some(server)
+                    });
                     if !at_work {
-                        self.site.servers[server].stand_in.set_down(down);
+                        self.environment.servers[server].stand_in.set_down(down);
                     }
                     if down {
-                        self.dead.insert(server, Instant::now());
+                        self.down_servers.insert(server, Instant::now());
                     } else {
-                        self.dead.remove(&server);
+                        self.down_servers.remove(&server);
                     }
-                    let id = self.site.servers[server].id.clone();
+                    let id = self.environment.servers[server].id.clone();
                     self.fleet
                         .record_fault(&format!("{id} {}", if down { "dies" } else { "is there again" }));
                 }
             }
-            Do::Load => {
+            Action::Load => {
                 let pause = self.script.pause.as_micros() as u64 * 100 / step.count.max(1) as u64;
-                if let Some(crowd) = &self.crowd {
-                    crowd.pause.store(pause, Ordering::SeqCst);
+                if let Some(clients) = &self.clients {
+                    clients.pause.store(pause, Ordering::SeqCst);
                 }
                 self.fleet.record_fault(&format!("load {} percent", step.count));
             }
-            Do::List => {
-                let server = self.server(&step.server).ok_or("no such server")?;
-                self.site.list(server, &step.text, step.text == "up");
+            Action::List => {
+                let server = self.resolve_server(&step.server).ok_or("no such server")?;
+                self.environment.set_lifecycle(server, &step.text, step.text == "up");
                 self.fleet.record_fault(&format!(
                     "the list says {} of {}",
-                    step.text, self.site.servers[server].id
+                    step.text, self.environment.servers[server].id
                 ));
             }
-            Do::ByHand => {
-                let server = self.server(&step.server).ok_or("no such server")?;
-                let id = self.site.servers[server].id.clone();
-                let up: Vec<usize> = (0..self.script.poolers).filter(|at| self.is_up(*at)).collect();
-                for at in up {
+            Action::ByHand => {
+                let server = self.resolve_server(&step.server).ok_or("no such server")?;
+                let id = self.environment.servers[server].id.clone();
+                let up: Vec<usize> = (0..self.script.poolers).filter(|pooler| self.is_up(*pooler)).collect();
+                for pooler in up {
                     let (status, words) =
-                        self.fleet.call(at, "POST", &format!("/-/servers/{id}/{}", step.text))?;
+                        self.fleet.call(pooler, "POST", &format!("/-/servers/{id}/{}", step.text))?;
                     if status != 200 {
-                        self.missed(&format!("{id} {} at {at}: {status} {words}", step.text));
+                        self.missed(&format!("{id} {} at {pooler}: {status} {words}", step.text));
                     }
                 }
                 if step.text == "disable" {
                     lock(&self.recorder).status_delivered(&id, false, (0, 0), Instant::now());
-                    self.by_hand.insert(server, Instant::now());
+                    self.out_by_hand.insert(server, Instant::now());
                 } else {
                     lock(&self.recorder).status_delivered(&id, true, (1, 1), Instant::now());
-                    self.by_hand.remove(&server);
+                    self.out_by_hand.remove(&server);
                 }
                 self.fleet.record_fault(&format!("{id} {} by hand", step.text));
             }
-            Do::Wait => self.wait(step.lasts),
-            Do::Until => {
+            Action::Wait => self.wait(step.lasts),
+            Action::Until => {
                 let (text, count) = (step.text.clone(), step.count);
                 if text == "over" {
-                    self.until("the plan's end", WAIT_TIMEOUT * 2, |runner| runner.view["mode"] == "over")?;
+                    self.wait_until("the plan's end", WAIT_TIMEOUT * 2, |runner| {
+                        runner.view["mode"] == "over"
+                    })?;
                 } else {
-                    self.until(&format!("{count} machines {text}"), WAIT_TIMEOUT, |runner| {
-                        // Some states are over too soon to be seen for sure.
+                    self.wait_until(&format!("{count} machines {text}"), WAIT_TIMEOUT, |runner| {
+                        // Some states are too short to be observed reliably.
                         let out = ["leaving", "free", "at work", "warming"];
                         if text == "out" {
                             return runner
                                 .machines()
                                 .iter()
-                                .any(|(_, state)| out.iter().any(|of| state.starts_with(of)));
+                                .any(|(_, state)| out.iter().any(|prefix| state.starts_with(prefix)));
                         }
                         runner.machines().iter().filter(|(_, state)| state.starts_with(text.as_str())).count()
                             >= count
                     })?;
                 }
             }
-            Do::Noise => {
+            Action::Noise => {
                 let lost = step.count as u32;
                 self.fleet.relay.set_noise(Noise {
                     lost,
@@ -804,102 +843,112 @@
                 });
                 self.fleet.record_fault(&format!("{lost} in a thousand are lost"));
             }
-            Do::HangWorker => self.hung = true,
-            Do::FreeWorker => self.hung = false,
-            Do::DenyHandover => self.site.deny(true),
-            Do::GrantHandover => self.site.deny(false),
+            Action::HangWorker => self.worker_hung = true,
+            Action::FreeWorker => self.worker_hung = false,
+            Action::DenyHandover => self.environment.set_denies_handovers(true),
+            Action::GrantHandover => self.environment.set_denies_handovers(false),
         }
-        if !matches!(step.what, Do::Wait | Do::Until | Do::Noise | Do::Heal) {
-            self.same = whom;
+        if !matches!(step.what, Action::Wait | Action::Until | Action::Noise | Action::Heal) {
+            self.previous_targets = targets;
         }
         Ok(())
     }
 
-    /// Whoever leads is taken away: it is waited for somebody else.
-    fn note_if_leader(&mut self, whom: &BTreeSet<usize>) {
-        self.look();
-        if self.leader().is_some_and(|leader| whom.contains(&leader)) {
-            self.waits = Some(Instant::now());
+    /// Starts to time the takeover if the leader is among `targets`.
+    fn time_takeover_if_leader(&mut self, targets: &BTreeSet<usize>) {
+        self.refresh_view();
+        if self.leader().is_some_and(|leader| targets.contains(&leader)) {
+            self.leader_lost_at = Some(Instant::now());
         }
     }
 
-    fn whom(&mut self, who: &str) -> BTreeSet<usize> {
+    fn resolve_poolers(&mut self, target: &str) -> BTreeSet<usize> {
         let leader = self.leader();
-        let up: Vec<usize> =
-            (0..self.script.poolers).filter(|at| self.is_up(*at) && Some(*at) != leader).collect();
-        match who {
+        let up: Vec<usize> = (0..self.script.poolers)
+            .filter(|pooler| self.is_up(*pooler) && Some(*pooler) != leader)
+            .collect();
+        match target {
             "leader" => leader.into_iter().collect(),
             "other" => up.choose(&mut self.rng).copied().into_iter().collect(),
             "voter" => {
                 let voters: Vec<usize> =
-                    up.into_iter().filter(|at| self.script.voters.contains(at)).collect();
+                    up.into_iter().filter(|pooler| self.script.voters.contains(pooler)).collect();
                 voters.choose(&mut self.rng).copied().into_iter().collect()
             }
             "small-side" => {
-                let most = self.script.voters.len().saturating_sub(1) / 2;
-                let mut side: BTreeSet<usize> = leader.into_iter().collect();
+                let max_voters = self.script.voters.len().saturating_sub(1) / 2;
+                let mut minority: BTreeSet<usize> = leader.into_iter().collect();
                 for voter in &self.script.voters {
-                    if self.script.voters.iter().filter(|of| side.contains(of)).count() < most {
-                        side.insert(*voter);
+                    if self.script.voters.iter().filter(|pooler| minority.contains(pooler)).count()
+                        < max_voters
+                    {
+                        minority.insert(*voter);
                     }
                 }
-                side
+                minority
             }
             "tenth" => {
                 let size = self.script.poolers.div_ceil(10);
-                let from = self.tenth * size % self.script.poolers;
-                self.tenth += 1;
+                let from = self.next_tenth * size % self.script.poolers;
+                self.next_tenth += 1;
                 (from..(from + size).min(self.script.poolers)).collect()
             }
-            "same" => self.same.clone(),
+            "same" => self.previous_targets.clone(),
             "all" => (0..self.script.poolers).collect(),
             number => number.parse().into_iter().collect(),
         }
     }
 
-    fn servers(&mut self, what: &str) -> Vec<usize> {
-        match what.strip_prefix("zone-") {
-            Some(zone) => {
-                (0..self.site.servers.len()).filter(|at| self.site.servers[*at].zone == zone).collect()
-            }
-            None => self.server(what).into_iter().collect(),
+    fn resolve_servers(&mut self, target: &str) -> Vec<usize> {
+        match target.strip_prefix("zone-") {
+            Some(zone) => (0..self.environment.servers.len())
+                .filter(|at| self.environment.servers[*at].zone == zone)
+                .collect(),
+            None => self.resolve_server(target).into_iter().collect(),
         }
     }
 
-    fn server(&mut self, what: &str) -> Option<usize> {
-        if let Some(place) = self.site.place(what) {
-            return Some(place);
+    fn resolve_server(&mut self, target: &str) -> Option<usize> {
+        if let Some(index) = self.environment.server_index(target) {
+            return Some(index);
         }
-        self.look();
+        self.refresh_view();
         let machines = self.machines();
-        let with = |is: &dyn Fn(&str) -> bool| -> Vec<usize> {
-            machines.iter().filter(|(_, state)| is(state)).filter_map(|(of, _)| self.site.place(of)).collect()
+        let in_state = |matches: &dyn Fn(&str) -> bool| -> Vec<usize> {
+            machines
+                .iter()
+                .filter(|(_, state)| matches(state))
+                .filter_map(|(name, _)| self.environment.server_index(name))
+                .collect()
         };
-        let found = match what {
-            "waiting" => with(&|state| state.starts_with("waiting")),
-            "out" => {
-                with(&|state| state.starts_with("leaving") || state.starts_with("free") || state == "at work")
-            }
-            "at-work" => with(&|state| state == "at work"),
-            "back" => with(&|state| state == "back"),
-            "primary" => (0..self.site.servers.len())
-                .filter(|at| self.site.servers[*at].stand_in.is_primary())
+        let candidates = match target {
+            "waiting" => in_state(&|state| state.starts_with("waiting")),
+            "out" => in_state(&|state| {
+                state.starts_with("leaving") || state.starts_with("free") || state == "at work"
+            }),
+            "at-work" => in_state(&|state| state == "at work"),
+            "back" => in_state(&|state| state == "back"),
+            "primary" => (0..self.environment.servers.len())
+                .filter(|at| self.environment.servers[*at].stand_in.is_primary())
                 .collect(),
-            // A replica of a group that has nothing out.
+            // A replica of a group without machines out.
             _ => {
-                let out: BTreeSet<usize> = with(&|state| !state.starts_with("waiting") && state != "back")
-                    .into_iter()
-                    .map(|at| self.site.servers[at].group)
-                    .collect();
-                (0..self.site.servers.len())
+                let out: BTreeSet<usize> =
+                    in_state(&|state| !state.starts_with("waiting") && state != "back")
+                        .into_iter()
+                        .map(|at| self.environment.servers[at].group)
+                        .collect();
+                (0..self.environment.servers.len())
                     .filter(|at| {
-                        let of = &self.site.servers[*at];
-                        !out.contains(&of.group) && !of.stand_in.is_primary() && !self.dead.contains_key(at)
+                        let server = &self.environment.servers[*at];
+                        !out.contains(&server.group)
+                            && !server.stand_in.is_primary()
+                            && !self.down_servers.contains_key(at)
                     })
                     .collect()
             }
         };
-        found.choose(&mut self.rng).copied()
+        candidates.choose(&mut self.rng).copied()
     }
 
     fn missed(&mut self, words: &str) {
@@ -907,68 +956,78 @@
         self.outcome.missed.push(words.to_owned());
     }
 
-    /// Has it audited; keeps what is needed to see why, if something is wrong.
-    fn end(mut self, seed: u64) -> Outcome {
-        if let Some(mut crowd) = self.crowd.take() {
-            crowd.stop();
+    /// Audits the run; keeps script, history and logs if the script did not pass.
+    fn finish(mut self, seed: u64) -> Outcome {
+        if let Some(mut clients) = self.clients.take() {
+            clients.stop();
         }
         self.fleet.poll_logs();
-        self.look_for_pushes();
+        self.check_cold_servers();
         let verdict = lock(&self.recorder).verdict();
         self.outcome.drains_broken = verdict.drains_broken;
         self.outcome.doubled = verdict.writes_doubled;
         self.outcome.lost = verdict.served_without_row;
-        // Who is killed or stopped leaves its clients without an answer; that is not the plan's.
-        self.outcome.unanswered = if self.breaks_clients() { 0 } else { verdict.requests - verdict.answered };
+        // A pooler that is killed or stopped leaves its clients without an answer; that is no fault of the plan.
+        self.outcome.unanswered =
+            if self.interrupts_clients() { 0 } else { verdict.requests - verdict.answered };
         self.outcome.served = (verdict.served, verdict.requests);
-        self.outcome.longest = self.fleet.relay.stats.max_bytes.load(Ordering::Relaxed);
-        self.outcome.old_tokens = self.site.handovers().1;
+        self.outcome.max_datagram_bytes = self.fleet.relay.stats.max_bytes.load(Ordering::Relaxed);
+        self.outcome.rejected_old_tokens = self.environment.handovers().1;
         if self.outcome.passed(self.script) {
             let _ = std::fs::remove_dir_all(&self.folder);
             return self.outcome;
         }
-        let mut text = String::new();
+        let mut history = String::new();
         for record in &self.fleet.history.records() {
-            let _ = writeln!(text, "{}", serde_json::to_string(record).unwrap_or_default());
+            let _ = writeln!(history, "{}", serde_json::to_string(record).unwrap_or_default());
         }
-        let _ = std::fs::write(self.folder.join("history.jsonl"), text);
+        let _ = std::fs::write(self.folder.join("history.jsonl"), history);
         let outcomes = lock(&self.recorder).outcome_counts().clone();
-        let words = format!("seed {seed}\n{:#?}\n{:#?}\n{outcomes:#?}\n", self.script, self.outcome);
-        let _ = std::fs::write(self.folder.join("script.txt"), words);
+        let summary = format!("seed {seed}\n{:#?}\n{:#?}\n{outcomes:#?}\n", self.script, self.outcome);
+        let _ = std::fs::write(self.folder.join("script.txt"), summary);
         for (number, (at, log)) in self.fleet.logs().into_iter().enumerate() {
             let _ = std::fs::write(self.folder.join(format!("log-{at}-{number}.txt")), log.join("\n"));
         }
-        self.outcome.kept = Some(self.folder.clone());
+        self.outcome.kept_folder = Some(self.folder.clone());
         self.outcome
     }
 
-    /// A server that came back gets no more in its first seconds than the multiple of what it usually gets that pushes a cold one over.
-    fn look_for_pushes(&mut self) {
-        let whole = self.began_at.elapsed().as_secs_f64();
+    /// Checks that a server that came back did not receive more than the overload multiple of its usual rate in
+    /// its first seconds.
+    fn check_cold_servers(&mut self) {
+        let elapsed = self.started_at.elapsed().as_secs_f64();
         for job in &self.jobs {
-            let (Some(over), Some(_)) = (job.over, self.site.place(&job.machine)) else { continue };
+            let (Some(finished), Some(_)) = (job.finished, self.environment.server_index(&job.machine))
+            else {
+                continue;
+            };
             let recorder = lock(&self.recorder);
-            let usual = recorder.statement_count(&job.machine) as f64 / whole;
-            let end = (over + FALL).min(Instant::now());
-            let got = recorder.statements_between(&job.machine, over, end) as f64;
-            if got > usual * FALL_MULTIPLE * FALL.as_secs_f64() + FEW {
+            let usual = recorder.statement_count(&job.machine) as f64 / elapsed;
+            let end = (finished + OVERLOAD_WINDOW).min(Instant::now());
+            let received = recorder.statements_between(&job.machine, finished, end) as f64;
+            if received > usual * OVERLOAD_MULTIPLE * OVERLOAD_WINDOW.as_secs_f64() + OVERLOAD_TOLERANCE {
                 self.outcome.cold_pushed += 1;
                 drop(recorder);
                 self.fleet.record_fault(&format!(
-                    "PUSHED: {} got {got} in {FALL:?}, usually {usual:.1} a second",
+                    "PUSHED: {} got {received} in {OVERLOAD_WINDOW:?}, usually {usual:.1} a second",
                     job.machine
                 ));
             }
         }
     }
 
-    fn breaks_clients(&self) -> bool {
-        let poolers =
-            |step: &Step| matches!(step.what, Do::Kill | Do::Stop | Do::Start | Do::DieAfter | Do::End);
-        self.script.steps.iter().any(poolers) || self.jobs.iter().any(|job| pooler_of(&job.machine).is_some())
+    /// Whether poolers were interrupted, by the script or by work on them, so that requests may be left without
+    /// an answer.
+    fn interrupts_clients(&self) -> bool {
+        let poolers = |step: &Step| {
+            matches!(step.what, Action::Kill | Action::Stop | Action::Start | Action::DieAfter | Action::End)
+        };
+        self.script.steps.iter().any(poolers)
+            || self.jobs.iter().any(|job| pooler_number(&job.machine).is_some())
     }
 }
 
-fn pooler_of(machine: &str) -> Option<usize> {
+/// Number of the pooler that a plan names as this machine.
+fn pooler_number(machine: &str) -> Option<usize> {
     machine.strip_prefix("pooler ")?.parse().ok()
 }
--- a/crates/lab/src/work/script.rs
+++ b/crates/lab/src/work/script.rs
@@ -1,4 +1,5 @@
-//! Scripts of machines out for work as files, in the operator's typed records; each fault with its place.
+//! Scripts of maintenance work: files in the operator's typed record format. Every error in a script is
+//! reported with its position.
 
 use crate::processes::records;
 use linnetdeal_operator::{Diagnostics, unify};
@@ -6,154 +7,155 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The schema of scripts.
+/// Schema of the scripts.
 pub const SCHEMA: &str = include_str!("script.cue");
 
-/// What is done.
+/// Action of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Do {
-    /// A plan is sent.
+pub enum Action {
+    /// Sends a plan.
     Plan,
-    /// Another call about work.
+    /// Sends another command of the maintenance API.
     Call,
-    /// SIGKILL.
+    /// Sends SIGKILL.
     Kill,
-    /// SIGSTOP.
+    /// Sends SIGSTOP.
     Stop,
-    /// SIGCONT.
+    /// Sends SIGCONT.
     Go,
-    /// A process starts from nothing.
+    /// Starts a new process; one that still runs is killed first.
     Start,
-    /// A newer process takes the place of one that runs.
+    /// Replaces a running process with a newer one.
     Replace,
-    /// SIGTERM, and its end.
+    /// Sends SIGTERM and waits until the process has exited.
     End,
-    /// Nothing more comes from or to it after so many letters; then it is killed.
+    /// Isolates the leader after a number of datagrams, then kills it.
     DieAfter,
-    /// Nothing passes between these and the others.
+    /// Cuts the links between these poolers and all others.
     Cut,
-    /// Nothing passes between these and a server.
+    /// Cuts the links between these poolers and a server.
     CutWays,
-    /// All ways are mended.
+    /// Restores all links.
     Heal,
-    /// A server dies.
+    /// A server goes down.
     Fell,
-    /// It is there again.
+    /// A server comes back up.
     Raise,
-    /// Clients ask so much more, in percent.
+    /// Sets the clients' request rate, in percent of the script's.
     Load,
-    /// The list says so of a server.
+    /// Changes the lifecycle of a server in the list of servers.
     List,
-    /// A server is taken out by hand, or that is ended, at all poolers.
+    /// Takes a server out by hand at all poolers, or ends that.
     ByHand,
-    /// Time goes by.
+    /// Waits.
     Wait,
-    /// Waits until something is to be seen.
+    /// Waits until the plan has reached a state.
     Until,
-    /// What becomes of all datagrams from now on.
+    /// Sets the loss, duplication, corruption and delay of all datagrams from now on.
     Noise,
-    /// The worker ends nothing that it has begun, until it is freed.
+    /// The worker finishes no work that it has begun, until `free-worker`.
     HangWorker,
-    /// It goes on.
+    /// The worker continues.
     FreeWorker,
-    /// Whoever hands primaries over says no.
+    /// Handovers of primaries are refused.
     DenyHandover,
-    /// It does so again.
+    /// Handovers of primaries are made again.
     GrantHandover,
 }
 
-/// A step.
+/// A step of a script.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Step {
-    /// What is done.
+    /// The action.
     #[serde(rename = "do")]
-    pub what: Do,
-    /// To which poolers.
+    pub what: Action,
+    /// The poolers that the step applies to.
     pub who: String,
-    /// To which server.
+    /// The server that the step applies to.
     #[serde(rename = "what")]
     pub server: String,
-    /// The words that go with it.
+    /// Text of the action: a plan, a command, a lifecycle or a state.
     pub text: String,
-    /// The status that is to be answered; 0 for any.
+    /// Expected HTTP status; 0 accepts any.
     pub status: u16,
-    /// For how long.
+    /// Duration of a wait.
     #[serde(deserialize_with = "records::duration")]
     pub lasts: Duration,
-    /// How many.
+    /// A count: datagrams, machines, a percentage or a loss rate per thousand.
     pub count: usize,
 }
 
-/// A script.
+/// A script of maintenance work.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Script {
-    /// Its name.
+    /// Name of the script.
     pub name: String,
-    /// For all that is by chance.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// How many poolers.
+    /// Number of poolers.
     pub poolers: usize,
-    /// Who votes.
+    /// The voters.
     pub voters: Vec<usize>,
-    /// How many groups.
+    /// Number of groups.
     pub groups: usize,
-    /// Servers of each.
+    /// Servers per group.
     pub members: usize,
-    /// In so many zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Clients of each pooler.
+    /// Clients per pooler.
     pub clients: usize,
-    /// The pause of each.
+    /// Pause of a client between requests.
     #[serde(deserialize_with = "records::duration")]
     pub pause: Duration,
-    /// What stands in the operator's file.
+    /// Settings of `work` in the operator's file.
     pub work: String,
-    /// How long work lasts.
+    /// Duration of the work on a machine.
     #[serde(deserialize_with = "records::duration")]
     pub lasts: Duration,
-    /// What the list says of it.
+    /// How the list of servers shows work: `so` as it is, `early` or `late` with its end, or `never`.
     pub listed: String,
-    /// Whether a relay stands between poolers and servers.
+    /// Whether poolers reach servers through relays, whose links can be cut.
     pub ways: bool,
-    /// Poolers that know nothing of work.
+    /// Poolers that run without the maintenance feature.
     pub old: Vec<usize>,
-    /// How often the steps are done.
+    /// Number of times that the steps are run.
     pub rounds: usize,
-    /// Whether the plan comes to its end.
+    /// Whether the plan has to end.
     pub ends: bool,
-    /// Machines that are not worked on.
+    /// Number of machines that end without work; 256 accepts any.
     pub left: usize,
-    /// Machines at work at once.
+    /// Maximum number of machines at work concurrently.
     pub all: usize,
-    /// Of one zone.
+    /// Maximum per zone.
     pub zone: usize,
-    /// Of one group.
+    /// Maximum per group.
     pub group: usize,
-    /// In so many zones.
+    /// Number of zones.
     pub zones_at_once: usize,
-    /// The share of requests served at least, in thousandths.
+    /// Minimum share of requests served, in thousandths.
     pub served: u64,
-    /// The steps.
+    /// Steps of each round.
     pub steps: Vec<Step>,
 }
 
 impl Script {
-    /// Reads a script's text; `name` is its file's.
+    /// Decodes the text of a script; `name` is the file name used in diagnostics.
     ///
     /// # Errors
     ///
-    /// When something in it is wrong.
+    /// When the script does not fit the schema.
     pub fn decode(name: &str, bytes: &[u8]) -> Result<Self, Diagnostics> {
         let tree = unify(SCHEMA, name, bytes)?;
-        tree.decode().map_err(|fault| Diagnostics { file: name.to_owned(), diagnostics: vec![fault] })
+        tree.decode()
+            .map_err(|diagnostic| Diagnostics { file: name.to_owned(), diagnostics: vec![diagnostic] })
     }
 
-    /// All scripts of a folder, by name.
+    /// Reads all scripts of a folder, sorted by file name.
     ///
     /// # Errors
     ///
-    /// When one can't be read, or something in it is wrong.
+    /// When a script can't be read or is invalid.
     pub fn read_folder(folder: &Path) -> Result<Vec<Self>, records::ScriptError> {
         records::read_folder(folder, |name, bytes| Ok(Self::decode(name, bytes)?))
     }
