--- a/crates/lab/src/socket_run.rs
+++ b/crates/lab/src/socket_run.rs
@@ -1,7 +1,8 @@
-//! A scenario on real sockets in real time: the same boxes, groups, list and clients as in virtual time, round the real
-//! daemon. One thread has the model and does in the order of time what happens; others only read, and wait for clients.
+//! Runs a scenario on real sockets in real time: the same servers, groups, server list and clients as in virtual time,
+//! around real processes of the daemon. One thread owns the model and processes events in the order of time; the other
+//! threads only read from sockets and run clients.
 //!
-//! A box listens on a port of its own for each pooler, so that what comes there shows who sent it.
+//! A server listens on a separate port for each pooler, so that the port identifies the sender of a statement.
 
 use crate::clients::{ClientConnection, statement_for};
 use crate::pg_reply;
@@ -30,24 +31,24 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Beyond this one machine shows itself and not the poolers.
-const MOST_BOXES: usize = 64;
-const MOST_POOLERS: usize = 16;
-const MOST_RATE: f64 = 3_000.0;
-/// All that happens is kept until it is audited, some 400 bytes a request.
-const MOST_SECONDS: f64 = 300.0;
-/// Clients that wait at once; what is asked beyond it counts as never sent.
-const MOST_OPEN: usize = 3_000;
-/// From the first start until clients ask, and from the last request to the end.
-const BEFORE: Duration = Duration::from_secs(1);
-const AFTER: Duration = Duration::from_secs(6);
-/// An attempt that its pooler gave up is known to be over when its connection is seen to end, up to this late.
-const SEEN: Span = Span::millis(20);
-/// What threads are late by on a busy machine, beside the model's own allowance: every limit is longer by this, as the
-/// platform has it on sockets.
-const LATE: Span = Span::millis(50);
-
-/// Unix time in us, carried on by the steady clock.
+/// Limits of a run: beyond them the machine is measured rather than the poolers.
+const MAX_BOXES: usize = 64;
+const MAX_POOLERS: usize = 16;
+const MAX_RATE: f64 = 3_000.0;
+/// Maximum duration of a run. All records are kept until the audit, about 400 bytes per request.
+const MAX_SECONDS: f64 = 300.0;
+/// Maximum number of requests in progress; requests beyond it count as never sent.
+const MAX_OPEN_REQUESTS: usize = 3_000;
+/// Time from the start of the run until the first request.
+const START_DELAY: Duration = Duration::from_secs(1);
+/// Time from the last request to the end of the run.
+const END_DELAY: Duration = Duration::from_secs(6);
+/// The end of an attempt that its pooler gave up is seen when its connection closes, late by up to this time.
+const CLOSE_DETECTION_DELAY: Span = Span::millis(20);
+/// Delay of threads on a busy machine, in addition to the model's own allowance. The audit extends every limit by it.
+const SCHEDULING_DELAY: Span = Span::millis(50);
+
+/// Unix time in us, advanced by the monotonic clock.
 #[derive(Clone, Copy)]
 struct Clock {
     anchor: Instant,
@@ -64,53 +65,56 @@
     }
 }
 
-/// What the threads that read tell the one that has the model.
+/// Messages from the other threads to the thread that owns the model.
 enum Input {
-    /// A pooler has connected to a box.
+    /// A pooler has connected to a server.
     Opened { conn: u64, server: u32, router: u32, stream: TcpStream },
-    /// Something came there whole; its first byte came at `first`.
-    Came { conn: u64, first: Time, what: Asked },
-    /// The pooler has closed it.
+    /// A complete statement was received; its first byte arrived at `first`.
+    Received { conn: u64, first: Time, what: ServerRequest },
+    /// The pooler has closed the connection.
     Closed { conn: u64, at: Time },
-    /// A pooler follows the list from this change on.
+    /// A pooler watches the server list from this version on.
     Watch { router: u32, since: usize, lines: Sender<String> },
-    /// A client did, or was told, something.
+    /// A record of a client.
     Record(Record),
-    /// A pooler was started.
+    /// A pooler was restarted, or its start failed.
     Started { router: u32, pooler: io::Result<Pooler> },
 }
 
-/// What is asked of a box.
-enum Asked {
-    Hello,
-    Nothing,
+/// What a pooler sends to a server.
+enum ServerRequest {
+    Startup,
+    EmptyQuery,
     Report,
     Request { id: String, request: u64, class: usize, work: Span },
 }
 
+/// Events in the queue of the thread that owns the model.
 enum Event {
     Fleet(FleetEvent),
-    Come { conn: u64, what: Asked },
-    Write { conn: u64, bytes: Vec<u8>, over: Option<u64> },
-    Shipped { conn: u64, life: u32, id: String, request: u64, commit: Time },
-    Told { router: u32, change: usize },
+    Deliver { conn: u64, what: ServerRequest },
+    Write { conn: u64, bytes: Vec<u8>, finishes: Option<u64> },
+    Replicated { conn: u64, incarnation: u32, id: String, request: u64, commit: Time },
+    PublishChange { router: u32, change: usize },
     Kill { trouble: usize, router: u32 },
     Start { router: u32 },
 }
 
-struct Conn {
+/// A pooler's connection to a server.
+struct Connection {
     server: u32,
     router: u32,
-    life: u32,
+    incarnation: u32,
     stream: TcpStream,
-    /// What was sent on it and has no answer: at most one request, by its number.
-    out: Option<u64>,
-    /// What came while a request was out, or while the box stood still.
-    held: Vec<Asked>,
+    /// Number of the request on it that has no answer yet; there is at most one.
+    in_flight: Option<u64>,
+    /// Statements received while a request was in progress or the server was paused.
+    queued: Vec<ServerRequest>,
 }
 
+/// The request behind a job of the model.
 #[derive(Clone)]
-struct JobOf {
+struct PendingJob {
     conn: u64,
     id: String,
     request: u64,
@@ -118,61 +122,65 @@
     class: usize,
 }
 
-/// What came of a rehearsal.
+/// Result of a run on sockets.
 #[derive(Debug)]
 pub struct SocketRun {
-    /// First tries, by class.
+    /// First tries of requests, by class.
     pub requests: Vec<u64>,
-    /// Of these, those that were served, be it at a later try.
+    /// Requests served, at the first or a later try, by class.
     pub served: Vec<u64>,
-    /// From the first try to the answer, in us, by class.
+    /// Latency from the first try to the answer, in us, by class.
     pub latency: Vec<Histogram<u64>>,
-    /// First tries and served ones by the second in which they were asked.
+    /// First tries and served requests, by the second of the first try.
     pub by_second: Vec<(u64, u64)>,
-    /// What no client was free for.
+    /// Requests that were not sent because too many were in progress.
     pub never_sent: u64,
-    /// Boxes that fell.
+    /// Number of servers that collapsed.
     pub collapsed: u64,
-    /// What the auditor says.
+    /// Report of the auditor.
     pub audit_report: audit::AuditReport,
 }
 
 impl SocketRun {
-    /// The share of all that was served.
+    /// Served share of all requests.
     #[must_use]
     pub fn served_share(&self) -> f64 {
         self.served.iter().sum::<u64>() as f64 / self.requests.iter().sum::<u64>().max(1) as f64
     }
 
-    /// The same of a class.
+    /// Served share of the requests of a class.
     #[must_use]
     pub fn class_served_share(&self, class: usize) -> f64 {
         self.served[class] as f64 / self.requests[class].max(1) as f64
     }
 }
 
-/// Why a scenario can't be rehearsed on sockets.
+/// Checks whether a scenario can be run on sockets.
 ///
 /// # Errors
 ///
-/// When it is larger than one machine can show.
+/// When the scenario exceeds the limits of one machine, or has a feature that is not supported on sockets.
 pub fn check_limits(plan: &Scenario) -> io::Result<()> {
     if let Some(what) = plan.unsupported_on_sockets() {
-        let words = format!("{}: {what} can't be on sockets; play it in virtual time", plan.name);
-        return Err(io::Error::other(words));
+        let message = format!("{}: {what} is not supported on sockets; run it in virtual time", plan.name);
+        return Err(io::Error::other(message));
     }
-    let surges = plan.troubles.iter().filter(|of| of.what == TroubleKind::Surge).map(|of| of.factor);
+    let surges = plan
+        .troubles
+        .iter()
+        .filter(|trouble| trouble.what == TroubleKind::Surge)
+        .map(|trouble| trouble.factor);
     let rate = Traffic::new(plan).rate * surges.fold(1.0, f64::max);
     let boxes = plan.fleet.groups * plan.fleet.members;
     for (what, is, most) in [
-        ("boxes", boxes as f64, MOST_BOXES as f64),
-        ("poolers", plan.fleet.poolers as f64, MOST_POOLERS as f64),
-        ("requests a second", rate, MOST_RATE),
-        ("seconds", plan.traffic.lasts.0 as f64 / 1e6, MOST_SECONDS),
+        ("boxes", boxes as f64, MAX_BOXES as f64),
+        ("poolers", plan.fleet.poolers as f64, MAX_POOLERS as f64),
+        ("requests a second", rate, MAX_RATE),
+        ("seconds", plan.traffic.lasts.0 as f64 / 1e6, MAX_SECONDS),
     ] {
         if is > most {
             return Err(io::Error::other(format!(
-                "{}: {is:.0} {what} are too many for sockets, which stand {most:.0}; play it in virtual time",
+                "{}: {is:.0} {what} exceed the limit of {most:.0} on sockets; run it in virtual time",
                 plan.name
             )));
         }
@@ -180,7 +188,7 @@
     Ok(())
 }
 
-/// The settings of a scenario's poolers, in the platform's form.
+/// Settings of a scenario's poolers, in the platform's format.
 fn daemon_settings(traffic: &Traffic) -> Value {
     let mut all = settings();
     let lanes = traffic.plans.iter().map(|plan| {
@@ -194,18 +202,20 @@
     all
 }
 
-fn operator(plan: &Scenario) -> Option<String> {
+/// The operator's configuration of a scenario's poolers; `None` if the scenario expects no durations of changes of primary.
+fn operator_config(plan: &Scenario) -> Option<String> {
     let [planned, unplanned] = Fleet::expected(plan);
-    let of = |of: linnetdeal_core::Expected| {
-        format!("{{least: \"{}ms\", usual: \"{}ms\"}}", of.least.0 / 1_000, of.usual.0 / 1_000)
+    let duration = |expected: linnetdeal_core::Expected| {
+        format!("{{least: \"{}ms\", usual: \"{}ms\"}}", expected.least.0 / 1_000, expected.usual.0 / 1_000)
     };
     Some(format!(
         "package linnetdeal\n\nprimary: {{planned: {}, unplanned: {}}}\n",
-        of(planned?),
-        of(unplanned?)
+        duration(planned?),
+        duration(unplanned?)
     ))
 }
 
+/// Counts of the clients' requests.
 struct Counts {
     requests: Vec<u64>,
     served: Vec<u64>,
@@ -213,44 +223,44 @@
     by_second: Vec<(u64, u64)>,
 }
 
-/// What all threads share.
+/// State shared by all threads.
 struct Shared {
     clock: Clock,
     begin: Time,
     inputs: Sender<Input>,
-    next_conn: AtomicU64,
+    next_connection: AtomicU64,
     next_request: AtomicU64,
-    open: AtomicUsize,
-    /// By box: it is gone, and nobody listens there.
-    gone: Vec<AtomicBool>,
-    over: AtomicBool,
+    open_requests: AtomicUsize,
+    /// By server: whether it is down, so that its ports are closed.
+    down: Vec<AtomicBool>,
+    finished: AtomicBool,
     surge: Mutex<f64>,
-    /// By pooler, where clients connect; `None` while it is away.
-    doors: Vec<Mutex<Option<SocketAddr>>>,
-    /// By pooler, clients' connections that are free.
-    idle: Vec<Mutex<Vec<ClientConnection>>>,
+    /// By pooler: the address for clients, `None` while the pooler is not running.
+    pooler_addresses: Vec<Mutex<Option<SocketAddr>>>,
+    /// By pooler: idle connections of clients.
+    idle_connections: Vec<Mutex<Vec<ClientConnection>>>,
     counts: Mutex<Counts>,
 }
 
 impl Shared {
-    fn tell(&self, input: Input) {
-        // After the end nobody listens any more.
+    fn send(&self, input: Input) {
+        // After the end of the run the receiver is gone, and messages are dropped.
         let _ = self.inputs.send(input);
     }
 
     fn record(&self, what: RecordKind, (a, b): (u32, u32), request: u64, x: i64, y: i64) {
-        self.tell(Input::Record(Record { at: self.clock.now(), what, a, b, request, x, y }));
+        self.send(Input::Record(Record { at: self.clock.now(), what, a, b, request, x, y }));
     }
 }
 
-/// Plays a scenario round the program at `program`.
+/// Runs a scenario on sockets with the program at `program`.
 ///
 /// # Errors
 ///
-/// When it is too large, or something can't be started.
+/// When the scenario exceeds the limits, or a server or pooler can't be started.
 pub fn run_on_sockets(plan: &Scenario, program: &Path) -> io::Result<SocketRun> {
     check_limits(plan)?;
-    let (inputs, told) = channel();
+    let (inputs, input_receiver) = channel();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let unix = Time(i64::try_from(unix.as_micros()).unwrap_or(i64::MAX));
     let clock = Clock { anchor: Instant::now(), unix };
@@ -265,14 +275,14 @@
         clock,
         begin,
         inputs,
-        next_conn: AtomicU64::new(1),
+        next_connection: AtomicU64::new(1),
         next_request: AtomicU64::new(1),
-        open: AtomicUsize::new(0),
-        gone: fleet.hosts.iter().map(|_| AtomicBool::new(false)).collect(),
-        over: AtomicBool::new(false),
+        open_requests: AtomicUsize::new(0),
+        down: fleet.hosts.iter().map(|_| AtomicBool::new(false)).collect(),
+        finished: AtomicBool::new(false),
         surge: Mutex::new(1.0),
-        doors: (0..plan.fleet.poolers).map(|_| Mutex::new(None)).collect(),
-        idle: (0..plan.fleet.poolers).map(|_| Mutex::default()).collect(),
+        pooler_addresses: (0..plan.fleet.poolers).map(|_| Mutex::new(None)).collect(),
+        idle_connections: (0..plan.fleet.poolers).map(|_| Mutex::default()).collect(),
         counts: Mutex::new(Counts {
             requests: vec![0; classes],
             served: vec![0; classes],
@@ -280,24 +290,24 @@
             by_second: vec![(0, 0); seconds],
         }),
     });
-    let mut stage = Stage::new(plan, program, &shared, fleet, traffic.clone(), rng)?;
-    let mut effects = Vec::new();
-    stage.fleet.schedule_troubles(&mut effects);
-    stage.follow(effects);
+    let mut runner = Runner::new(plan, program, &shared, fleet, traffic.clone(), rng)?;
+    let mut actions = Vec::new();
+    runner.fleet.schedule_troubles(&mut actions);
+    runner.apply_actions(actions);
     let clients = {
         let (shared, plan, traffic) = (shared.clone(), plan.clone(), traffic);
-        std::thread::spawn(move || ask(&shared, &plan, &Arc::new(traffic)))
+        std::thread::spawn(move || generate_requests(&shared, &plan, &Arc::new(traffic)))
     };
-    let end = shared.begin + plan.traffic.lasts + Span(AFTER.as_micros() as i64);
-    stage.run(&told, end);
-    shared.over.store(true, Ordering::SeqCst);
+    let end = shared.begin + plan.traffic.lasts + Span(END_DELAY.as_micros() as i64);
+    runner.run(&input_receiver, end);
+    shared.finished.store(true, Ordering::SeqCst);
     let never_sent = clients.join().unwrap_or(0);
-    // Answers that clients got last are still on their way here.
-    while let Ok(input) = told.try_recv() {
-        stage.take(input);
+    // The records of the last answers may still be in the channel.
+    while let Ok(input) = input_receiver.try_recv() {
+        runner.handle_input(input);
     }
-    let collapsed = stage.fleet.collapsed;
-    let audit_report = audit(plan, std::mem::take(&mut stage.records), end);
+    let collapsed = runner.fleet.collapsed;
+    let audit_report = audit_records(plan, std::mem::take(&mut runner.records), end);
     let counts = std::mem::replace(
         &mut *crate::lock(&shared.counts),
         Counts { requests: vec![], served: vec![], latency: vec![], by_second: vec![] },
@@ -306,36 +316,36 @@
     Ok(SocketRun { requests, served, latency, by_second, never_sent, collapsed, audit_report })
 }
 
-/// Threads tell of what happened a little late and out of order: it is put in order first.
-fn audit(plan: &Scenario, mut records: Vec<Record>, end: Time) -> audit::AuditReport {
+/// Audits the records. Threads report slightly late and out of order, so the records are sorted first.
+fn audit_records(plan: &Scenario, mut records: Vec<Record>, end: Time) -> audit::AuditReport {
     let mut rules = sim::rules(plan);
-    rules.answer_slack = Span(rules.answer_slack.0 + LATE.0);
-    rules.drain_grace = Span(rules.drain_grace.0 + LATE.0);
-    for law in &mut rules.classes {
-        if let Freshness::Bounded(bound) = &mut law.freshness {
-            *bound = Span(bound.0 + LATE.0);
+    rules.answer_slack = Span(rules.answer_slack.0 + SCHEDULING_DELAY.0);
+    rules.drain_grace = Span(rules.drain_grace.0 + SCHEDULING_DELAY.0);
+    for class in &mut rules.classes {
+        if let Freshness::Bounded(bound) = &mut class.freshness {
+            *bound = Span(bound.0 + SCHEDULING_DELAY.0);
         }
     }
-    records.sort_by_key(|of| of.at);
+    records.sort_by_key(|record| record.at);
     let mut sent = HashMap::new();
     for record in &mut records {
         match record.what {
             RecordKind::Sent => drop(sent.insert((record.request, record.b), record.at)),
             RecordKind::Over => {
                 let began = sent.get(&(record.request, record.b)).copied().unwrap_or(Time(0));
-                record.at = (record.at + Span(-SEEN.0)).max(began + Span(1));
+                record.at = (record.at + Span(-CLOSE_DETECTION_DELAY.0)).max(began + Span(1));
             }
             _ => {}
         }
     }
-    records.sort_by_key(|of| of.at);
+    records.sort_by_key(|record| record.at);
     let mut auditor = Auditor::new(rules);
     records.into_iter().for_each(|record| auditor.record(record));
     auditor.finish(end)
 }
 
-/// What has the model.
-struct Stage<'p> {
+/// The thread's state that owns the model.
+struct Runner<'p> {
     plan: &'p Scenario,
     program: &'p Path,
     shared: Arc<Shared>,
@@ -343,20 +353,20 @@
     traffic: Traffic,
     rng: ChaCha8Rng,
     queue: EventQueue<Event>,
-    conns: HashMap<u64, Conn>,
-    jobs: HashMap<u64, JobOf>,
+    connections: HashMap<u64, Connection>,
+    jobs: HashMap<u64, PendingJob>,
     next_job: u64,
-    /// By box and pooler, where the box listens for it.
+    /// By server and pooler: the address at which the server listens for the pooler.
     ports: Vec<Vec<SocketAddr>>,
     poolers: Vec<Option<Pooler>>,
     discoveries: Vec<SocketAddr>,
     watches: Vec<Vec<Sender<String>>>,
-    /// By pooler, the changes that it was told, or would have been.
-    told: Vec<Vec<usize>>,
+    /// By pooler: the list changes published to it, whether it was watching or not.
+    published_changes: Vec<Vec<usize>>,
     records: Vec<Record>,
 }
 
-impl<'p> Stage<'p> {
+impl<'p> Runner<'p> {
     fn new(
         plan: &'p Scenario,
         program: &'p Path,
@@ -368,11 +378,11 @@
         let poolers = plan.fleet.poolers;
         let mut ports = Vec::new();
         for server in 0..fleet.hosts.len() as u32 {
-            let of = (0..poolers as u32).map(|router| listen(shared, server, router));
-            ports.push(of.collect::<io::Result<Vec<_>>>()?);
+            let addresses = (0..poolers as u32).map(|router| start_listener(shared, server, router));
+            ports.push(addresses.collect::<io::Result<Vec<_>>>()?);
         }
-        let discoveries = (0..poolers as u32).map(|router| discovery(shared, router));
-        let mut stage = Self {
+        let discoveries = (0..poolers as u32).map(|router| start_discovery(shared, router));
+        let mut runner = Self {
             plan,
             program,
             shared: shared.clone(),
@@ -380,25 +390,25 @@
             traffic,
             rng,
             queue: EventQueue::default(),
-            conns: HashMap::new(),
+            connections: HashMap::new(),
             jobs: HashMap::new(),
             next_job: 1,
             ports,
             poolers: (0..poolers).map(|_| None).collect(),
             discoveries: discoveries.collect::<io::Result<_>>()?,
             watches: (0..poolers).map(|_| Vec::new()).collect(),
-            told: vec![Vec::new(); poolers],
+            published_changes: vec![Vec::new(); poolers],
             records: Vec::new(),
         };
         for router in 0..poolers as u32 {
-            let pooler = stage.daemon(router)();
-            stage.started(router, pooler)?;
+            let pooler = runner.pooler_starter(router)();
+            runner.pooler_started(router, pooler)?;
         }
-        Ok(stage)
+        Ok(runner)
     }
 
-    /// What starts a pooler: it knows the list as it was at the beginning, and hears the rest from discovery.
-    fn daemon(&self, router: u32) -> impl FnOnce() -> io::Result<Pooler> + Send + 'static {
+    /// Returns a function that starts a pooler with the initial server list; it gets later changes from discovery.
+    fn pooler_starter(&self, router: u32) -> impl FnOnce() -> io::Result<Pooler> + Send + 'static {
         let instances = (0..self.fleet.hosts.len() as u32)
             .filter(|server| self.traffic.serves(router, self.fleet.hosts[*server as usize].group));
         let first = |server: u32| ListChange {
@@ -408,7 +418,7 @@
             primary: self.fleet.hosts[server as usize].member == 0,
             number: 0,
         };
-        let instances: Vec<Value> = instances.map(|server| self.entry(router, first(server))).collect();
+        let instances: Vec<Value> = instances.map(|server| self.list_entry(router, first(server))).collect();
         let known = json!({"generation": 1, "reset": true, "instances": instances});
         let setup = PoolerSetup {
             fleet_size: self.traffic.poolers_per_group(),
@@ -416,49 +426,49 @@
             listen: None,
             discovery: Some(self.discoveries[router as usize]),
         };
-        let (program, operator) = (self.program.to_owned(), operator(self.plan));
+        let (program, operator) = (self.program.to_owned(), operator_config(self.plan));
         let settings = daemon_settings(&self.traffic);
         move || Pooler::start_with_settings(&program, operator.as_deref(), &known, setup, settings)
     }
 
-    fn started(&mut self, router: u32, pooler: io::Result<Pooler>) -> io::Result<()> {
+    fn pooler_started(&mut self, router: u32, pooler: io::Result<Pooler>) -> io::Result<()> {
         let pooler = pooler?;
-        *crate::lock(&self.shared.doors[router as usize]) = Some(pooler.address);
+        *crate::lock(&self.shared.pooler_addresses[router as usize]) = Some(pooler.address);
         self.poolers[router as usize] = Some(pooler);
         Ok(())
     }
 
-    fn entry(&self, router: u32, change: ListChange) -> Value {
+    fn list_entry(&self, router: u32, change: ListChange) -> Value {
         let host = &self.fleet.hosts[change.server as usize];
         let lifecycle = match change.state {
             ListState::Healthy => "up",
             ListState::Gone => "removed",
             _ => "draining",
         };
-        json!({"instanceId": name(change.server),
+        json!({"instanceId": member_name(change.server),
             "hostPort": self.ports[change.server as usize][router as usize].to_string(),
             "zone": format!("z{}", host.zone), "machineType": "m1", "cell": host.group, "lifecycle": lifecycle,
             "weight": 1.0, "startedAtMs": change.started.map_or(0, |at| at.0 / 1_000),
             "part": if change.primary { "master" } else { "replica" }})
     }
 
-    fn at(&mut self, at: Time, event: Event) {
+    fn schedule(&mut self, at: Time, event: Event) {
         self.queue.schedule(at, event);
     }
 
-    /// Something reaches the other side a way later.
-    fn later(&mut self, router: u32, server: u32, event: Event) {
+    /// Schedules an event after the network latency between the pooler and the server.
+    fn schedule_delivery(&mut self, router: u32, server: u32, event: Event) {
         let same = router as usize % self.plan.fleet.zones == self.fleet.hosts[server as usize].zone;
-        let way = if same { self.plan.network.same } else { self.plan.network.cross };
-        let way = way.times(0.85 + 0.3 * self.rng.random::<f64>());
-        self.at(self.shared.clock.now() + way, event);
+        let latency = if same { self.plan.network.same } else { self.plan.network.cross };
+        let latency = latency.times(0.85 + 0.3 * self.rng.random::<f64>());
+        self.schedule(self.shared.clock.now() + latency, event);
     }
 
     fn record(&mut self, what: RecordKind, (a, b): (u32, u32), request: u64, x: i64, y: i64) {
         self.records.push(Record { at: self.shared.clock.now(), what, a, b, request, x, y });
     }
 
-    fn run(&mut self, told: &Receiver<Input>, end: Time) {
+    fn run(&mut self, input_receiver: &Receiver<Input>, end: Time) {
         loop {
             let now = self.shared.clock.now();
             if now >= end {
@@ -466,36 +476,39 @@
             }
             if self.queue.next_time().is_some_and(|at| at <= now) {
                 if let Some((_, event)) = self.queue.pop() {
-                    self.happens(event);
+                    self.handle_event(event);
                 }
-                // What came meanwhile is not kept waiting by a row of events.
-                while let Ok(input) = told.try_recv() {
-                    self.take(input);
+                // Messages are handled between events, so that a long series of events does not delay them.
+                while let Ok(input) = input_receiver.try_recv() {
+                    self.handle_input(input);
                 }
                 continue;
             }
             let next = self.queue.next_time().map_or(end, |at| at.min(end));
-            match told.recv_timeout(self.shared.clock.until(next)) {
-                Ok(input) => self.take(input),
+            match input_receiver.recv_timeout(self.shared.clock.until(next)) {
+                Ok(input) => self.handle_input(input),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Opened { conn, server, router, stream } => {
-                let life = self.fleet.hosts[server as usize].incarnation;
-                let held = Vec::new();
-                self.conns.insert(conn, Conn { server, router, life, stream, out: None, held });
-            }
-            Input::Came { conn, first, what } => {
-                let Some(of) = self.conns.get_mut(&conn) else { return };
-                let (server, router) = (of.server, of.router);
-                if let Asked::Request { request, .. } = &what {
+                let incarnation = self.fleet.hosts[server as usize].incarnation;
+                let queued = Vec::new();
+                self.connections.insert(
+                    conn,
+                    Connection { server, router, incarnation, stream, in_flight: None, queued },
+                );
+            }
+            Input::Received { conn, first, what } => {
+                let Some(connection) = self.connections.get_mut(&conn) else { return };
+                let (server, router) = (connection.server, connection.router);
+                if let ServerRequest::Request { request, .. } = &what {
                     let request = *request;
-                    of.out = Some(request);
+                    connection.in_flight = Some(request);
                     let (a, b) = (router, server);
                     self.records.push(Record {
                         at: first,
@@ -507,72 +520,74 @@
                         y: 0,
                     });
                 }
-                self.later(router, server, Event::Come { conn, what });
+                self.schedule_delivery(router, server, Event::Deliver { conn, what });
             }
             Input::Closed { conn, at } => {
-                let Some(of) = self.conns.remove(&conn) else { return };
-                if let Some(request) = of.out {
-                    let (a, b) = (of.router, of.server);
+                let Some(connection) = self.connections.remove(&conn) else { return };
+                if let Some(request) = connection.in_flight {
+                    let (a, b) = (connection.router, connection.server);
                     self.records.push(Record { at, what: RecordKind::Over, a, b, request, x: 0, y: 0 });
                 }
             }
             Input::Watch { router, since, lines } => {
-                // The list as it was first has version 1.
-                let missed = self.told[router as usize].iter().skip(since.saturating_sub(1));
+                // The initial list has version 1.
+                let missed = self.published_changes[router as usize].iter().skip(since.saturating_sub(1));
                 let missed: Vec<Value> =
-                    missed.map(|change| self.entry(router, self.fleet.changes[*change])).collect();
-                let generation = self.told[router as usize].len() + 1;
+                    missed.map(|change| self.list_entry(router, self.fleet.changes[*change])).collect();
+                let generation = self.published_changes[router as usize].len() + 1;
                 let line = json!({"generation": generation, "reset": false, "instances": missed});
                 let _ = lines.send(line.to_string());
                 self.watches[router as usize].push(lines);
-                for change in self.told[router as usize].clone().into_iter().skip(since.saturating_sub(1)) {
-                    self.tells(router, change);
+                for change in
+                    self.published_changes[router as usize].clone().into_iter().skip(since.saturating_sub(1))
+                {
+                    self.record_list_change(router, change);
                 }
             }
             Input::Record(record) => self.records.push(record),
             Input::Started { router, pooler } => {
-                if let Err(error) = self.started(router, pooler) {
-                    eprintln!("a pooler does not start again: {error}");
+                if let Err(error) = self.pooler_started(router, pooler) {
+                    eprintln!("cannot restart a pooler: {error}");
                 }
             }
         }
     }
 
-    fn tells(&mut self, router: u32, change: usize) {
+    fn record_list_change(&mut self, router: u32, change: usize) {
         let change = self.fleet.changes[change];
         let up = i64::from(change.state == ListState::Healthy);
         self.record(RecordKind::Told, (router, change.server), 0, up, change.started.unwrap_or(Time(0)).0);
     }
 
-    fn happens(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Fleet(what) => {
-                let mut effects = Vec::new();
+                let mut actions = Vec::new();
                 let now = self.shared.clock.now();
-                self.fleet.handle(now, what, &mut self.rng, &mut effects);
-                self.follow(effects);
-            }
-            Event::Come { conn, what } => self.come(conn, what),
-            Event::Write { conn, bytes, over } => {
-                let Some(of) = self.conns.get_mut(&conn) else { return };
-                let (router, server) = (of.router, of.server);
-                if over.is_some() {
-                    of.out = None;
+                self.fleet.handle(now, what, &mut self.rng, &mut actions);
+                self.apply_actions(actions);
+            }
+            Event::Deliver { conn, what } => self.handle_request(conn, what),
+            Event::Write { conn, bytes, finishes } => {
+                let Some(connection) = self.connections.get_mut(&conn) else { return };
+                let (router, server) = (connection.router, connection.server);
+                if finishes.is_some() {
+                    connection.in_flight = None;
                 }
-                if let Some(request) = over {
+                if let Some(request) = finishes {
                     self.record(RecordKind::Over, (router, server), request, 0, 0);
                 }
-                // Who has left takes no answer.
-                if let Some(of) = self.conns.get_mut(&conn) {
-                    let _ = of.stream.write_all(&bytes);
-                    let held = std::mem::take(&mut of.held);
-                    held.into_iter().for_each(|what| self.come(conn, what));
+                // A closed connection gets no answer.
+                if let Some(connection) = self.connections.get_mut(&conn) {
+                    let _ = connection.stream.write_all(&bytes);
+                    let queued = std::mem::take(&mut connection.queued);
+                    queued.into_iter().for_each(|what| self.handle_request(conn, what));
                 }
             }
-            Event::Shipped { conn, life, id, request, commit } => {
-                let Some(of) = self.conns.get(&conn) else { return };
-                let (server, router) = (of.server, of.router);
-                if self.fleet.hosts[server as usize].incarnation != life {
+            Event::Replicated { conn, incarnation, id, request, commit } => {
+                let Some(connection) = self.connections.get(&conn) else { return };
+                let (server, router) = (connection.server, connection.router);
+                if self.fleet.hosts[server as usize].incarnation != incarnation {
                     return;
                 }
                 self.record(RecordKind::Kept, (router, server), request, commit.0, 0);
@@ -580,255 +595,265 @@
                 let mut bytes = Vec::new();
                 pg_reply::single_row(&mut bytes, format!("{id} {}", commit.0).as_bytes(), true, position);
                 write::ready_for_query(&mut bytes);
-                self.later(router, server, Event::Write { conn, bytes, over: Some(request) });
+                self.schedule_delivery(router, server, Event::Write { conn, bytes, finishes: Some(request) });
             }
-            Event::Told { router, change } => {
-                self.told[router as usize].push(change);
-                let generation = self.told[router as usize].len() + 1;
-                let entry = self.entry(router, self.fleet.changes[change]);
+            Event::PublishChange { router, change } => {
+                self.published_changes[router as usize].push(change);
+                let generation = self.published_changes[router as usize].len() + 1;
+                let entry = self.list_entry(router, self.fleet.changes[change]);
                 let line =
                     json!({"generation": generation, "reset": false, "instances": [entry]}).to_string();
                 let watches = &mut self.watches[router as usize];
                 watches.retain(|lines| lines.send(line.clone()).is_ok());
                 if !watches.is_empty() {
-                    self.tells(router, change);
+                    self.record_list_change(router, change);
                 }
             }
             Event::Kill { trouble, router } => {
-                *crate::lock(&self.shared.doors[router as usize]) = None;
-                crate::lock(&self.shared.idle[router as usize]).clear();
+                *crate::lock(&self.shared.pooler_addresses[router as usize]) = None;
+                crate::lock(&self.shared.idle_connections[router as usize]).clear();
                 if let Some(pooler) = self.poolers[router as usize].take() {
                     self.watches[router as usize].clear();
                     drop(pooler);
                     self.record(RecordKind::Killed, (router, 0), 0, 0, 0);
                     if let Some(away) = self.fleet.pooler_downtime(trouble) {
-                        self.at(self.shared.clock.now() + away, Event::Start { router });
+                        self.schedule(self.shared.clock.now() + away, Event::Start { router });
                     }
                 }
             }
             Event::Start { router } => {
-                let (start, shared) = (self.daemon(router), self.shared.clone());
-                std::thread::spawn(move || shared.tell(Input::Started { router, pooler: start() }));
+                let (start, shared) = (self.pooler_starter(router), self.shared.clone());
+                std::thread::spawn(move || shared.send(Input::Started { router, pooler: start() }));
             }
         }
     }
 
-    /// Sees to what follows from what happened to the boxes.
-    fn follow(&mut self, effects: Vec<FleetAction>) {
-        for effect in effects {
-            match effect {
-                FleetAction::Schedule(at, what) => self.at(at, Event::Fleet(what)),
+    /// Carries out the actions that the model of the servers returned.
+    fn apply_actions(&mut self, actions: Vec<FleetAction>) {
+        for action in actions {
+            match action {
+                FleetAction::Schedule(at, what) => self.schedule(at, Event::Fleet(what)),
                 FleetAction::Record(what, server, request, x) => {
                     self.record(what, (0, server), request, x, 0)
                 }
-                // Its connection ends with the box.
+                // Its connection ends with the server.
                 FleetAction::JobLost(job) => drop(self.jobs.remove(&job)),
-                FleetAction::JobDone(server, job) => self.through(server, job),
+                FleetAction::JobDone(server, job) => self.finish_job(server, job),
                 FleetAction::ListChanged(change, noticed) => {
                     let server = self.fleet.changes[change].server;
                     let group = self.fleet.hosts[server as usize].group;
                     for router in 0..self.poolers.len() as u32 {
                         if self.traffic.serves(router, group) {
-                            self.at(
+                            self.schedule(
                                 noticed + self.traffic.list_delay(router),
-                                Event::Told { router, change },
+                                Event::PublishChange { router, change },
                             );
                         }
                     }
                 }
-                FleetAction::StateChanged(server) => self.lives(server),
-                FleetAction::KillPooler(at, trouble, router) => self.at(at, Event::Kill { trouble, router }),
-                // No such list is on sockets: `check_limits` refuses it.
+                FleetAction::StateChanged(server) => self.apply_server_state(server),
+                FleetAction::KillPooler(at, trouble, router) => {
+                    self.schedule(at, Event::Kill { trouble, router })
+                }
+                // Such a list is not supported on sockets: `check_limits` refuses it.
                 FleetAction::ListOverbooked(_) => {}
                 FleetAction::SetSurge(factor) => *crate::lock(&self.shared.surge) = factor,
             }
         }
     }
 
-    /// A box has died, stands still, goes on or has started.
-    fn lives(&mut self, server: u32) {
-        let life = self.fleet.hosts[server as usize].server.state();
-        let gone = matches!(life, ServerState::Dead | ServerState::Collapsed);
-        if self.shared.gone[server as usize].swap(gone, Ordering::SeqCst) != gone && gone {
-            for of in self.conns.values().filter(|of| of.server == server) {
-                let _ = of.stream.shutdown(Shutdown::Both);
+    /// Applies a server's change of state: crashed, paused, resumed or started.
+    fn apply_server_state(&mut self, server: u32) {
+        let state = self.fleet.hosts[server as usize].server.state();
+        let down = matches!(state, ServerState::Dead | ServerState::Collapsed);
+        if self.shared.down[server as usize].swap(down, Ordering::SeqCst) != down && down {
+            for connection in self.connections.values().filter(|connection| connection.server == server) {
+                let _ = connection.stream.shutdown(Shutdown::Both);
             }
-            // Those who wait for connections there look up.
+            // Wakes the threads that wait in `accept`.
             for port in &self.ports[server as usize] {
                 drop(TcpStream::connect(port));
             }
         }
-        if life == ServerState::Up {
-            let held = self.conns.iter_mut().filter(|(_, of)| of.server == server);
-            let held: Vec<(u64, Vec<Asked>)> =
-                held.map(|(conn, of)| (*conn, std::mem::take(&mut of.held))).collect();
-            for (conn, held) in held {
-                held.into_iter().for_each(|what| self.come(conn, what));
+        if state == ServerState::Up {
+            let queued = self.connections.iter_mut().filter(|(_, connection)| connection.server == server);
+            let queued: Vec<(u64, Vec<ServerRequest>)> =
+                queued.map(|(conn, connection)| (*conn, std::mem::take(&mut connection.queued))).collect();
+            for (conn, queued) in queued {
+                queued.into_iter().for_each(|what| self.handle_request(conn, what));
             }
         }
     }
 
-    /// Something has come to a box.
-    fn come(&mut self, conn: u64, what: Asked) {
-        let Some(of) = self.conns.get_mut(&conn) else { return };
-        let (server, router, life) = (of.server, of.router, of.life);
+    /// Handles a statement that has arrived at a server.
+    fn handle_request(&mut self, conn: u64, what: ServerRequest) {
+        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        let (server, router, incarnation) = (connection.server, connection.router, connection.incarnation);
         let host = &self.fleet.hosts[server as usize];
-        if host.incarnation != life
+        if host.incarnation != incarnation
             || matches!(host.server.state(), ServerState::Dead | ServerState::Collapsed)
         {
-            let _ = of.stream.shutdown(Shutdown::Both);
+            let _ = connection.stream.shutdown(Shutdown::Both);
             return;
         }
-        // A connection is answered in order, and by who stands still not at all.
-        let busy = of.out.is_some() || matches!(host.server.state(), ServerState::Paused(_));
-        if busy && !matches!(what, Asked::Request { .. }) {
-            of.held.push(what);
+        // Statements of a connection are answered in order, and a paused server answers none.
+        let busy = connection.in_flight.is_some() || matches!(host.server.state(), ServerState::Paused(_));
+        if busy && !matches!(what, ServerRequest::Request { .. }) {
+            connection.queued.push(what);
             return;
         }
         let now = self.shared.clock.now();
         let mut bytes = Vec::new();
         match what {
-            Asked::Hello => write::session_start(&mut bytes, 1, 1),
-            Asked::Nothing => {
+            ServerRequest::Startup => write::session_start(&mut bytes, 1, 1),
+            ServerRequest::EmptyQuery => {
                 write::empty_query_response(&mut bytes);
                 write::ready_for_query(&mut bytes);
             }
-            Asked::Report => {
+            ServerRequest::Report => {
                 let [position, primary, _] = self.fleet.report(server, now).unwrap_or_default();
                 let position = position + self.shared.begin.0 as f64 / 1e6;
                 let note = self.fleet.note(server, now);
-                answer(&mut bytes, format!("x0={position:.3},x1={primary}").as_bytes(), note);
+                write_answer(&mut bytes, format!("x0={position:.3},x1={primary}").as_bytes(), note);
             }
-            Asked::Request { id, request, class, work } => {
+            ServerRequest::Request { id, request, class, work } => {
                 self.record(RecordKind::Came, (router, server), request, work.0, 0);
                 let job = self.next_job;
                 self.next_job += 1;
-                self.jobs.insert(job, JobOf { conn, id, request, router, class });
+                self.jobs.insert(job, PendingJob { conn, id, request, router, class });
                 let write = self.traffic.plans[class].class.need == Need::Write;
-                let (mut effects, job_of) = (Vec::new(), Job { id: job, work });
-                let came = self.fleet.deliver(now, server, job_of, write, &mut self.rng, &mut effects);
-                match came {
+                let (mut actions, new_job) = (Vec::new(), Job { id: job, work });
+                let delivery = self.fleet.deliver(now, server, new_job, write, &mut self.rng, &mut actions);
+                match delivery {
                     Delivery::Accepted => {}
                     Delivery::ConnectionLost => {
                         self.jobs.remove(&job);
-                        if let Some(of) = self.conns.get(&conn) {
-                            let _ = of.stream.shutdown(Shutdown::Both);
+                        if let Some(connection) = self.connections.get(&conn) {
+                            let _ = connection.stream.shutdown(Shutdown::Both);
                         }
                     }
                     Delivery::Answered(verdict, note) => {
                         self.jobs.remove(&job);
-                        refusal(&mut bytes, verdict, note);
-                        self.later(router, server, Event::Write { conn, bytes, over: Some(request) });
+                        write_refusal(&mut bytes, verdict, note);
+                        self.schedule_delivery(
+                            router,
+                            server,
+                            Event::Write { conn, bytes, finishes: Some(request) },
+                        );
                     }
                 }
-                return self.follow(effects);
+                return self.apply_actions(actions);
             }
         }
-        self.later(router, server, Event::Write { conn, bytes, over: None });
+        self.schedule_delivery(router, server, Event::Write { conn, bytes, finishes: None });
     }
 
-    /// A job is through. Work goes on though its pooler has left.
-    fn through(&mut self, server: u32, job: u64) {
-        let Some(JobOf { conn, id, request, router, class }) = self.jobs.remove(&job) else { return };
+    /// Answers a finished job. Jobs continue even if their pooler has disconnected.
+    fn finish_job(&mut self, server: u32, job: u64) {
+        let Some(PendingJob { conn, id, request, router, class }) = self.jobs.remove(&job) else { return };
         let write = self.traffic.plans[class].class.need == Need::Write;
-        let (now, life) = (self.shared.clock.now(), self.fleet.hosts[server as usize].incarnation);
+        let (now, incarnation) = (self.shared.clock.now(), self.fleet.hosts[server as usize].incarnation);
         let mut bytes = Vec::new();
         match self.fleet.finish(now, server, write) {
             JobResult::Read(note, position) => {
-                answer(&mut bytes, format!("{id} {}", position.0).as_bytes(), note);
+                write_answer(&mut bytes, format!("{id} {}", position.0).as_bytes(), note);
             }
-            JobResult::RoleLost(note) => refusal(&mut bytes, Verdict::Error, note),
+            JobResult::RoleLost(note) => write_refusal(&mut bytes, Verdict::Error, note),
             JobResult::Committed(commit) => {
                 self.record(RecordKind::Ran, (router, server), request, commit.0, 0);
-                let event = Event::Shipped { conn, life, id, request, commit };
-                return self.at(now + self.fleet.ship(), event);
+                let event = Event::Replicated { conn, incarnation, id, request, commit };
+                return self.schedule(now + self.fleet.ship(), event);
             }
         }
-        self.later(router, server, Event::Write { conn, bytes, over: Some(request) });
+        self.schedule_delivery(router, server, Event::Write { conn, bytes, finishes: Some(request) });
     }
 }
 
-fn name(server: u32) -> String {
+fn member_name(server: u32) -> String {
     format!("b-{server:06}")
 }
 
-fn answer(out: &mut Vec<u8>, value: &[u8], note: Note) {
+fn write_answer(out: &mut Vec<u8>, value: &[u8], note: Note) {
     let position = note.position.map_or(0, |at| at.0 / 1_000);
     pg_reply::single_row(out, value, note.role == Some(Role::Primary), position);
     write::ready_for_query(out);
 }
 
-fn refusal(out: &mut Vec<u8>, verdict: Verdict, note: Note) {
-    let (code, words) = match verdict {
+fn write_refusal(out: &mut Vec<u8>, verdict: Verdict, note: Note) {
+    let (code, message) = match verdict {
         Verdict::Full => ("53300", "full"),
         Verdict::Miss => ("25006", "read only"),
         _ => ("XX000", "lost its role"),
     };
-    write::error_response(out, write::Severity::Error, code, words, None);
+    write::error_response(out, write::Severity::Error, code, message, None);
     let position = note.position.map_or(0, |at| at.0 / 1_000);
     pg_reply::status_parameters(out, note.role == Some(Role::Primary), position);
     write::ready_for_query(out);
 }
 
-/// A box's port for a pooler. While the box is gone nobody listens there.
-fn listen(shared: &Arc<Shared>, server: u32, router: u32) -> io::Result<SocketAddr> {
+/// Opens a server's port for a pooler. The port is closed while the server is down.
+fn start_listener(shared: &Arc<Shared>, server: u32, router: u32) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     let address = listener.local_addr()?;
     let shared = shared.clone();
     std::thread::spawn(move || {
         let mut listener = Some(listener);
-        while !shared.over.load(Ordering::SeqCst) {
-            if shared.gone[server as usize].load(Ordering::SeqCst) {
+        while !shared.finished.load(Ordering::SeqCst) {
+            if shared.down[server as usize].load(Ordering::SeqCst) {
                 listener = None;
                 std::thread::sleep(Duration::from_millis(2));
                 continue;
             }
-            let Some(door) = &listener else {
+            let Some(open_listener) = &listener else {
                 listener = TcpListener::bind(address).ok();
                 continue;
             };
-            let Ok((stream, _)) = door.accept() else { continue };
-            if shared.gone[server as usize].load(Ordering::SeqCst) {
+            let Ok((stream, _)) = open_listener.accept() else { continue };
+            if shared.down[server as usize].load(Ordering::SeqCst) {
                 continue;
             }
-            let conn = shared.next_conn.fetch_add(1, Ordering::Relaxed);
+            let conn = shared.next_connection.fetch_add(1, Ordering::Relaxed);
             let Ok(write) = stream.try_clone() else { continue };
             let _ = stream.set_nodelay(true);
-            shared.tell(Input::Opened { conn, server, router, stream: write });
+            shared.send(Input::Opened { conn, server, router, stream: write });
             let shared = shared.clone();
             let builder = std::thread::Builder::new().stack_size(128 * 1024);
             let _ = builder.spawn(move || {
-                let _ = read(&shared, conn, stream);
-                shared.tell(Input::Closed { conn, at: shared.clock.now() });
+                let _ = read_connection(&shared, conn, stream);
+                shared.send(Input::Closed { conn, at: shared.clock.now() });
             });
         }
     });
     Ok(address)
 }
 
-/// Reads what a pooler sends, until it leaves or makes no sense.
-fn read(shared: &Shared, conn: u64, mut stream: TcpStream) -> io::Result<()> {
+/// Reads the statements of a pooler until it disconnects or sends something invalid.
+fn read_connection(shared: &Shared, conn: u64, mut stream: TcpStream) -> io::Result<()> {
     let (mut data, mut bytes) = (Vec::new(), [0; 8 * 1024]);
-    let (mut greeted, mut first) = (false, None);
+    let (mut session_started, mut first) = (false, None);
     let bad = |_| io::Error::from(io::ErrorKind::InvalidData);
     loop {
-        if !greeted {
+        if !session_started {
             if let Some((_, size)) = pg::startup(&data).map_err(bad)? {
                 data.drain(..size);
-                greeted = true;
-                shared.tell(Input::Came { conn, first: shared.clock.now(), what: Asked::Hello });
+                session_started = true;
+                shared.send(Input::Received {
+                    conn,
+                    first: shared.clock.now(),
+                    what: ServerRequest::Startup,
+                });
                 first = None;
             }
         }
-        while let Some(message) = pg::message(&data).map_err(bad)?.filter(|_| greeted) {
+        while let Some(message) = pg::message(&data).map_err(bad)?.filter(|_| session_started) {
             let size = message.size;
             if message.tag != b'Q' {
                 return Ok(());
             }
             let statement = pg::query_text(message.body).map_err(bad)?;
-            let what = asked(statement).ok_or(io::ErrorKind::InvalidData)?;
+            let what = parse_statement(statement).ok_or(io::ErrorKind::InvalidData)?;
             let at = first.take().unwrap_or_else(|| shared.clock.now());
-            shared.tell(Input::Came { conn, first: at, what });
+            shared.send(Input::Received { conn, first: at, what });
             data.drain(..size);
         }
         match stream.read(&mut bytes)? {
@@ -841,19 +866,19 @@
     }
 }
 
-/// What a statement asks: the id holds the request's number and its work, and both go on unchanged.
-fn asked(statement: &str) -> Option<Asked> {
+/// Parses a statement. Its id holds the request's number and work, and poolers pass it on unchanged.
+fn parse_statement(statement: &str) -> Option<ServerRequest> {
     if statement.is_empty() {
-        return Some(Asked::Nothing);
+        return Some(ServerRequest::EmptyQuery);
     }
     if statement.starts_with("SHOW") {
-        return Some(Asked::Report);
+        return Some(ServerRequest::Report);
     }
     let id = crate::boxes::comment_field(statement, "id")?;
     let (request, work) = id.split_once('w')?;
     let class = crate::boxes::comment_field(statement, "c")?;
-    let class = crate::clients::CLASSES.iter().position(|of| *of == class)?;
-    Some(Asked::Request {
+    let class = crate::clients::CLASSES.iter().position(|name| *name == class)?;
+    Some(ServerRequest::Request {
         request: request.parse().ok()?,
         work: Span(work.parse().ok()?),
         class,
@@ -861,8 +886,8 @@
     })
 }
 
-/// Discovery for one pooler.
-fn discovery(shared: &Arc<Shared>, router: u32) -> io::Result<SocketAddr> {
+/// Starts the discovery service for one pooler.
+fn start_discovery(shared: &Arc<Shared>, router: u32) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     let address = listener.local_addr()?;
     let shared = shared.clone();
@@ -870,27 +895,28 @@
         for stream in listener.incoming() {
             let (Ok(stream), shared) = (stream, shared.clone()) else { continue };
             std::thread::spawn(move || {
-                let _ = watch(&shared, router, stream);
+                let _ = serve_watch(&shared, router, stream);
             });
         }
     });
     Ok(address)
 }
 
-fn watch(shared: &Shared, router: u32, mut stream: TcpStream) -> io::Result<()> {
+/// Serves a watch: the changes of the server list, and an empty line every 2 s.
+fn serve_watch(shared: &Shared, router: u32, mut stream: TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut head = BufReader::new(stream.try_clone()?).lines();
     let first = head.next().ok_or(io::ErrorKind::UnexpectedEof)??;
     while head.next().is_some_and(|line| line.is_ok_and(|line| !line.is_empty())) {}
     let since = first.split_once("since=").map_or("", |(_, rest)| rest);
     let digits = since.find(|letter: char| !letter.is_ascii_digit()).unwrap_or(since.len());
-    let (lines, told) = channel();
-    shared.tell(Input::Watch { router, since: since[..digits].parse().unwrap_or(0), lines });
+    let (lines, line_receiver) = channel();
+    shared.send(Input::Watch { router, since: since[..digits].parse().unwrap_or(0), lines });
     stream.write_all(
         b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n",
     )?;
     loop {
-        let line = match told.recv_timeout(Duration::from_secs(2)) {
+        let line = match line_receiver.recv_timeout(Duration::from_secs(2)) {
             Ok(line) => line,
             Err(RecvTimeoutError::Timeout) => String::new(),
             Err(RecvTimeoutError::Disconnected) => return Ok(()),
@@ -899,12 +925,12 @@
     }
 }
 
-/// Asks at the scenario's rate, each client in a thread of its own while it waits. Gives what was never sent.
-fn ask(shared: &Arc<Shared>, plan: &Scenario, traffic: &Arc<Traffic>) -> u64 {
+/// Sends requests at the scenario's rate, each in a thread of its own. Returns the number of requests never sent.
+fn generate_requests(shared: &Arc<Shared>, plan: &Scenario, traffic: &Arc<Traffic>) -> u64 {
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed ^ 0x5eed);
     let until = shared.begin + plan.traffic.lasts;
-    let mut at = shared.begin + Span(BEFORE.as_micros() as i64);
-    let (mut never, mut waiting) = (0, Vec::new());
+    let mut at = shared.begin + Span(START_DELAY.as_micros() as i64);
+    let (mut never_sent, mut waiting) = (0, Vec::new());
     loop {
         let surge = *crate::lock(&shared.surge);
         at = at + traffic.gap(surge, &mut rng);
@@ -917,50 +943,58 @@
             let mut counts = crate::lock(&shared.counts);
             counts.requests[drawn.class] += 1;
             let second = ((at - shared.begin).0 / 1_000_000) as usize;
-            if let Some(of) = counts.by_second.get_mut(second) {
-                of.0 += 1;
+            if let Some(counted) = counts.by_second.get_mut(second) {
+                counted.0 += 1;
             }
         }
-        if shared.open.fetch_add(1, Ordering::SeqCst) >= MOST_OPEN {
-            shared.open.fetch_sub(1, Ordering::SeqCst);
-            never += 1;
+        if shared.open_requests.fetch_add(1, Ordering::SeqCst) >= MAX_OPEN_REQUESTS {
+            shared.open_requests.fetch_sub(1, Ordering::SeqCst);
+            never_sent += 1;
             continue;
         }
-        let (own, traffic, retries) = (shared.clone(), traffic.clone(), plan.traffic.retries);
+        let (worker_shared, traffic, retries) = (shared.clone(), traffic.clone(), plan.traffic.retries);
         let work = move || {
-            client(&own, &traffic, drawn, at, retries, seed);
-            own.open.fetch_sub(1, Ordering::SeqCst);
+            run_client(&worker_shared, &traffic, drawn, at, retries, seed);
+            worker_shared.open_requests.fetch_sub(1, Ordering::SeqCst);
         };
         match std::thread::Builder::new().stack_size(128 * 1024).spawn(work) {
             Ok(thread) => waiting.push(thread),
             Err(_) => {
-                shared.open.fetch_sub(1, Ordering::SeqCst);
-                never += 1;
+                shared.open_requests.fetch_sub(1, Ordering::SeqCst);
+                never_sent += 1;
             }
         }
-        if waiting.len() > 2 * MOST_OPEN {
-            waiting.retain(|of| !of.is_finished());
+        if waiting.len() > 2 * MAX_OPEN_REQUESTS {
+            waiting.retain(|thread| !thread.is_finished());
         }
     }
-    waiting.into_iter().for_each(|of| drop(of.join()));
-    never
+    waiting.into_iter().for_each(|thread| drop(thread.join()));
+    never_sent
 }
 
-/// A client with all its tries.
-fn client(shared: &Shared, traffic: &Traffic, drawn: ClientRequest, asked: Time, retries: u32, seed: u64) {
+/// Runs a client's request with all its tries.
+fn run_client(
+    shared: &Shared,
+    traffic: &Traffic,
+    drawn: ClientRequest,
+    asked: Time,
+    retries: u32,
+    seed: u64,
+) {
     let ClientRequest { class, session, group, router, work, .. } = drawn;
     let plan = &traffic.plans[class];
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let deadline = asked + plan.deadline;
     for left in (0..=retries).rev() {
         let now = shared.clock.now();
-        let door = *crate::lock(&shared.doors[router as usize]);
-        let (Some(door), true) = (door, now < deadline) else { return };
-        let free = crate::lock(&shared.idle[router as usize]).pop();
-        let mut wire =
-            free.filter(|wire| wire.address() == door).unwrap_or_else(|| ClientConnection::new(door));
+        let address = *crate::lock(&shared.pooler_addresses[router as usize]);
+        let (Some(address), true) = (address, now < deadline) else { return };
+        let idle = crate::lock(&shared.idle_connections[router as usize]).pop();
+        let mut connection = idle
+            .filter(|connection| connection.address() == address)
+            .unwrap_or_else(|| ClientConnection::new(address));
         let wait = Duration::from_micros((deadline - now).0.unsigned_abs());
-        if wire.open(Instant::now() + wait).is_err() {
+        if connection.open(Instant::now() + wait).is_err() {
             return;
         }
         let request = shared.next_request.fetch_add(1, Ordering::Relaxed);
@@ -969,26 +1003,28 @@
         let session_of = i64::try_from(session).unwrap_or(i64::MAX);
         shared.record(RecordKind::Asked, (router, b), request, deadline.0, session_of);
         let text = statement_for(class, &format!("acc{session}"), &id, wait, group);
-        let answer = wire.exchange(&text, Instant::now() + wait);
+        let answer = connection.exchange(&text, Instant::now() + wait);
         let Ok((how, value)) = answer else {
             return;
         };
-        let told = wire.retry_after.take();
-        crate::lock(&shared.idle[router as usize]).push(wire);
+        let retry_after = connection.retry_after.take();
+        crate::lock(&shared.idle_connections[router as usize]).push(connection);
         match how.as_str() {
             "served" => {
                 let value = value.unwrap_or_default();
-                let own = value.split_once(' ').filter(|(of, _)| *of == id);
-                // Another's answer is no answer: it never comes, for the auditor.
-                let Some(position) = own.and_then(|(_, position)| position.parse().ok()) else { return };
+                let own_answer = value.split_once(' ').filter(|(answered_id, _)| *answered_id == id);
+                // An answer to another request counts as none, so the auditor sees no answer.
+                let Some(position) = own_answer.and_then(|(_, position)| position.parse().ok()) else {
+                    return;
+                };
                 shared.record(RecordKind::Served, (router, b), request, position, 0);
                 let now = shared.clock.now();
                 let mut counts = crate::lock(&shared.counts);
                 counts.served[class] += 1;
                 counts.latency[class].saturating_record((now - asked).0.max(1).unsigned_abs());
                 let second = ((asked - shared.begin).0 / 1_000_000) as usize;
-                if let Some(of) = counts.by_second.get_mut(second) {
-                    of.1 += 1;
+                if let Some(counted) = counts.by_second.get_mut(second) {
+                    counted.1 += 1;
                 }
                 return;
             }
@@ -1004,6 +1040,6 @@
             return;
         }
         let least = Duration::from_millis(rng.random_range(RETRY_WAIT_MS).unsigned_abs());
-        std::thread::sleep(least.max(told.unwrap_or_default()));
+        std::thread::sleep(least.max(retry_after.unwrap_or_default()));
     }
 }
--- a/crates/lab/tests/load.rs
+++ b/crates/lab/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load tool: what is due when, and whose time it counts.
+//! The load generator: due times of requests, limits, and how latency is counted.
 
 use linnetdeal_lab::boxes::{Log, StandInServer};
 use linnetdeal_lab::load::{Load, LoadError, Pace};
@@ -20,34 +20,38 @@
     }
 }
 
-fn nowhere() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 1))
 }
 
 #[test]
-fn one_seed_gives_the_same_arrivals_and_another_gives_others() {
-    let one = load(nowhere());
+fn arrivals_depend_on_the_seed_only() {
+    let one = load(unused_address());
     assert_eq!(one.arrivals(), one.arrivals());
     assert_ne!(one.arrivals(), Load { seed: 5, ..one }.arrivals());
 }
 
 #[test]
-fn a_ramp_has_its_mean_and_most_of_it_late() {
-    let ramp =
-        Load { pace: Pace::Open(1_000.0, 3_000.0), duration: Duration::from_secs(20), ..load(nowhere()) };
+fn a_ramp_has_the_mean_rate_and_most_requests_in_its_second_half() {
+    let ramp = Load {
+        pace: Pace::Open(1_000.0, 3_000.0),
+        duration: Duration::from_secs(20),
+        ..load(unused_address())
+    };
     let due = ramp.arrivals();
-    // 40,000 are expected; the count's own deviation is 200.
+    // The expected count is 40,000, with a standard deviation of 200.
     assert!((39_000..41_000).contains(&due.len()), "{}", due.len());
     let early = due.iter().filter(|one| one.at < Duration::from_secs(10)).count();
-    // The first half has 15,000 and the second 25,000.
+    // Expected are 15,000 in the first half and 25,000 in the second.
     assert!((14_400..15_600).contains(&early), "{early}");
     assert!(due.windows(2).all(|pair| pair[0].at <= pair[1].at));
 }
 
 #[test]
-fn the_part_of_writes_is_kept() {
-    let writes = |part| {
-        let load = Load { pace: Pace::Open(10_000.0, 10_000.0), writes: Some(part), ..load(nowhere()) };
+fn the_share_of_writes_is_kept() {
+    let writes = |share| {
+        let load =
+            Load { pace: Pace::Open(10_000.0, 10_000.0), writes: Some(share), ..load(unused_address()) };
         let due = load.arrivals();
         due.iter().filter(|one| one.class == 4).count() as f64 / due.len() as f64
     };
@@ -57,34 +61,34 @@
 }
 
 #[test]
-fn what_is_too_much_or_nothing_is_told_before_anything_is_sent() {
-    let well = load(nowhere());
-    let wrong = [
-        Load { sessions: 0, ..well.clone() },
-        Load { sessions: 100_000, ..well.clone() },
-        Load { pace: Pace::Open(0.0, 1.0), ..well.clone() },
-        Load { pace: Pace::Open(f64::NAN, 1.0), ..well.clone() },
-        Load { pace: Pace::Open(1e9, 1e9), ..well.clone() },
-        Load { duration: Duration::ZERO, ..well.clone() },
-        Load { warm: Duration::from_secs(1), ..well.clone() },
-        Load { writes: Some(1.5), ..well.clone() },
-        Load { deadline: Duration::ZERO, ..well.clone() },
+fn parameters_out_of_range_are_refused_before_anything_is_sent() {
+    let valid = load(unused_address());
+    let invalid = [
+        Load { sessions: 0, ..valid.clone() },
+        Load { sessions: 100_000, ..valid.clone() },
+        Load { pace: Pace::Open(0.0, 1.0), ..valid.clone() },
+        Load { pace: Pace::Open(f64::NAN, 1.0), ..valid.clone() },
+        Load { pace: Pace::Open(1e9, 1e9), ..valid.clone() },
+        Load { duration: Duration::ZERO, ..valid.clone() },
+        Load { warm: Duration::from_secs(1), ..valid.clone() },
+        Load { writes: Some(1.5), ..valid.clone() },
+        Load { deadline: Duration::ZERO, ..valid.clone() },
     ];
-    for load in wrong {
+    for load in invalid {
         assert!(matches!(load.run(), Err(LoadError::Bounds(..))), "{load:?}");
     }
-    assert!(well.check().is_ok());
+    assert!(valid.check().is_ok());
 }
 
 #[test]
-fn times_count_from_when_a_request_was_due_and_not_from_when_a_session_was_free() {
+fn latency_counts_from_the_due_time_and_not_from_when_a_session_was_free() {
     let (log, recorder) = (Arc::<Log>::default(), Arc::<Mutex<Recorder>>::default());
     let ip = IpAddr::V4(Ipv4Addr::LOCALHOST);
-    // It does 20 a second at most, and is asked for 100: who waits for a session is late, though each answer by
-    // itself is quick. On a slower machine more are late.
-    let slow =
-        StandInServer::start("slow", ip, true, Duration::from_millis(50), log, recorder).expect("it listens");
-    let result = load(slow.address).run().expect("it is played");
+    // The server's capacity is 20 requests per second and the load is 100: requests that wait for a session are late,
+    // although each answer by itself is quick. On a slower machine more are late.
+    let slow = StandInServer::start("slow", ip, true, Duration::from_millis(50), log, recorder)
+        .expect("the server listens");
+    let result = load(slow.address).run().expect("the load runs");
     let all = result.all();
     assert!(all.served() > 0 && all.served() == all.total(), "{:?}", all.answers);
     assert!(all.served() <= 21, "{}", all.served());
--- a/crates/lab/tests/model.rs
+++ b/crates/lab/tests/model.rs
@@ -1,4 +1,4 @@
-//! The decisions through all orders of a change of primary, within bounds that a test can afford.
+//! Model checking of the decision logic through all orders of a change of primary, within bounds that suit a test.
 
 use linnetdeal_lab::model::{Bounds, check};
 
@@ -7,14 +7,14 @@
 
 #[test]
 fn the_rules_hold_in_all_orders_of_a_change_of_primary() {
-    let found = check(SMALL, 2);
-    assert!(found.violation.is_none(), "{:?}", found.violation);
-    assert!(found.write_outlasted_change && found.states > 1_000, "{} states", found.states);
+    let result = check(SMALL, 2);
+    assert!(result.violation.is_none(), "{:?}", result.violation);
+    assert!(result.write_outlasted_change && result.states > 1_000, "{} states", result.states);
 }
 
 #[test]
-fn a_walk_that_resends_after_a_reset_is_found() {
-    let found = check(Bounds { reset_proves_not_run: true, ..SMALL }, 2);
-    let (words, steps) = found.violation.expect("it runs twice somewhere");
-    assert_eq!(words, "a write ran twice", "{steps:?}");
+fn resending_after_a_reset_is_found() {
+    let result = check(Bounds { reset_proves_not_run: true, ..SMALL }, 2);
+    let (rule, steps) = result.violation.expect("a write runs twice in some order");
+    assert_eq!(rule, "a write ran twice", "{steps:?}");
 }
--- a/crates/lab/tests/report.rs
+++ b/crates/lab/tests/report.rs
@@ -1,4 +1,4 @@
-//! A run's report: whole or not there at all, with nothing that a network would have to bring.
+//! A run's report: written atomically, and self-contained without links to other resources.
 
 use linnetdeal_fleet::scenario::Scenario;
 use linnetdeal_lab::{emulator, plot};
@@ -11,30 +11,34 @@
 "#;
 
 #[test]
-fn a_report_is_one_file_with_its_charts_and_marks() {
+fn a_report_is_one_file_with_charts_and_marked_troubles() {
     let scenario = Scenario::decode("small.cue", SMALL.as_bytes()).unwrap();
-    let mut marks = plot::ChartRecorder::with_charts(linnetdeal_fleet::sim::BEGIN);
-    let played = emulator::run_with_charts(&scenario, &mut marks);
-    assert_eq!(marks.troubles, [2.0]);
-    let html = plot::report(&played, &marks).unwrap();
+    let mut charts = plot::ChartRecorder::with_charts(linnetdeal_fleet::sim::BEGIN);
+    let run = emulator::run_with_charts(&scenario, &mut charts);
+    assert_eq!(charts.troubles, [2.0]);
+    let html = plot::report(&run, &charts).unwrap();
     assert_eq!((html.matches("<svg").count(), html.contains("rules broken<td>none")), (5, true));
     for line in ["top-up", "the middle box", "writes that wait"] {
         assert!(html.contains(line), "{line}");
     }
     let links = html.matches("http").count();
-    assert_eq!(links, html.matches("http://www.w3.org/2000/svg").count(), "names of formats, and no links");
+    assert_eq!(links, html.matches("http://www.w3.org/2000/svg").count(), "only XML namespaces, no links");
 
     let folder = std::env::temp_dir().join(format!("linnetdeal-report-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     plot::write_atomically(&folder.join("run.html"), &html).unwrap();
-    assert!(plot::write_atomically(&folder.join("none/run.html"), &html).is_err(), "no folder, no file");
-    let left: Vec<_> = std::fs::read_dir(&folder).unwrap().map(|entry| entry.unwrap().file_name()).collect();
+    assert!(
+        plot::write_atomically(&folder.join("none/run.html"), &html).is_err(),
+        "the folder does not exist"
+    );
+    let remaining: Vec<_> =
+        std::fs::read_dir(&folder).unwrap().map(|entry| entry.unwrap().file_name()).collect();
     std::fs::remove_dir_all(&folder).unwrap();
-    assert_eq!(left, ["run.html"]);
+    assert_eq!(remaining, ["run.html"]);
 }
 
 #[test]
-fn every_scenario_of_the_library_can_be_read_and_is_called_as_its_file() {
+fn every_scenario_of_the_library_is_valid_and_named_as_its_file() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios");
     let library = emulator::load_library(&folder).unwrap();
     assert!(library.len() >= 12);
--- a/crates/lab/tests/socket_run.rs
+++ b/crates/lab/tests/socket_run.rs
@@ -1,4 +1,4 @@
-//! What can't be played on sockets is told before anything is started.
+//! Scenarios that can't be run on sockets are refused before anything is started.
 
 use linnetdeal_fleet::scenario::Scenario;
 use linnetdeal_lab::socket_run;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_fleet_that_one_machine_can_not_show_is_refused_with_what_is_too_much() {
+fn a_scenario_beyond_the_limits_is_refused_and_the_error_names_the_limit() {
     for (text, what) in [
         ("fleet: {groups: 11}", "66 boxes"),
         ("fleet: {poolers: 17}", "17 poolers"),
