--- a/crates/lab/src/boxes.rs
+++ b/crates/lab/src/boxes.rs
@@ -102,7 +102,7 @@
     }
 
     /// Starts or stops recording connections and reads; returns the times of those recorded since the previous call.
-    pub fn watch(&self, on: bool) -> Vec<Instant> {
+    pub fn record_contacts(&self, on: bool) -> Vec<Instant> {
         self.record_contacts.store(on, Ordering::SeqCst);
         std::mem::take(&mut lock(&self.contacts))
     }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -23,9 +23,9 @@
 /// Prints a line to stdout. Exits with status 1 if stdout is closed, as there is then nobody to print for; `println!`
 /// would panic instead.
 macro_rules! print_line {
-    ($($words:tt)*) => {{
+    ($($args:tt)*) => {{
         use std::io::Write as _;
-        if writeln!(std::io::stdout(), $($words)*).is_err() {
+        if writeln!(std::io::stdout(), $($args)*).is_err() {
             std::process::exit(1);
         }
     }};
--- a/crates/lab/src/work/runner.rs
+++ b/crates/lab/src/work/runner.rs
@@ -431,12 +431,12 @@
             let open = self.jobs.iter().any(|job| job.machine == *machine && job.finished.is_none());
             match (state.starts_with("free"), self.free_servers.contains_key(&server)) {
                 (true, false) if !open => {
-                    self.environment.servers[server].stand_in.watch(true);
+                    self.environment.servers[server].stand_in.record_contacts(true);
                     self.free_servers.insert(server, Instant::now());
                 }
                 // Taken back without work: it was in use again before this was seen, so its traffic does not count.
                 (false, true) if !open && state != "at work" => {
-                    self.environment.servers[server].stand_in.watch(false);
+                    self.environment.servers[server].stand_in.record_contacts(false);
                     self.free_servers.remove(&server);
                 }
                 _ => {}
@@ -454,7 +454,7 @@
         });
         if let Some(server) = self.environment.server_index(machine) {
             if !self.free_servers.contains_key(&server) {
-                self.environment.servers[server].stand_in.watch(true);
+                self.environment.servers[server].stand_in.record_contacts(true);
             }
             self.environment.servers[server].stand_in.set_down(true);
             match self.script.listed.as_str() {
@@ -480,7 +480,7 @@
                 if !self.down_servers.contains_key(&server) {
                     self.environment.servers[server].stand_in.set_down(false);
                 }
-                let sends = self.environment.servers[server].stand_in.watch(false);
+                let sends = self.environment.servers[server].stand_in.record_contacts(false);
                 let began = self.free_servers.remove(&server).unwrap_or(self.jobs[job].began);
                 let violations: Vec<_> = sends.iter().filter(|sent_at| **sent_at > began).collect();
                 if !violations.is_empty() {
