--- a/crates/lab/src/leases/check.rs
+++ b/crates/lab/src/leases/check.rs
@@ -19,8 +19,8 @@
 const TASK: TaskId = TaskId(1);
 const VOTERS: u16 = 3;
 const CLAIMANTS: usize = 2;
-/// Lease term. [`TICK_US`] is the progress of an exact clock in one tick, in microseconds; [`DRIFT_PER_MILLE`] is the stated
-/// drift in thousandths.
+/// Lease term. [`TICK_US`] is the progress of an exact clock in one tick, in microseconds; [`DRIFT_PER_MILLE`]
+/// is the stated drift in thousandths.
 const TERM: Span = Span(12_000);
 const TICK_US: i64 = 4_000;
 const DRIFT_PER_MILLE: u16 = 200;
--- a/crates/lab/src/leases/proof.rs
+++ b/crates/lab/src/leases/proof.rs
@@ -50,14 +50,14 @@
 ) -> Result<bool, Box<dyn std::error::Error + Send + Sync>> {
     let mut scripts = Script::read_folder(&spec.folder)?;
     scripts.retain(|script| spec.only.as_ref().is_none_or(|only| script.name.contains(only)));
-    let plays = script_runs(scripts.len(), spec.times);
-    let outcomes = run_parallel(&plays, spec.side_by_side, |(at, seed)| {
-        run_script(&scripts[*at], scripts[*at].seed * 1_000 + seed, &spec.program)
+    let runs = script_runs(scripts.len(), spec.times);
+    let outcomes = run_parallel(&runs, spec.side_by_side, |(index, seed)| {
+        run_script(&scripts[*index], scripts[*index].seed * 1_000 + seed, &spec.program)
     });
     let (mut total, mut passed, mut takeovers) = (Outcome::default(), true, Vec::new());
     let (mut late_acts, mut overlapping, mut let_through, mut processes) = (0, 0, 0, 0);
-    for ((at, seed), outcome) in plays.iter().zip(outcomes) {
-        let script = &scripts[*at];
+    for ((index, seed), outcome) in runs.iter().zip(outcomes) {
+        let script = &scripts[*index];
         let outcome = match outcome {
             Ok(outcome) => outcome,
             Err(error) => {
@@ -96,7 +96,7 @@
     }
     if spec.only.is_some() {
         let (started, ended) = process::counts();
-        say(&json!({"scripts": plays.len(), "takeovers": takeovers.len(), "overlapping_acts": overlapping,
+        say(&json!({"scripts": runs.len(), "takeovers": takeovers.len(), "overlapping_acts": overlapping,
             "takeover_p99_terms": rounded(quantile(&mut takeovers, 0.99)), "leaks": started - ended}));
         return Ok(passed && started == ended);
     }
@@ -129,7 +129,7 @@
     let summary = run_model_checks(MAX_STATES, &say)?;
     passed &= summary.passed;
     let (started, ended) = process::counts();
-    say(&json!({"processes": processes, "scripts": plays.len(), "acts": total.verdict.acts,
+    say(&json!({"processes": processes, "scripts": runs.len(), "acts": total.verdict.acts,
         "takeovers": takeovers.len(), "overlapping_acts": overlapping,
         "acts_with_old_token_let_through": let_through, "late_acts_within_bounds": late_acts,
         "tokens_went_back": total.verdict.tokens_went_back,
--- a/crates/lab/src/leases/runner.rs
+++ b/crates/lab/src/leases/runner.rs
@@ -19,9 +19,11 @@
 
 /// The task that all scripts contend for.
 const TASK: &str = "sweep";
+/// Default key that authenticates the datagrams of leases.
 const KEY: &str = "the key of the lab's installation";
 /// Up to this number of poolers, every pair has a relay.
 const MAX_FULLY_RELAYED: usize = 24;
+/// Interval of the polls while waiting.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
@@ -56,12 +58,14 @@
     }
 }
 
+/// State of a running script.
 struct Runner<'s> {
     script: &'s Script,
     fleet: Fleet,
     gate: Gate,
     folder: PathBuf,
     rng: ChaCha8Rng,
+    /// Poolers of the previous step that applied to any.
     previous_targets: BTreeSet<usize>,
     /// Configuration for processes started from now on: version, voters and previous sets of voters.
     voter_config: (u32, Vec<usize>, Vec<Vec<usize>>),
@@ -112,24 +116,24 @@
 impl Runner<'_> {
     fn run(&mut self) -> Result<(), Failure> {
         for pooler in 0..self.script.poolers {
-            let text = self.operator(0, "")?;
+            let text = self.operator_file(0, "")?;
             self.fleet.start(pooler, &text, &[])?;
         }
         for pooler in 0..self.script.poolers {
             self.fleet.wait_until_listening(pooler)?;
         }
         if self.wait_for(0, WAIT_TIMEOUT, |_| true).is_none() {
-            self.missed("nobody acts at the beginning");
+            self.record_miss("nobody acts at the beginning");
             return Ok(());
         }
         for round in 0..self.script.rounds {
             for (index, step) in self.script.steps.iter().enumerate() {
                 self.run_step(step).map_err(|error| format!("step {index} of round {round}: {error}"))?;
                 for exited in self.fleet.poll_logs() {
-                    self.missed(&format!("pooler {exited} has ended by itself"));
+                    self.record_miss(&format!("pooler {exited} has ended by itself"));
                 }
                 if !self.outcome.missed.is_empty() {
-                    self.missed(&format!("in step {index} of round {round}"));
+                    self.record_miss(&format!("in step {index} of round {round}"));
                     return Ok(());
                 }
             }
@@ -138,7 +142,7 @@
     }
 
     /// Text of the fleet's operator file with this version (0 for the current one) and key (empty for the default).
-    fn operator(&self, version: u32, key: &str) -> Result<String, Failure> {
+    fn operator_file(&self, version: u32, key: &str) -> Result<String, Failure> {
         let key = if key.is_empty() { KEY } else { key };
         let file = self.folder.join(format!("key-{}", key.len()));
         // Replaced atomically: another process may be reading the file.
@@ -164,7 +168,7 @@
     }
 
     fn run_step(&mut self, step: &Step) -> Result<(), Failure> {
-        let (before, history_len) = (self.highest(), self.fleet.history.len());
+        let (before, history_len) = (self.highest_token(), self.fleet.history.len());
         let start = self.fleet.history.now();
         let targets = self.resolve_target(step.who);
         let mut successor = None;
@@ -178,7 +182,7 @@
                 if !step.voters.is_empty() {
                     self.voter_config = (step.version, step.voters.clone(), step.previous.clone());
                 }
-                let text = self.operator(step.version, &step.key)?;
+                let text = self.operator_file(step.version, &step.key)?;
                 let bend = [("LINNETDEAL_BEND", step.bend.clone())];
                 let variables = if step.bend.is_empty() { &[][..] } else { &bend[..] };
                 for pooler in &targets {
@@ -234,19 +238,19 @@
                 };
                 successor = Some(to).filter(|to| step.what == Action::Hand && self.is_up(*to));
                 for pooler in &targets {
-                    let (status, words) = self.fleet.call(*pooler, "POST", &path)?;
-                    self.fleet.record_fault(&format!("{path} at {pooler}: {status} {}", words.trim()));
+                    let (status, response) = self.fleet.call(*pooler, "POST", &path)?;
+                    self.fleet.record_fault(&format!("{path} at {pooler}: {status} {}", response.trim()));
                 }
             }
             Action::HoldGate => targets.iter().for_each(|pooler| self.gate.set_delay(*pooler, step.lasts)),
             Action::Twin => {
-                let text = self.operator(step.version, &step.key)?;
+                let text = self.operator_file(step.version, &step.key)?;
                 for pooler in &targets {
                     self.fleet.start_duplicate(*pooler, &text)?;
                 }
             }
             Action::Replace => {
-                let text = self.operator(step.version, &step.key)?;
+                let text = self.operator_file(step.version, &step.key)?;
                 for pooler in &targets {
                     self.fleet.replace(*pooler, &text)?;
                     // The old process hands its leases over to the new one.
@@ -261,23 +265,23 @@
         match step.then {
             Expectation::Nothing => {}
             Expectation::Takeover => match self.wait_for(history_len, WAIT_TIMEOUT, |token| token > before) {
-                None => self.missed(&format!("nobody has taken over after {:?}", step.what)),
+                None => self.record_miss(&format!("nobody has taken over after {:?}", step.what)),
                 Some((at, by)) => {
                     let took = Duration::from_micros(at.saturating_sub(start)).as_secs_f64();
                     let took = took / self.script.term.as_secs_f64();
                     self.outcome.takeovers.push(took);
                     if let Some(successor) = successor.filter(|successor| *successor != by) {
-                        self.missed(&format!("{by} acts, and {successor} is the heir"));
+                        self.record_miss(&format!("{by} acts, and {successor} is the heir"));
                     }
                 }
             },
             Expectation::Same => {
                 // Long enough for an unrenewed lease to expire.
                 std::thread::sleep(self.script.term * 2);
-                if self.highest() != before
+                if self.highest_token() != before
                     || !self.acts_begun(history_len).any(|(_, token, _)| token == before)
                 {
-                    self.missed(&format!("the same one should have gone on after {:?}", step.what));
+                    self.record_miss(&format!("the same one should have gone on after {:?}", step.what));
                 }
             }
             Expectation::Nobody => {
@@ -285,7 +289,7 @@
                 let history_len = self.fleet.history.len();
                 std::thread::sleep(step.lasts);
                 if self.acts_begun(history_len).next().is_some() {
-                    self.missed(&format!("somebody began an act after {:?}", step.what));
+                    self.record_miss(&format!("somebody began an act after {:?}", step.what));
                 }
             }
         }
@@ -306,7 +310,8 @@
         })
     }
 
-    fn highest(&self) -> u64 {
+    /// Highest token with which an act was begun and let through.
+    fn highest_token(&self) -> u64 {
         self.acts_begun(0).map(|(_, token, _)| token).max().unwrap_or(0)
     }
 
@@ -327,22 +332,24 @@
         None
     }
 
+    /// Poolers that a target stands for at this moment.
     fn resolve_target(&mut self, target: Target) -> BTreeSet<usize> {
-        let highest = self.highest();
+        let highest_token = self.highest_token();
         let holder = self
             .acts_begun(0)
-            .filter(|(_, token, _)| *token == highest)
+            .filter(|(_, token, _)| *token == highest_token)
             .map(|(_, _, by)| by)
             .last()
             .unwrap_or(0);
         let voters = &self.script.voters;
-        let up: Vec<usize> = (0..self.script.poolers).filter(|at| *at != holder && self.is_up(*at)).collect();
+        let up: Vec<usize> =
+            (0..self.script.poolers).filter(|pooler| *pooler != holder && self.is_up(*pooler)).collect();
         match target {
             Target::Number(number) => [number].into(),
             Target::Holder => [holder].into(),
             Target::Other => up.choose(&mut self.rng).copied().into_iter().collect(),
             Target::Voter => {
-                let voters: Vec<usize> = up.into_iter().filter(|at| voters.contains(at)).collect();
+                let voters: Vec<usize> = up.into_iter().filter(|pooler| voters.contains(pooler)).collect();
                 voters.choose(&mut self.rng).copied().into_iter().collect()
             }
             Target::Voters => voters.iter().copied().collect(),
@@ -361,9 +368,9 @@
         }
     }
 
-    fn missed(&mut self, words: &str) {
-        self.fleet.record_fault(&format!("MISSED: {words}"));
-        self.outcome.missed.push(words.to_owned());
+    fn record_miss(&mut self, message: &str) {
+        self.fleet.record_fault(&format!("MISSED: {message}"));
+        self.outcome.missed.push(message.to_owned());
     }
 
     /// Audits the history; keeps script, history and logs if the script did not pass.
@@ -375,9 +382,9 @@
         self.outcome.max_datagram_bytes = self.fleet.relay.stats.max_bytes.load(Ordering::Relaxed);
         let elapsed = self.fleet.history.now() as f64 / 1e6;
         let sent_by_pooler = self.fleet.relay.stats.sent_by_pooler();
-        let others = (0..self.script.poolers).filter(|at| !self.script.voters.contains(at));
+        let others = (0..self.script.poolers).filter(|pooler| !self.script.voters.contains(pooler));
         let rates: Vec<f64> =
-            others.map(|at| sent_by_pooler.get(&at).copied().unwrap_or(0) as f64 / elapsed).collect();
+            others.map(|pooler| sent_by_pooler.get(&pooler).copied().unwrap_or(0) as f64 / elapsed).collect();
         let mean = rates.iter().sum::<f64>() / rates.len().max(1) as f64;
         self.outcome.rates = (rates.iter().copied().fold(0.0, f64::max), mean);
         if self.outcome.passed(self.script) {
@@ -390,8 +397,8 @@
         }
         let _ = std::fs::write(self.folder.join("history.jsonl"), history);
         let _ = std::fs::write(self.folder.join("script.txt"), format!("seed {seed}\n{:#?}\n", self.script));
-        for (number, (at, log)) in self.fleet.logs().into_iter().enumerate() {
-            let _ = std::fs::write(self.folder.join(format!("log-{at}-{number}.txt")), log.join("\n"));
+        for (number, (pooler, log)) in self.fleet.logs().into_iter().enumerate() {
+            let _ = std::fs::write(self.folder.join(format!("log-{pooler}-{number}.txt")), log.join("\n"));
         }
         self.outcome.kept_folder = Some(self.folder.clone());
         self.outcome
--- a/crates/lab/src/work/proof.rs
+++ b/crates/lab/src/work/proof.rs
@@ -45,14 +45,14 @@
 ) -> Result<bool, Box<dyn std::error::Error + Send + Sync>> {
     let mut scripts = Script::read_folder(&spec.folder)?;
     scripts.retain(|script| spec.only.as_ref().is_none_or(|only| script.name.contains(only)));
-    let plays = script_runs(scripts.len(), spec.times);
-    let outcomes = run_parallel(&plays, spec.side_by_side, |(at, seed)| {
-        run_script(&scripts[*at], scripts[*at].seed * 1_000 + seed, &spec.program)
+    let runs = script_runs(scripts.len(), spec.times);
+    let outcomes = run_parallel(&runs, spec.side_by_side, |(index, seed)| {
+        run_script(&scripts[*index], scripts[*index].seed * 1_000 + seed, &spec.program)
     });
     let (mut total, mut passed) = (Outcome::default(), true);
     let (mut processes, mut servers) = (0, 0);
-    for ((at, seed), outcome) in plays.iter().zip(outcomes) {
-        let script = &scripts[*at];
+    for ((index, seed), outcome) in runs.iter().zip(outcomes) {
+        let script = &scripts[*index];
         let outcome = match outcome {
             Ok(outcome) => outcome,
             Err(error) => {
@@ -81,7 +81,7 @@
             let share = outcome.served.0 as f64 / outcome.served.1.max(1) as f64;
             served.insert(script.name.clone(), share);
             if script.name == "large-calm" {
-                plan = (outcome.plan_s, shortest_of(script));
+                plan = (outcome.plan_s, shortest_plan_seconds(script));
             }
             accumulate(&mut total, outcome);
         }
@@ -89,7 +89,7 @@
     }
     let served_share = |name: &str| served.get(name).copied().map_or(0.0, rounded);
     let (started, ended) = process::counts();
-    say(&json!({"processes": processes, "servers": servers, "scripts": plays.len(),
+    say(&json!({"processes": processes, "servers": servers, "scripts": runs.len(),
         "steps_interrupted": total.interrupted, "machines_worked": total.worked,
         "sends_to_free_machines": total.sends_to_free, "limits_exceeded": total.limits_exceeded,
         "machines_forgotten_out": total.forgotten, "drains_broken": total.drains_broken,
@@ -107,7 +107,7 @@
 /// number of machines at once, and each machine takes the time of its work and its slow start. A primary goes
 /// after its replicas, so that each zone needs a second turn for its primaries; only in the last zone the
 /// replicas of its primaries are done by then.
-fn shortest_of(script: &Script) -> f64 {
+fn shortest_plan_seconds(script: &Script) -> f64 {
     let each = script.lasts.as_secs_f64() + COLD_S;
     let zones = script.zones.min(script.members);
     let (mut primaries, mut others) = (vec![0; zones], vec![0; zones]);
@@ -119,7 +119,7 @@
     }
     let per_turn = script.zone.min(script.all).max(1);
     let turns = |count: usize| count.div_ceil(per_turn);
-    let with_last = |last: usize| -> usize {
+    let turns_with_last = |last: usize| -> usize {
         let zone_turns = |zone: usize| {
             if zone == last {
                 turns(primaries[zone] + others[zone])
@@ -129,8 +129,8 @@
         };
         (0..zones).map(zone_turns).sum()
     };
-    let least = (0..zones).map(with_last).min().unwrap_or(0);
-    each * least as f64
+    let min_turns = (0..zones).map(turns_with_last).min().unwrap_or(0);
+    each * min_turns as f64
 }
 
 /// Simulates the order of machines with each order policy, prints the results and plots them.
@@ -170,11 +170,11 @@
         }
     }
     let fleet = simulation::fleet(120, 1);
-    let plays: Vec<_> = policies
+    let runs: Vec<_> = policies
         .iter()
         .map(|(name, policy)| (*name, simulation::simulate(&fleet, &simulation::limits(*policy))))
         .collect();
-    simulation::plot(Path::new("docs/design/work-plan.svg"), &plays)
+    simulation::plot(Path::new("docs/design/work-plan.svg"), &runs)
 }
 
 fn accumulate(total: &mut Outcome, outcome: Outcome) {
--- a/crates/lab/src/work/runner.rs
+++ b/crates/lab/src/work/runner.rs
@@ -22,6 +22,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+/// Key that authenticates the datagrams of leases and work.
 const KEY: &str = "the key of the lab's installation";
 /// Interval of the polls while waiting.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -68,7 +69,7 @@
     pub unanswered: u64,
     /// Numbers of requests served and sent.
     pub served: (u64, u64),
-    /// Number of leaders that were killed after a number of datagrams.
+    /// Number of leaders that were isolated after a given number of datagrams and then killed.
     pub interrupted: usize,
     /// Time until another pooler had taken the plan over, for each loss of a leader, in seconds.
     pub resumed: Vec<f64>,
@@ -109,8 +110,8 @@
         let pause = Arc::new(AtomicU64::new(script.pause.as_micros() as u64));
         let mut threads = Vec::new();
         for (pooler, address) in addresses.iter().enumerate() {
-            for client in 0..script.clients {
-                let number = pooler * script.clients + client;
+            for client_index in 0..script.clients {
+                let number = pooler * script.clients + client_index;
                 let (stop, pause, recorder, address) =
                     (stop.clone(), pause.clone(), recorder.clone(), *address);
                 let group = (number % script.groups) as u32;
@@ -140,6 +141,7 @@
     }
 }
 
+/// State of a running script.
 struct Runner<'s> {
     script: &'s Script,
     fleet: Fleet,
@@ -149,13 +151,18 @@
     clients: Option<ClientThreads>,
     folder: PathBuf,
     rng: ChaCha8Rng,
+    /// Poolers of the previous step that applied to any.
     previous_targets: BTreeSet<usize>,
+    /// Work of the worker on machines.
     jobs: Vec<Job>,
     /// Servers seen to be free, and since when.
     free_servers: BTreeMap<usize, Instant>,
     started_at: Instant,
+    /// Whether the worker finishes no work.
     worker_hung: bool,
+    /// Servers that are down, and since when.
     down_servers: BTreeMap<usize, Instant>,
+    /// Servers taken out by hand, and since when.
     out_by_hand: BTreeMap<usize, Instant>,
     /// Scheduled changes of a server's lifecycle in the list.
     scheduled_lifecycles: Vec<(Instant, usize, &'static str)>,
@@ -164,8 +171,10 @@
     highest_token: u64,
     /// When the leader was lost, until another one leads.
     leader_lost_at: Option<Instant>,
+    /// Which tenth of the poolers the next step with `tenth` applies to.
     next_tenth: usize,
     last_poll: Instant,
+    /// Last answer of the leader to `GET /-/work`, with its number as `at`.
     view: Value,
     outcome: Outcome,
 }
@@ -239,7 +248,7 @@
     };
     let result = runner.run();
     if let Err(error) = &result {
-        runner.missed(&error.to_string());
+        runner.record_miss(&error.to_string());
     }
     Ok(runner.finish(seed))
 }
@@ -247,7 +256,7 @@
 impl Runner<'_> {
     fn run(&mut self) -> Result<(), Failure> {
         for pooler in 0..self.script.poolers {
-            let text = self.operator(pooler)?;
+            let text = self.operator_file(pooler)?;
             self.fleet.start(pooler, &text, &[])?;
         }
         let mut addresses = Vec::new();
@@ -263,10 +272,10 @@
             for (index, step) in self.script.steps.iter().enumerate() {
                 self.run_step(step).map_err(|error| format!("step {index} of round {round}: {error}"))?;
                 for exited in self.fleet.poll_logs() {
-                    self.missed(&format!("pooler {exited} has ended by itself"));
+                    self.record_miss(&format!("pooler {exited} has ended by itself"));
                 }
                 if !self.outcome.missed.is_empty() {
-                    self.missed(&format!("in step {index} of round {round}"));
+                    self.record_miss(&format!("in step {index} of round {round}"));
                     return Ok(());
                 }
             }
@@ -286,9 +295,9 @@
     }
 
     fn wait_until_ready(&mut self, pooler: usize) -> Result<(), Failure> {
-        let end = Instant::now() + WAIT_TIMEOUT;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while self.fleet.call(pooler, "GET", "/-/ready").map_or(0, |(status, _)| status) != 200 {
-            if Instant::now() > end {
+            if Instant::now() > deadline {
                 return Err(format!("pooler {pooler} is never ready").into());
             }
             std::thread::sleep(POLL_INTERVAL);
@@ -296,7 +305,8 @@
         Ok(())
     }
 
-    fn operator(&self, pooler: usize) -> Result<String, Failure> {
+    /// Text of the operator file of a pooler.
+    fn operator_file(&self, pooler: usize) -> Result<String, Failure> {
         let file = self.folder.join("key");
         if !file.exists() {
             std::fs::write(&file, KEY)?;
@@ -348,6 +358,7 @@
         self.run_worker();
     }
 
+    /// Reads the plan from its leader; otherwise notes the holder of the lease.
     fn refresh_view(&mut self) {
         let candidates: Vec<usize> = self.leader().into_iter().chain(self.any_pooler()).collect();
         for pooler in candidates {
@@ -377,12 +388,14 @@
         self.view["leads"] = false.into();
     }
 
+    /// Names and states of the plan's machines.
     fn machines(&self) -> Vec<(String, String)> {
         let machines = self.view["machines"].as_array().cloned().unwrap_or_default();
         let text = |value: &Value| value.as_str().unwrap_or("").to_owned();
         machines.iter().map(|entry| (text(&entry["machine"]), text(&entry["state"]))).collect()
     }
 
+    /// Sends a maintenance command to a random pooler.
     fn call(&mut self, command: &str, machine: Option<&str>) -> Option<(u16, String)> {
         let pooler = self.any_pooler()?;
         let path = machine
@@ -467,7 +480,7 @@
             }
         } else if let Some(pooler) = pooler_number(machine) {
             if let Err(error) = self.fleet.terminate(pooler) {
-                self.missed(&format!("the pooler that was free did not end: {error}"));
+                self.record_miss(&format!("the pooler that was free did not end: {error}"));
             }
         }
         self.check_limits(machine);
@@ -498,9 +511,9 @@
                 }
             } else if let Some(pooler) = pooler_number(&machine) {
                 let started =
-                    self.operator(pooler).and_then(|text| Ok(self.fleet.start(pooler, &text, &[])?));
+                    self.operator_file(pooler).and_then(|text| Ok(self.fleet.start(pooler, &text, &[])?));
                 if let Err(error) = started.and_then(|()| Ok(self.fleet.wait_until_listening(pooler)?)) {
-                    self.missed(&format!("pooler {pooler} did not start again: {error}"));
+                    self.record_miss(&format!("pooler {pooler} did not start again: {error}"));
                 }
             }
             self.jobs[job].finished = Some(Instant::now());
@@ -532,16 +545,18 @@
             let (zone, group) =
                 (count(&|other| other.zone == server.zone), count(&|other| other.group == server.group));
             let zones: BTreeSet<&String> =
-                at_work.iter().map(|at| &self.environment.servers[*at].zone).collect();
+                at_work.iter().map(|server_index| &self.environment.servers[*server_index].zone).collect();
             if zone > script.zone || group > script.group || zones.len() > script.zones_at_once {
                 violations.push(format!("{zone} of its zone, {group} of its group, {} zones", zones.len()));
             }
-            let left = (0..self.environment.servers.len()).filter(|at| {
-                let other = &self.environment.servers[*at];
-                let known_dead =
-                    self.down_servers.get(at).is_some_and(|since| since.elapsed() > DEATH_KNOWN_AFTER);
+            let left = (0..self.environment.servers.len()).filter(|server_index| {
+                let other = &self.environment.servers[*server_index];
+                let known_dead = self
+                    .down_servers
+                    .get(server_index)
+                    .is_some_and(|since| since.elapsed() > DEATH_KNOWN_AFTER);
                 other.group == server.group
-                    && !at_work.contains(at)
+                    && !at_work.contains(server_index)
                     && !known_dead
                     && !other.stand_in.is_primary()
             });
@@ -568,8 +583,8 @@
         timeout: Duration,
         condition: impl Fn(&Self) -> bool,
     ) -> Result<(), Failure> {
-        let end = Instant::now() + timeout;
-        while Instant::now() < end {
+        let deadline = Instant::now() + timeout;
+        while Instant::now() < deadline {
             self.advance();
             if self.view["leads"] == true && condition(self) {
                 return Ok(());
@@ -580,8 +595,8 @@
     }
 
     fn wait(&mut self, lasts: Duration) {
-        let end = Instant::now() + lasts;
-        while Instant::now() < end {
+        let deadline = Instant::now() + lasts;
+        while Instant::now() < deadline {
             self.advance();
             std::thread::sleep(POLL_INTERVAL / 2);
         }
@@ -592,38 +607,43 @@
         let out: BTreeSet<usize> = self.down_servers.keys().chain(self.out_by_hand.keys()).copied().collect();
         // A server that received few requests before may well receive none for a while.
         let elapsed = self.started_at.elapsed().as_secs_f64();
-        let is_used = |at: &usize| self.statement_count(*at) as f64 / elapsed >= MIN_USUAL_RATE;
-        let alive: Vec<usize> =
-            (0..self.environment.servers.len()).filter(|at| !out.contains(at) && is_used(at)).collect();
-        let before: Vec<usize> = alive.iter().map(|at| self.statement_count(*at)).collect();
-        let end = Instant::now() + REUSE_TIMEOUT;
+        let is_used =
+            |server_index: &usize| self.statement_count(*server_index) as f64 / elapsed >= MIN_USUAL_RATE;
+        let alive: Vec<usize> = (0..self.environment.servers.len())
+            .filter(|server_index| !out.contains(server_index) && is_used(server_index))
+            .collect();
+        let before: Vec<usize> =
+            alive.iter().map(|server_index| self.statement_count(*server_index)).collect();
+        let deadline = Instant::now() + REUSE_TIMEOUT;
         let mut unused = alive.clone();
-        while !unused.is_empty() && Instant::now() < end {
+        while !unused.is_empty() && Instant::now() < deadline {
             self.wait(POLL_INTERVAL * 5);
             unused = alive
                 .iter()
                 .zip(&before)
-                .filter(|(at, before)| self.statement_count(**at) <= **before)
-                .map(|(at, _)| *at)
+                .filter(|(server_index, before)| self.statement_count(**server_index) <= **before)
+                .map(|(server_index, _)| *server_index)
                 .collect();
         }
         self.outcome.forgotten += if self.script.clients > 0 { unused.len() } else { 0 };
-        for at in unused {
-            let id = self.environment.servers[at].id.clone();
+        for server_index in unused {
+            let id = self.environment.servers[server_index].id.clone();
             self.fleet.record_fault(&format!("FORGOTTEN: {id} is not used again"));
         }
         // No pooler may still consider the plan active.
         for pooler in 0..self.script.poolers {
             if self.is_up(pooler) && !self.script.old.contains(&pooler) {
-                let end = Instant::now() + REUSE_TIMEOUT;
+                let deadline = Instant::now() + REUSE_TIMEOUT;
                 loop {
                     let (_, body) = self.fleet.call(pooler, "GET", "/-/work")?;
                     let view: Value = serde_json::from_str(&body)?;
                     if view["mode"] == "over" {
                         break;
                     }
-                    if Instant::now() > end {
-                        self.missed(&format!("pooler {pooler} does not know that the plan is over: {body}"));
+                    if Instant::now() > deadline {
+                        self.record_miss(&format!(
+                            "pooler {pooler} does not know that the plan is over: {body}"
+                        ));
                         break;
                     }
                     std::thread::sleep(POLL_INTERVAL);
@@ -633,7 +653,7 @@
         let machines = self.machines();
         let left = machines.iter().filter(|(_, state)| state != "back").count();
         if left != self.script.left && self.script.left != ANY_NUMBER {
-            self.missed(&format!("{left} machines were left out: {machines:?}"));
+            self.record_miss(&format!("{left} machines were left out: {machines:?}"));
         }
         Ok(())
     }
@@ -655,25 +675,27 @@
                 if step.what == Action::Call {
                     let server =
                         if step.text.contains('@') { self.resolve_server(&step.server) } else { None };
-                    let id = server.map_or_else(String::new, |at| self.environment.servers[at].id.clone());
+                    let id = server.map_or_else(String::new, |server_index| {
+                        self.environment.servers[server_index].id.clone()
+                    });
                     path = format!("/-/work/{}", step.text.replace('@', &id));
                 }
                 let body = if step.what == Action::Plan { step.text.clone() } else { String::new() };
-                let end = Instant::now() + WAIT_TIMEOUT;
-                let (mut status, mut words);
+                let deadline = Instant::now() + WAIT_TIMEOUT;
+                let (mut status, mut response);
                 loop {
-                    (status, words) = self.fleet.call_with_body(pooler, "POST", &path, &body)?;
+                    (status, response) = self.fleet.call_with_body(pooler, "POST", &path, &body)?;
                     // There is no leader at the moment.
-                    if status != 503 || step.status == 503 || Instant::now() > end {
+                    if status != 503 || step.status == 503 || Instant::now() > deadline {
                         break;
                     }
                     self.wait(POLL_INTERVAL);
                 }
-                self.fleet.record_fault(&format!("{path} {body} at {pooler}: {status} {}", words.trim()));
+                self.fleet.record_fault(&format!("{path} {body} at {pooler}: {status} {}", response.trim()));
                 if step.status != 0 && status != step.status {
-                    self.missed(&format!(
+                    self.record_miss(&format!(
                         "{path} {body} at {pooler} was answered with {status} {}",
-                        words.trim()
+                        response.trim()
                     ));
                 }
                 if step.what == Action::Plan && status == 200 {
@@ -698,14 +720,14 @@
                     if self.fleet.running().contains(pooler) {
                         self.fleet.kill(*pooler);
                     }
-                    let text = self.operator(*pooler)?;
+                    let text = self.operator_file(*pooler)?;
                     self.fleet.start(*pooler, &text, &[])?;
                     self.fleet.wait_until_listening(*pooler)?;
                 }
             }
             Action::Replace => {
                 for pooler in &targets {
-                    let text = self.operator(*pooler)?;
+                    let text = self.operator_file(*pooler)?;
                     self.fleet.replace(*pooler, &text)?;
                 }
             }
@@ -719,8 +741,8 @@
                 let leader = self.leader().ok_or("nobody leads")?;
                 self.fleet.record_fault(&format!("{leader} is to die after {} letters", step.count));
                 self.fleet.relay.isolate_after(leader, step.count);
-                let end = Instant::now() + Duration::from_secs(10);
-                while !self.fleet.relay.is_isolated() && Instant::now() < end {
+                let deadline = Instant::now() + Duration::from_secs(10);
+                while !self.fleet.relay.is_isolated() && Instant::now() < deadline {
                     self.advance();
                     std::thread::sleep(Duration::from_millis(1));
                 }
@@ -796,10 +818,10 @@
                 let id = self.environment.servers[server].id.clone();
                 let up: Vec<usize> = (0..self.script.poolers).filter(|pooler| self.is_up(*pooler)).collect();
                 for pooler in up {
-                    let (status, words) =
+                    let (status, response) =
                         self.fleet.call(pooler, "POST", &format!("/-/servers/{id}/{}", step.text))?;
                     if status != 200 {
-                        self.missed(&format!("{id} {} at {pooler}: {status} {words}", step.text));
+                        self.record_miss(&format!("{id} {} at {pooler}: {status} {response}", step.text));
                     }
                 }
                 if step.text == "disable" {
@@ -862,6 +884,7 @@
         }
     }
 
+    /// Poolers that a step's `who` names.
     fn resolve_poolers(&mut self, target: &str) -> BTreeSet<usize> {
         let leader = self.leader();
         let up: Vec<usize> = (0..self.script.poolers)
@@ -899,15 +922,17 @@
         }
     }
 
+    /// Servers that a step's `what` names: all of a zone, or one.
     fn resolve_servers(&mut self, target: &str) -> Vec<usize> {
         match target.strip_prefix("zone-") {
             Some(zone) => (0..self.environment.servers.len())
-                .filter(|at| self.environment.servers[*at].zone == zone)
+                .filter(|server_index| self.environment.servers[*server_index].zone == zone)
                 .collect(),
             None => self.resolve_server(target).into_iter().collect(),
         }
     }
 
+    /// Index of the server with this id, or of a random one in this state of the plan.
     fn resolve_server(&mut self, target: &str) -> Option<usize> {
         if let Some(index) = self.environment.server_index(target) {
             return Some(index);
@@ -929,21 +954,21 @@
             "at-work" => in_state(&|state| state == "at work"),
             "back" => in_state(&|state| state == "back"),
             "primary" => (0..self.environment.servers.len())
-                .filter(|at| self.environment.servers[*at].stand_in.is_primary())
+                .filter(|server_index| self.environment.servers[*server_index].stand_in.is_primary())
                 .collect(),
             // A replica of a group without machines out.
             _ => {
                 let out: BTreeSet<usize> =
                     in_state(&|state| !state.starts_with("waiting") && state != "back")
                         .into_iter()
-                        .map(|at| self.environment.servers[at].group)
+                        .map(|server_index| self.environment.servers[server_index].group)
                         .collect();
                 (0..self.environment.servers.len())
-                    .filter(|at| {
-                        let server = &self.environment.servers[*at];
+                    .filter(|server_index| {
+                        let server = &self.environment.servers[*server_index];
                         !out.contains(&server.group)
                             && !server.stand_in.is_primary()
-                            && !self.down_servers.contains_key(at)
+                            && !self.down_servers.contains_key(server_index)
                     })
                     .collect()
             }
@@ -951,9 +976,9 @@
         candidates.choose(&mut self.rng).copied()
     }
 
-    fn missed(&mut self, words: &str) {
-        self.fleet.record_fault(&format!("MISSED: {words}"));
-        self.outcome.missed.push(words.to_owned());
+    fn record_miss(&mut self, message: &str) {
+        self.fleet.record_fault(&format!("MISSED: {message}"));
+        self.outcome.missed.push(message.to_owned());
     }
 
     /// Audits the run; keeps script, history and logs if the script did not pass.
@@ -985,8 +1010,8 @@
         let outcomes = lock(&self.recorder).outcome_counts().clone();
         let summary = format!("seed {seed}\n{:#?}\n{:#?}\n{outcomes:#?}\n", self.script, self.outcome);
         let _ = std::fs::write(self.folder.join("script.txt"), summary);
-        for (number, (at, log)) in self.fleet.logs().into_iter().enumerate() {
-            let _ = std::fs::write(self.folder.join(format!("log-{at}-{number}.txt")), log.join("\n"));
+        for (number, (pooler, log)) in self.fleet.logs().into_iter().enumerate() {
+            let _ = std::fs::write(self.folder.join(format!("log-{pooler}-{number}.txt")), log.join("\n"));
         }
         self.outcome.kept_folder = Some(self.folder.clone());
         self.outcome
--- a/crates/lab/src/work/script.rs
+++ b/crates/lab/src/work/script.rs
@@ -127,11 +127,11 @@
     pub left: usize,
     /// Maximum number of machines at work concurrently.
     pub all: usize,
-    /// Maximum per zone.
+    /// Maximum number of servers of one zone at work concurrently.
     pub zone: usize,
-    /// Maximum per group.
+    /// Maximum number of servers of one group at work concurrently.
     pub group: usize,
-    /// Number of zones.
+    /// Maximum number of zones with machines at work.
     pub zones_at_once: usize,
     /// Minimum share of requests served, in thousandths.
     pub served: u64,
--- a/crates/lab/src/work/simulation.rs
+++ b/crates/lab/src/work/simulation.rs
@@ -58,15 +58,15 @@
         let members = rng.random_range(3..=7).min(left);
         let members = if left - members < 3 { left } else { members };
         let capacity = rng.random_range(60.0..140.0_f64);
-        let first = rng.random_range(0..3_u16);
-        let mut usable_capacity = 0.0;
+        let first_zone = rng.random_range(0..3_u16);
+        let mut group_capacity = 0.0;
         for member in 0..members {
             let own_capacity = capacity * rng.random_range(0.85..1.15);
-            usable_capacity += own_capacity;
+            group_capacity += own_capacity;
             machines.push(MachineInfo {
                 machine: machines.len() as u64 + 1,
                 group,
-                zone: (first + member as u16) % 3,
+                zone: (first_zone + member as u16) % 3,
                 capacity: own_capacity,
                 primary: member == 0,
                 in_service: true,
@@ -74,7 +74,7 @@
                 warm: true,
             });
         }
-        let load = usable_capacity * rng.random_range(0.25..0.6);
+        let load = group_capacity * rng.random_range(0.25..0.6);
         loads.insert(group, (load, load));
         group += 1;
     }
@@ -225,18 +225,18 @@
 /// When the file can't be written.
 pub fn plot(
     path: &Path,
-    plays: &[(&str, SimulatedPlan)],
+    plans: &[(&str, SimulatedPlan)],
 ) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     let root = SVGBackend::new(path, (900, 420)).into_drawing_area();
     root.fill(&WHITE)?;
-    let longest = plays.iter().map(|(_, plan)| plan.curve.len()).max().unwrap_or(1) as f64 / 720.0;
+    let longest = plans.iter().map(|(_, plan)| plan.curve.len()).max().unwrap_or(1) as f64 / 720.0;
     let mut chart = ChartBuilder::on(&root)
         .margin(12)
         .x_label_area_size(32)
         .y_label_area_size(48)
         .build_cartesian_2d(0.0..longest, 0.0..0.25)?;
     chart.configure_mesh().x_desc("hours").y_desc("share of capacity out").draw()?;
-    for (index, (name, plan)) in plays.iter().enumerate() {
+    for (index, (name, plan)) in plans.iter().enumerate() {
         let colour = Palette99::pick(index).to_rgba();
         let points =
             plan.curve.iter().enumerate().step_by(4).map(|(step, (out, _))| (step as f64 / 720.0, *out));
