--- a/crates/lab/src/changes.rs
+++ b/crates/lab/src/changes.rs
@@ -1,6 +1,6 @@
-//! Changes of primary beyond a single failure: many waiting writes, two changes in a row, an old primary that comes back, no
-//! replica that takes over, a pooler that restarts during the change, a new primary that drains, and several poolers that
-//! send their waiting writes to a cold primary.
+//! Changes of primary beyond a single failure: many waiting writes, two changes in a row, an old primary that comes
+//! back, no replica that takes over, a pooler that restarts during the change, a new primary that drains, and several
+//! poolers that send their waiting writes to a cold primary.
 
 use crate::clients::Client;
 use crate::lock;
@@ -35,7 +35,8 @@
     HeirDrains,
     /// Four poolers hold writes for a primary that has just started and is cold.
     Cold,
-    /// Six changes one after the other, with client deadlines of 1.2 s, so that the poolers learn how long changes last.
+    /// Six changes one after the other, with client deadlines of 1.2 s, so that the poolers learn how long changes
+    /// last.
     Learning,
 }
 
@@ -83,7 +84,8 @@
     pub reads_at_returned_box: usize,
     /// Reads answered from older data than their class allows.
     pub stale_reads: u64,
-    /// The highest rate at which a cold server was sent statements in any 3 s, as a share of 2.5 times its capacity in them.
+    /// The highest rate at which a cold server was sent statements in any 3 s, as a share of 2.5 times its capacity
+    /// in them.
     pub cold_budget_peak: Option<f64>,
     /// Time from the promotion until the last waiting write was served.
     pub backlog_cleared_in: Option<Duration>,
@@ -298,8 +300,8 @@
 }
 
 impl Readers {
-    /// Starts `of_each` readers for each pooler, which read with this pause. Half of them send reads that any server may
-    /// answer; the others write now and then and read their own writes.
+    /// Starts `of_each` readers for each pooler, which read with this pause. Half of them send reads that any server
+    /// may answer; the others write now and then and read their own writes.
     fn start(testbed: &Testbed, of_each: usize, pause: Duration) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let all =
@@ -326,8 +328,8 @@
     }
 }
 
-/// Four poolers hold writes after the primary failed, and a server that has just restarted takes over. Returns the peak of
-/// its budget.
+/// Four poolers hold writes after the primary failed, and a server that has just restarted takes over. Returns the
+/// peak of its budget.
 fn run_cold(testbed: &Testbed, writer_groups: &mut [Writers], promoted: &mut Option<Instant>) -> f64 {
     // Reads are most of a server's work: the poolers learn its capacity from them.
     let readers = Readers::start(testbed, 6, Duration::from_millis(40));
@@ -357,8 +359,8 @@
     peak_budget_share(&arrivals)
 }
 
-/// The highest share of a cold server's budget used in any window. Arrival times of statements are in seconds after its
-/// start.
+/// The highest share of a cold server's budget used in any window. Arrival times of statements are in seconds after
+/// its start.
 fn peak_budget_share(arrivals: &[f64]) -> f64 {
     let capacity_at =
         |age: f64| CAPACITY * (SLOW_START.0 + (1.0 - SLOW_START.0) * (age / SLOW_START.1).min(1.0));
@@ -400,7 +402,8 @@
     hints
 }
 
-/// The retry-after hint that a client with a deadline of 0.6 s gets if it is refused at once, and when it sent the request.
+/// The retry-after hint that a client with a deadline of 0.6 s gets if it is refused at once, and when it sent the
+/// request.
 fn refused_hint(
     address: std::net::SocketAddr,
     number: usize,
@@ -443,7 +446,8 @@
         for Answer { id, sent_at, latency, result } in answers {
             let (served, row) = (result == "served", rows.contains_key(id));
             let broken = result.starts_with("broken");
-            // Requests that a killed pooler had accepted can't be answered, nor those sent while no pooler was running.
+            // Requests that a killed pooler had accepted can't be answered, nor those sent while no pooler was
+            // running.
             if broken
                 && pooler_killed_at.is_some_and(|killed_at| *sent_at < killed_at + Duration::from_millis(400))
             {
--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -1,5 +1,5 @@
-//! The pooler's cost for a request: the same load on a stand-in server directly and through the pooler, alternating within
-//! one run, so that changes in the machine's speed affect both alike.
+//! The pooler's cost for a request: the same load on a stand-in server directly and through the pooler, alternating
+//! within one run, so that changes in the machine's speed affect both alike.
 
 use crate::boxes::{Log, StandInServer};
 use crate::load::{ClassStats, Load, LoadError, Pace};
@@ -68,9 +68,9 @@
     }
 }
 
-/// Measures the programs at these paths and returns a cost for each. The stand-in servers answer at once. All programs
-/// are measured within each round, so that changes in the machine's speed affect them alike. `report` gets a line of text
-/// for each measurement.
+/// Measures the programs at these paths and returns a cost for each. The stand-in servers answer at once. All
+/// programs are measured within each round, so that changes in the machine's speed affect them alike. `report` gets a
+/// line of text for each measurement.
 ///
 /// # Errors
 ///
--- a/crates/lab/src/emulator.rs
+++ b/crates/lab/src/emulator.rs
@@ -70,8 +70,8 @@
         )
     }
 
-    /// Served share weighted by worth, in total and by class and tenant, for the whole run and its worst 10 s, with the
-    /// number of tries, attempts and probes for each request. Text of several lines.
+    /// Served share weighted by worth, in total and by class and tenant, for the whole run and its worst 10 s, with
+    /// the number of tries, attempts and probes for each request. Text of several lines.
     #[must_use]
     pub fn service(&self) -> String {
         let RunOutcome { service, requests, tries, calls, probes, attempts, .. } = &self.outcome;
--- a/crates/lab/src/even.rs
+++ b/crates/lab/src/even.rs
@@ -9,8 +9,8 @@
 use std::path::Path;
 use std::time::Instant;
 
-/// Number of concurrent runs.
-const CONCURRENT_RUNS: usize = 3;
+/// Maximum number of concurrent runs.
+const MAX_RUNS: usize = 3;
 /// Number of decisions that are timed.
 const TIMED_DECISIONS: usize = 200_000;
 /// Ages of the published loads in the plot, in ms.
@@ -66,7 +66,7 @@
             plan.groups
         ));
         print(&format!("| scheme, age in ms {HEADER_CELLS}\n| --- {SEPARATOR_CELLS}"));
-        let results = run_parallel(&runs, CONCURRENT_RUNS, |(scheme, age)| {
+        let results = run_parallel(&runs, MAX_RUNS, |(scheme, age)| {
             run(&Plan { publish_interval: Span::millis(*age), ..plan }, *scheme)
         });
         for ((scheme, age), figures) in runs.iter().zip(&results) {
@@ -98,9 +98,8 @@
     let plan = Plan { seed, seconds: 14, troubles: false, ..Plan::for_poolers(PLOT_POOLERS) };
     let runs: Vec<(Sources, Scheme)> =
         variants.iter().flat_map(|(_, sources)| schemes.map(|scheme| (*sources, scheme))).collect();
-    let results = run_parallel(&runs, CONCURRENT_RUNS, |(sources, scheme)| {
-        run(&Plan { sources: *sources, ..plan }, *scheme)
-    });
+    let results =
+        run_parallel(&runs, MAX_RUNS, |(sources, scheme)| run(&Plan { sources: *sources, ..plan }, *scheme));
     print(&format!(
         "\nPeak to mean and p99 in ms without one source, {PLOT_POOLERS} poolers, no troubles, seed {seed}\n"
     ));
@@ -110,10 +109,8 @@
         "| --- ".repeat(schemes.len())
     ));
     for ((name, _), row) in variants.iter().zip(results.chunks(schemes.len())) {
-        let cells: Vec<String> = row
-            .iter()
-            .map(|figures| format!("{:.2}, {:.0}", figures.peak_to_mean(), figures.p99_ms()))
-            .collect();
+        let cells: Vec<String> =
+            row.iter().map(|run| format!("{:.2}, {:.0}", run.peak_to_mean(), run.p99_ms())).collect();
         print(&format!("| {name} | {} |", cells.join(" | ")));
     }
 }
@@ -145,7 +142,7 @@
         Scheme::Central,
     ];
     let runs: Vec<(Scheme, i64)> = schemes.iter().flat_map(|scheme| AGES.map(|age| (*scheme, age))).collect();
-    let results = run_parallel(&runs, CONCURRENT_RUNS, |(scheme, age)| {
+    let results = run_parallel(&runs, MAX_RUNS, |(scheme, age)| {
         run(&Plan { publish_interval: Span::millis(*age), ..plan }, *scheme)
     });
     let (mut by_age, mut by_second) = (Vec::new(), Vec::new());
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,5 +1,5 @@
-//! Experiments: a scenario run with several fleet sizes, loads and seeds, on all cores. The figures of each run are written
-//! atomically to a Parquet file of their own, so that an interrupted experiment resumes where it stopped.
+//! Experiments: a scenario run with several fleet sizes, loads and seeds, on all cores. The figures of each run are
+//! written atomically to a Parquet file of their own, so that an interrupted experiment resumes where it stopped.
 
 use crate::emulator::{self, ScenarioRun};
 use indicatif::{ProgressBar, ProgressStyle};
@@ -263,8 +263,8 @@
     pub seeds: usize,
 }
 
-/// Compares two sets of results, paired by seed. Runs with the same seed have the same random events, so the differences
-/// of the pairs are resampled.
+/// Compares two sets of results, paired by seed. Runs with the same seed have the same random events, so the
+/// differences of the pairs are resampled.
 #[must_use]
 pub fn compare(a: &Results, b: &Results) -> Vec<Difference> {
     let key = |cell: &Cell| (cell.poolers, cell.load.to_bits());
@@ -279,9 +279,7 @@
     let mut all = Vec::new();
     for ((poolers, load), pairs) in pairs {
         for (index, figure) in FIGURES.into_iter().enumerate() {
-            let mean = |value_of: &dyn Fn(&Pair) -> f64| {
-                pairs.iter().map(value_of).sum::<f64>() / pairs.len() as f64
-            };
+            let mean = |get: &dyn Fn(&Pair) -> f64| pairs.iter().map(get).sum::<f64>() / pairs.len() as f64;
             let differences: Vec<f64> = pairs.iter().map(|(a, b)| b[index] - a[index]).collect();
             let mut resampled: Vec<f64> = (0..RESAMPLES)
                 .map(|_| {
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,6 +1,6 @@
-//! Open-loop load generator on real sockets. The time at which a request is due does not depend on the answers to earlier
-//! requests, and latency counts from that time. A target that stalls for a second therefore shows a second of late
-//! answers instead of one late answer for each session (coordinated omission).
+//! Open-loop load generator on real sockets. The time at which a request is due does not depend on the answers to
+//! earlier requests, and latency counts from that time. A target that stalls for a second therefore shows a second of
+//! late answers instead of one late answer for each session (coordinated omission).
 
 use crate::clients::{CLASSES, ClientConnection, class_from_draw, now_ms, statement};
 use crate::lock;
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -1,5 +1,5 @@
-//! Model checking of the decision logic: the [`Router`] that is used in production is stepped by stateright through all
-//! orders of a change of primary, answers, lost answers, a crash of a router and a drain, within given bounds.
+//! Model checking of the decision logic: the [`Router`] that is used in production is stepped by stateright through
+//! all orders of a change of primary, answers, lost answers, a crash of a router and a drain, within given bounds.
 
 use linnetdeal_core::*;
 use stateright::{Checker, Model, Property};
@@ -215,7 +215,8 @@
         Time(1_000_000_000 + self.now * 1_000)
     }
 
-    /// Passes an event to a router and carries out its actions; probes are answered at once with the member's actual state.
+    /// Passes an event to a router and carries out its actions; probes are answered at once with the member's actual
+    /// state.
     fn handle_event(&mut self, router: usize, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -1,5 +1,5 @@
-//! The report of a run as one self-contained HTML file: its figures, and charts over time of the served share, the load,
-//! latencies by class, attempts sent to servers and waiting writes. Troubles are marked.
+//! The report of a run as one self-contained HTML file: its figures, and charts over time of the served share, the
+//! load, latencies by class, attempts sent to servers and waiting writes. Troubles are marked.
 
 use crate::emulator::ScenarioRun;
 use linnetdeal_core::Time;
@@ -21,7 +21,8 @@
 const COLOURS: [RGBColor; 6] =
     [BLUE, RGBColor(0, 140, 70), RGBColor(200, 110, 0), RGBColor(130, 60, 170), BLACK, RGBColor(0, 150, 170)];
 
-/// Collects the data of a run's charts: when troubles began and, if charts are wanted, latencies, loads and waiting writes.
+/// Collects the data of a run's charts: when troubles began and, if charts are wanted, latencies, loads and waiting
+/// writes.
 #[derive(Debug)]
 pub struct ChartRecorder {
     /// Start times of troubles, in seconds from the start of the run.
@@ -156,8 +157,8 @@
             .collect()
     }
 
-    /// Attempts per second sent to the most loaded, the median and the least loaded server, of all servers that were sent
-    /// any in the run.
+    /// Attempts per second sent to the most loaded, the median and the least loaded server, of all servers that were
+    /// sent any in the run.
     fn loads(&self) -> [Vec<(f64, f64)>; 3] {
         let servers: BTreeSet<u32> =
             self.sent.iter().flat_map(|by_server| by_server.keys().copied()).collect();
@@ -190,7 +191,8 @@
 /// A line of a chart: its label and its points.
 type Line<'a> = (&'a str, Vec<(f64, f64)>);
 
-/// Draws a chart over the seconds of a run as SVG, with vertical lines at `marks`. The scale goes up to `top` at least.
+/// Draws a chart over the seconds of a run as SVG, with vertical lines at `marks`. The scale goes up to `top` at
+/// least.
 ///
 /// # Errors
 ///
--- a/crates/lab/src/replica_group.rs
+++ b/crates/lab/src/replica_group.rs
@@ -176,8 +176,9 @@
         state.stale_primary = Some(member);
     }
 
-    /// Restarts a server cold: it processes one statement at a time, each in the usual time divided by the share of its
-    /// capacity that it has by then. A server that answered at once whatever it is sent would report spare capacity.
+    /// Restarts a server cold: it processes one statement at a time, each in the usual time divided by the share of
+    /// its capacity that it has by then. A server that answered at once whatever it is sent would report spare
+    /// capacity.
     pub fn start_cold(&self, member: usize, share: f64, warm: Duration) {
         lock(&self.state).cold = Some((member, Instant::now(), share, warm));
     }
--- a/crates/lab/src/socket_run.rs
+++ b/crates/lab/src/socket_run.rs
@@ -202,7 +202,8 @@
     all
 }
 
-/// The operator's configuration of a scenario's poolers; `None` if the scenario expects no durations of changes of primary.
+/// The operator's configuration of a scenario's poolers; `None` if the scenario expects no durations of changes of
+/// primary.
 fn operator_config(plan: &Scenario) -> Option<String> {
     let [planned, unplanned] = Fleet::expected(plan);
     let duration = |expected: linnetdeal_core::Expected| {
@@ -344,7 +345,7 @@
     auditor.finish(end)
 }
 
-/// The thread's state that owns the model.
+/// State of the thread that owns the model.
 struct Runner<'p> {
     plan: &'p Scenario,
     program: &'p Path,
@@ -411,15 +412,16 @@
     fn pooler_starter(&self, router: u32) -> impl FnOnce() -> io::Result<Pooler> + Send + 'static {
         let instances = (0..self.fleet.hosts.len() as u32)
             .filter(|server| self.traffic.serves(router, self.fleet.hosts[*server as usize].group));
-        let first = |server: u32| ListChange {
+        let initial = |server: u32| ListChange {
             server,
             state: ListState::Healthy,
             started: None,
             primary: self.fleet.hosts[server as usize].member == 0,
             number: 0,
         };
-        let instances: Vec<Value> = instances.map(|server| self.list_entry(router, first(server))).collect();
-        let known = json!({"generation": 1, "reset": true, "instances": instances});
+        let instances: Vec<Value> =
+            instances.map(|server| self.list_entry(router, initial(server))).collect();
+        let initial_list = json!({"generation": 1, "reset": true, "instances": instances});
         let setup = PoolerSetup {
             fleet_size: self.traffic.poolers_per_group(),
             sockets: 2_048,
@@ -428,7 +430,7 @@
         };
         let (program, operator) = (self.program.to_owned(), operator_config(self.plan));
         let settings = daemon_settings(&self.traffic);
-        move || Pooler::start_with_settings(&program, operator.as_deref(), &known, setup, settings)
+        move || Pooler::start_with_settings(&program, operator.as_deref(), &initial_list, setup, settings)
     }
 
     fn pooler_started(&mut self, router: u32, pooler: io::Result<Pooler>) -> io::Result<()> {
@@ -616,8 +618,8 @@
                     self.watches[router as usize].clear();
                     drop(pooler);
                     self.record(RecordKind::Killed, (router, 0), 0, 0, 0);
-                    if let Some(away) = self.fleet.pooler_downtime(trouble) {
-                        self.schedule(self.shared.clock.now() + away, Event::Start { router });
+                    if let Some(downtime) = self.fleet.pooler_downtime(trouble) {
+                        self.schedule(self.shared.clock.now() + downtime, Event::Start { router });
                     }
                 }
             }
@@ -831,10 +833,10 @@
 fn read_connection(shared: &Shared, conn: u64, mut stream: TcpStream) -> io::Result<()> {
     let (mut data, mut bytes) = (Vec::new(), [0; 8 * 1024]);
     let (mut session_started, mut first) = (false, None);
-    let bad = |_| io::Error::from(io::ErrorKind::InvalidData);
+    let invalid = |_| io::Error::from(io::ErrorKind::InvalidData);
     loop {
         if !session_started {
-            if let Some((_, size)) = pg::startup(&data).map_err(bad)? {
+            if let Some((_, size)) = pg::startup(&data).map_err(invalid)? {
                 data.drain(..size);
                 session_started = true;
                 shared.send(Input::Received {
@@ -845,12 +847,12 @@
                 first = None;
             }
         }
-        while let Some(message) = pg::message(&data).map_err(bad)?.filter(|_| session_started) {
+        while let Some(message) = pg::message(&data).map_err(invalid)?.filter(|_| session_started) {
             let size = message.size;
             if message.tag != b'Q' {
                 return Ok(());
             }
-            let statement = pg::query_text(message.body).map_err(bad)?;
+            let statement = pg::query_text(message.body).map_err(invalid)?;
             let what = parse_statement(statement).ok_or(io::ErrorKind::InvalidData)?;
             let at = first.take().unwrap_or_else(|| shared.clock.now());
             shared.send(Input::Received { conn, first: at, what });
@@ -930,7 +932,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed ^ 0x5eed);
     let until = shared.begin + plan.traffic.lasts;
     let mut at = shared.begin + Span(START_DELAY.as_micros() as i64);
-    let (mut never_sent, mut waiting) = (0, Vec::new());
+    let (mut never_sent, mut threads) = (0, Vec::new());
     loop {
         let surge = *crate::lock(&shared.surge);
         at = at + traffic.gap(surge, &mut rng);
@@ -958,17 +960,17 @@
             worker_shared.open_requests.fetch_sub(1, Ordering::SeqCst);
         };
         match std::thread::Builder::new().stack_size(128 * 1024).spawn(work) {
-            Ok(thread) => waiting.push(thread),
+            Ok(thread) => threads.push(thread),
             Err(_) => {
                 shared.open_requests.fetch_sub(1, Ordering::SeqCst);
                 never_sent += 1;
             }
         }
-        if waiting.len() > 2 * MAX_OPEN_REQUESTS {
-            waiting.retain(|thread| !thread.is_finished());
+        if threads.len() > 2 * MAX_OPEN_REQUESTS {
+            threads.retain(|thread| !thread.is_finished());
         }
     }
-    waiting.into_iter().for_each(|thread| drop(thread.join()));
+    threads.into_iter().for_each(|thread| drop(thread.join()));
     never_sent
 }
 
@@ -985,7 +987,7 @@
     let plan = &traffic.plans[class];
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let deadline = asked + plan.deadline;
-    for left in (0..=retries).rev() {
+    for remaining_tries in (0..=retries).rev() {
         let now = shared.clock.now();
         let address = *crate::lock(&shared.pooler_addresses[router as usize]);
         let (Some(address), true) = (address, now < deadline) else { return };
@@ -1000,23 +1002,21 @@
         let request = shared.next_request.fetch_add(1, Ordering::Relaxed);
         let id = format!("{request}w{}", work.0);
         let b = class as u32 + 256 * group;
-        let session_of = i64::try_from(session).unwrap_or(i64::MAX);
-        shared.record(RecordKind::Asked, (router, b), request, deadline.0, session_of);
+        let session_number = i64::try_from(session).unwrap_or(i64::MAX);
+        shared.record(RecordKind::Asked, (router, b), request, deadline.0, session_number);
         let text = statement_for(class, &format!("acc{session}"), &id, wait, group);
         let answer = connection.exchange(&text, Instant::now() + wait);
-        let Ok((how, value)) = answer else {
+        let Ok((result, value)) = answer else {
             return;
         };
         let retry_after = connection.retry_after.take();
         crate::lock(&shared.idle_connections[router as usize]).push(connection);
-        match how.as_str() {
+        match result.as_str() {
             "served" => {
                 let value = value.unwrap_or_default();
-                let own_answer = value.split_once(' ').filter(|(answered_id, _)| *answered_id == id);
+                let own = value.split_once(' ').filter(|(answered_id, _)| *answered_id == id);
                 // An answer to another request counts as none, so the auditor sees no answer.
-                let Some(position) = own_answer.and_then(|(_, position)| position.parse().ok()) else {
-                    return;
-                };
+                let Some(position) = own.and_then(|(_, position)| position.parse().ok()) else { return };
                 shared.record(RecordKind::Served, (router, b), request, position, 0);
                 let now = shared.clock.now();
                 let mut counts = crate::lock(&shared.counts);
@@ -1036,10 +1036,10 @@
                 }
             }
         }
-        if left == 0 {
+        if remaining_tries == 0 {
             return;
         }
-        let least = Duration::from_millis(rng.random_range(RETRY_WAIT_MS).unsigned_abs());
-        std::thread::sleep(least.max(retry_after.unwrap_or_default()));
+        let min_delay = Duration::from_millis(rng.random_range(RETRY_WAIT_MS).unsigned_abs());
+        std::thread::sleep(min_delay.max(retry_after.unwrap_or_default()));
     }
 }
