--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -120,6 +120,7 @@
         let id = self.last_request_id();
         let session = &self.session;
         let statement = statement_for(class, session, &id, self.deadline, self.group);
+        // The position that a read must see, by the consistency that the settings give its class.
         let required = match class {
             0 => now_ms() - 1_500,
             1 => lock(recorder).required_position(session, false),
--- a/crates/lab/src/eureka.rs
+++ b/crates/lab/src/eureka.rs
@@ -241,7 +241,7 @@
     Tangled,
 }
 
-/// The calls that a peer has received.
+/// Counts of the calls that a peer has received, and the calls of poolers about themselves.
 #[derive(Clone, Debug, Default)]
 pub struct RequestCounts {
     /// Requests for full lists.
@@ -481,6 +481,7 @@
         };
         instances.retain(|registration| wanted(registration));
         let mut code = hash_code(state.all.values());
+        // A complete list of the current state reports the instances that have deregistered by leaving them out.
         let mut authoritative = !delta && config.lag.is_zero();
         match &config.mode {
             AnswerMode::Silent => {
--- a/crates/lab/src/pooler.rs
+++ b/crates/lab/src/pooler.rs
@@ -31,7 +31,7 @@
         "Rules": {"DrainGrace": 250.0, "ColdFrom": 0.16, "Cold": 16000.0, "FallMultiple": 2.5, "Fall": 3000.0}})
 }
 
-/// The configuration of a pooler that differs between uses.
+/// The parts of a pooler's configuration that vary between tests.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolerSetup {
     /// The number of poolers in the fleet.
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -111,7 +111,7 @@
     1
 }
 
-/// Why scripts could not be loaded.
+/// The reason why scripts could not be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum ScriptError {
     /// The file could not be read.
