--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -42,7 +42,7 @@
     number: u32,
     member: usize,
     sent: i64,
-    until: i64,
+    deadline: i64,
     /// Whether the member was the primary when the attempt was sent.
     primary: bool,
     /// Whether the member was down when the attempt was sent, so that the connection was refused.
@@ -52,7 +52,7 @@
 /// A write, as its client and the servers see it.
 #[derive(Clone, Debug, Default)]
 struct Write {
-    asked: Option<i64>,
+    sent_at: Option<i64>,
     run_count: u8,
     send_count: u32,
     answers: Vec<&'static str>,
@@ -142,8 +142,8 @@
     Drain(usize),
 }
 
-fn id(at: usize) -> MemberId {
-    MemberId(Arc::from(format!("s-{at}")))
+fn id(index: usize) -> MemberId {
+    MemberId(Arc::from(format!("s-{index}")))
 }
 
 fn request(write: usize) -> RequestId {
@@ -177,8 +177,15 @@
     }
 }
 
-fn entry(at: usize, state: ListState) -> Entry {
-    Entry { member: id(at), group: GroupId(1), state, primary: at == 0, started: None, zone: String::new() }
+fn entry(index: usize, state: ListState) -> Entry {
+    Entry {
+        member: id(index),
+        group: GroupId(1),
+        state,
+        primary: index == 0,
+        started: None,
+        zone: String::new(),
+    }
 }
 
 impl ModelState {
@@ -198,16 +205,16 @@
             crashes: 0,
             violation: None,
         };
-        for at in 0..bounds.routers {
-            state.routers.push(Router::new(at as u64, settings()));
-            state.send_list(at);
+        for router in 0..bounds.routers {
+            state.routers.push(Router::new(router as u64, settings()));
+            state.send_list(router);
         }
         state
     }
 
     /// Gives a router the initial list: all members are up, the first is the primary.
     fn send_list(&mut self, router: usize) {
-        let entries = (0..MEMBERS).map(|at| entry(at, ListState::Healthy)).collect();
+        let entries = (0..MEMBERS).map(|index| entry(index, ListState::Healthy)).collect();
         self.handle_event(router, Event::List(Listing::Full(entries)));
     }
 
@@ -238,55 +245,56 @@
     }
 
     fn probe_result(&self, member: MemberId) -> Event {
-        let at = (0..MEMBERS).find(|at| id(*at) == member).unwrap_or(0);
+        let index = (0..MEMBERS).find(|index| id(*index) == member).unwrap_or(0);
         let took = Span::millis(1);
-        if !self.alive[at] {
+        if !self.alive[index] {
             return Event::Probed { member, verdict: Verdict::ConnectFailed, took, report: None };
         }
-        let role = f64::from(u8::from(self.primary == Some(at)));
+        let role = f64::from(u8::from(self.primary == Some(index)));
         let report = Some(vec![self.time().0 as f64 / 1e6, role]);
         Event::Probed { member, verdict: Verdict::Ok, took, report }
     }
 
     fn send(&mut self, router: usize, request: RequestId, member: &MemberId, timeout: Span) {
         let write = request.0 as usize - 1;
-        let member = (0..MEMBERS).find(|at| id(*at) == *member).unwrap_or(0);
+        let member = (0..MEMBERS).find(|index| id(*index) == *member).unwrap_or(0);
         if self.drain_announced[router] && member == 0 {
             self.violation = Some("sent to a member after it was told to drain".into());
         }
         if !self.writes[router][write].answers.is_empty() {
             self.violation = Some("sent after its final answer".into());
         }
-        if self.attempts.iter().any(|of| of.router == router && of.write == write) {
+        if self.attempts.iter().any(|attempt| attempt.router == router && attempt.write == write) {
             self.violation = Some("two attempts out at once".into());
         }
-        let one = &mut self.writes[router][write];
-        let number = one.send_count;
-        one.send_count += 1;
+        let op = &mut self.writes[router][write];
+        let number = op.send_count;
+        op.send_count += 1;
         let (sent, primary) = (self.now, self.primary == Some(member));
-        let until = sent + timeout.0.div_euclid(1_000);
+        let deadline = sent + timeout.0.div_euclid(1_000);
         let refused = !self.alive[member];
-        self.attempts.push(Attempt { router, write, number, member, sent, until, refused, primary });
+        self.attempts.push(Attempt { router, write, number, member, sent, deadline, refused, primary });
     }
 
     fn record_answer(&mut self, router: usize, request: RequestId, outcome: &'static str) {
         let write = request.0 as usize - 1;
-        let in_flight = self.attempts.iter().any(|of| of.router == router && of.write == write);
-        let one = &mut self.writes[router][write];
-        one.answers.push(outcome);
-        if one.answers.len() > 1 {
+        let in_flight =
+            self.attempts.iter().any(|attempt| attempt.router == router && attempt.write == write);
+        let op = &mut self.writes[router][write];
+        op.answers.push(outcome);
+        if op.answers.len() > 1 {
             self.violation = Some("two final answers".into());
-        } else if outcome == "refused" && (one.run_count > 0 || in_flight) {
+        } else if outcome == "refused" && (op.run_count > 0 || in_flight) {
             self.violation = Some("refused, though it ran or still may".into());
         }
     }
 
     /// Ends an attempt with this verdict; `ran` tells whether the write ran.
-    fn end_attempt(&mut self, at: usize, verdict: Verdict, ran: bool) {
-        let Attempt { router, write, number, member, sent, primary, .. } = self.attempts.remove(at);
-        let one = &mut self.writes[router][write];
-        one.run_count += u8::from(ran);
-        if one.run_count > 1 {
+    fn end_attempt(&mut self, index: usize, verdict: Verdict, ran: bool) {
+        let Attempt { router, write, number, member, sent, primary, .. } = self.attempts.remove(index);
+        let op = &mut self.writes[router][write];
+        op.run_count += u8::from(ran);
+        if op.run_count > 1 {
             self.violation = Some("a write ran twice".into());
         }
         let served = verdict == Verdict::Ok;
@@ -316,14 +324,19 @@
         let target = self.now + STEP_MS;
         // A router asks for its next wake-up at least 10 ms later, so the loop is bounded.
         for _ in 0..400 {
-            let wake =
-                self.wakes.iter().enumerate().filter_map(|(at, wake)| wake.map(|wake| (wake, at))).min();
-            let timeout_due = self.attempts.iter().enumerate().map(|(at, of)| (of.until, at)).min();
-            let next = wake.map(|(at, _)| at).into_iter().chain(timeout_due.map(|(at, _)| at)).min();
+            let wake = self
+                .wakes
+                .iter()
+                .enumerate()
+                .filter_map(|(router, wake)| wake.map(|wake| (wake, router)))
+                .min();
+            let timeout_due =
+                self.attempts.iter().enumerate().map(|(index, attempt)| (attempt.deadline, index)).min();
+            let next = wake.map(|(time, _)| time).into_iter().chain(timeout_due.map(|(time, _)| time)).min();
             let Some(next) = next.filter(|next| *next <= target) else { break };
             self.now = self.now.max(next);
-            match timeout_due.filter(|(at, _)| *at == next) {
-                Some((_, at)) => self.end_attempt(at, Verdict::Timeout, false),
+            match timeout_due.filter(|(time, _)| *time == next) {
+                Some((_, index)) => self.end_attempt(index, Verdict::Timeout, false),
                 None => {
                     if let Some((_, router)) = wake {
                         self.wakes[router] = None;
@@ -333,13 +346,8 @@
             }
         }
         self.now = target;
-        let overdue = |one: &Write| one.asked.is_some_and(|at| target > at + DEADLINE_MS + 20);
-        if self
-            .writes
-            .iter()
-            .flatten()
-            .any(|one| overdue(one) && one.answers.is_empty() && !one.router_crashed)
-        {
+        let overdue = |op: &Write| op.sent_at.is_some_and(|time| target > time + DEADLINE_MS + 20);
+        if self.writes.iter().flatten().any(|op| overdue(op) && op.answers.is_empty() && !op.router_crashed) {
             self.violation = Some("no answer by the deadline".into());
         }
     }
@@ -365,8 +373,7 @@
             steps.push(Step::Tick);
         }
         for router in 0..self.0.routers {
-            let has_unsent =
-                state.writes[router].iter().any(|one| one.asked.is_none() && !one.router_crashed);
+            let has_unsent = state.writes[router].iter().any(|op| op.sent_at.is_none() && !op.router_crashed);
             if has_unsent && state.now + DEADLINE_MS <= END_MS {
                 steps.push(Step::Ask(router));
             }
@@ -377,16 +384,17 @@
                 steps.push(Step::Drain(router));
             }
         }
-        for (attempt, of) in state.attempts.iter().enumerate() {
-            let member_alive = state.alive[of.member];
-            if member_alive || of.refused {
+        for (attempt, pending) in state.attempts.iter().enumerate() {
+            let member_alive = state.alive[pending.member];
+            if member_alive || pending.refused {
                 steps.push(Step::Ends { attempt, lost: false, ran: false });
             }
             // The answer to an attempt sent to a primary may be lost by itself or by a failure of the primary.
-            let may_lose = member_alive && state.losses < self.0.losses && state.primary == Some(of.member);
-            if !of.refused && (may_lose || !member_alive) {
+            let may_lose =
+                member_alive && state.losses < self.0.losses && state.primary == Some(pending.member);
+            if !pending.refused && (may_lose || !member_alive) {
                 steps.push(Step::Ends { attempt, lost: true, ran: false });
-                if of.primary {
+                if pending.primary {
                     steps.push(Step::Ends { attempt, lost: true, ran: true });
                 }
             }
@@ -405,8 +413,8 @@
             Step::Tick => state.tick(),
             Step::Ask(router) => {
                 let write =
-                    state.writes[router].iter().position(|one| one.asked.is_none() && !one.router_crashed)?;
-                state.writes[router][write].asked = Some(state.now);
+                    state.writes[router].iter().position(|op| op.sent_at.is_none() && !op.router_crashed)?;
+                state.writes[router][write].sent_at = Some(state.now);
                 let new_request = Request {
                     id: request(write),
                     class: ClassId(0),
@@ -421,10 +429,10 @@
                 state.handle_event(router, Event::Request(new_request));
             }
             Step::Ends { attempt, lost, ran } => {
-                let of = &state.attempts[attempt];
-                let (refused, primary) = (of.refused, state.primary == Some(of.member));
+                let pending = &state.attempts[attempt];
+                let (refused, primary) = (pending.refused, state.primary == Some(pending.member));
                 if lost {
-                    state.losses += u8::from(state.alive[of.member]);
+                    state.losses += u8::from(state.alive[pending.member]);
                     let verdict = if self.0.reset_proves_not_run { Verdict::Broken } else { Verdict::Reset };
                     state.end_attempt(attempt, verdict, ran);
                 } else if refused {
@@ -441,16 +449,16 @@
                 state.alive[0] = false;
                 (state.primary, state.primary_failed) = (None, true);
             }
-            Step::Promote(at) => state.primary = Some(at),
+            Step::Promote(member) => state.primary = Some(member),
             Step::Revive => {
                 state.alive[0] = true;
                 state.old_primary_back = true;
             }
             Step::Crash(router) => {
                 state.crashes += 1;
-                state.attempts.retain(|of| of.router != router);
-                for one in state.writes[router].iter_mut().filter(|one| one.answers.is_empty()) {
-                    one.router_crashed = true;
+                state.attempts.retain(|attempt| attempt.router != router);
+                for op in state.writes[router].iter_mut().filter(|op| op.answers.is_empty()) {
+                    op.router_crashed = true;
                 }
                 state.routers[router] = Router::new(router as u64 + 100, settings());
                 (state.wakes[router], state.drain_announced[router]) = (None, false);
@@ -470,7 +478,7 @@
             Property::<Self>::always("the rules hold", |_, state| state.violation.is_none()),
             // Without such a write the check would prove nothing.
             Property::<Self>::sometimes("a write outlasts the change", |_, state| {
-                let served = |one: &Write| one.answers == ["served"] && one.send_count > 1;
+                let served = |op: &Write| op.answers == ["served"] && op.send_count > 1;
                 state.primary_failed && state.writes.iter().flatten().any(served)
             }),
         ]
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -61,7 +61,7 @@
 /// A request without a final answer.
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
-    asked: Time,
+    asked_at: Time,
     class: usize,
     in_flight: bool,
 }
@@ -107,7 +107,7 @@
         match record.what {
             RecordKind::Asked => {
                 let class = ((record.b % 256) as usize).min(writes);
-                let pending = PendingRequest { asked: record.at, class, in_flight: false };
+                let pending = PendingRequest { asked_at: record.at, class, in_flight: false };
                 self.pending.insert(record.request, pending);
                 self.set_waiting(now, waiting + usize::from(is_write(&pending)));
             }
@@ -137,8 +137,8 @@
                 }
                 if record.what == RecordKind::Served && self.latency_count < MAX_LATENCIES {
                     self.latency_count += 1;
-                    let latency = (record.at - pending.asked).0 as f32 / 1_000.0;
-                    entry_for(&mut self.latencies, second(pending.asked))[pending.class].push(latency);
+                    let latency = (record.at - pending.asked_at).0 as f32 / 1_000.0;
+                    entry_for(&mut self.latencies, second(pending.asked_at))[pending.class].push(latency);
                 }
             }
             _ => {}
@@ -251,8 +251,9 @@
 pub fn report(run: &ScenarioRun, charts: &ChartRecorder) -> Result<String, String> {
     let seconds = || run.outcome.by_second.iter().enumerate().filter(|(_, (asked, _))| *asked > 0);
     let served: Vec<(f64, f64)> =
-        seconds().map(|(at, (asked, served))| (at as f64, *served as f64 / *asked as f64)).collect();
-    let load: Vec<(f64, f64)> = seconds().map(|(at, (asked, _))| (at as f64, *asked as f64)).collect();
+        seconds().map(|(second, (asked, served))| (second as f64, *served as f64 / *asked as f64)).collect();
+    let load: Vec<(f64, f64)> =
+        seconds().map(|(second, (asked, _))| (second as f64, *asked as f64)).collect();
     let mut html = String::new();
     let broken: Vec<String> =
         run.audit_report.violations.iter().map(|(rule, count)| format!("{rule:?} {count}")).collect();
@@ -293,8 +294,12 @@
         let [most, middle, least] = data.loads();
         let lines = [("the most", most), ("the middle box", middle), ("the least", least)];
         html.push_str(&chart("attempts that a box is sent in a second", &lines, 1.0, &charts.troubles)?);
-        let waiting =
-            data.max_waiting.iter().enumerate().map(|(at, waiting)| (at as f64, *waiting as f64)).collect();
+        let waiting = data
+            .max_waiting
+            .iter()
+            .enumerate()
+            .map(|(second, waiting)| (second as f64, *waiting as f64))
+            .collect();
         let title = "writes that wait with nothing sent, the most in each second";
         html.push_str(&chart(title, &[("held", waiting)], 1.0, &charts.troubles)?);
     }
