--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -111,11 +111,11 @@
     }
 }
 
-/// A latency histogram with three significant digits.
+/// A latency histogram with three significant digits, meant for 1 us to 100 s; it resizes as needed.
 fn new_histogram() -> Histogram<u64> {
-    let mut new_histogram = Histogram::new(3).expect("three digits are within the library's bounds");
-    new_histogram.auto(true);
-    new_histogram
+    let mut histogram = Histogram::new(3).expect("three digits are within the library's bounds");
+    histogram.auto(true);
+    histogram
 }
 
 /// Result of a load.
