--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The common tasks. CONFIG names the configuration for `make run`.
+# Common tasks. CONFIG is the configuration file for `make run`.
 CONFIG ?= config.json
 
 .PHONY: build test lint run ci lab sites regression soak proof-leases proof-work proof-eureka bench-eureka proof-primary proof-emulator bench-cost demo
@@ -20,49 +20,53 @@
 ci:
 	bash .ci/run
 
-# The lab: stand-ins, scripts and proofs. None of it is part of CI.
+# The lab: stand-in servers, fault scripts and proofs. None of it is part of CI.
 lab:
 	cargo build --locked --release -p linnetdeal -p linnetdeal-lab
 
-# Plays all scripts of a registry that lags, lies and vanishes; the last line is one JSON object.
+# Runs all scripts with a registry that is stale, wrong or unavailable; the last line is one JSON object.
 proof-eureka: lab
 	target/release/linnetdeal-lab eureka
 
-# Time and memory of a whole list and of a delta, at 200, 2,000 and 20,000 instances.
+# Time and memory for reading a full list and a delta, at 200, 2,000 and 20,000 instances.
 bench-eureka: lab
 	target/release/linnetdeal-lab eureka-bench
 
-# Changes of primary: a death at each step of a write, plans, claims, restarts, a cold heir; the last line is one JSON object.
+# Changes of primary: a crash at each step of a write, planned handovers, claims, restarts, a cold successor; the
+# last line is one JSON object.
 proof-primary: lab
 	target/release/linnetdeal-lab primary
 
-# All scenarios in virtual time, twice, audited; faults that must be found; the largest fleet. One JSON object at the end.
+# All scenarios in virtual time, run twice and audited; seeded faults that must be found; the largest fleet. The last
+# line is one JSON object.
 proof-emulator: lab
 	target/release/linnetdeal-lab emulator
 
-# Leases: 290 plays of scripts with processes and faults between them, 300 processes, the model check and its mutants; the last line is one
-# JSON object. The daemon is a debug build, since no release build has clocks that can be bent.
+# Leases: 290 runs of scripts with processes and network faults, 300 processes, the model check and its mutants; the
+# last line is one JSON object. The daemon is a debug build, because release builds have no clock-error injection.
 proof-leases:
 	cargo build --locked -p linnetdeal
 	cargo build --locked --release -p linnetdeal-lab
 	LINNETDEAL=target/debug/linnetdeal target/release/linnetdeal-lab leases
 
-# What the pooler adds to a request in time and CPU, against boxes that answer at once; the last line is one JSON object.
+# Latency and CPU time that the pooler adds to a request, with stand-in servers that answer at once; the last line is
+# one JSON object.
 bench-cost: lab
 	target/release/linnetdeal-lab cost
 
-# A registry, boxes, a pooler and a client on loopback, to look at. Ends on Ctrl-C or after DEMO_S seconds.
+# Demo on loopback: a registry, stand-in servers, a pooler and a client. Ends on Ctrl-C or after DEMO_S seconds.
 demo: lab
 	target/release/linnetdeal-lab demo --seconds $(or $(DEMO_S),0)
 
-# Machines out for work: scripts with processes, servers, a worker and faults, the large fleet with and without a plan, the order in
-# the model with its plot; then one JSON object.
+# Maintenance work: scripts with processes, servers, a worker and faults; the large fleet with and without a plan;
+# the order of work in the model, with its plot; the last line is one JSON object.
 proof-work:
 	cargo build --locked --release -p linnetdeal -p linnetdeal-lab
 	LINNETDEAL=target/release/linnetdeal target/release/linnetdeal-lab work --side-by-side 10
 
-# The soak: 24 processes on loopback in overlapping troubles, judged from outside, one seed after another; then broken variants, which a
-# debug build has, until each is found. Exits with 1 if a rule is broken or a variant is missed that has to be found. SOAK_SEED, SOAK_SEEDS, SOAK_S.
+# The soak test: 24 processes on loopback with overlapping faults, audited from outside, one seed after another; then
+# faulty variants, which a debug build contains, until each is found. Exits with 1 if a rule is broken or a variant
+# that must be found is missed. SOAK_SEED is the first seed, SOAK_SEEDS their number, SOAK_S the seconds per seed.
 SOAK_SEED ?= 1
 SOAK_SEEDS ?= 8
 SOAK_S ?= 12
@@ -72,16 +76,18 @@
 	SHIM=target/release/liblinnetdeal_lab_shim.so LINNETDEAL=target/release/linnetdeal target/release/linnetdeal-lab soak --seed $(SOAK_SEED) --seeds $(SOAK_SEEDS) --seconds $(SOAK_S)
 	SHIM=target/release/liblinnetdeal_lab_shim.so LINNETDEAL=target/debug/linnetdeal target/release/linnetdeal-lab soak --seed $(SOAK_SEED) --seeds 0 --seconds 6 --mutant-seeds 6
 
-# Lays beside the sites in deploy/sites what the bench wants there; GIVEN is where it comes from. The troubles of both deployments are known.
+# Copies the site files that the bench expects into deploy/sites; GIVEN is their source folder. unlock.txt joins
+# those of both deployments, whose faults are known.
 GIVEN ?= ../given
 sites:
 	cp -f $(GIVEN)/kit/sites/real.json $(GIVEN)/kit/sites/wire.json deploy/sites/
 	chmod u+w deploy/sites/*.json
 	cat $(GIVEN)/kit/sites/unlock.txt $(GIVEN)/kit/users/unlock.txt > deploy/sites/unlock.txt
 
-# The regression test before a landing, both deployments one after the other: the simulator, sockets, and the days at size (quick and
-# brink). It needs the bench, takes long, wants the machine alone, and is not part of CI. WHY names the change in one sentence. Each
-# play leaves an entry in journal/, which is committed after the run has ended. A play that fails does not stop the ones after it.
+# Regression test before a merge, both deployments one after the other: the simulator, sockets, and the full-size
+# runs (quick and brink). It needs the bench and an otherwise idle machine, takes long, and is not part of CI. WHY
+# names the change in one sentence. Each run leaves an entry in journal/, which is committed after the whole test has
+# ended. A run that fails does not stop the ones after it.
 KUMASI = $(GIVEN)/kit/sites/portal-kumasi.toml
 TUNIS = $(GIVEN)/kit/users/nom-tunis.toml
 SIMULATOR = $(GIVEN)/kit/bin/lbsim
--- a/crates/lab/src/experiment.cue
+++ b/crates/lab/src/experiment.cue
@@ -1,8 +1,8 @@
-// What may stand in an experiment: one scenario, played for each of these, with so many seeds each.
+// Schema of an experiment: one scenario, run for each number of poolers and each load, with `seeds` seeds each.
 package experiment
 
 name!:     =~"^[a-z0-9-]{1,64}$"
-// The scenario's file, from the experiment's own folder.
+// Path of the scenario file, relative to the experiment's folder.
 scenario!: =~"^[^\n]{1,1024}$"
 seeds:     int & >=1 & <=10000 | *8
 poolers: [...int & >=1 & <=10000]
--- a/deploy/operator.example.cue
+++ b/deploy/operator.example.cue
@@ -1,24 +1,24 @@
-// An operator's file to start from. 'linnetdeal check --schema' prints all that may stand in it.
+// Example of an operator's file. 'linnetdeal check --schema' prints the complete schema.
 package linnetdeal
 
 registry: {
-	// Asked in this order; the next one when one fails.
+	// Tried in this order; the next one is used when one fails.
 	servers: [{url: "http://127.0.0.1:8761/eureka"}]
-	// The applications whose instances are boxes.
+	// Applications whose instances are database servers.
 	apps: ["DB"]
-	// Where boxes may lie, and in which zone.
+	// Networks in which database servers may be located, with their zones.
 	networks: [
 		{prefix: "127.0.0.0/8", zone: "adum"},
 	]
 	interval: "5s"
-	// A list that lacks more than this share of the boxes is not believed, for ever.
+	// A list that lacks more than this share of the known servers is rejected, with no time limit (`believe_after`).
 	lost_share:    0.5
 	believe_after: "never"
 	metadata: {group: "group", role: "role", zone: "zone", started: "startedAtMs"}
 	register: {app: "POOLER", renew: "30s"}
 }
 
-// How long changes of primary take here; what is seen counts for more, once two of a kind were.
+// Expected durations of a change of primary. Observed durations take precedence once two changes of a kind were seen.
 primary: {
 	planned: {least: "300ms", usual: "1s"}
 	unplanned: {least: "2800ms", usual: "6400ms"}
--- a/deploy/trace.cue
+++ b/deploy/trace.cue
@@ -1,4 +1,4 @@
 package linnetdeal
 
-// Every event that the module takes and every action that it gives, in the log: for counting a day over a whole fleet.
+// Logs every input event and output action of the routing core, for statistics over a whole fleet.
 log: {level: "debug", format: "text"}
--- a/experiments/poolers.cue
+++ b/experiments/poolers.cue
@@ -1,4 +1,5 @@
-// What a calm day costs and serves as the same work is spread over more poolers, each of which sees less.
+// Cost and served share of the `calm` scenario as the same load is spread over more poolers, each of which observes
+// less of it.
 package experiment
 
 name:     "poolers"
--- a/scenarios/calm.cue
+++ b/scenarios/calm.cue
@@ -1,4 +1,4 @@
-// A day without trouble: what everything else is compared with.
+// Normal operation without faults: the baseline for all other scenarios.
 package scenario
 
 name: "calm"
--- a/scenarios/dies-while-pausing.cue
+++ b/scenarios/dies-while-pausing.cue
@@ -1,4 +1,4 @@
-// The primary dies while a replica pauses: the heir is not who it might be.
+// The primary crashes while a replica is paused, so that the expected successor may not be the one that is elected.
 package scenario
 
 name: "dies-while-pausing"
--- a/scenarios/fifth-dies.cue
+++ b/scenarios/fifth-dies.cue
@@ -1,4 +1,4 @@
-// A fifth of the boxes dies at once and comes back cold.
+// A fifth of the boxes crashes at once and returns cold.
 package scenario
 
 name: "fifth-dies"
--- a/scenarios/freight/calm.cue
+++ b/scenarios/freight/calm.cue
@@ -1,4 +1,4 @@
-// A day without trouble.
+// Normal operation without faults.
 package scenario
 
 name: "freight-calm"
--- a/scenarios/freight/crash-deploy.cue
+++ b/scenarios/freight/crash-deploy.cue
@@ -1,4 +1,4 @@
-// Boxes die in the middle of a deploy.
+// Boxes crash in the middle of a deployment.
 package scenario
 
 name: "freight-crash-deploy"
--- a/scenarios/freight/crash-shared-slow.cue
+++ b/scenarios/freight/crash-shared-slow.cue
@@ -1,4 +1,4 @@
-// Boxes die, and all become slower while they are away.
+// Boxes crash, and all boxes become slower while they are down.
 package scenario
 
 name: "freight-crash-shared-slow"
--- a/scenarios/freight/crash-stale-hang.cue
+++ b/scenarios/freight/crash-stale-hang.cue
@@ -1,4 +1,4 @@
-// Boxes die and others hang, while the list runs behind.
+// Boxes crash and others hang while the list of servers is stale.
 package scenario
 
 name: "freight-crash-stale-hang"
--- a/scenarios/freight/crash.cue
+++ b/scenarios/freight/crash.cue
@@ -1,4 +1,4 @@
-// Two boxes and a primary die at once and come back cold and behind.
+// Two boxes and a primary crash at once and return cold, with replication lag.
 package scenario
 
 name: "freight-crash"
--- a/scenarios/freight/deploy.cue
+++ b/scenarios/freight/deploy.cue
@@ -1,4 +1,4 @@
-// Nearly all boxes are replaced, one or two at a time; successors start cold.
+// Nearly all boxes are replaced, one or two at a time; their successors start cold.
 package scenario
 
 name: "freight-deploy"
--- a/scenarios/freight/hang.cue
+++ b/scenarios/freight/hang.cue
@@ -1,4 +1,4 @@
-// A primary and a replica take requests and answer none.
+// A primary and a replica accept requests but answer none.
 package scenario
 
 name: "freight-hang"
--- a/scenarios/freight/overbooked.cue
+++ b/scenarios/freight/overbooked.cue
@@ -1,4 +1,4 @@
-// The service that has the list ends all watches, and is overbooked while a box is replaced.
+// The discovery service ends all watches and is overloaded while boxes are replaced.
 package scenario
 
 name: "freight-overbooked"
--- a/scenarios/freight/shared-slow.cue
+++ b/scenarios/freight/shared-slow.cue
@@ -1,4 +1,4 @@
-// All boxes become twice as slow.
+// All boxes become twice as slow at the same time.
 package scenario
 
 name: "freight-shared-slow"
--- a/scenarios/freight/stale-hang.cue
+++ b/scenarios/freight/stale-hang.cue
@@ -1,4 +1,4 @@
-// A primary hangs while the list runs behind.
+// A primary hangs while the list of servers is stale.
 package scenario
 
 name: "freight-stale-hang"
--- a/scenarios/freight/stale.cue
+++ b/scenarios/freight/stale.cue
@@ -1,4 +1,4 @@
-// The list runs five seconds further behind, while two boxes die.
+// The list of servers is five more seconds out of date while two boxes crash.
 package scenario
 
 name: "freight-stale"
--- a/scenarios/freight/world.cue
+++ b/scenarios/freight/world.cue
@@ -1,5 +1,6 @@
-// A second kind of deployment, for the scenarios beside it: two groups without peers, boxes that drop nothing they were given,
-// clients that come back by themselves, customers with shares, and a list that has to be asked.
+// Shared definitions for the scenarios in this folder, a second kind of deployment: two groups without peers, boxes
+// that finish every request they accepted, clients that retry on their own, tenants with shares, and a list of
+// servers that is polled.
 package scenario
 
 _fleet: {groups: 2, members: 6, poolers: 4, zones: 2, second_copies: true, cancels: true, grace: "500ms"}
--- a/scenarios/lagging-log.cue
+++ b/scenarios/lagging-log.cue
@@ -1,4 +1,4 @@
-// Nine boxes in ten apply the log ten times more slowly; they answer as fast as ever.
+// Nine of ten boxes apply the replication log ten times more slowly; their response times do not change.
 package scenario
 
 name: "lagging-log"
--- a/scenarios/leases/act-under-way.cue
+++ b/scenarios/leases/act-under-way.cue
@@ -1,4 +1,4 @@
-// A call is on its way when its term is over: the gate turns it away.
+// The lease expires while a call is in flight: the gate rejects the call.
 package leases
 
 name: "act-under-way"
--- a/scenarios/leases/clock-jumps.cue
+++ b/scenarios/leases/clock-jumps.cue
@@ -1,4 +1,4 @@
-// The clock of a pooler jumps on by two terms.
+// The clock of a pooler jumps forward by two lease terms.
 package leases
 
 name: "clock-jumps"
--- a/scenarios/leases/drift-beyond.cue
+++ b/scenarios/leases/drift-beyond.cue
@@ -1,4 +1,5 @@
-// The clock of a pooler that is no voter runs at half the speed, far beyond what was stated: the gate alone holds.
+// The clock of a pooler that is not a voter runs at half speed, far beyond the configured drift: only the gate
+// protects.
 package leases
 
 name: "drift-beyond"
--- a/scenarios/leases/drift-stated.cue
+++ b/scenarios/leases/drift-stated.cue
@@ -1,4 +1,4 @@
-// Clocks run fast and slow by as much as was stated.
+// Clocks run fast and slow by the configured maximum drift.
 package leases
 
 name: "drift-stated"
--- a/scenarios/leases/flipped.cue
+++ b/scenarios/leases/flipped.cue
@@ -1,4 +1,4 @@
-// In a tenth of all datagrams a bit is flipped.
+// One bit is flipped in a tenth of all datagrams.
 package leases
 
 name: "flipped"
--- a/scenarios/leases/handed-over.cue
+++ b/scenarios/leases/handed-over.cue
@@ -1,4 +1,4 @@
-// The task is handed to a pooler that is named.
+// The holder hands its lease over to a named pooler.
 package leases
 
 name: "handed-over"
--- a/scenarios/leases/handed-to-the-dead.cue
+++ b/scenarios/leases/handed-to-the-dead.cue
@@ -1,4 +1,4 @@
-// The task is handed to a pooler that has just died.
+// The lease is handed over to a pooler that has just died.
 package leases
 
 name: "handed-to-the-dead"
--- a/scenarios/leases/holder-cut-off.cue
+++ b/scenarios/leases/holder-cut-off.cue
@@ -1,4 +1,4 @@
-// The holder is cut off with a minority of the voters.
+// The holder is partitioned off with a minority of the voters.
 package leases
 
 name: "holder-cut-off"
--- a/scenarios/leases/holder-deaf.cue
+++ b/scenarios/leases/holder-deaf.cue
@@ -1,4 +1,4 @@
-// Nothing comes to the holder, though what it sends arrives.
+// One-way partition: the holder receives nothing, but what it sends arrives.
 package leases
 
 name: "holder-deaf"
--- a/scenarios/leases/holder-ends.cue
+++ b/scenarios/leases/holder-ends.cue
@@ -1,4 +1,4 @@
-// The holder is told to end: it gives the task up first.
+// The holder shuts down gracefully: it releases its lease first.
 package leases
 
 name: "holder-ends"
--- a/scenarios/leases/holder-killed.cue
+++ b/scenarios/leases/holder-killed.cue
@@ -1,4 +1,4 @@
-// The holder is killed, and starts again from nothing.
+// The holder is killed and restarts without any state.
 package leases
 
 name: "holder-killed"
--- a/scenarios/leases/holder-mute.cue
+++ b/scenarios/leases/holder-mute.cue
@@ -1,4 +1,4 @@
-// Nothing that the holder sends arrives, though it hears all.
+// One-way partition: nothing that the holder sends arrives, but it receives everything.
 package leases
 
 name: "holder-mute"
--- a/scenarios/leases/holder-stopped.cue
+++ b/scenarios/leases/holder-stopped.cue
@@ -1,4 +1,4 @@
-// The holder is stopped beyond its term and goes on in the middle of what it did.
+// The holder is suspended for longer than its term and resumes in the middle of an act.
 package leases
 
 name: "holder-stopped"
--- a/scenarios/leases/large/fleet.cue
+++ b/scenarios/leases/large/fleet.cue
@@ -1,4 +1,4 @@
-// Three hundred poolers ask at one moment; holders die.
+// Three hundred poolers request the lease at the same moment; holders die.
 package leases
 
 name: "fleet"
--- a/scenarios/leases/late-answers.cue
+++ b/scenarios/leases/late-answers.cue
@@ -1,4 +1,5 @@
-// Datagrams come up to a term and a half late, so that answers come after the term; then the way is well again.
+// Datagrams are delayed by up to one and a half terms, so that answers arrive after the term; then the network
+// recovers.
 package leases
 
 name: "late-answers"
--- a/scenarios/leases/lost.cue
+++ b/scenarios/leases/lost.cue
@@ -1,4 +1,4 @@
-// A fifth of all datagrams are lost.
+// A fifth of all datagrams is lost.
 package leases
 
 name: "lost"
--- a/scenarios/leases/majority-lost.cue
+++ b/scenarios/leases/majority-lost.cue
@@ -1,4 +1,4 @@
-// Two of three voters die; nobody acts, one term later. They return with empty memory.
+// Two of three voters die: after one term nobody acts any more. They return with empty memory.
 package leases
 
 name: "majority-lost"
--- a/scenarios/leases/old-grants-doubled.cue
+++ b/scenarios/leases/old-grants-doubled.cue
@@ -1,4 +1,4 @@
-// Half of all datagrams come again, up to a second and a half later, while holders die.
+// Half of all datagrams are delivered a second time, up to 1.5 s later, while holders die.
 package leases
 
 name: "old-grants-doubled"
--- a/scenarios/leases/release-lost.cue
+++ b/scenarios/leases/release-lost.cue
@@ -1,4 +1,4 @@
-// A release is lost on its way: the others wait for a term.
+// A release message is lost: the other poolers wait for one term.
 package leases
 
 name: "release-lost"
--- a/scenarios/leases/released.cue
+++ b/scenarios/leases/released.cue
@@ -1,4 +1,4 @@
-// The holder gives the task up, and others take it.
+// The holder releases its lease, and other poolers acquire it.
 package leases
 
 name: "released"
--- a/scenarios/leases/replaced.cue
+++ b/scenarios/leases/replaced.cue
@@ -1,4 +1,4 @@
-// A newer process takes the place of the holder, and its task with it; then of a voter.
+// A newer process replaces the holder and takes over its lease; then a voter is replaced.
 package leases
 
 name: "replaced"
--- a/scenarios/leases/two-of-one-name.cue
+++ b/scenarios/leases/two-of-one-name.cue
@@ -1,4 +1,4 @@
-// A second process of the name and number of a pooler that is no voter.
+// A second process runs under the name and number of a pooler that is not a voter.
 package leases
 
 name: "two-of-one-name"
--- a/scenarios/leases/two-of-one-voter.cue
+++ b/scenarios/leases/two-of-one-voter.cue
@@ -1,4 +1,5 @@
-// A second process of the name and number of a voter, which gets all that the first one gets: the gate has to hold.
+// A second process runs under the name and number of a voter and receives all of its datagrams: the gate must reject
+// old tokens.
 package leases
 
 name: "two-of-one-voter"
--- a/scenarios/leases/unlike-versions.cue
+++ b/scenarios/leases/unlike-versions.cue
@@ -1,4 +1,4 @@
-// A pooler has the voters of another version: it is not heard.
+// One pooler has another version of the set of voters: its datagrams are refused.
 package leases
 
 name: "unlike-versions"
--- a/scenarios/leases/voters-all-at-once.cue
+++ b/scenarios/leases/voters-all-at-once.cue
@@ -1,4 +1,4 @@
-// All voters restart at once with empty memory, and once all poolers do.
+// All voters restart at once with empty memory; later all poolers do.
 package leases
 
 name: "voters-all-at-once"
--- a/scenarios/leases/voters-changed.cue
+++ b/scenarios/leases/voters-changed.cue
@@ -1,4 +1,4 @@
-// One of three voters is replaced by another, process by process, in two versions.
+// One of three voters is replaced by another, process by process, in two versions of the set of voters.
 package leases
 
 name: "voters-changed"
--- a/scenarios/leases/voters-clocks-behind.cue
+++ b/scenarios/leases/voters-clocks-behind.cue
@@ -1,4 +1,4 @@
-// All voters restart, and one of the three believes that it is an hour earlier.
+// All voters restart, and the clock of one of the three is an hour behind.
 package leases
 
 name: "voters-clocks-behind"
--- a/scenarios/leases/voters-one-by-one.cue
+++ b/scenarios/leases/voters-one-by-one.cue
@@ -1,4 +1,4 @@
-// Voters restart one by one; who holds goes on, unless it was the one.
+// The voters restart one by one; the holder keeps its lease unless it is the voter that restarts.
 package leases
 
 name: "voters-one-by-one"
--- a/scenarios/leases/wrong-key.cue
+++ b/scenarios/leases/wrong-key.cue
@@ -1,4 +1,4 @@
-// A pooler has another key: it is not heard, and takes no part.
+// One pooler has another key: its datagrams are refused, and it takes no part.
 package leases
 
 name: "wrong-key"
--- a/scenarios/market-day.cue
+++ b/scenarios/market-day.cue
@@ -1,4 +1,4 @@
-// Market day: twice as much for 20 s, and a primary dies in it.
+// Peak traffic: the load doubles for 20 s, and a primary crashes during the peak.
 package scenario
 
 name: "market-day"
--- a/scenarios/planned.cue
+++ b/scenarios/planned.cue
@@ -1,4 +1,4 @@
-// A planned change of every group's primary, one after the other.
+// Planned handover of the primary of every group, one group after the other.
 package scenario
 
 name: "planned"
--- a/scenarios/poolers-die.cue
+++ b/scenarios/poolers-die.cue
@@ -1,4 +1,4 @@
-// Half of the poolers die at once and come back with their last list.
+// Half of the poolers crash at once and restart with their last list of servers.
 package scenario
 
 name: "poolers-die"
--- a/scenarios/primary-dies.cue
+++ b/scenarios/primary-dies.cue
@@ -1,4 +1,4 @@
-// The primary dies and is back, cold, after 12 s; the list tells late.
+// The primary crashes and returns cold after 12 s; the list of servers reports this with a delay.
 package scenario
 
 name: "primary-dies"
--- a/scenarios/release.cue
+++ b/scenarios/release.cue
@@ -1,4 +1,4 @@
-// Two hundred poolers hold writes for one group and release them within one report's age.
+// Two hundred poolers hold back writes for a group and release them within the age of one load report.
 package scenario
 
 name: "release"
--- a/scenarios/slow-box.cue
+++ b/scenarios/slow-box.cue
@@ -1,4 +1,4 @@
-// A box answers ten times more slowly, late yet correctly.
+// One box answers ten times more slowly, but correctly.
 package scenario
 
 name: "slow-box"
--- a/scenarios/slow-primary.cue
+++ b/scenarios/slow-primary.cue
@@ -1,4 +1,4 @@
-// The primary itself becomes five times slower.
+// The primary becomes five times slower.
 package scenario
 
 name: "slow-primary"
--- a/scenarios/work/by-hand.cue
+++ b/scenarios/work/by-hand.cue
@@ -1,4 +1,4 @@
-// A server that is out by hand stays out when the plan has done with it.
+// A server that was taken out by hand stays out after the plan has finished with it.
 package work
 
 name: "by-hand"
--- a/scenarios/work/calm.cue
+++ b/scenarios/work/calm.cue
@@ -1,4 +1,4 @@
-// All servers, one after another, with nothing else that happens.
+// Maintenance of all servers, one after another, without faults.
 package work
 
 name: "calm"
--- a/scenarios/work/cancelled.cue
+++ b/scenarios/work/cancelled.cue
@@ -1,4 +1,4 @@
-// Cancelled half way: what is at work is finished and comes back, nothing else goes.
+// The plan is cancelled half way: work under way is finished and its machines return; no other machine goes out.
 package work
 
 name: "cancelled"
--- a/scenarios/work/dies-after-20.cue
+++ b/scenarios/work/dies-after-20.cue
@@ -1,4 +1,4 @@
-// Whoever leads dies after 20 letters of a plan for one machine: somebody else goes on where it was.
+// The leader dies after it has sent 20 datagrams of a plan for one machine: another pooler continues from there.
 package work
 
 name: "dies-after-20"
--- a/scenarios/work/dies-before.cue
+++ b/scenarios/work/dies-before.cue
@@ -1,4 +1,4 @@
-// A server of the plan dies before its turn: it goes out first, and comes back with the work done.
+// A server of the plan crashes before its turn: it goes out first and returns with its work done.
 package work
 
 name: "dies-before"
--- a/scenarios/work/dies-in-its-turn.cue
+++ b/scenarios/work/dies-in-its-turn.cue
@@ -1,4 +1,4 @@
-// A server does not come back from work: it stays out, and so do no others beyond the limits; once it is there the plan goes on.
+// A server does not come up after its work: it stays out, the limits still hold, and the plan continues once it is up.
 package work
 
 name: "dies-in-its-turn"
--- a/scenarios/work/forced.cue
+++ b/scenarios/work/forced.cue
@@ -1,4 +1,4 @@
-// Staff know that a pooler that isn't heard is dead, and say so.
+// Staff confirm that an unreachable pooler is dead, with `force`.
 package work
 
 name: "forced"
--- a/scenarios/work/hand-over-fails.cue
+++ b/scenarios/work/hand-over-fails.cue
@@ -1,4 +1,4 @@
-// Nobody else becomes primary: the primaries are left out, with the reason, and the rest is done.
+// No replica takes over as primary: the primaries are skipped with the reason, and all other machines are worked on.
 package work
 
 name: "hand-over-fails"
--- a/scenarios/work/large/calm.cue
+++ b/scenarios/work/large/calm.cue
@@ -1,4 +1,4 @@
-// 24 poolers and 18 servers, all servers out once.
+// 24 poolers and 18 servers: every server goes out once.
 package work
 
 name: "large-calm"
--- a/scenarios/work/large/fault-without.cue
+++ b/scenarios/work/large/fault-without.cue
@@ -1,4 +1,4 @@
-// The same fault without a plan.
+// The large fleet without a plan, with a server that crashes and comes back up.
 package work
 
 name: "large-fault-without"
--- a/scenarios/work/large/fault.cue
+++ b/scenarios/work/large/fault.cue
@@ -1,4 +1,4 @@
-// The same with a server that dies and the leader that is killed.
+// The large fleet with a plan, and a server that crashes and comes back up during it.
 package work
 
 name: "large-fault"
--- a/scenarios/work/large/without.cue
+++ b/scenarios/work/large/without.cue
@@ -1,4 +1,4 @@
-// The same without a plan, for as long.
+// The large fleet without a plan, for a comparable duration.
 package work
 
 name: "large-without"
--- a/scenarios/work/leader-cut-off.cue
+++ b/scenarios/work/leader-cut-off.cue
@@ -1,4 +1,4 @@
-// Whoever leads is cut off with a minority of the voters, and comes back.
+// The leader is partitioned off with a minority of the voters, and the partition heals.
 package work
 
 name: "leader-cut-off"
--- a/scenarios/work/leader-killed.cue
+++ b/scenarios/work/leader-killed.cue
@@ -1,4 +1,4 @@
-// Whoever leads is killed while machines are out, again and again.
+// The leader is killed repeatedly while machines are out.
 package work
 
 name: "leader-killed"
--- a/scenarios/work/leader-stopped.cue
+++ b/scenarios/work/leader-stopped.cue
@@ -1,4 +1,4 @@
-// Whoever leads is stopped, and goes on after another has taken over; it never acts on what is old.
+// The leader is suspended and resumes after another pooler has taken over; it must never act on outdated state.
 package work
 
 name: "leader-stopped"
--- a/scenarios/work/listed-early.cue
+++ b/scenarios/work/listed-early.cue
@@ -1,4 +1,4 @@
-// What the list says of a machine at work, early, changes nothing of when it is used.
+// The list reports a machine as up before its work is done; this must not change when the machine is used.
 package work
 
 name: "listed-early"
--- a/scenarios/work/listed-late.cue
+++ b/scenarios/work/listed-late.cue
@@ -1,4 +1,4 @@
-// What the list says of a machine at work, late, changes nothing of when it is used.
+// The list reports a machine as up only after a delay; this must not change when the machine is used.
 package work
 
 name: "listed-late"
--- a/scenarios/work/listed-so.cue
+++ b/scenarios/work/listed-so.cue
@@ -1,4 +1,4 @@
-// What the list says of a machine at work, so, changes nothing of when it is used.
+// The list reports the state of a machine at work correctly; this must not change when the machine is used.
 package work
 
 name: "listed-so"
--- a/scenarios/work/load-doubles.cue
+++ b/scenarios/work/load-doubles.cue
@@ -1,4 +1,5 @@
-// The load doubles in the middle, beyond what a group keeps: nothing more goes out until it is less.
+// The load rises sharply during the plan, beyond the capacity of a reduced group: no further machine goes out until
+// it drops.
 package work
 
 name: "load-doubles"
--- a/scenarios/work/never.cue
+++ b/scenarios/work/never.cue
@@ -1,4 +1,4 @@
-// Limits that can never be met: refused at once.
+// A plan with limits that can never be met is refused at once.
 package work
 
 name: "never"
--- a/scenarios/work/noise.cue
+++ b/scenarios/work/noise.cue
@@ -1,4 +1,4 @@
-// A fifth of all datagrams is lost, others come twice, late or altered.
+// A fifth of all datagrams is lost; others are duplicated, delayed or corrupted.
 package work
 
 name: "noise"
--- a/scenarios/work/old-version.cue
+++ b/scenarios/work/old-version.cue
@@ -1,4 +1,4 @@
-// A pooler that knows nothing of work yet: the step waits for it until it is replaced by one that does.
+// One pooler does not support maintenance work yet: the step waits until it is replaced by one that does.
 package work
 
 name: "old-version"
--- a/scenarios/work/one-side.cue
+++ b/scenarios/work/one-side.cue
@@ -1,4 +1,4 @@
-// A server of the plan is reached from one side of the fleet only.
+// A server of the plan is reachable from one side of the fleet only.
 package work
 
 name: "one-side"
--- a/scenarios/work/paused.cue
+++ b/scenarios/work/paused.cue
@@ -1,4 +1,4 @@
-// Paused, nothing more goes out; then it goes on.
+// No further machine goes out while the plan is paused; then the plan is resumed.
 package work
 
 name: "paused"
--- a/scenarios/work/poolers.cue
+++ b/scenarios/work/poolers.cue
@@ -1,4 +1,4 @@
-// The machines of all poolers, one after another: drained, stopped, started again.
+// Maintenance of all pooler machines, one after another: each pooler is drained, stopped and started again.
 package work
 
 name: "poolers"
--- a/scenarios/work/refused.cue
+++ b/scenarios/work/refused.cue
@@ -1,4 +1,4 @@
-// What can't be, or makes no sense, is refused at once, with the reason.
+// Plans and calls that are invalid or impossible are refused at once, with the reason.
 package work
 
 name: "refused"
--- a/scenarios/work/replaced.cue
+++ b/scenarios/work/replaced.cue
@@ -1,4 +1,4 @@
-// Newer processes take the place of poolers during the plan, of who leads too.
+// Poolers, the leader included, are replaced by newer processes during the plan.
 package work
 
 name: "replaced"
--- a/scenarios/work/restarts.cue
+++ b/scenarios/work/restarts.cue
@@ -1,4 +1,4 @@
-// All poolers start anew during the plan, a tenth at a time.
+// All poolers are restarted during the plan, a tenth of them at a time.
 package work
 
 name: "restarts"
--- a/scenarios/work/server-dies.cue
+++ b/scenarios/work/server-dies.cue
@@ -1,4 +1,5 @@
-// Another server of the plan's group dies while one is out; what has not been touched comes back, and it goes on once it is raised.
+// A replica of another group in the plan crashes while a machine is out; machines that were taken out but not yet
+// worked on return, and the plan continues once the replica is up again.
 package work
 
 name: "server-dies"
--- a/scenarios/work/twice.cue
+++ b/scenarios/work/twice.cue
@@ -1,4 +1,4 @@
-// Two plans, one after the other, of the same machines.
+// Two plans for the same machines, one after the other.
 package work
 
 name: "twice"
--- a/scenarios/work/two-staff.cue
+++ b/scenarios/work/two-staff.cue
@@ -1,4 +1,4 @@
-// Two of the staff start plans that overlap, at two poolers at once: one is taken.
+// Two operators submit overlapping plans to two poolers at once: exactly one plan is accepted.
 package work
 
 name: "two-staff"
--- a/scenarios/work/unheard.cue
+++ b/scenarios/work/unheard.cue
@@ -1,4 +1,5 @@
-// A pooler that can't be heard may be alive and sending: the step waits for it, by name, and goes on when it is heard.
+// An unreachable pooler may still be sending requests: the step waits for it, by name, and continues when it is
+// heard again.
 package work
 
 name: "unheard"
--- a/scenarios/work/voters-forget.cue
+++ b/scenarios/work/voters-forget.cue
@@ -1,4 +1,5 @@
-// All voters lose their memory at once, while machines are out: the others know what is out, and the plan goes on.
+// All voters lose their memory at once while machines are out: the other poolers know what is out, and the plan
+// continues.
 package work
 
 name: "voters-forget"
--- a/scenarios/work/worker-hangs.cue
+++ b/scenarios/work/worker-hangs.cue
@@ -1,4 +1,4 @@
-// The worker never says done, until it does.
+// The worker does not report completion until it is released.
 package work
 
 name: "worker-hangs"
--- a/scenarios/work/zone-dies.cue
+++ b/scenarios/work/zone-dies.cue
@@ -1,4 +1,4 @@
-// A whole zone dies while machines are out.
+// A whole zone fails while machines are out.
 package work
 
 name: "zone-dies"
